--- a/src/gateway/budget/retry-budget.ts
+++ b/src/gateway/budget/retry-budget.ts
@@ -76,7 +76,7 @@
   }
 
   /** Takes one extra arrival out of the budget; false when there is none left. */
-  take(policy: RetryBudgetPolicy, at: number): boolean {
+  consume(policy: RetryBudgetPolicy, at: number): boolean {
     if (this.left(policy, at) < 1) {
       return false;
     }
--- a/src/gateway/reducer.ts
+++ b/src/gateway/reducer.ts
@@ -18,19 +18,19 @@
 } from './readers/update-reading.js';
 import { noteEra } from './returns/note-era.js';
 import { preconnectReplicas } from './replicas/preconnect.js';
-import { acceptHeldRequests, acceptRequest } from './requests/accept-request.js';
-import { acceptSubquery, takeSubqueryCancelled } from './requests/accept-subquery.js';
+import { routeHeldRequests, handleRequestReceived } from './requests/accept-request.js';
+import { handleSubqueryReceived, handleSubqueryCancelled } from './requests/accept-subquery.js';
 import {
-  takeAcknowledgement,
-  takePeerAlive,
-  takePeerLost,
-  takeSubqueryAnswer,
-  takeSubqueryFailure,
+  handleSubqueryAcknowledged,
+  handlePeerAlive,
+  handlePeerLost,
+  handleSubqueryAnswered,
+  handleSubqueryFailed,
 } from './requests/take-subquery-result.js';
-import { takeReplicaChecked, wakeRequests } from './requests/broken-attempts.js';
-import { takeUnreadable } from './requests/take-unreadable.js';
-import { refuseAllHeld } from './requests/hold-request.js';
-import { takeCallerLeft, takeRequestDue, takeResult } from './requests/take-result.js';
+import { handleReplicaChecked, progressHeldRequests } from './requests/broken-attempts.js';
+import { handleUnreadableRefused } from './requests/take-unreadable.js';
+import { refuseAllHeldRequests } from './requests/hold-request.js';
+import { handleCallerLeft, handleRequestDue, handleAttemptEnded } from './requests/take-result.js';
 import { endStandstill, takeStoodStill } from './standstill.js';
 import type { GatewayState } from './state.js';
 import {
@@ -64,7 +64,7 @@
 
 /** What follows when more of the store is known, wherever it came from. */
 const useKnowledge = (state: GatewayState, at: number): GatewayEffect[] => [
-  ...acceptHeldRequests(state, at),
+  ...routeHeldRequests(state, at),
   ...preconnectReplicas(state),
   ...updateReadiness(state),
   ...updateReading(state, at),
@@ -80,17 +80,17 @@
       state.settings = settings;
       return [];
     })
-    .with({ type: 'request-received' }, (received) => acceptRequest(state, received))
-    .with({ type: 'unreadable-refused' }, (refused) => takeUnreadable(state, refused))
-    .with({ type: 'caller-left' }, (left) => takeCallerLeft(state, left))
-    .with({ type: 'attempt-ended' }, (ended) => takeResult(state, ended))
-    .with({ type: 'replica-checked' }, (checked) => takeReplicaChecked(state, checked))
+    .with({ type: 'request-received' }, (received) => handleRequestReceived(state, received))
+    .with({ type: 'unreadable-refused' }, (refused) => handleUnreadableRefused(state, refused))
+    .with({ type: 'caller-left' }, (left) => handleCallerLeft(state, left))
+    .with({ type: 'attempt-ended' }, (ended) => handleAttemptEnded(state, ended))
+    .with({ type: 'replica-checked' }, (checked) => handleReplicaChecked(state, checked))
     .with({ type: 'crash-news-due' }, (due) => takeCrashNewsDue(state, due))
     .with({ type: 'crashes-told' }, (told) => [
       ...takeCrashesTold(state, told),
-      ...told.news.flatMap(({ fingerprint }) => wakeRequests(state, fingerprint, told.at)),
+      ...told.news.flatMap(({ fingerprint }) => progressHeldRequests(state, fingerprint, told.at)),
     ])
-    .with({ type: 'request-due' }, (due) => takeRequestDue(state, due))
+    .with({ type: 'request-due' }, (due) => handleRequestDue(state, due))
     .with({ type: 'page-read' }, (read) => [
       ...noteStoreEra(state, read, read.page.collection),
       ...takePage(state, read),
@@ -104,14 +104,14 @@
     .with({ type: 'store-call-failed' }, (failed) => [
       ...noteStoreEra(state, failed, failed.collection),
       ...takeStoreFailure(state, failed),
-      ...refuseAllHeld(state, failed.at),
+      ...refuseAllHeldRequests(state, failed.at),
     ])
     .with({ type: 'collection-due' }, (due) => takeCollectionDue(state, due))
     .with({ type: 'probe-due' }, () => takeProbeDue(state))
     .with({ type: 'probe-ended' }, (ended) => [
       ...noteStoreEra(state, ended),
       ...takeProbe(state, ended.answered, ended.at),
-      ...refuseAllHeld(state, ended.at),
+      ...refuseAllHeldRequests(state, ended.at),
       ...updateReading(state, ended.at),
     ])
     .with({ type: 'registration-due' }, (due) => takeRegistrationDue(state, due))
@@ -128,19 +128,19 @@
       ...takeReaderNews(state, told),
       ...useKnowledge(state, told.at),
     ])
-    .with({ type: 'subquery-received' }, (received) => acceptSubquery(state, received))
-    .with({ type: 'subquery-cancelled' }, (cancelled) => takeSubqueryCancelled(state, cancelled))
+    .with({ type: 'subquery-received' }, (received) => handleSubqueryReceived(state, received))
+    .with({ type: 'subquery-cancelled' }, (cancelled) => handleSubqueryCancelled(state, cancelled))
     .with({ type: 'subquery-acknowledged' }, (acknowledged) =>
-      takeAcknowledgement(state, acknowledged),
+      handleSubqueryAcknowledged(state, acknowledged),
     )
-    .with({ type: 'subquery-answered' }, (answered) => takeSubqueryAnswer(state, answered))
-    .with({ type: 'subquery-failed' }, (failed) => takeSubqueryFailure(state, failed))
+    .with({ type: 'subquery-answered' }, (answered) => handleSubqueryAnswered(state, answered))
+    .with({ type: 'subquery-failed' }, (failed) => handleSubqueryFailed(state, failed))
     .with({ type: 'peer-lost' }, (lost) => {
       dropSource(state, lost.peer);
-      return [...takePeerLost(state, lost), ...updateReading(state, lost.at)];
+      return [...handlePeerLost(state, lost), ...updateReading(state, lost.at)];
     })
     .with({ type: 'peer-alive' }, (alive) => [
-      ...takePeerAlive(state, alive),
+      ...handlePeerAlive(state, alive),
       ...updateReading(state, alive.at),
     ])
     .exhaustive();
@@ -148,7 +148,7 @@
 /** Takes one event. Ends of attempts, the most frequent, go past the match. */
 export const step = (state: GatewayState, event: GatewayEvent): GatewayEffect[] => {
   if (event.type === 'attempt-ended') {
-    return takeResult(state, event);
+    return handleAttemptEnded(state, event);
   }
   const effects = dispatch(state, event);
   return state.outdated === undefined ? effects : [...effects, ...endStandstill(state, event.at)];
--- a/src/gateway/requests/accept-request.ts
+++ b/src/gateway/requests/accept-request.ts
@@ -12,7 +12,7 @@
 import { refuseCall } from './finish.js';
 import { pausedUntil } from './guard.js';
 import { holdRequest } from './hold-request.js';
-import { retryAfterUnread } from './retry-after.js';
+import { retryAfterUnrouted } from './retry-after.js';
 import { sendLegs } from './send-legs.js';
 import { type ActiveRequest, createActiveRequest, createLeg, type Leg } from './request-state.js';
 import { createRouteLatency, hedgeDelay } from './route-latency.js';
@@ -33,7 +33,7 @@
 /** Reasons by which too large requests are refused. */
 const EXCESS_REASONS = { headers: 'headers-too-large', body: 'body-too-large' } as const;
 
-const legsOf = (state: GatewayState, route: Route): readonly Leg[] => {
+const createLegs = (state: GatewayState, route: Route): readonly Leg[] => {
   const { target } = route;
   switch (target.type) {
     case 'service':
@@ -57,11 +57,11 @@
   { call, request, at: receivedAt }: RequestReceived,
   at: number,
 ): ActiveRequest => {
-  const legs = legsOf(state, route);
-  const patienceMs = (request.budgetMs ?? route.timeoutMs) - DEADLINE_MARGIN_MS;
+  const legs = createLegs(state, route);
+  const callerWaitMs = (request.budgetMs ?? route.timeoutMs) - DEADLINE_MARGIN_MS;
   const connectMs = request.isFirstOnConnection === true ? CONNECT_MARGIN_MS : 0;
-  const wantedMargin = OBJECTIVE_MARGIN_MS + connectMs;
-  const margin = Math.min(wantedMargin, route.objectiveMs * MAX_MARGIN_SHARE);
+  const fullMargin = OBJECTIVE_MARGIN_MS + connectMs;
+  const margin = Math.min(fullMargin, route.objectiveMs * MAX_MARGIN_SHARE);
   const latency = state.latencies.get(route.name) ?? createRouteLatency(route);
   return createActiveRequest({
     call,
@@ -70,7 +70,7 @@
     route,
     legs,
     receivedAt,
-    deadlineAt: receivedAt + Math.max(1, Math.min(route.timeoutMs, patienceMs)),
+    deadlineAt: receivedAt + Math.max(1, Math.min(route.timeoutMs, callerWaitMs)),
     objectiveAt: receivedAt + route.objectiveMs - margin,
     hedgeAt: at + hedgeDelay(latency, route),
     acknowledgeAt: undefined,
@@ -140,7 +140,7 @@
 };
 
 /** Why a request is refused whatever its route; undefined where nothing is wrong with it. */
-const problemOf = (
+const refusalReasonFor = (
   { inForce }: GatewayState,
   { requestId, host, excess }: CallerRequest,
 ): RefusalReason | undefined => {
@@ -158,17 +158,20 @@
 };
 
 /** Handles `request-received`. */
-export const acceptRequest = (state: GatewayState, event: RequestReceived): GatewayEffect[] => {
-  const problem = problemOf(state, event.request);
+export const handleRequestReceived = (
+  state: GatewayState,
+  event: RequestReceived,
+): GatewayEffect[] => {
+  const problem = refusalReasonFor(state, event.request);
   if (problem !== undefined) {
     const isUnread = problem === 'no-configuration';
-    return refuseCall(state, event, problem, isUnread ? retryAfterUnread(state) : undefined);
+    return refuseCall(state, event, problem, isUnread ? retryAfterUnrouted(state) : undefined);
   }
   return isInformed(state) ? routeRequest(state, event, event.at) : holdRequest(state, event);
 };
 
 /** Sends the requests that were held for the first configuration, once it is in force. */
-export const acceptHeldRequests = (state: GatewayState, at: number): GatewayEffect[] => {
+export const routeHeldRequests = (state: GatewayState, at: number): GatewayEffect[] => {
   if (!isInformed(state) || state.held.size === 0) {
     return [];
   }
--- a/src/gateway/requests/accept-subquery.ts
+++ b/src/gateway/requests/accept-subquery.ts
@@ -74,7 +74,10 @@
 });
 
 /** Handles `subquery-received`. */
-export const acceptSubquery = (state: GatewayState, event: SubqueryReceived): GatewayEffect[] => {
+export const handleSubqueryReceived = (
+  state: GatewayState,
+  event: SubqueryReceived,
+): GatewayEffect[] => {
   const { call, fingerprint, subquery, at } = event;
   const isServing = state.phase === 'starting' || state.phase === 'serving';
   if (!isServing || !state.replicasListed || state.outdated !== undefined) {
@@ -100,7 +103,7 @@
 };
 
 /** Handles `subquery-cancelled`. */
-export const takeSubqueryCancelled = (
+export const handleSubqueryCancelled = (
   state: GatewayState,
   { call, withinMs, at }: SubqueryCancelled,
 ): GatewayEffect[] => {
--- a/src/gateway/requests/attempts.ts
+++ b/src/gateway/requests/attempts.ts
@@ -19,10 +19,10 @@
 const LEAVING_SHARE = 0.3;
 
 /** Part of the slack of a retry budget that all gateways together use. */
-const SLACK_USE = 0.75;
+const SLACK_SHARE = 0.75;
 
 /** Tries of one leg beyond its runs: refusals and connections that failed. */
-const EXTRA_TRIES = 2;
+const EXTRA_ATTEMPTS = 2;
 
 /** How long attempts for the route usually take. */
 export const latencyOf = (state: GatewayState, request: ActiveRequest): RouteLatency => {
@@ -58,17 +58,17 @@
 };
 
 /** The first feeder of a shard chooses one replica freely, and keeps to it and the shared ones. */
-const preferredOf = (
-  { isRepeat, ownChoice }: Leg,
+const preferredReplicas = (
+  { isRepeat, unsharedReplica }: Leg,
   shared: ReadonlySet<string> | undefined,
 ): ReadonlySet<string> | undefined => {
-  if (shared === undefined || (!isRepeat && ownChoice === undefined)) {
+  if (shared === undefined || (!isRepeat && unsharedReplica === undefined)) {
     return undefined;
   }
-  return ownChoice === undefined ? shared : new Set([...shared, ownChoice]);
+  return unsharedReplica === undefined ? shared : new Set([...shared, unsharedReplica]);
 };
 
-const placeOf = (
+const selectionPlaceOf = (
   state: GatewayState,
   leg: Leg,
   shared: ReadonlySet<string> | undefined,
@@ -78,19 +78,24 @@
   zoneRegions: state.settings.zoneRegions,
   leavingMs: state.settings.bounds.drainMs * LEAVING_SHARE,
   maxConnections: connectionShare(state, leg.service, at),
-  preferred: preferredOf(leg, shared),
+  preferred: preferredReplicas(leg, shared),
 });
 
 /** Whether the retry budget allows one more arrival; the first of a leg is free. */
-const takeBudget = (state: GatewayState, request: ActiveRequest, leg: Leg, at: number): boolean => {
+const consumeBudget = (
+  state: GatewayState,
+  request: ActiveRequest,
+  leg: Leg,
+  at: number,
+): boolean => {
   if (leg.arrivals === 0) {
     return true;
   }
   const { retryRatio, retryWindowMs, retrySlack } = state.settings.bounds;
-  const slack = Math.floor(retrySlack * SLACK_USE * shareOf(state, leg.service));
+  const slack = Math.floor(retrySlack * SLACK_SHARE * shareOf(state, leg.service));
   const policy = { ratio: retryRatio, windowMs: retryWindowMs, slack };
   const budget = budgetOf(state, leg.service);
-  const taken = budget.take(policy, at);
+  const taken = budget.consume(policy, at);
   if (!taken) {
     const left = budget.left(policy, at);
     state.counters.budgetDenials.add(leg.service);
@@ -121,16 +126,16 @@
   });
 };
 
-const hasTriesLeft = (request: ActiveRequest, leg: Leg): boolean => {
+const hasAttemptsLeft = (request: ActiveRequest, leg: Leg): boolean => {
   const { maxAttempts, repeatable } = request.route;
   const maxRuns = repeatable ? maxAttempts : 1;
-  return leg.runs < maxRuns && leg.tried.size < maxAttempts + EXTRA_TRIES;
+  return leg.runs < maxRuns && leg.attemptedReplicas.size < maxAttempts + EXTRA_ATTEMPTS;
 };
 
 /** Whether an attempt at a replica is worth its cost; it is expected to take `ratio` usual latencies. */
-export type Acceptance = (ratio: number) => boolean;
+export type RatioCheck = (ratio: number) => boolean;
 
-const acceptAny: Acceptance = () => true;
+const acceptAnyRatio: RatioCheck = () => true;
 
 /**
  * Sends one more attempt for a leg. Returns undefined when none may be sent: no replica is left or
@@ -142,25 +147,25 @@
   leg: Leg,
   reason: AttemptReason,
   at: number,
-  accepts = acceptAny,
+  accepts = acceptAnyRatio,
 ): SendAttempt | undefined => {
-  if (!hasTriesLeft(request, leg) || request.deadlineAt - at < 1) {
+  if (!hasAttemptsLeft(request, leg) || request.deadlineAt - at < 1) {
     return undefined;
   }
   const replicas = eligibleReplicas(state, leg.service, request.route.allowedRegions).filter(
     (replica) => bearsOneMore(state, replica, at),
   );
   const shared = sharedReplicas(state, request, leg);
-  const place = placeOf(state, leg, shared, at);
-  const replica = selectReplica(replicas, leg.tried, place, state.random, at);
+  const place = selectionPlaceOf(state, leg, shared, at);
+  const replica = selectReplica(replicas, leg.attemptedReplicas, place, state.random, at);
   if (replica === undefined || !accepts(expectedRatio(replica, place.maxConnections, at))) {
     return undefined;
   }
-  if (!takeBudget(state, request, leg, at)) {
+  if (!consumeBudget(state, request, leg, at)) {
     return undefined;
   }
   if (shared?.has(replica.record.id) === false) {
-    leg.ownChoice = replica.record.id;
+    leg.unsharedReplica = replica.record.id;
   }
   state.counters.attempts.add(leg.service, reason);
   traceAttempt(state, request, replica, reason, at);
@@ -180,7 +185,7 @@
   const { record } = replica;
   const { call, route, deadlineAt } = request;
   noteColdSend(state, replica, at);
-  leg.tried.add(record.id);
+  leg.attemptedReplicas.add(record.id);
   leg.wasSent = true;
   leg.running.add(attempt);
   leg.arrivals += 1;
--- a/src/gateway/requests/broken-attempts.ts
+++ b/src/gateway/requests/broken-attempts.ts
@@ -12,20 +12,20 @@
 import { trace } from '../log/trace.js';
 import type { AttemptProblem, Fingerprint } from '../model/request.js';
 import type { GatewayState } from '../state.js';
-import { showsThatItRuns } from './good-answer.js';
+import { provesReplicaCanRun } from './good-answer.js';
 import { progressRequest } from './progress.js';
-import { type ActiveAttempt, type ActiveRequest, asksForParts } from './request-state.js';
-import { noteUnawaited, watchRun } from './unawaited-attempts.js';
+import { type ActiveAttempt, type ActiveRequest, isGather } from './request-state.js';
+import { recordUnawaited, watchRun } from './unawaited-attempts.js';
 
 /** How an attempt ends whose replica has ended. */
-const BROKEN_OFF: ReadonlySet<AttemptProblem> = new Set<AttemptProblem>([
+const BREAK_PROBLEMS: ReadonlySet<AttemptProblem> = new Set<AttemptProblem>([
   'reset',
   'refused-connection',
   'cut-off',
 ]);
 
 /** Fingerprints that a log line names. */
-const MOST_NAMED = 4;
+const MAX_LOGGED_FINGERPRINTS = 4;
 
 /**
  * Replicas that end under one try of a request without an answer, from which other gateways are told at once: its
@@ -33,10 +33,10 @@
  */
 const URGENT_CRASHES = 3;
 
-const isBrokenOff = ({ result }: AttemptEnded): boolean =>
-  result.type === 'failed' && result.mayHaveRun && BROKEN_OFF.has(result.problem);
+const isBroken = ({ result }: AttemptEnded): boolean =>
+  result.type === 'failed' && result.mayHaveRun && BREAK_PROBLEMS.has(result.problem);
 
-const noteBrokenOff = (
+const recordBrokenAttempt = (
   state: GatewayState,
   attempt: ActiveAttempt,
   brokenAt: number,
@@ -59,16 +59,16 @@
 };
 
 /** The answer by which the attempt has ended, where it shows that a replica can run the request. */
-const goodAnswerOf = (
+const exoneratingAnswerOf = (
   { replica, owner }: ActiveAttempt,
   { result }: AttemptEnded,
 ): SeenAnswer | undefined =>
-  result.type === 'answered' && showsThatItRuns(result.answer, asksForParts(owner))
+  result.type === 'answered' && provesReplicaCanRun(result.answer, isGather(owner))
     ? { replica, status: result.answer.status }
     : undefined;
 
 /** Requests that wait for what is known of `fingerprint` go on. */
-export const wakeRequests = (
+export const progressHeldRequests = (
   state: GatewayState,
   fingerprint: Fingerprint,
   at: number,
@@ -80,38 +80,44 @@
 };
 
 /** Another replica answers at the address of one that may have been at a run: that one has ended. */
-const noteReplaced = (
+const recordReplacedReplica = (
   state: GatewayState,
   { replica }: ActiveAttempt,
   { result, at }: AttemptEnded,
 ): GatewayEffect[] => {
   const isReplaced = result.type === 'refused' && result.reason === 'wrong-instance';
-  return isReplaced ? takeReplicaEnded(state, replica, at) : [];
+  return isReplaced ? applyReplicaCrash(state, replica, at) : [];
 };
 
 /**
  * Takes note of what the end of an attempt says of its request: whether a replica may have ended under it, or has
  * answered it. The replica of one that broke off is looked at, once for all that break together.
  */
-export const noteRunEnd = (
+export const recordRunEnd = (
   state: GatewayState,
   attempt: ActiveAttempt,
   event: AttemptEnded,
 ): GatewayEffect[] => {
   const { fingerprint } = attempt;
   const { at } = event;
-  if (isBrokenOff(event)) {
-    return noteBrokenOff(state, attempt, at);
+  if (isBroken(event)) {
+    return recordBrokenAttempt(state, attempt, at);
   }
   const { memory } = state.crashes;
-  const answer = goodAnswerOf(attempt, event);
+  const answer = exoneratingAnswerOf(attempt, event);
   if (answer === undefined) {
-    return [...noteUnawaited(state, attempt, event), ...noteReplaced(state, attempt, event)];
+    return [
+      ...recordUnawaited(state, attempt, event),
+      ...recordReplacedReplica(state, attempt, event),
+    ];
   }
   if (memory.verdict(fingerprint, at) === 'unsuspected') {
     return [];
   }
-  return [...noteServed(state, fingerprint, answer, at), ...wakeRequests(state, fingerprint, at)];
+  return [
+    ...noteServed(state, fingerprint, answer, at),
+    ...progressHeldRequests(state, fingerprint, at),
+  ];
 };
 
 const logCrash = (
@@ -128,7 +134,7 @@
     event: 'replica-crashed',
     replica,
     service,
-    fingerprints: fingerprints.slice(0, MOST_NAMED),
+    fingerprints: fingerprints.slice(0, MAX_LOGGED_FINGERPRINTS),
     requests: runs.length,
     unawaited: unawaited.length,
   };
@@ -142,14 +148,14 @@
     return false;
   }
   request.crashes += 1;
-  request.lostProbes += Number(attempt.isProbe);
+  request.crashedProbes += Number(attempt.isProbe);
   const { id, replica } = attempt;
   trace(request.decisions, at, { event: 'attempt-crashed', attempt: id, replica });
   return request.crashes >= URGENT_CRASHES && request.answeredLegs === 0;
 };
 
 /** Takes note of a crash under a request, at this gateway and, where it is serious, at all others. */
-const addToKnowledge = (
+const recordCrash = (
   state: GatewayState,
   fingerprint: Fingerprint,
   crash: Crash,
@@ -162,29 +168,33 @@
   return updateKnowledge(state, fingerprint, after, { from, isUrgent }, at);
 };
 
-const takeBroken = (state: GatewayState, run: BrokenRun, at: number): GatewayEffect[] => {
+const applyBrokenRunCrash = (state: GatewayState, run: BrokenRun, at: number): GatewayEffect[] => {
   const isStriking = countCrash(state, run, at);
   const { fingerprint, knownRounds, sentAt } = run.attempt;
   const crash = { knownRounds, sentAt, crashedAt: run.brokenAt };
-  return addToKnowledge(state, fingerprint, crash, isStriking, at);
+  return recordCrash(state, fingerprint, crash, isStriking, at);
 };
 
-const takeUnawaited = (
+const applyUnawaitedRunCrash = (
   state: GatewayState,
   { fingerprint, knownRounds, sentAt }: UnawaitedRun,
   at: number,
 ): GatewayEffect[] =>
-  addToKnowledge(state, fingerprint, { knownRounds, sentAt, crashedAt: at }, false, at);
+  recordCrash(state, fingerprint, { knownRounds, sentAt, crashedAt: at }, false, at);
 
 /** What a replica that has ended may have been working on without anybody waiting; one that drains ends by itself. */
-const unawaitedAt = (state: GatewayState, replica: string, at: number): readonly UnawaitedRun[] => {
+const removeUnawaitedRuns = (
+  state: GatewayState,
+  replica: string,
+  at: number,
+): readonly UnawaitedRun[] => {
   const isDraining = state.replicas.find(replica)?.record.draining === true;
   const runs = state.unawaitedRuns.take(replica, at);
   return isDraining ? [] : runs;
 };
 
 /** Counts the end of a replica at all requests that it may have been at. */
-const countEnd = (
+const applyCrashToRuns = (
   state: GatewayState,
   replica: string,
   broken: readonly BrokenRun[],
@@ -195,12 +205,12 @@
     ? []
     : [
         logCrash(state, replica, broken, unawaited),
-        ...broken.flatMap((run) => takeBroken(state, run, at)),
-        ...unawaited.flatMap((run) => takeUnawaited(state, run, at)),
+        ...broken.flatMap((run) => applyBrokenRunCrash(state, run, at)),
+        ...unawaited.flatMap((run) => applyUnawaitedRunCrash(state, run, at)),
       ];
 
 /** The requests of these runs that are still in progress, once each; their breaks are explained now. */
-const explainBreaks = (
+const resolveBreaks = (
   state: GatewayState,
   broken: readonly BrokenRun[],
 ): ReadonlySet<ActiveRequest> => {
@@ -215,32 +225,32 @@
  * Handles `replica-checked`. A replica that takes connections may have ended and started again, or only have been cut off:
  * what it was at is watched on.
  */
-export const takeReplicaChecked = (
+export const handleReplicaChecked = (
   state: GatewayState,
   { replica, isDown, at }: ReplicaChecked,
 ): GatewayEffect[] => {
   const broken = state.brokenRuns.get(replica) ?? [];
   state.brokenRuns.delete(replica);
-  const requests = explainBreaks(state, broken);
-  const unawaited = isDown ? unawaitedAt(state, replica, at) : [];
+  const requests = resolveBreaks(state, broken);
+  const unawaited = isDown ? removeUnawaitedRuns(state, replica, at) : [];
   const runs = [...broken.map(({ attempt }) => attempt), ...unawaited];
   const fingerprints = new Set(runs.map(({ fingerprint }) => fingerprint));
   const noted = isDown
-    ? countEnd(state, replica, broken, unawaited, at)
+    ? applyCrashToRuns(state, replica, broken, unawaited, at)
     : broken.flatMap(({ attempt }) => watchRun(state, attempt, at));
   return [
     ...noted,
     ...[...requests].flatMap((request) => progressRequest(state, request, at)),
-    ...[...fingerprints].flatMap((fingerprint) => wakeRequests(state, fingerprint, at)),
+    ...[...fingerprints].flatMap((fingerprint) => progressHeldRequests(state, fingerprint, at)),
   ];
 };
 
 /** A replica is known to have ended, though it was not found down: what it may have been at counts. */
-export const takeReplicaEnded = (
+export const applyReplicaCrash = (
   state: GatewayState,
   replica: string,
   at: number,
 ): GatewayEffect[] =>
   state.unawaitedRuns.has(replica, at)
-    ? takeReplicaChecked(state, { type: 'replica-checked', replica, isDown: true, at })
+    ? handleReplicaChecked(state, { type: 'replica-checked', replica, isDown: true, at })
     : [];
--- a/src/gateway/requests/check-subqueries.ts
+++ b/src/gateway/requests/check-subqueries.ts
@@ -9,10 +9,10 @@
 import { sendLegs } from './send-legs.js';
 
 /** What has arrived while this process was busy is read before a feeder is judged, in milliseconds. */
-const SECOND_LOOK_MS = 5;
+const RECHECK_DELAY_MS = 5;
 
 /** A look that comes so late says that this process is busy, not that the feeder is, in milliseconds. */
-const LATE_LOOK_MS = 4;
+const LATE_CHECK_MS = 4;
 
 /**
  * Feeders are judged even when most of them are silent once this part of the objective has passed: the
@@ -20,20 +20,23 @@
  * feeders that were merely busy were given up at 0.55 of the objective, all their work was asked for again,
  * and requests ended without an answer because the retry budget was spent.
  */
-const JUDGE_ALL_SHARE = 1;
+const MOSTLY_SILENT_WAIT_SHARE = 1;
 
 /**
  * A feeder is judged only once at least as many feeders of the request have said something as have not:
  * when most are silent, the time is lost here, in the network or at all of them, and asking others for the
  * same would only add to it.
  */
-const mayJudge = (state: GatewayState, request: ActiveRequest, at: number): boolean => {
+const mayTimeOutFeeders = (state: GatewayState, request: ActiveRequest, at: number): boolean => {
   const silent = [...request.subqueries.values()].filter(
     ({ acknowledgeBy }) => acknowledgeBy !== undefined,
   ).length;
-  const { receivedAt, route, heardSubqueries } = request;
-  const patience = Math.max(route.objectiveMs * JUDGE_ALL_SHARE, usualPatience(state.feederDelay));
-  return heardSubqueries >= silent || at >= receivedAt + patience;
+  const { receivedAt, route, acknowledgedSubqueries } = request;
+  const waitMs = Math.max(
+    route.objectiveMs * MOSTLY_SILENT_WAIT_SHARE,
+    usualPatience(state.feederDelay),
+  );
+  return acknowledgedSubqueries >= silent || at >= receivedAt + waitMs;
 };
 
 /** Passes a peer over until it says promptly that it serves. */
@@ -93,10 +96,10 @@
   if (acknowledgeBy === undefined || at < acknowledgeBy) {
     return [];
   }
-  const isBusyHere = at - acknowledgeBy > LATE_LOOK_MS;
-  if (!subquery.isOverdue || isBusyHere || !mayJudge(state, request, at)) {
+  const isCheckLate = at - acknowledgeBy > LATE_CHECK_MS;
+  if (!subquery.isOverdue || isCheckLate || !mayTimeOutFeeders(state, request, at)) {
     subquery.isOverdue = true;
-    subquery.acknowledgeBy = at + SECOND_LOOK_MS;
+    subquery.acknowledgeBy = at + RECHECK_DELAY_MS;
     return [];
   }
   noteDelay(state.feederDelay, at - subquery.sentAt);
--- a/src/gateway/requests/finish.ts
+++ b/src/gateway/requests/finish.ts
@@ -10,7 +10,7 @@
 import { FIRST_FAILURE_STATUS } from './good-answer.js';
 import { giveUpAttempts, LINGER_MS } from './give-up-attempts.js';
 import { mergeRecords } from './merge-records.js';
-import { noteInconclusive } from './note-inconclusive.js';
+import { recordInconclusive } from './note-inconclusive.js';
 import { type ActiveRequest, isAnswered, type Leg } from './request-state.js';
 import { retryAfter } from './retry-after.js';
 
@@ -27,12 +27,12 @@
   state: GatewayState,
   call: CallId,
   response: CallerResponse,
-  isReadWhole = true,
+  isFullyRead = true,
 ): GatewayEffect => ({
   type: 'answer-caller',
   call,
   response,
-  closeConnection: state.phase === 'stopping' || !isReadWhole,
+  closeConnection: state.phase === 'stopping' || !isFullyRead,
 });
 
 const missingShards = ({ legs }: ActiveRequest): readonly string[] =>
@@ -59,7 +59,7 @@
   }
 };
 
-const isCalm = ({ outcome, status }: AnswerDecision): boolean =>
+const isSuccessful = ({ outcome, status }: AnswerDecision): boolean =>
   outcome === 'whole' || (outcome === 'passed-on' && (status ?? 0) < FIRST_FAILURE_STATUS);
 
 const MS_PER_SECOND = 1_000;
@@ -84,9 +84,9 @@
   const decision = describeAnswer(request, response, at);
   trace(request.decisions, at, decision);
   countAnswer(state, request, decision);
-  const failed = !isCalm(decision) || at > request.objectiveAt + LATE_MS;
+  const failed = !isSuccessful(decision) || at > request.objectiveAt + LATE_MS;
   return [
-    ...noteInconclusive(state, request, at),
+    ...recordInconclusive(state, request, at),
     answerCall(state, request.call, response),
     ...giveUpAttempts(state, request, LINGER_MS, at),
     ...writeTrace(request.request.requestId, request.decisions, failed),
@@ -155,7 +155,7 @@
  * Gives a request up: the caller is told at once, and when to come back if it has not run. Where replicas ended under
  * it the other gateways are told before, since its caller may ask one of them next.
  */
-export const giveUp = (
+export const giveUpRequest = (
   state: GatewayState,
   request: ActiveRequest,
   reason: RefusalReason,
--- a/src/gateway/requests/give-up-attempts.ts
+++ b/src/gateway/requests/give-up-attempts.ts
@@ -38,16 +38,16 @@
  * Gives up the attempts and subqueries of a request that are still wanted. The other attempts of legs that
  * have ended were given up when those ended.
  *
- * @param leastMs - time that they have to end by themselves, in milliseconds; longer where the request is suspected
+ * @param minMs - time that they have to end by themselves, in milliseconds; longer where the request is suspected
  */
 export const giveUpAttempts = (
   state: GatewayState,
   request: ActiveRequest,
-  leastMs: number,
+  minMs: number,
   at: number,
 ): GatewayEffect[] => {
   const isSuspected = guardOf(state, request, at) !== 'free';
-  const withinMs = isSuspected ? Math.max(leastMs, SUSPECTED_LINGER_MS) : leastMs;
+  const withinMs = isSuspected ? Math.max(minMs, SUSPECTED_LINGER_MS) : minMs;
   return [
     ...request.legs
       .filter(({ outcome }) => outcome === undefined)
--- a/src/gateway/requests/good-answer.ts
+++ b/src/gateway/requests/good-answer.ts
@@ -27,7 +27,7 @@
  * Whether an answer shows that a replica can run the request and go on. A failure does not, though a replica has signed
  * it: one that fails whatever it is asked ends under none.
  */
-export const showsThatItRuns = (answer: ReplicaAnswer, isPart: boolean): boolean =>
+export const provesReplicaCanRun = (answer: ReplicaAnswer, isPart: boolean): boolean =>
   isUsable(answer, isPart) &&
   answer.signature !== undefined &&
   !REFUSAL_STATUSES.has(answer.status);
--- a/src/gateway/requests/guard.ts
+++ b/src/gateway/requests/guard.ts
@@ -13,12 +13,12 @@
 /** What may be sent for a request: all that it wants, one attempt at a time, or nothing. */
 export type Guard = 'free' | 'one-at-a-time' | 'stopped';
 
-const hasBrokenOff = ({ legs, uncheckedBreaks, crashes }: ActiveRequest): boolean =>
+const hasUnansweredBreak = ({ legs, uncheckedBreaks, crashes }: ActiveRequest): boolean =>
   legs.length > 1 && uncheckedBreaks + crashes > 0;
 
 /** One replica was tried after others had ended, and has ended too: its caller may ask again. */
-const hasLostProbe = ({ legs, isTrial, hasClaimed, lostProbes }: ActiveRequest): boolean =>
-  lostProbes > 0 && (isTrial || hasClaimed || legs.length > 1);
+const hasCrashedProbe = ({ legs, isTrial, hasClaimed, crashedProbes }: ActiveRequest): boolean =>
+  crashedProbes > 0 && (isTrial || hasClaimed || legs.length > 1);
 
 /** What may be sent for the request now. */
 export const guardOf = (state: GatewayState, request: ActiveRequest, at: number): Guard => {
@@ -27,24 +27,24 @@
   }
   const verdict = state.crashes.memory.verdict(request.request.fingerprint, at);
   const isBlocked = verdict === 'blocked' || verdict === 'trial-due';
-  if ((isBlocked && !request.isTrial) || hasLostProbe(request)) {
+  if ((isBlocked && !request.isTrial) || hasCrashedProbe(request)) {
     return 'stopped';
   }
-  return verdict !== 'unsuspected' || hasBrokenOff(request) ? 'one-at-a-time' : 'free';
+  return verdict !== 'unsuspected' || hasUnansweredBreak(request) ? 'one-at-a-time' : 'free';
 };
 
 /** Whether no replica works on the request, and none of its attempts has broken off unexplained. */
-const isQuiet = ({ legs, subqueries, uncheckedBreaks }: ActiveRequest): boolean =>
+const isIdle = ({ legs, subqueries, uncheckedBreaks }: ActiveRequest): boolean =>
   uncheckedBreaks === 0 && subqueries.size === 0 && legs.every(({ running }) => running.size === 0);
 
 /** Whether another try of the same request is at a replica, from this gateway. */
-const isAtReplica = ({ attempts }: GatewayState, request: ActiveRequest): boolean =>
+const hasOtherAttempt = ({ attempts }: GatewayState, request: ActiveRequest): boolean =>
   [...attempts.values()].some(
     ({ fingerprint, owner }) => fingerprint === request.request.fingerprint && owner !== request,
   );
 
 /** Whether another try of the same request asks a feeder, from this gateway. */
-const isAtFeeder = ({ requests }: GatewayState, request: ActiveRequest): boolean =>
+const hasOtherSubquery = ({ requests }: GatewayState, request: ActiveRequest): boolean =>
   [...requests.values()].some(
     (other) =>
       other !== request &&
@@ -53,14 +53,15 @@
   );
 
 /** Whether another try runs from here; a feeder does not wait for one that may be waiting for it. */
-const isTriedHere = (state: GatewayState, request: ActiveRequest): boolean =>
-  isAtReplica(state, request) || (request.origin === 'caller' && isAtFeeder(state, request));
+const isSentByOtherCall = (state: GatewayState, request: ActiveRequest): boolean =>
+  hasOtherAttempt(state, request) ||
+  (request.origin === 'caller' && hasOtherSubquery(state, request));
 
 /**
  * Gateways that wait for the same request go on one after the other, within this time in milliseconds: the first tells the
  * others that it tries.
  */
-const SPREAD_MS = 400;
+const STAGGER_MS = 400;
 const HASH_RANGE = 2 ** 32;
 
 /**
@@ -76,24 +77,24 @@
     return Number.NEGATIVE_INFINITY;
   }
   const place = hash32(`${settings.node} ${request.fingerprint}`) / HASH_RANGE;
-  return known.trialUntil + SPREAD_MS * place;
+  return known.trialUntil + STAGGER_MS * place;
 };
 
 /**
  * Whether a request that is at one replica at a time may go to the next one. Tries of a suspected request wait for each
  * other: replicas may end long after they began to run it, and all that had begun meanwhile would end too.
  */
-export const mayGoOn = (state: GatewayState, request: ActiveRequest, at: number): boolean => {
+export const maySendNext = (state: GatewayState, request: ActiveRequest, at: number): boolean => {
   const isSuspected = state.crashes.memory.verdict(request.request.fingerprint, at) === 'suspected';
-  if (!isQuiet(request) || !isSuspected) {
-    return isQuiet(request);
+  if (!isIdle(request) || !isSuspected) {
+    return isIdle(request);
   }
-  return pausedUntil(state, request) <= at && !isTriedHere(state, request);
+  return pausedUntil(state, request) <= at && !isSentByOtherCall(state, request);
 };
 
 /** When a request with held legs is looked at again, if nothing wakes it before. */
 export const heldUntil = (state: GatewayState, request: ActiveRequest, at: number): number => {
-  if (mayGoOn(state, request, at)) {
+  if (maySendNext(state, request, at)) {
     return at;
   }
   const until = pausedUntil(state, request);
--- a/src/gateway/requests/hold-request.ts
+++ b/src/gateway/requests/hold-request.ts
@@ -10,14 +10,14 @@
 import { collectionsOf, type GatewayState, isInformed } from '../state.js';
 import type { CollectionName } from '../store/collection.js';
 import { refuseCall } from './finish.js';
-import { retryAfterUnread } from './retry-after.js';
+import { retryAfterUnrouted } from './retry-after.js';
 
 /**
  * Longest time that a request is held, in milliseconds. After a loss of power of all gateways, the first
  * configuration and the replicas are in force 45 to 75 ms after the ports are open; the rest is for machines
  * that are slower or busier.
  */
-const LONGEST_HOLD_MS = 200;
+const MAX_HOLD_MS = 200;
 
 /**
  * A request is held for no more than this part of the time that its caller waits: enough is left for one
@@ -26,7 +26,7 @@
 const HOLD_SHARE = 0.1;
 
 /** Requests can be served without the list of gateways. */
-const isNeeded = (name: CollectionName): boolean => name !== 'gateways';
+const isRequired = (name: CollectionName): boolean => name !== 'gateways';
 
 /**
  * Whether the store has failed to tell what is needed: it is not known how long that goes on. A gateway that stood still
@@ -36,7 +36,7 @@
   state.outdated === undefined &&
   (!state.store.reachable ||
     collectionsOf(state)
-      .filter(isNeeded)
+      .filter(isRequired)
       .some((name) => {
         const { isListed, failures } = state.collections[name];
         return !isListed && failures > 0;
@@ -48,11 +48,11 @@
  */
 export const holdRequest = (state: GatewayState, event: RequestReceived): GatewayEffect[] => {
   if (isStoreFailing(state)) {
-    return refuseCall(state, event, 'no-configuration', retryAfterUnread(state));
+    return refuseCall(state, event, 'no-configuration', retryAfterUnrouted(state));
   }
   const { call, request, at } = event;
-  const patienceMs = request.budgetMs ?? Number.POSITIVE_INFINITY;
-  const holdMs = Math.min(LONGEST_HOLD_MS, patienceMs * HOLD_SHARE);
+  const callerWaitMs = request.budgetMs ?? Number.POSITIVE_INFINITY;
+  const holdMs = Math.min(MAX_HOLD_MS, callerWaitMs * HOLD_SHARE);
   state.held.set(call, event);
   return [{ type: 'set-request-timer', call, at: at + holdMs }];
 };
@@ -68,11 +68,11 @@
     return [];
   }
   state.held.delete(call);
-  return refuseCall(state, event, 'no-configuration', retryAfterUnread(state), at);
+  return refuseCall(state, event, 'no-configuration', retryAfterUnrouted(state), at);
 };
 
 /** Refuses all requests that are held, once the store has failed. */
-export const refuseAllHeld = (state: GatewayState, at: number): GatewayEffect[] =>
+export const refuseAllHeldRequests = (state: GatewayState, at: number): GatewayEffect[] =>
   isInformed(state) || !isStoreFailing(state)
     ? []
     : [...state.held.keys()].flatMap((call) => refuseHeldRequest(state, call, at));
--- a/src/gateway/requests/merge-records.ts
+++ b/src/gateway/requests/merge-records.ts
@@ -15,7 +15,7 @@
 };
 
 /** Where a record belongs among those that are kept, greatest first; after those that are equal. */
-const findPlace = (records: Buffer, kept: readonly number[], offset: number): number => {
+const insertionIndex = (records: Buffer, kept: readonly number[], offset: number): number => {
   let low = 0;
   let high = kept.length;
   while (low < high) {
@@ -41,7 +41,7 @@
     if (smallest !== undefined && !isGreater(records, offset, smallest)) {
       continue;
     }
-    kept.splice(findPlace(records, kept, offset), 0, offset);
+    kept.splice(insertionIndex(records, kept, offset), 0, offset);
     if (kept.length > maxRecords) {
       kept.pop();
     }
--- a/src/gateway/requests/note-inconclusive.ts
+++ b/src/gateway/requests/note-inconclusive.ts
@@ -17,16 +17,16 @@
  * may still run it, the next one waits, at all gateways. Sent at once, it would be at the next replica when the one before
  * ends. A try under which a replica has ended counts as a round instead.
  */
-export const noteInconclusive = (
+export const recordInconclusive = (
   state: GatewayState,
   request: ActiveRequest,
   at: number,
 ): GatewayEffect[] => {
   const { fingerprint } = request.request;
   const { memory } = state.crashes;
-  const hasShown = request.answeredLegs + request.crashes + request.uncheckedBreaks > 0;
+  const hasEvidence = request.answeredLegs + request.crashes + request.uncheckedBreaks > 0;
   if (
-    hasShown ||
+    hasEvidence ||
     request.origin === 'coordinator' ||
     memory.verdict(fingerprint, at) !== 'suspected' ||
     !mayHaveReachedReplica(request)
--- a/src/gateway/requests/pause-outcomes.ts
+++ b/src/gateway/requests/pause-outcomes.ts
@@ -8,10 +8,10 @@
 const OUTCOME_WEIGHT = 0.2;
 
 /** A wait pays when at least every second one ends with service: the caller's next try may fail as well. */
-const LEAST_SERVED_SHARE = 0.5;
+const MIN_SERVED_SHARE = 0.5;
 
 /** One wait in so many is made all the same, to learn whether it pays again. */
-const TRIAL_SHARE = 0.1;
+const EXPLORATION_SHARE = 0.1;
 
 /** How waits for one service have ended: the share that were served, lately. */
 export interface PauseOutcomes {
@@ -22,10 +22,10 @@
 export const createPauseOutcomes = (): PauseOutcomes => ({ servedShare: 1 });
 
 /** Notes how a wait has ended. */
-export const notePauseOutcome = (outcomes: PauseOutcomes, isServed: boolean): void => {
+export const recordPauseOutcome = (outcomes: PauseOutcomes, isServed: boolean): void => {
   outcomes.servedShare += OUTCOME_WEIGHT * (Number(isServed) - outcomes.servedShare);
 };
 
 /** Whether to wait; `draw` is uniform in 0 to 1. */
-export const doesPausePay = ({ servedShare }: PauseOutcomes, draw: number): boolean =>
-  servedShare >= LEAST_SERVED_SHARE || draw < TRIAL_SHARE;
+export const isPauseWorthwhile = ({ servedShare }: PauseOutcomes, draw: number): boolean =>
+  servedShare >= MIN_SERVED_SHARE || draw < EXPLORATION_SHARE;
--- a/src/gateway/requests/progress.ts
+++ b/src/gateway/requests/progress.ts
@@ -6,7 +6,7 @@
 import { checkSubqueries } from './check-subqueries.js';
 import { hedgeLegs } from './hedge-legs.js';
 import { retryLeg } from './retry-leg.js';
-import { finishGather, finishRequest, giveUp } from './finish.js';
+import { finishGather, finishRequest, giveUpRequest } from './finish.js';
 import { finishSubquery, hasUnsent, reportParts } from './report-parts.js';
 import { heldUntil } from './guard.js';
 import { releaseLegs } from './release-legs.js';
@@ -26,7 +26,7 @@
  * answer's worth and waiting costs nothing; an answer after it counts little, whole or not. A caller whose time ends
  * before the objective gets what is in, not a refusal.
  */
-const answerAt = ({ objectiveAt, deadlineAt }: ActiveRequest): number =>
+const answerDueAt = ({ objectiveAt, deadlineAt }: ActiveRequest): number =>
   Math.min(objectiveAt, deadlineAt);
 
 const progressGather = (
@@ -37,10 +37,10 @@
 ): GatewayEffect[] => {
   const needed = neededLegs(target);
   if (!canComplete(request, needed)) {
-    return giveUp(state, request, reasonOf(request), at);
+    return giveUpRequest(state, request, refusalReasonOf(request), at);
   }
   const isEnough = request.answeredLegs >= needed;
-  const mustAnswer = request.openLegs === 0 || at >= answerAt(request);
+  const mustAnswer = request.openLegs === 0 || at >= answerDueAt(request);
   if (isEnough && mustAnswer) {
     return finishGather(state, request, target.maxRecords, at);
   }
@@ -52,14 +52,16 @@
   'too-few-shards' | 'no-replica' | 'replicas-full' | 'answer-lost' | 'replicas-crashed'
 >;
 
-const reasonOf = (request: ActiveRequest): UnansweredReason => {
+const refusalReasonOf = (request: ActiveRequest): UnansweredReason => {
   if (request.crashes > 0 || request.isStopped) {
     return 'replicas-crashed';
   }
   if (request.legs.some((leg) => leg.refusedAsFull)) {
     return 'replicas-full';
   }
-  return request.legs.every((leg) => leg.tried.size === 0) ? 'no-replica' : 'too-few-shards';
+  return request.legs.every((leg) => leg.attemptedReplicas.size === 0)
+    ? 'no-replica'
+    : 'too-few-shards';
 };
 
 const progressSingle = (
@@ -69,20 +71,20 @@
 ): GatewayEffect[] => {
   const [leg] = request.legs;
   if (leg === undefined) {
-    return giveUp(state, request, 'no-replica', at);
+    return giveUpRequest(state, request, 'no-replica', at);
   }
   if (leg.outcome?.type === 'answered') {
     return finishRequest(state, request, { type: 'pass-through', answer: leg.outcome.answer }, at);
   }
   if (leg.outcome?.type === 'unanswered') {
     return leg.failure === undefined
-      ? giveUp(state, request, reasonOfLeg(request, leg), at)
+      ? giveUpRequest(state, request, refusalReasonOfLeg(request, leg), at)
       : finishRequest(state, request, { type: 'pass-through', answer: leg.failure }, at);
   }
   return waitOrHedge(state, request, at);
 };
 
-const reasonOfLeg = ({ crashes, isStopped }: ActiveRequest, leg: Leg): UnansweredReason => {
+const refusalReasonOfLeg = ({ crashes, isStopped }: ActiveRequest, leg: Leg): UnansweredReason => {
   if (crashes > 0 || isStopped) {
     return 'replicas-crashed';
   }
@@ -99,13 +101,13 @@
       return [];
     }
     leg.resumeAt = undefined;
-    leg.tried.clear();
+    leg.attemptedReplicas.clear();
     return retryLeg(state, request, leg, 'retry', at);
   });
 
 const waitOrHedge = (state: GatewayState, request: ActiveRequest, at: number): GatewayEffect[] => {
   if (at >= request.deadlineAt) {
-    return giveUp(state, request, 'deadline', at);
+    return giveUpRequest(state, request, 'deadline', at);
   }
   const moved = checkSubqueries(state, request, at);
   const resumed = resumeLegs(state, request, at);
@@ -144,7 +146,7 @@
 };
 
 /** Says that this feeder is at work, once, when it takes longer. */
-const acknowledge = (request: ActiveRequest, at: number): GatewayEffect[] => {
+const acknowledgeIfDue = (request: ActiveRequest, at: number): GatewayEffect[] => {
   if (request.acknowledgeAt === undefined || at < request.acknowledgeAt) {
     return [];
   }
@@ -167,10 +169,14 @@
   }
   const isDue = at >= request.objectiveAt || hasUnsent(request);
   const parts = isDue ? reportParts(request, target.maxRecords) : [];
-  return [...acknowledge(request, at), ...parts, ...waitOrHedge(state, request, at)];
+  return [...acknowledgeIfDue(request, at), ...parts, ...waitOrHedge(state, request, at)];
 };
 
-const decide = (state: GatewayState, request: ActiveRequest, at: number): GatewayEffect[] => {
+const progressByTarget = (
+  state: GatewayState,
+  request: ActiveRequest,
+  at: number,
+): GatewayEffect[] => {
   const { target } = request.route;
   if (target.type !== 'gather') {
     return progressSingle(state, request, at);
@@ -187,5 +193,5 @@
   at: number,
 ): GatewayEffect[] => {
   const released = releaseLegs(state, request, at);
-  return [...released, ...decide(state, request, at)];
+  return [...released, ...progressByTarget(state, request, at)];
 };
--- a/src/gateway/requests/release-legs.ts
+++ b/src/gateway/requests/release-legs.ts
@@ -2,13 +2,13 @@
 import type { GatewayEffect } from '../effect.js';
 import { trace } from '../log/trace.js';
 import type { GatewayState } from '../state.js';
-import { guardOf, mayGoOn } from './guard.js';
+import { guardOf, maySendNext } from './guard.js';
 import type { ActiveRequest, Leg } from './request-state.js';
 import { endLeg, retryLeg } from './retry-leg.js';
 import { sendLegs } from './send-legs.js';
 
 /** Ends a leg that may not be sent; no other feeder is to be asked for it. */
-const endHeldLeg = (request: ActiveRequest, leg: Leg, at: number): void => {
+const failHeldLeg = (request: ActiveRequest, leg: Leg, at: number): void => {
   leg.wasSent = true;
   trace(request.decisions, at, { event: 'leg-failed', service: leg.service, runs: leg.runs });
   endLeg(request, leg, { type: 'unanswered' });
@@ -25,7 +25,7 @@
     : sendLegs(state, request, [leg], leg.isRepeat, at);
 
 /** The held legs, from one that is drawn on, so that tries of a request go to different shards. */
-const heldFromAnywhere = (state: GatewayState, { legs }: ActiveRequest): readonly Leg[] => {
+const heldLegsFromRandomStart = (state: GatewayState, { legs }: ActiveRequest): readonly Leg[] => {
   const held = legs.filter(({ isHeld }) => isHeld);
   const start = held.length < 2 ? 0 : Math.floor(state.random.next() * held.length);
   return [...held.slice(start), ...held.slice(0, start)];
@@ -38,15 +38,15 @@
   at: number,
 ): GatewayEffect[] => {
   const effects: GatewayEffect[] = [];
-  for (const leg of heldFromAnywhere(state, request)) {
+  for (const leg of heldLegsFromRandomStart(state, request)) {
     const guard = guardOf(state, request, at);
-    if (guard === 'one-at-a-time' && !mayGoOn(state, request, at)) {
+    if (guard === 'one-at-a-time' && !maySendNext(state, request, at)) {
       break;
     }
     leg.isHeld = false;
     if (guard === 'stopped') {
       request.isStopped = true;
-      endHeldLeg(request, leg, at);
+      failHeldLeg(request, leg, at);
     } else {
       effects.push(...resumeLeg(state, request, leg, at));
     }
--- a/src/gateway/requests/report-parts.ts
+++ b/src/gateway/requests/report-parts.ts
@@ -15,7 +15,7 @@
 export const hasUnsent = ({ legs }: ActiveRequest): boolean => legs.some(isUnsent);
 
 /** The parts that are in and were not sent yet. */
-const takeUnreported = (
+const collectUnreportedParts = (
   { call, legs, crashes, isStopped }: ActiveRequest,
   maxRecords: number,
   isFinal: boolean,
@@ -50,7 +50,7 @@
 
 /** Sends what is in and was not sent yet. */
 export const reportParts = (request: ActiveRequest, maxRecords: number): GatewayEffect[] => {
-  const answer = takeUnreported(request, maxRecords, false);
+  const answer = collectUnreportedParts(request, maxRecords, false);
   const { shards, unsent = [] } = answer.part;
   return shards.length + unsent.length > 0 ? [answer] : [];
 };
@@ -70,7 +70,7 @@
   trace(request.decisions, at, { event: 'parts-sent', missing, elapsedMs });
   const isLate = at > request.objectiveAt;
   return [
-    takeUnreported(request, maxRecords, true),
+    collectUnreportedParts(request, maxRecords, true),
     ...giveUpAttempts(state, request, LINGER_MS, at),
     ...writeTrace(request.request.requestId, request.decisions, isLate || missing.length > 0),
   ];
--- a/src/gateway/requests/request-state.ts
+++ b/src/gateway/requests/request-state.ts
@@ -14,13 +14,13 @@
 export interface Leg {
   readonly service: string;
   /** Identifiers of replicas that the request was sent to. */
-  readonly tried: Set<string>;
+  readonly attemptedReplicas: Set<string>;
   /** An attempt was sent from here; unlike `tried`, this stays when all replicas are tried again. */
   wasSent: boolean;
   /** Replicas may have run it before, for a feeder that has failed. */
   isRepeat: boolean;
   /** The replica that was chosen outside those that all feeders share; undefined while there is none. */
-  ownChoice: string | undefined;
+  unsharedReplica: string | undefined;
   /** Attempts that run. */
   readonly running: Set<AttemptId>;
   /** Attempts that reached a replica, or may have. */
@@ -96,7 +96,7 @@
   timerAt: number | undefined;
   readonly subqueries: Map<SubqueryId, ActiveSubquery>;
   /** Subqueries of which a feeder has said something. */
-  heardSubqueries: number;
+  acknowledgedSubqueries: number;
   /** Feeders that failed this request. */
   readonly failedFeeders: Set<string>;
   /** When the gateway that asked is told that this feeder is at work; undefined once it knows. */
@@ -110,7 +110,7 @@
   /** Replicas that have ended under it. */
   crashes: number;
   /** Those of them to which it was sent after others had ended. */
-  lostProbes: number;
+  crashedProbes: number;
   /** It was blocked, and is tried now. */
   isTrial: boolean;
   /** It is suspected, and the other gateways were told that it is tried here. */
@@ -137,15 +137,15 @@
 }
 
 /** Whether what replicas answer to the request are parts of a gather. */
-export const asksForParts = ({ route }: ActiveRequest): boolean => route.target.type === 'gather';
+export const isGather = ({ route }: ActiveRequest): boolean => route.target.type === 'gather';
 
 /** Creates a leg without attempts. */
 export const createLeg = (service: string): Leg => ({
   service,
-  tried: new Set(),
+  attemptedReplicas: new Set(),
   wasSent: false,
   isRepeat: false,
-  ownChoice: undefined,
+  unsharedReplica: undefined,
   running: new Set(),
   arrivals: 0,
   runs: 0,
@@ -191,13 +191,13 @@
   openLegs: start.legs.length,
   timerAt: undefined,
   subqueries: new Map(),
-  heardSubqueries: 0,
+  acknowledgedSubqueries: 0,
   failedFeeders: new Set(),
   fedRecords: [],
   decisions: [],
   uncheckedBreaks: 0,
   crashes: 0,
-  lostProbes: 0,
+  crashedProbes: 0,
   isTrial: false,
   hasClaimed: false,
   isStopped: false,
--- a/src/gateway/requests/retry-after.ts
+++ b/src/gateway/requests/retry-after.ts
@@ -12,16 +12,16 @@
  * Where nothing tells when the next chance comes, in milliseconds: another gateway, to which the caller's
  * next connection goes, may serve at once.
  */
-const SHORTEST_MS = 50;
+const MIN_RETRY_AFTER_MS = 50;
 
 /** Coming back later is no use to most callers, in milliseconds: their objectives are shorter. */
-const LONGEST_MS = 1_000;
+const MAX_RETRY_AFTER_MS = 1_000;
 
 /** A gateway that has not read the store tries again within this time, in milliseconds. */
-const NEXT_STORE_CALL_MS = 100;
+const STORE_RETRY_MS = 100;
 
-const spread = (state: GatewayState, nextChanceMs: number): number => {
-  const bounded = Math.min(LONGEST_MS, Math.max(SHORTEST_MS, nextChanceMs));
+const withJitter = (state: GatewayState, waitMs: number): number => {
+  const bounded = Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, waitMs));
   return Math.round(bounded * (1 + state.random.next()));
 };
 
@@ -36,7 +36,8 @@
   state.latencies.get(route.name)?.median ?? 0;
 
 /** The wait for a request that was refused before it had a route. */
-export const retryAfterUnread = (state: GatewayState): number => spread(state, NEXT_STORE_CALL_MS);
+export const retryAfterUnrouted = (state: GatewayState): number =>
+  withJitter(state, STORE_RETRY_MS);
 
 /** The wait for a request that was given up, in milliseconds. */
 export const retryAfter = (
@@ -46,11 +47,11 @@
   at: number,
 ): number => {
   if (reason === 'replicas-full') {
-    return spread(state, untilNextSlot(state, request));
+    return withJitter(state, untilNextSlot(state, request));
   }
   const { allowedRegions } = request.route;
   const waits = request.legs
     .filter(({ outcome }) => outcome?.type === 'unanswered')
     .map(({ service }) => untilNextReplica(eligibleReplicas(state, service, allowedRegions), at));
-  return spread(state, Math.max(0, ...waits));
+  return withJitter(state, Math.max(0, ...waits));
 };
--- a/src/gateway/requests/retry-leg.ts
+++ b/src/gateway/requests/retry-leg.ts
@@ -5,9 +5,9 @@
 import { eligibleReplicas } from '../replicas/eligible-replicas.js';
 import { type GatewayState, pauseOutcomesOf } from '../state.js';
 import { sendAttempt } from './attempts.js';
-import { doesPausePay, notePauseOutcome } from './pause-outcomes.js';
+import { isPauseWorthwhile, recordPauseOutcome } from './pause-outcomes.js';
 import { claimProbe } from './claim-probe.js';
-import { guardOf, holdLeg, mayGoOn } from './guard.js';
+import { guardOf, holdLeg, maySendNext } from './guard.js';
 import type { ActiveRequest, Leg, LegOutcome } from './request-state.js';
 
 /** Pauses before all replicas are tried again, in milliseconds: doubled each time. */
@@ -15,7 +15,7 @@
 const MAX_PAUSES = 6;
 
 /** A request that no replica has run is not held for longer than this part of its objective. */
-const UNTRIED_SHARE = 0.2;
+const MAX_UNRUN_PAUSE_SHARE = 0.2;
 
 /** Ends a leg, with an answer or without. */
 export const endLeg = (request: ActiveRequest, leg: Leg, outcome: LegOutcome): void => {
@@ -29,19 +29,23 @@
 };
 
 /** A leg that has paused shows whether pauses pay. */
-export const notePauses = (state: GatewayState, { pauses, service, outcome }: Leg): void => {
+export const recordLegPauses = (state: GatewayState, { pauses, service, outcome }: Leg): void => {
   if (pauses > 0) {
-    notePauseOutcome(pauseOutcomesOf(state, service), outcome?.type !== 'unanswered');
+    recordPauseOutcome(pauseOutcomesOf(state, service), outcome?.type !== 'unanswered');
   }
 };
 
 /** Legs beside others cost nobody time: the request waits for those all the same. */
-const doesWaitingPay = (state: GatewayState, { legs }: ActiveRequest, { service }: Leg): boolean =>
-  legs.length > 1 || doesPausePay(pauseOutcomesOf(state, service), state.random.next());
+const isWaitingWorthwhile = (
+  state: GatewayState,
+  { legs }: ActiveRequest,
+  { service }: Leg,
+): boolean =>
+  legs.length > 1 || isPauseWorthwhile(pauseOutcomesOf(state, service), state.random.next());
 
 /** Until when the leg may pause: for long only beside others that replicas work on. */
-const latestPause = ({ legs, receivedAt, deadlineAt, route }: ActiveRequest): number =>
-  legs.length > 1 ? deadlineAt : receivedAt + route.objectiveMs * UNTRIED_SHARE;
+const latestResumeAt = ({ legs, receivedAt, deadlineAt, route }: ActiveRequest): number =>
+  legs.length > 1 ? deadlineAt : receivedAt + route.objectiveMs * MAX_UNRUN_PAUSE_SHARE;
 
 /** Pauses a leg that may be tried again later; false when it has paused enough. */
 const pauseLeg = (state: GatewayState, request: ActiveRequest, leg: Leg, at: number): boolean => {
@@ -50,8 +54,8 @@
   const hasReplicas = eligibleReplicas(state, leg.service, allowedRegions).length > 0;
   const mayRunAgain = leg.runs === 0 || (repeatable && leg.runs < maxAttempts);
   const isWorthwhile = hasReplicas && mayRunAgain && leg.pauses < MAX_PAUSES;
-  const isTooLate = resumeAt >= latestPause(request);
-  if (!isWorthwhile || isTooLate || !doesWaitingPay(state, request, leg)) {
+  const isTooLate = resumeAt >= latestResumeAt(request);
+  if (!isWorthwhile || isTooLate || !isWaitingWorthwhile(state, request, leg)) {
     return false;
   }
   leg.pauses += 1;
@@ -62,10 +66,10 @@
 };
 
 /** Ends a leg for which nothing more may be sent. */
-const giveUpLeg = (state: GatewayState, request: ActiveRequest, leg: Leg, at: number): void => {
+const failLeg = (state: GatewayState, request: ActiveRequest, leg: Leg, at: number): void => {
   trace(request.decisions, at, { event: 'leg-failed', service: leg.service, runs: leg.runs });
   endLeg(request, leg, { type: 'unanswered' });
-  notePauses(state, leg);
+  recordLegPauses(state, leg);
 };
 
 /**
@@ -81,7 +85,7 @@
 ): GatewayEffect[] => {
   const guard = guardOf(state, request, at);
   const isRunning = leg.running.size > 0;
-  if (guard === 'one-at-a-time' && !mayGoOn(state, request, at)) {
+  if (guard === 'one-at-a-time' && !maySendNext(state, request, at)) {
     if (!isRunning) {
       holdLeg(request, leg, at);
     }
@@ -95,7 +99,7 @@
     request.isStopped = true;
   }
   if (!isRunning && (guard === 'stopped' || !pauseLeg(state, request, leg, at))) {
-    giveUpLeg(state, request, leg, at);
+    failLeg(state, request, leg, at);
   }
   return [];
 };
--- a/src/gateway/requests/route-latency.ts
+++ b/src/gateway/requests/route-latency.ts
@@ -8,20 +8,20 @@
 import type { Route } from '../model/route.js';
 
 /** Before any sample, an attempt is expected to take this part of the objective. */
-const FIRST_GUESS = 0.15;
+const INITIAL_MEDIAN_SHARE = 0.15;
 
 /** Step of the running median, relative to its value. */
 const MEDIAN_STEP = 0.04;
 
 /** Least share of attempts that a hedge may double. */
-const HEDGED_TAIL = 0.12;
+const MIN_HEDGED_SHARE = 0.12;
 
 /** A hedge pays when as much is left to wait for, in usual latencies. */
-const WORTHWHILE_REST = 0.8;
+const MIN_REMAINING_RATIO = 0.8;
 
 /** A hedge is sent no earlier than this, in usual latencies, and no later, in objectives. */
-const EARLIEST_HEDGE = 1.5;
-const LATEST_HEDGE = 0.42;
+const EARLIEST_HEDGE_RATIO = 1.5;
+const LATEST_HEDGE_SHARE = 0.42;
 
 /** Samples before the distribution is used. */
 const MIN_SAMPLES = 60;
@@ -36,7 +36,7 @@
 
 /** Creates the record of a route without samples. */
 export const createRouteLatency = (route: Route): RouteLatency => ({
-  median: route.objectiveMs * FIRST_GUESS,
+  median: route.objectiveMs * INITIAL_MEDIAN_SHARE,
   samples: 0,
   histogram: createLatencyHistogram(),
 });
@@ -52,11 +52,11 @@
 
 /** Time after which a leg without an answer gets a second attempt, in milliseconds. */
 export const hedgeDelay = (latency: RouteLatency, route: Route): number => {
-  const latest = route.objectiveMs * LATEST_HEDGE;
+  const latest = route.objectiveMs * LATEST_HEDGE_SHARE;
   if (latency.samples < MIN_SAMPLES) {
     return latest;
   }
-  const ratio = worthwhileRatio(latency.histogram, HEDGED_TAIL, WORTHWHILE_REST);
-  const delay = latency.median * Math.max(EARLIEST_HEDGE, ratio);
+  const ratio = worthwhileRatio(latency.histogram, MIN_HEDGED_SHARE, MIN_REMAINING_RATIO);
+  const delay = latency.median * Math.max(EARLIEST_HEDGE_RATIO, ratio);
   return Math.min(latest, delay);
 };
--- a/src/gateway/requests/send-legs.ts
+++ b/src/gateway/requests/send-legs.ts
@@ -12,7 +12,7 @@
 import { feederPlan, isFed } from '../peers/service-share.js';
 import { budgetOf, type GatewayState } from '../state.js';
 import { claimProbe } from './claim-probe.js';
-import { guardOf, holdLeg, mayGoOn } from './guard.js';
+import { guardOf, holdLeg, maySendNext } from './guard.js';
 import type { ActiveRequest, ActiveSubquery, Leg } from './request-state.js';
 import { retryLeg } from './retry-leg.js';
 
@@ -21,7 +21,7 @@
  * longer where feeders usually take longer.
  */
 const ACKNOWLEDGE_SHARE = 0.3;
-const LEAST_ACKNOWLEDGE_MS = 30;
+const MIN_ACKNOWLEDGE_MS = 30;
 
 /** Time kept back of the objective for the way of parts from a feeder, in milliseconds. */
 const PARTS_MARGIN_MS = 8;
@@ -70,8 +70,8 @@
   return retryLeg(state, request, leg, isRepeat ? 'retry' : 'first', at);
 };
 
-const acknowledgeWithin = ({ feederDelay }: GatewayState, { objectiveMs }: Route): number =>
-  Math.max(LEAST_ACKNOWLEDGE_MS, objectiveMs * ACKNOWLEDGE_SHARE, usualPatience(feederDelay));
+const acknowledgeTimeoutMs = ({ feederDelay }: GatewayState, { objectiveMs }: Route): number =>
+  Math.max(MIN_ACKNOWLEDGE_MS, objectiveMs * ACKNOWLEDGE_SHARE, usualPatience(feederDelay));
 
 const createSubquery = (
   { route, objectiveAt, deadlineAt, isTrial }: ActiveRequest,
@@ -111,7 +111,7 @@
     legs,
     isRepeat,
     sentAt: at,
-    acknowledgeBy: at + acknowledgeWithin(state, request.route),
+    acknowledgeBy: at + acknowledgeTimeoutMs(state, request.route),
     isOverdue: false,
     isProbe: guardOf(state, request, at) !== 'free',
   };
@@ -142,8 +142,8 @@
   at: number,
 ): boolean => {
   const guard = guardOf(state, request, at);
-  const isOneMore = legs.length === 1 && mayGoOn(state, request, at);
-  return guard === 'stopped' || (guard === 'one-at-a-time' && !isOneMore);
+  const isNextLeg = legs.length === 1 && maySendNext(state, request, at);
+  return guard === 'stopped' || (guard === 'one-at-a-time' && !isNextLeg);
 };
 
 /**
--- a/src/gateway/requests/settle-attempt.ts
+++ b/src/gateway/requests/settle-attempt.ts
@@ -14,13 +14,13 @@
 import { addLatency } from './route-latency.js';
 
 /** Problems that say nothing about the replica's health. */
-const HARMLESS_PROBLEMS: ReadonlySet<AttemptProblem> = new Set<AttemptProblem>([
+const NEUTRAL_PROBLEMS: ReadonlySet<AttemptProblem> = new Set<AttemptProblem>([
   'aborted',
   'foreign-answer',
   'refused-connection',
 ]);
 
-const noteAtReplica = (
+const applyToReplica = (
   state: GatewayState,
   attempt: ActiveAttempt,
   replica: Replica,
@@ -29,7 +29,7 @@
   switch (result.type) {
     case 'answered': {
       noteLoad(replica, result.load, at);
-      noteAnswer(state, attempt, replica, result.answer.status, at);
+      recordAnswer(state, attempt, replica, result.answer.status, at);
       return;
     }
     case 'refused':
@@ -38,16 +38,16 @@
       return;
     case 'failed':
       if (result.problem === 'aborted' && result.mayHaveRun) {
-        noteGivenUp(state, attempt, replica, at);
+        recordAborted(state, attempt, replica, at);
       }
-      if (!HARMLESS_PROBLEMS.has(result.problem)) {
+      if (!NEUTRAL_PROBLEMS.has(result.problem)) {
         noteReplicaFailure(replica, at);
       }
   }
 };
 
 /** What an attempt that was sent and not waited for says of its replica. */
-const noteGivenUp = (
+const recordAborted = (
   state: GatewayState,
   attempt: ActiveAttempt,
   replica: Replica,
@@ -59,7 +59,7 @@
   }
 };
 
-const noteAnswer = (
+const recordAnswer = (
   state: GatewayState,
   attempt: ActiveAttempt,
   replica: Replica,
@@ -89,11 +89,11 @@
   }
   state.attempts.delete(attempt.id);
   attempt.leg.running.delete(attempt.id);
-  countOutcome(attempt, event);
+  applyToLeg(attempt, event);
   const replica = state.replicas.find(attempt.replica);
   if (replica !== undefined) {
     replica.pending.delete(attempt.id);
-    noteAtReplica(state, attempt, replica, event);
+    applyToReplica(state, attempt, replica, event);
   }
   return attempt;
 };
@@ -103,11 +103,11 @@
  * is reset before any answer on it is mostly one too many for its replica: nothing says that the request has not
  * run, and no refusal may, but one that may be repeated is tried again.
  */
-const countOutcome = (attempt: ActiveAttempt, { result }: AttemptEnded): void => {
+const applyToLeg = (attempt: ActiveAttempt, { result }: AttemptEnded): void => {
   const { leg, repeatable, replica } = attempt;
   const hasNotRun = result.type === 'refused' || (result.type === 'failed' && !result.mayHaveRun);
-  if (hasNotRun && leg.ownChoice === replica) {
-    leg.ownChoice = undefined;
+  if (hasNotRun && leg.unsharedReplica === replica) {
+    leg.unsharedReplica = undefined;
   }
   if (result.type === 'refused') {
     leg.runs -= 1;
--- a/src/gateway/requests/take-result.ts
+++ b/src/gateway/requests/take-result.ts
@@ -5,28 +5,28 @@
 import { trace, writeTrace } from '../log/trace.js';
 import type { AttemptProblem, AttemptResult } from '../model/request.js';
 import type { GatewayState } from '../state.js';
-import { noteRunEnd, wakeRequests } from './broken-attempts.js';
+import { recordRunEnd, progressHeldRequests } from './broken-attempts.js';
 import { abortLeg, giveUpAttempts, LINGER_MS } from './give-up-attempts.js';
 import { FIRST_FAILURE_STATUS, isUsable } from './good-answer.js';
 import { refuseHeldRequest } from './hold-request.js';
-import { noteInconclusive } from './note-inconclusive.js';
+import { recordInconclusive } from './note-inconclusive.js';
 import { progressRequest } from './progress.js';
-import { type ActiveAttempt, type ActiveRequest, asksForParts, type Leg } from './request-state.js';
-import { endLeg, notePauses, retryLeg } from './retry-leg.js';
+import { type ActiveAttempt, type ActiveRequest, isGather, type Leg } from './request-state.js';
+import { endLeg, recordLegPauses, retryLeg } from './retry-leg.js';
 import { settleAttempt } from './settle-attempt.js';
 
 const MS_PER_SECOND = 1_000;
 
-const takeLegResult = (
+const applyLegResult = (
   state: GatewayState,
   request: ActiveRequest,
   leg: Leg,
   result: AttemptResult,
   at: number,
 ): GatewayEffect[] => {
-  if (result.type === 'answered' && isUsable(result.answer, asksForParts(request))) {
+  if (result.type === 'answered' && isUsable(result.answer, isGather(request))) {
     endLeg(request, leg, { type: 'answered', answer: result.answer });
-    notePauses(state, leg);
+    recordLegPauses(state, leg);
     return abortLeg(leg, LINGER_MS);
   }
   if (result.type === 'answered' && result.answer.status >= FIRST_FAILURE_STATUS) {
@@ -46,7 +46,7 @@
   }
 };
 
-const describeEnd = (
+const describeAttemptEnd = (
   attempt: ActiveAttempt,
   { result, at }: AttemptEnded,
   dropped: boolean,
@@ -73,19 +73,23 @@
 };
 
 /** Handles `attempt-ended`. */
-export const takeResult = (state: GatewayState, event: AttemptEnded): GatewayEffect[] => {
+export const handleAttemptEnded = (state: GatewayState, event: AttemptEnded): GatewayEffect[] => {
   const attempt = settleAttempt(state, event);
   if (attempt === undefined) {
     return [];
   }
   const { fingerprint } = attempt;
-  const noted = noteRunEnd(state, attempt, event);
-  const taken = takeRequestResult(state, attempt, event);
+  const noted = recordRunEnd(state, attempt, event);
+  const taken = applyRequestResult(state, attempt, event);
   const isSuspected = state.crashes.memory.verdict(fingerprint, event.at) !== 'unsuspected';
-  return [...noted, ...taken, ...(isSuspected ? wakeRequests(state, fingerprint, event.at) : [])];
+  return [
+    ...noted,
+    ...taken,
+    ...(isSuspected ? progressHeldRequests(state, fingerprint, event.at) : []),
+  ];
 };
 
-const takeRequestResult = (
+const applyRequestResult = (
   state: GatewayState,
   attempt: ActiveAttempt,
   event: AttemptEnded,
@@ -100,11 +104,11 @@
   const elapsedSeconds = (event.at - attempt.sentAt) / MS_PER_SECOND;
   state.counters.attemptDuration.observe(elapsedSeconds, outcomeOf(event.result));
   const dropped = attempt.leg.outcome !== undefined;
-  trace(request.decisions, event.at, describeEnd(attempt, event, dropped));
+  trace(request.decisions, event.at, describeAttemptEnd(attempt, event, dropped));
   if (dropped) {
     return [];
   }
-  const effects = takeLegResult(state, request, attempt.leg, event.result, event.at);
+  const effects = applyLegResult(state, request, attempt.leg, event.result, event.at);
   const { outcome, resumeAt } = attempt.leg;
   const isHolding = request.legs.some(({ isHeld }) => isHeld);
   if (outcome === undefined && resumeAt === undefined && !isHolding) {
@@ -114,7 +118,10 @@
 };
 
 /** Handles `request-due`. */
-export const takeRequestDue = (state: GatewayState, { call, at }: RequestDue): GatewayEffect[] => {
+export const handleRequestDue = (
+  state: GatewayState,
+  { call, at }: RequestDue,
+): GatewayEffect[] => {
   const request = state.requests.get(call);
   return request === undefined
     ? refuseHeldRequest(state, call, at)
@@ -122,7 +129,10 @@
 };
 
 /** Handles `caller-left`: replicas are told at once, by closing their connections. */
-export const takeCallerLeft = (state: GatewayState, { call, at }: CallerLeft): GatewayEffect[] => {
+export const handleCallerLeft = (
+  state: GatewayState,
+  { call, at }: CallerLeft,
+): GatewayEffect[] => {
   const request = state.requests.get(call);
   if (request === undefined) {
     return state.held.delete(call) ? [{ type: 'forget-call', call }] : [];
@@ -132,7 +142,7 @@
   trace(request.decisions, at, { event: 'caller-left', elapsedMs });
   return [
     { type: 'forget-call', call },
-    ...noteInconclusive(state, request, at),
+    ...recordInconclusive(state, request, at),
     ...giveUpAttempts(state, request, 0, at),
     ...writeTrace(request.request.requestId, request.decisions, true),
   ];
--- a/src/gateway/requests/take-subquery-result.ts
+++ b/src/gateway/requests/take-subquery-result.ts
@@ -13,7 +13,7 @@
 import { noteDelay } from '../delay-estimate.js';
 import { noteServed } from '../crashes/update-knowledge.js';
 import type { GatewayState } from '../state.js';
-import { wakeRequests } from './broken-attempts.js';
+import { progressHeldRequests } from './broken-attempts.js';
 import { moveLegs, suspectPeer } from './check-subqueries.js';
 import { progressRequest } from './progress.js';
 import { type ActiveRequest, type ActiveSubquery, openLegsOf } from './request-state.js';
@@ -34,28 +34,28 @@
 };
 
 /** A feeder has said something of a subquery: it is at work. */
-const noteHeard = (state: GatewayState, found: FoundSubquery, at: number): void => {
+const recordAcknowledged = (state: GatewayState, found: FoundSubquery, at: number): void => {
   const { request, subquery } = found;
   if (subquery.acknowledgeBy !== undefined) {
     subquery.acknowledgeBy = undefined;
-    request.heardSubqueries += 1;
+    request.acknowledgedSubqueries += 1;
     noteDelay(state.feederDelay, at - subquery.sentAt);
   }
 };
 
 /** Handles `subquery-acknowledged`. */
-export const takeAcknowledgement = (
+export const handleSubqueryAcknowledged = (
   state: GatewayState,
   { subquery: id, at }: SubqueryAcknowledged,
 ): GatewayEffect[] => {
   const found = findSubquery(state, id);
   if (found !== undefined) {
-    noteHeard(state, found, at);
+    recordAcknowledged(state, found, at);
   }
   return [];
 };
 
-const takeParts = (
+const applyParts = (
   request: ActiveRequest,
   { legs }: ActiveSubquery,
   { shards, records }: SubqueryPart,
@@ -72,19 +72,19 @@
 };
 
 /** A feeder whose replicas have ended under the request counts like a replica that has, until one has answered. */
-const noteFeederCrash = (
+const recordFeederCrash = (
   request: ActiveRequest,
   { isProbe }: ActiveSubquery,
   { hasCrashed = false, shards }: SubqueryPart,
 ): void => {
   if (hasCrashed && shards.length === 0) {
     request.crashes += 1;
-    request.lostProbes += Number(isProbe);
+    request.crashedProbes += Number(isProbe);
   }
 };
 
 /** The legs for which the feeder has no part. */
-const endMissing = (request: ActiveRequest, subquery: ActiveSubquery, at: number): void => {
+const failMissingLegs = (request: ActiveRequest, subquery: ActiveSubquery, at: number): void => {
   for (const leg of openLegsOf(subquery)) {
     leg.runs += 1;
     trace(request.decisions, at, { event: 'leg-failed', service: leg.service, runs: leg.runs });
@@ -118,17 +118,20 @@
 };
 
 /** A part shows that a replica can run the request, so that its other tries need not wait for it any more. */
-const noteAnsweredPart = (
+const recordServed = (
   state: GatewayState,
   { request: { fingerprint } }: ActiveRequest,
   at: number,
 ): GatewayEffect[] =>
   state.crashes.memory.verdict(fingerprint, at) === 'unsuspected'
     ? []
-    : [...noteServed(state, fingerprint, undefined, at), ...wakeRequests(state, fingerprint, at)];
+    : [
+        ...noteServed(state, fingerprint, undefined, at),
+        ...progressHeldRequests(state, fingerprint, at),
+      ];
 
 /** Handles `subquery-answered`. */
-export const takeSubqueryAnswer = (
+export const handleSubqueryAnswered = (
   state: GatewayState,
   { subquery: id, part, at }: SubqueryAnswered,
 ): GatewayEffect[] => {
@@ -137,9 +140,9 @@
     return [];
   }
   const { request, subquery } = found;
-  noteHeard(state, found, at);
-  takeParts(request, subquery, part);
-  noteFeederCrash(request, subquery, part);
+  recordAcknowledged(state, found, at);
+  applyParts(request, subquery, part);
+  recordFeederCrash(request, subquery, part);
   const elapsedMs = Math.round(at - subquery.sentAt);
   const { isFinal, unsent = [] } = part;
   const parts = part.shards.length;
@@ -151,17 +154,17 @@
     elapsedMs,
   });
   const moved = moveUnsent(state, request, subquery, unsent, at);
-  const cleared = parts > 0 ? noteAnsweredPart(state, request, at) : [];
+  const cleared = parts > 0 ? recordServed(state, request, at) : [];
   if (isFinal) {
     request.subqueries.delete(id);
     state.subqueries.delete(id);
-    endMissing(request, subquery, at);
+    failMissingLegs(request, subquery, at);
   }
   return [...moved, ...cleared, ...progressRequest(state, request, at)];
 };
 
 /** Handles `subquery-failed`. */
-export const takeSubqueryFailure = (
+export const handleSubqueryFailed = (
   state: GatewayState,
   { subquery: id, mayHaveRun, at }: SubqueryFailed,
 ): GatewayEffect[] => {
@@ -177,13 +180,13 @@
 };
 
 /** Handles `peer-lost`. */
-export const takePeerLost = (
+export const handlePeerLost = (
   state: GatewayState,
   { peer, problem, at }: PeerLost,
 ): GatewayEffect[] => suspectPeer(state, peer, problem, at);
 
 /** Handles `peer-alive`. */
-export const takePeerAlive = (state: GatewayState, { peer, at }: PeerAlive): GatewayEffect[] => {
+export const handlePeerAlive = (state: GatewayState, { peer, at }: PeerAlive): GatewayEffect[] => {
   const wasSuspect = state.peers.isSuspect(peer, at);
   state.peers.trust(peer);
   const change: BeliefChange = { event: 'peer-trusted', peer };
--- a/src/gateway/requests/take-unreadable.ts
+++ b/src/gateway/requests/take-unreadable.ts
@@ -6,7 +6,7 @@
 import { mayLog, NOTHING_LOGGED } from './unreadable-log.js';
 
 /** Handles `unreadable-refused`. */
-export const takeUnreadable = (
+export const handleUnreadableRefused = (
   { counters, unreadableLogs }: GatewayState,
   { problem, status, detail, from, at }: UnreadableRefused,
 ): GatewayEffect[] => {
--- a/src/gateway/requests/unawaited-attempts.ts
+++ b/src/gateway/requests/unawaited-attempts.ts
@@ -28,7 +28,7 @@
 };
 
 /** Takes note of an attempt that ended without the replica's doing. */
-export const noteUnawaited = (
+export const recordUnawaited = (
   state: GatewayState,
   attempt: ActiveAttempt,
   { result, at }: AttemptEnded,
--- a/src/gateway/standstill.ts
+++ b/src/gateway/standstill.ts
@@ -6,7 +6,7 @@
 import type { StoodStill } from './event.js';
 import { updateReadiness } from './lifecycle.js';
 import type { BeliefChange } from './log/log-event.js';
-import { acceptHeldRequests } from './requests/accept-request.js';
+import { routeHeldRequests } from './requests/accept-request.js';
 import type { GatewayState } from './state.js';
 import { confirmedAt } from './store/confirmation.js';
 
@@ -57,7 +57,7 @@
   };
   return [
     { type: 'write-log', level: 'info', part: 'lifecycle', change },
-    ...acceptHeldRequests(state, at),
+    ...routeHeldRequests(state, at),
     ...updateReadiness(state),
   ];
 };
--- a/src/gateway/store/apply-objects.ts
+++ b/src/gateway/store/apply-objects.ts
@@ -8,7 +8,7 @@
 import type { Replica } from '../replicas/replica.js';
 import { RouteTable } from '../routing/route-table.js';
 import type { Departed } from '../returns/return-state.js';
-import { takeReplicaEnded } from '../requests/broken-attempts.js';
+import { applyReplicaCrash } from '../requests/broken-attempts.js';
 import type { GatewayState } from '../state.js';
 import type { CollectionName } from './collection.js';
 import { logReplicaChanges, type ReplicaChange } from './log-replica-changes.js';
@@ -120,7 +120,7 @@
   if (known === undefined || value === undefined || !isOtherStart(value, known.record)) {
     return [];
   }
-  return [...takeReplicaEnded(state, name, at), { type: 'close-replica', replica: name }];
+  return [...applyReplicaCrash(state, name, at), { type: 'close-replica', replica: name }];
 };
 
 /** Takes what the store says of replicas. The first list is not logged as changes. */
--- a/test/gateway/good-answer.test.ts
+++ b/test/gateway/good-answer.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import type { ReplicaAnswer } from '../../src/gateway/model/request.js';
-import { isUsable, showsThatItRuns } from '../../src/gateway/requests/good-answer.js';
+import { isUsable, provesReplicaCanRun } from '../../src/gateway/requests/good-answer.js';
 
 const answerOf = (status: number, signature?: string): ReplicaAnswer => ({
   status,
@@ -13,26 +13,26 @@
 
 describe('an answer that shows that a replica can run a request', () => {
   it('is a success that it has signed', () => {
-    expect([true, false].map((isPart) => showsThatItRuns(signed(200), isPart))).toEqual([
+    expect([true, false].map((isPart) => provesReplicaCanRun(signed(200), isPart))).toEqual([
       true,
       true,
     ]);
-    expect(showsThatItRuns(answerOf(200), false)).toBe(false);
+    expect(provesReplicaCanRun(answerOf(200), false)).toBe(false);
   });
 
   it('is what its service says of the request, but for parts of a gather', () => {
-    expect([302, 404].map((status) => showsThatItRuns(signed(status), false))).toEqual([
+    expect([302, 404].map((status) => provesReplicaCanRun(signed(status), false))).toEqual([
       true,
       true,
     ]);
-    expect([302, 404].map((status) => showsThatItRuns(signed(status), true))).toEqual([
+    expect([302, 404].map((status) => provesReplicaCanRun(signed(status), true))).toEqual([
       false,
       false,
     ]);
   });
 
   it.each([408, 421, 429, 500, 502, 503, 504])('is no refusal and no failure: %i', (status) => {
-    expect([true, false].map((isPart) => showsThatItRuns(signed(status), isPart))).toEqual([
+    expect([true, false].map((isPart) => provesReplicaCanRun(signed(status), isPart))).toEqual([
       false,
       false,
     ]);
--- a/test/gateway/retry-budget.test.ts
+++ b/test/gateway/retry-budget.test.ts
@@ -27,7 +27,7 @@
         if (isRequest) {
           budget.countRequest(now);
           requests.push(now);
-        } else if (budget.take(POLICY, now)) {
+        } else if (budget.consume(POLICY, now)) {
           extras.push(now);
           const allowed = POLICY.ratio * countWithin(requests, now, WINDOW_MS * 1.1) + POLICY.slack;
           expect(countWithin(extras, now, WINDOW_MS)).toBeLessThanOrEqual(allowed);
@@ -39,8 +39,8 @@
 
   it('is free again once the window has passed', () => {
     const budget = new RetryBudget(WINDOW_MS);
-    expect([1, 2, 3, 4].map(() => budget.take(POLICY, 100))).toEqual([true, true, true, false]);
-    expect(budget.take(POLICY, WINDOW_MS)).toBe(false);
-    expect(budget.take(POLICY, 2.1 * WINDOW_MS)).toBe(true);
+    expect([1, 2, 3, 4].map(() => budget.consume(POLICY, 100))).toEqual([true, true, true, false]);
+    expect(budget.consume(POLICY, WINDOW_MS)).toBe(false);
+    expect(budget.consume(POLICY, 2.1 * WINDOW_MS)).toBe(true);
   });
 });
