--- a/src/gateway/reducer.ts
+++ b/src/gateway/reducer.ts
@@ -26,11 +26,15 @@
   handlePeerLost,
   handleSubqueryAnswered,
   handleSubqueryFailed,
-} from './requests/take-subquery-result.js';
+} from './requests/subquery-result.js';
 import { handleReplicaChecked, progressHeldRequests } from './requests/broken-attempts.js';
-import { handleUnreadableRefused } from './requests/take-unreadable.js';
+import { handleUnreadableRefused } from './requests/unreadable-requests.js';
 import { refuseAllHeldRequests } from './requests/hold-request.js';
-import { handleCallerLeft, handleRequestDue, handleAttemptEnded } from './requests/take-result.js';
+import {
+  handleCallerLeft,
+  handleRequestDue,
+  handleAttemptEnded,
+} from './requests/attempt-result.js';
 import { endStandstill, takeStoodStill } from './standstill.js';
 import type { GatewayState } from './state.js';
 import {
--- a/src/gateway/requests/broken-attempts.ts
+++ b/src/gateway/requests/broken-attempts.ts
@@ -12,7 +12,7 @@
 import { trace } from '../log/trace.js';
 import type { AttemptProblem, Fingerprint } from '../model/request.js';
 import type { GatewayState } from '../state.js';
-import { provesReplicaCanRun } from './good-answer.js';
+import { provesReplicaCanRun } from './usable-answer.js';
 import { progressRequest } from './progress.js';
 import { type ActiveAttempt, type ActiveRequest, isGather } from './request-state.js';
 import { recordUnawaited, watchRun } from './unawaited-attempts.js';
--- a/src/gateway/requests/finish.ts
+++ b/src/gateway/requests/finish.ts
@@ -7,10 +7,10 @@
 import { trace, writeTrace } from '../log/trace.js';
 import type { CallerResponse, CallId, MergedAnswer, RefusalReason } from '../model/request.js';
 import type { GatewayState } from '../state.js';
-import { FIRST_FAILURE_STATUS } from './good-answer.js';
+import { FIRST_FAILURE_STATUS } from './usable-answer.js';
 import { giveUpAttempts, LINGER_MS } from './give-up-attempts.js';
 import { mergeRecords } from './merge-records.js';
-import { recordInconclusive } from './note-inconclusive.js';
+import { recordInconclusive } from './inconclusive-attempts.js';
 import { type ActiveRequest, isAnswered, type Leg } from './request-state.js';
 import { retryAfter } from './retry-after.js';
 
--- a/src/gateway/requests/settle-attempt.ts
+++ b/src/gateway/requests/settle-attempt.ts
@@ -9,7 +9,7 @@
   noteUnfinished,
 } from '../replicas/replica.js';
 import type { GatewayState } from '../state.js';
-import { FIRST_FAILURE_STATUS } from './good-answer.js';
+import { FIRST_FAILURE_STATUS } from './usable-answer.js';
 import type { ActiveAttempt } from './request-state.js';
 import { addLatency } from './route-latency.js';
 
--- a/test/gateway/good-answer.test.ts
+++ b/test/gateway/usable-answer.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import type { ReplicaAnswer } from '../../src/gateway/model/request.js';
-import { isUsable, provesReplicaCanRun } from '../../src/gateway/requests/good-answer.js';
+import { isUsable, provesReplicaCanRun } from '../../src/gateway/requests/usable-answer.js';
 
 const answerOf = (status: number, signature?: string): ReplicaAnswer => ({
   status,
