--- a/src/gateway/requests/accept-request.ts
+++ b/src/gateway/requests/accept-request.ts
@@ -1,4 +1,4 @@
-/** Takes a caller's request: finds its route and sends the first attempts. */
+/** Admits callers' requests: finds the route of each and sends its first attempts. */
 import { beginTrial, unblockedAt } from '../crashes/crash-record.js';
 import { updateKnowledge } from '../crashes/update-knowledge.js';
 import type { GatewayEffect } from '../effect.js';
@@ -18,19 +18,19 @@
 import { createRouteLatency, hedgeDelay } from './route-latency.js';
 import { progressRequest } from './progress.js';
 
-/** Time kept back of the objective for the way to the caller and waits for the processor. */
+/** Part of the objective reserved for the network path to the caller and for scheduling delays, in milliseconds. */
 const OBJECTIVE_MARGIN_MS = 13;
 
-/** A caller that opened a connection for the request has waited a round trip longer, in milliseconds. */
+/** Additional margin, in milliseconds: a caller that opened a connection for the request waited one more round trip. */
 const CONNECT_MARGIN_MS = 7;
 
-/** The margin takes no more than this part of an objective. */
+/** Largest share of an objective that the margin may take. */
 const MAX_MARGIN_SHARE = 0.3;
 
-/** Time kept back of the caller's patience for the way back, in milliseconds. */
+/** Part of the caller's timeout reserved for the network path back, in milliseconds. */
 const DEADLINE_MARGIN_MS = 10;
 
-/** Reasons by which too large requests are refused. */
+/** Refusal reasons for requests that exceed a size limit. */
 const EXCESS_REASONS = { headers: 'headers-too-large', body: 'body-too-large' } as const;
 
 const createLegs = (state: GatewayState, route: Route): readonly Leg[] => {
@@ -99,7 +99,7 @@
   return [...sent, ...progressRequest(state, request, at)];
 };
 
-/** Replicas end under the request: its caller is told at once when it will be tried again. */
+/** Refuses a request that crashes replicas; the answer states when the next trial is due. */
 const refuseBlocked = (
   state: GatewayState,
   event: RequestReceived,
@@ -110,14 +110,14 @@
   return refuseCall(state, event, 'crashes-replicas', retryAfterMs, at);
 };
 
-/** A blocked request is tried here; the other gateways go on refusing it until the outcome is known. */
+/** Starts the trial of a blocked request here; other gateways keep refusing it until the outcome is known. */
 const claimTrial = (state: GatewayState, fingerprint: Fingerprint, at: number): GatewayEffect[] => {
   const known = beginTrial(state.crashes.memory.find(fingerprint, at), at);
   const origin = { from: state.settings.node, isUrgent: true };
   return updateKnowledge(state, fingerprint, known, origin, at);
 };
 
-/** Finds the route of a request and sends it, at a time that may be later than its arrival. */
+/** Routes and sends a request; `at` is later than its arrival when the request was held. */
 const routeRequest = (state: GatewayState, event: RequestReceived, at: number): GatewayEffect[] => {
   const { request } = event;
   const route = state.inForce?.table.find(request.host, request.path);
@@ -139,7 +139,7 @@
   return [...claimed, ...startRequest(state, created, at)];
 };
 
-/** Why a request is refused whatever its route; undefined where nothing is wrong with it. */
+/** Reason to refuse a request regardless of its route; undefined when it is acceptable. */
 const refusalReasonFor = (
   { inForce }: GatewayState,
   { requestId, host, excess }: CallerRequest,
@@ -153,7 +153,7 @@
   if (excess === undefined) {
     return undefined;
   }
-  // The first configuration may allow more than what is taken before it: nothing is refused for good yet.
+  // The first configuration may raise the initial limits, so the refusal must be one that can be retried.
   return inForce === undefined ? 'no-configuration' : EXCESS_REASONS[excess];
 };
 
@@ -170,7 +170,7 @@
   return isInformed(state) ? routeRequest(state, event, event.at) : holdRequest(state, event);
 };
 
-/** Sends the requests that were held for the first configuration, once it is in force. */
+/** Routes the requests that were held for the first configuration, once it is in force. */
 export const routeHeldRequests = (state: GatewayState, at: number): GatewayEffect[] => {
   if (!isInformed(state) || state.held.size === 0) {
     return [];
--- a/src/gateway/requests/accept-subquery.ts
+++ b/src/gateway/requests/accept-subquery.ts
@@ -1,4 +1,4 @@
-/** Takes a subquery of another gateway: asks a replica of each shard for its part. */
+/** Admits subqueries of other gateways: requests the part of each shard from a replica. */
 import type { AnswerSubquery, GatewayEffect } from '../effect.js';
 import type { SubqueryCancelled, SubqueryReceived } from '../event.js';
 import { trace, writeTrace } from '../log/trace.js';
@@ -13,12 +13,13 @@
 import { sendLegs } from './send-legs.js';
 
 /**
- * A subquery that takes longer is acknowledged, so that the gateway that asked does not take this one
- * for lost. One that is answered sooner is not: each message costs both sides processor.
+ * Time after which a subquery without an answer is acknowledged, in milliseconds, so that the coordinator does not
+ * consider this feeder lost. Subqueries answered sooner are not acknowledged: each message costs processor time on
+ * both sides.
  */
 const ACKNOWLEDGE_AFTER_MS = 12;
 
-/** The route of a subquery: the part of a gather's that decides about its attempts. */
+/** The route of a subquery: those properties of the gather's route that govern its attempts. */
 const routeOf = (subquery: Subquery): Route => ({
   name: subquery.route,
   host: '',
@@ -66,7 +67,7 @@
   return isBlocked && subquery.isTrial !== true;
 };
 
-/** No part: replicas end under the request, and the gateway that asked need not ask another feeder. */
+/** Answers without a part: the request crashes replicas, so the coordinator must not send it to another feeder. */
 const answerBlocked = (call: CallId): AnswerSubquery => ({
   type: 'answer-subquery',
   call,
--- a/src/gateway/requests/attempt-result.ts
+++ b/src/gateway/requests/attempt-result.ts
@@ -1,4 +1,4 @@
-/** Takes the end of an attempt: an answer ends its leg, a failure may be followed by a retry. */
+/** Handles the end of attempts: a usable answer ends the leg, a failure may lead to a retry. */
 import type { GatewayEffect } from '../effect.js';
 import type { AttemptEnded, CallerLeft, RequestDue } from '../event.js';
 import type { Decision } from '../log/log-event.js';
@@ -60,7 +60,7 @@
   dropped,
 });
 
-/** A run whose request has ended before, or whose leg another attempt has answered. */
+/** Counts a run that ended after its request, or after its leg, had ended. */
 const countUnawaited = (
   { counters }: GatewayState,
   { leg }: ActiveAttempt,
@@ -128,7 +128,10 @@
     : progressRequest(state, request, at);
 };
 
-/** Handles `caller-left`: replicas are told at once, by closing their connections. */
+/**
+ * Handles `caller-left`: closes the connections of the request's attempts, at once unless the request may have crashed
+ * replicas.
+ */
 export const handleCallerLeft = (
   state: GatewayState,
   { call, at }: CallerLeft,
--- a/src/gateway/requests/attempts.ts
+++ b/src/gateway/requests/attempts.ts
@@ -15,16 +15,16 @@
 import type { ActiveRequest, Leg } from './request-state.js';
 import { createRouteLatency, type RouteLatency } from './route-latency.js';
 
-/** Part of the time for which a leaving replica serves that is used, as a last resort. */
+/** Share of the drain time during which a leaving replica may still be used, as a last resort. */
 const LEAVING_SHARE = 0.3;
 
-/** Part of the slack of a retry budget that all gateways together use. */
+/** Share of a retry budget's slack that all gateways together use. */
 const SLACK_SHARE = 0.75;
 
-/** Tries of one leg beyond its runs: refusals and connections that failed. */
+/** Attempts that a leg may make beyond its runs, for refusals and failed connections. */
 const EXTRA_ATTEMPTS = 2;
 
-/** How long attempts for the route usually take. */
+/** Latency statistics of the request's route; created when the route has none. */
 export const latencyOf = (state: GatewayState, request: ActiveRequest): RouteLatency => {
   const { route } = request;
   const known = state.latencies.get(route.name);
@@ -37,8 +37,8 @@
 };
 
 /**
- * The replicas that all feeders draw for a shard of a request, one fewer than its route allows; undefined
- * where any will do.
+ * The replicas that every feeder draws for a shard of a request, one fewer than the route's attempts; undefined when
+ * any replica may be used.
  */
 const sharedReplicas = (
   state: GatewayState,
@@ -57,7 +57,7 @@
   return drawReplicas(listed, request.requestId, route.maxAttempts - 1, isNear);
 };
 
-/** The first feeder of a shard chooses one replica freely, and keeps to it and the shared ones. */
+/** The first feeder of a shard chooses one replica freely, then uses only that one and the shared ones. */
 const preferredReplicas = (
   { isRepeat, unsharedReplica }: Leg,
   shared: ReadonlySet<string> | undefined,
@@ -81,7 +81,7 @@
   preferred: preferredReplicas(leg, shared),
 });
 
-/** Whether the retry budget allows one more arrival; the first of a leg is free. */
+/** Takes one arrival out of the retry budget; false when none is left. The first arrival of a leg is free. */
 const consumeBudget = (
   state: GatewayState,
   request: ActiveRequest,
@@ -132,14 +132,16 @@
   return leg.runs < maxRuns && leg.attemptedReplicas.size < maxAttempts + EXTRA_ATTEMPTS;
 };
 
-/** Whether an attempt at a replica is worth its cost; it is expected to take `ratio` usual latencies. */
+/** Whether an attempt is worth its cost; `ratio` is its expected latency as a multiple of the usual one. */
 export type RatioCheck = (ratio: number) => boolean;
 
 const acceptAnyRatio: RatioCheck = () => true;
 
 /**
- * Sends one more attempt for a leg. Returns undefined when none may be sent: no replica is left or
- * accepted, the route's attempts are used up, or the retry budget is.
+ * Sends one more attempt for a leg. Returns undefined when none may be sent: no replica is left or accepted, the
+ * deadline has passed, or the route's attempts or the retry budget are exhausted.
+ *
+ * @param accepts - decides whether the selected replica is worth an attempt
  */
 export const sendAttempt = (
   state: GatewayState,
--- a/src/gateway/requests/broken-attempts.ts
+++ b/src/gateway/requests/broken-attempts.ts
@@ -1,6 +1,6 @@
 /**
- * Attempts that broke off while a replica may have run them. Whether the replica has ended, or only the connection,
- * is looked into: a connection breaks in many ways that say nothing about the request.
+ * Attempts whose connection broke while a replica may have been running them. The replica is checked, since a connection
+ * may also break for reasons that have nothing to do with the request.
  */
 import type { BrokenRun } from '../crashes/broken-run.js';
 import { addCrash, type Crash } from '../crashes/crash-record.js';
@@ -17,19 +17,19 @@
 import { type ActiveAttempt, type ActiveRequest, isGather } from './request-state.js';
 import { recordUnawaited, watchRun } from './unawaited-attempts.js';
 
-/** How an attempt ends whose replica has ended. */
+/** Problems with which an attempt ends when its replica crashes. */
 const BREAK_PROBLEMS: ReadonlySet<AttemptProblem> = new Set<AttemptProblem>([
   'reset',
   'refused-connection',
   'cut-off',
 ]);
 
-/** Fingerprints that a log line names. */
+/** Most fingerprints listed in one log line. */
 const MAX_LOGGED_FINGERPRINTS = 4;
 
 /**
- * Replicas that end under one try of a request without an answer, from which other gateways are told at once: its
- * caller will ask one of them next.
+ * Number of replicas crashed by one request, none of which answered, from which the other gateways are informed at once:
+ * the caller will send its retry to one of them.
  */
 const URGENT_CRASHES = 3;
 
@@ -58,7 +58,7 @@
   return [{ type: 'check-replica', replica: replica.record }];
 };
 
-/** The answer by which the attempt has ended, where it shows that a replica can run the request. */
+/** The answer that ended the attempt, when it proves that a replica can run the request. */
 const exoneratingAnswerOf = (
   { replica, owner }: ActiveAttempt,
   { result }: AttemptEnded,
@@ -67,7 +67,7 @@
     ? { replica, status: result.answer.status }
     : undefined;
 
-/** Requests that wait for what is known of `fingerprint` go on. */
+/** Progresses the requests with this fingerprint that have held legs. */
 export const progressHeldRequests = (
   state: GatewayState,
   fingerprint: Fingerprint,
@@ -79,7 +79,7 @@
   return waiting.flatMap((request) => progressRequest(state, request, at));
 };
 
-/** Another replica answers at the address of one that may have been at a run: that one has ended. */
+/** Records that a replica has ended when another replica answers at its address. */
 const recordReplacedReplica = (
   state: GatewayState,
   { replica }: ActiveAttempt,
@@ -90,8 +90,8 @@
 };
 
 /**
- * Takes note of what the end of an attempt says of its request: whether a replica may have ended under it, or has
- * answered it. The replica of one that broke off is looked at, once for all that break together.
+ * Records what the end of an attempt shows about its request: the replica may have crashed, or has answered. After a
+ * broken connection the replica is checked, once for all attempts that break together.
  */
 export const recordRunEnd = (
   state: GatewayState,
@@ -141,7 +141,7 @@
   return { type: 'write-log', level: 'warn', part: 'replica', change };
 };
 
-/** Counts a crash at the request under which it came; returns whether others must know of it at once. */
+/** Counts a crash for the request of a broken run; returns whether other gateways must be informed at once. */
 const countCrash = (state: GatewayState, { attempt }: BrokenRun, at: number): boolean => {
   const request = state.requests.get(attempt.owner.call);
   if (request === undefined) {
@@ -154,7 +154,7 @@
   return request.crashes >= URGENT_CRASHES && request.answeredLegs === 0;
 };
 
-/** Takes note of a crash under a request, at this gateway and, where it is serious, at all others. */
+/** Records a crash for a fingerprint; `updateKnowledge` publishes it to the other gateways. */
 const recordCrash = (
   state: GatewayState,
   fingerprint: Fingerprint,
@@ -182,7 +182,7 @@
 ): GatewayEffect[] =>
   recordCrash(state, fingerprint, { knownRounds, sentAt, crashedAt: at }, false, at);
 
-/** What a replica that has ended may have been working on without anybody waiting; one that drains ends by itself. */
+/** Removes and returns the unawaited runs of a replica that has ended; none for a draining one, which ends as planned. */
 const removeUnawaitedRuns = (
   state: GatewayState,
   replica: string,
@@ -193,7 +193,7 @@
   return isDraining ? [] : runs;
 };
 
-/** Counts the end of a replica at all requests that it may have been at. */
+/** Counts the crash of a replica for every request that it may have been running. */
 const applyCrashToRuns = (
   state: GatewayState,
   replica: string,
@@ -209,7 +209,7 @@
         ...unawaited.flatMap((run) => applyUnawaitedRunCrash(state, run, at)),
       ];
 
-/** The requests of these runs that are still in progress, once each; their breaks are explained now. */
+/** The distinct requests in progress among these runs; their breaks no longer count as unchecked. */
 const resolveBreaks = (
   state: GatewayState,
   broken: readonly BrokenRun[],
@@ -222,8 +222,8 @@
 };
 
 /**
- * Handles `replica-checked`. A replica that takes connections may have ended and started again, or only have been cut off:
- * what it was at is watched on.
+ * Handles `replica-checked`. A replica that accepts connections may have crashed and restarted, or may only have lost a
+ * connection; its runs continue to be watched.
  */
 export const handleReplicaChecked = (
   state: GatewayState,
@@ -245,7 +245,7 @@
   ];
 };
 
-/** A replica is known to have ended, though it was not found down: what it may have been at counts. */
+/** Applies the end of a replica that was never found down: its unawaited runs count as crashed. */
 export const applyReplicaCrash = (
   state: GatewayState,
   replica: string,
--- a/src/gateway/requests/check-subqueries.ts
+++ b/src/gateway/requests/check-subqueries.ts
@@ -1,4 +1,4 @@
-/** Moves legs to other feeders when a feeder fails, or does not say in time what is expected of it. */
+/** Moves legs to other feeders when a feeder fails or does not acknowledge a subquery in time. */
 import type { GatewayEffect } from '../effect.js';
 import type { BeliefChange } from '../log/log-event.js';
 import { trace } from '../log/trace.js';
@@ -8,24 +8,26 @@
 import { type ActiveRequest, type ActiveSubquery, openLegsOf } from './request-state.js';
 import { sendLegs } from './send-legs.js';
 
-/** What has arrived while this process was busy is read before a feeder is judged, in milliseconds. */
+/**
+ * Delay before an overdue feeder is checked again, in milliseconds. The messages that queued up while this process was
+ * busy are read in the meantime.
+ */
 const RECHECK_DELAY_MS = 5;
 
-/** A look that comes so late says that this process is busy, not that the feeder is, in milliseconds. */
+/** A check that runs later than this, in milliseconds, shows that this process is busy, not the feeder. */
 const LATE_CHECK_MS = 4;
 
 /**
- * Feeders are judged even when most of them are silent once this part of the objective has passed: the
- * answer is late by then, and others may still make it one. Earlier, right after a return of all machines,
- * feeders that were merely busy were given up at 0.55 of the objective, all their work was asked for again,
- * and requests ended without an answer because the retry budget was spent.
+ * Share of the objective after which overdue feeders time out even when most feeders are silent: the answer is late by
+ * then, and other feeders may still deliver one. With 0.55, feeders that were merely busy right after all machines
+ * had come back timed out, all their work was requested again, and requests failed because the retry budget was exhausted.
  */
 const MOSTLY_SILENT_WAIT_SHARE = 1;
 
 /**
- * A feeder is judged only once at least as many feeders of the request have said something as have not:
- * when most are silent, the time is lost here, in the network or at all of them, and asking others for the
- * same would only add to it.
+ * Whether overdue feeders of the request may time out: at least as many have responded as are silent, or enough time has
+ * passed. When most are silent the delay is here, in the network or at all feeders, and repeating their work elsewhere
+ * would add to it.
  */
 const mayTimeOutFeeders = (state: GatewayState, request: ActiveRequest, at: number): boolean => {
   const silent = [...request.subqueries.values()].filter(
@@ -39,7 +41,7 @@
   return acknowledgedSubqueries >= silent || at >= receivedAt + waitMs;
 };
 
-/** Passes a peer over until it says promptly that it serves. */
+/** Suspects a peer, so that it gets no subqueries until it promptly confirms that it serves. */
 export const suspectPeer = (
   state: GatewayState,
   peer: string,
@@ -55,7 +57,7 @@
   return wasSuspect ? check : [log, ...check];
 };
 
-/** Takes the open legs of a subquery away from its feeder and sends them elsewhere. */
+/** Cancels a subquery and sends its open legs elsewhere. */
 export const moveLegs = (
   state: GatewayState,
   request: ActiveRequest,
@@ -109,7 +111,7 @@
   ];
 };
 
-/** Looks whether a feeder of the request is overdue. */
+/** Checks the feeders of a request and moves the legs of those that are overdue. */
 export const checkSubqueries = (
   state: GatewayState,
   request: ActiveRequest,
--- a/src/gateway/requests/claim-probe.ts
+++ b/src/gateway/requests/claim-probe.ts
@@ -1,4 +1,4 @@
-/** Tells the other gateways that this one tries a suspected request, so that they wait for the outcome. */
+/** Claims the probe of a suspected request, so that the other gateways wait for its outcome. */
 import { beginTrial, type CrashKnowledge } from '../crashes/crash-record.js';
 import { SERIOUS_ROUNDS, updateKnowledge } from '../crashes/update-knowledge.js';
 import type { GatewayEffect } from '../effect.js';
@@ -6,13 +6,14 @@
 import type { ActiveRequest } from './request-state.js';
 
 /**
- * Whether others are told of a try. Of a request that met a single round they are not, unless a try of it has shown nothing
- * since: all that replicas ran when they ended has met one, and the messages would come when most is to do.
+ * Whether a probe is published to the other gateways. After a single round it is only when an earlier attempt was
+ * inconclusive: every request that was running on a crashed replica has one round, and the messages would be sent when
+ * the load is highest.
  */
 const isClaimable = ({ level, rounds, trialUntil }: CrashKnowledge): boolean =>
   level === 0 && rounds > 0 && (rounds >= SERIOUS_ROUNDS || Number.isFinite(trialUntil));
 
-/** Claims a request under which replicas have ended, before it is sent to one more. */
+/** Publishes that this gateway sends a request that has crashed replicas to one more. */
 export const claimProbe = (
   state: GatewayState,
   request: ActiveRequest,
--- a/src/gateway/requests/finish.ts
+++ b/src/gateway/requests/finish.ts
@@ -1,4 +1,4 @@
-/** Ends requests: with a replica's answer, a merged one, or the gateway's own. */
+/** Ends requests with a replica's answer, a merged answer or a refusal by the gateway. */
 import { unblockedAt } from '../crashes/crash-record.js';
 import { tellBeforeAnswer } from '../crashes/tell-crashes.js';
 import type { GatewayEffect } from '../effect.js';
@@ -16,12 +16,12 @@
 
 type AnswerDecision = Extract<Decision, { event: 'request-answered' }>;
 
-/** An answer that leaves so long after the time for the objective is logged as late. */
+/** Time past the objective after which an answer is logged as late, in milliseconds. */
 const LATE_MS = 8;
 
 /**
- * Answers a call that has no request in progress, or whose request ends now. The connection is closed where
- * the rest of the request is not wanted.
+ * Answers a call that has no request in progress, or whose request ends now. The connection is closed when the gateway is
+ * stopping or has not read the whole request.
  */
 export const answerCall = (
   state: GatewayState,
@@ -115,10 +115,10 @@
 };
 
 /**
- * Refuses a call before anything was sent to a replica.
+ * Refuses a call for which nothing was sent to a replica.
  *
- * @param retryAfterMs - when to come back; undefined where that does not help
- * @param at - now, where the call was held
+ * @param retryAfterMs - delay before a retry by the caller, in milliseconds; undefined when a retry would not help
+ * @param at - the current time when the call was held; by default the time of its arrival
  */
 export const refuseCall = (
   state: GatewayState,
@@ -152,8 +152,8 @@
   legs.some((leg) => leg.runs > 0 || leg.mayHaveRun || leg.outcome?.type === 'fed');
 
 /**
- * Gives a request up: the caller is told at once, and when to come back if it has not run. Where replicas ended under
- * it the other gateways are told before, since its caller may ask one of them next.
+ * Gives a request up. The refusal contains a retry delay if the request has not run. Evidence that the request crashes
+ * replicas is published before the answer, since the caller may send its retry to another gateway.
  */
 export const giveUpRequest = (
   state: GatewayState,
@@ -168,7 +168,7 @@
   return [...told, ...finishRequest(state, request, response, at)];
 };
 
-/** The signature of the part that is in; none while it is missing. */
+/** The signature of an answered leg; none while its part is missing. */
 const signatureOf = ({ outcome }: Leg): readonly string[] => {
   if (outcome?.type === 'fed') {
     return [outcome.signature];
@@ -177,7 +177,7 @@
   return signature === undefined ? [] : [signature];
 };
 
-/** The merged answer of the legs that are in. */
+/** Ends a gather with the merged records of the answered legs. */
 export const finishGather = (
   state: GatewayState,
   request: ActiveRequest,
--- a/src/gateway/requests/give-up-attempts.ts
+++ b/src/gateway/requests/give-up-attempts.ts
@@ -1,23 +1,23 @@
-/** Gives up what replicas and feeders still do for a request. */
+/** Gives up the attempts and subqueries that are still running for a request. */
 import type { GatewayEffect } from '../effect.js';
 import type { GatewayState } from '../state.js';
 import { guardOf } from './guard.js';
 import type { ActiveRequest, Leg } from './request-state.js';
 
 /**
- * Time that attempts which are no longer wanted have to end by themselves, in milliseconds; then their
- * connections are closed. Most end in that time on a calm day. With 400 ms, slow replicas worked for
- * nobody while others waited: see the rounds in docs/policy.md.
+ * Time that unneeded attempts have to finish before their connections are closed, in milliseconds. Most finish in that
+ * time under normal load. With 400 ms, slow replicas spent their time on unneeded attempts while other requests waited:
+ * see the rounds in docs/policy.md.
  */
 export const LINGER_MS = 40;
 
 /**
- * The same where replicas may have ended under the request, in milliseconds: how its attempt ends shows whether they do,
- * and an answer clears it. Replicas that work on for half a second for callers who have left are too many.
+ * The same for a request that may have crashed replicas, in milliseconds: the end of its attempt shows whether it does,
+ * and an answer clears it. With half a second, too many replicas work for callers that have left.
  */
 const SUSPECTED_LINGER_MS = 400;
 
-/** Gives up the attempts of a leg that still run. */
+/** Aborts the running attempts of a leg; each has `withinMs` milliseconds to finish first. */
 export const abortLeg = ({ running }: Leg, withinMs: number): GatewayEffect[] =>
   [...running].map((attempt): GatewayEffect => ({ type: 'abort-attempt', attempt, withinMs }));
 
@@ -35,10 +35,10 @@
 };
 
 /**
- * Gives up the attempts and subqueries of a request that are still wanted. The other attempts of legs that
- * have ended were given up when those ended.
+ * Gives up the attempts of a request's open legs and its subqueries. The remaining attempts of ended legs were given up
+ * when those legs ended.
  *
- * @param minMs - time that they have to end by themselves, in milliseconds; longer where the request is suspected
+ * @param minMs - time that they have to finish, in milliseconds; longer when the request may have crashed replicas
  */
 export const giveUpAttempts = (
   state: GatewayState,
--- a/src/gateway/requests/hedge-legs.ts
+++ b/src/gateway/requests/hedge-legs.ts
@@ -1,4 +1,4 @@
-/** Sends second attempts for the legs of a request that take long. */
+/** Hedges slow legs of a request with second attempts. */
 import type { GatewayEffect } from '../effect.js';
 import { slowdownNow } from '../replicas/replica.js';
 import type { GatewayState } from '../state.js';
@@ -6,14 +6,17 @@
 import { guardOf } from './guard.js';
 import type { ActiveAttempt, ActiveRequest, Leg } from './request-state.js';
 
-/** A hedge waits while more than this part of the legs is open, in steps, and for so long. */
+/**
+ * Hedging is postponed while more than this share of the legs is open. The condition is evaluated again after each step,
+ * in milliseconds, until this share of the objective has passed.
+ */
 const MAX_OPEN_SHARE = 0.4;
 const HEDGE_RECHECK_MS = 4;
 const LATEST_HEDGE_SHARE = 0.55;
 
 /**
- * When most legs are open, the time is lost here or in the network, and doubling them all would only
- * add to it: the hedge waits until the slow ones stand out.
+ * Whether hedging should wait. While most legs are open, the delay is here or in the network, and doubling all of them
+ * would add to it; hedging waits until individual legs are slow.
  */
 const shouldWaitToHedge = (request: ActiveRequest, at: number): boolean => {
   const isMostlyOpen = request.openLegs > request.legs.length * MAX_OPEN_SHARE;
@@ -21,7 +24,7 @@
   return request.legs.length > 1 && isMostlyOpen && at < latest;
 };
 
-/** How long an attempt that runs takes, as far as is known: its replica's pace, or the time so far. */
+/** Expected duration of a running attempt in usual latencies: its replica's slowdown or the time so far, if greater. */
 const expectedRatioOfAttempt = (
   state: GatewayState,
   { replica, sentAt }: ActiveAttempt,
@@ -33,7 +36,7 @@
   return Math.max(slowdown, (at - sentAt) / usualMs);
 };
 
-/** The attempt of the leg that is expected to end first, in usual latencies. */
+/** Expected duration of the leg's fastest running attempt, in usual latencies; infinity without one. */
 const expectedRatioOfLeg = (
   state: GatewayState,
   { running }: Leg,
@@ -47,19 +50,18 @@
 
 interface LegHedge {
   readonly effects: readonly GatewayEffect[];
-  /** No replica is expected to be quicker than the attempt that runs; one may be when it has run longer. */
+  /** The hedge may be sent later: no replica is expected to be faster now, or the guard forbids it. */
   readonly isDeferred: boolean;
 }
 
 const NO_HEDGE: LegHedge = { effects: [], isDeferred: false };
 
-/** Replicas may have ended under the request: no second one is sent it before one has answered. */
+/** The request may have crashed replicas: it is sent to no second replica until one has answered. */
 const DEFERRED_HEDGE: LegHedge = { effects: [], isDeferred: true };
 
 /**
- * Hedges one leg, at a replica that is expected to answer in less time than the attempt that runs takes. One
- * slow replica in place of another gains nothing, and where all replicas of a shard are slow the second
- * attempts are what fills their queues.
+ * Hedges one leg, at a replica that is expected to answer faster than the running attempt. A second slow replica gains
+ * nothing, and when all replicas of a shard are slow, second attempts would fill their queues.
  */
 const hedgeLeg = (state: GatewayState, request: ActiveRequest, leg: Leg, at: number): LegHedge => {
   const isWaiting = leg.resumeAt !== undefined || leg.subquery !== undefined || leg.isHeld;
@@ -79,7 +81,7 @@
   return { effects: attempt === undefined ? [] : [attempt], isDeferred };
 };
 
-/** Hedges the open legs of a request; those that are put off are looked at again. */
+/** Hedges the open legs of a request; legs whose hedge is deferred are considered again later. */
 export const hedgeLegs = (
   state: GatewayState,
   request: ActiveRequest,
--- a/src/gateway/requests/hold-request.ts
+++ b/src/gateway/requests/hold-request.ts
@@ -1,8 +1,8 @@
 /**
- * Holds requests that arrive before this process knows a configuration and the replicas, or has had confirmed what it knows
- * after it stood still. After all
- * gateways have lost power, their callers come back in the same tenth of a second: most have one retry,
- * and an immediate refusal would use it up at another gateway that has not read the store either.
+ * Holds requests that arrive before this process knows a configuration and the replicas, or before it has confirmed its
+ * knowledge after a process pause. After a power failure of all gateways, their callers return within the same tenth of a
+ * second. Most have one retry, and an immediate refusal would spend it at another gateway that has not read the store
+ * either.
  */
 import type { GatewayEffect } from '../effect.js';
 import type { RequestReceived } from '../event.js';
@@ -13,24 +13,20 @@
 import { retryAfterUnrouted } from './retry-after.js';
 
 /**
- * Longest time that a request is held, in milliseconds. After a loss of power of all gateways, the first
- * configuration and the replicas are in force 45 to 75 ms after the ports are open; the rest is for machines
- * that are slower or busier.
+ * Longest time that a request is held, in milliseconds. After a power failure of all gateways, the first configuration
+ * and the replicas are in force 45 to 75 ms after the ports open; the rest allows for slower or busier machines.
  */
 const MAX_HOLD_MS = 200;
 
-/**
- * A request is held for no more than this part of the time that its caller waits: enough is left for one
- * more try elsewhere.
- */
+/** Largest share of the caller's timeout for which a request is held, so that enough time is left for a retry elsewhere. */
 const HOLD_SHARE = 0.1;
 
-/** Requests can be served without the list of gateways. */
+/** Whether a collection is required to serve requests; the list of gateways is not. */
 const isRequired = (name: CollectionName): boolean => name !== 'gateways';
 
 /**
- * Whether the store has failed to tell what is needed: it is not known how long that goes on. A gateway that stood still
- * goes on with what it knows once it finds that.
+ * Whether the store fails to deliver a required collection, for an unknown time. False while knowledge is
+ * unconfirmed after a process pause: a gateway that finds the store failing then resumes with the knowledge that it has.
  */
 const isStoreFailing = (state: GatewayState): boolean =>
   state.outdated === undefined &&
@@ -42,10 +38,7 @@
         return !isListed && failures > 0;
       }));
 
-/**
- * Holds a request; it is refused when nothing is known by the time its timer is due, and at once while the
- * store fails.
- */
+/** Holds a request, which is refused when its timer expires. While the store fails, the request is refused at once. */
 export const holdRequest = (state: GatewayState, event: RequestReceived): GatewayEffect[] => {
   if (isStoreFailing(state)) {
     return refuseCall(state, event, 'no-configuration', retryAfterUnrouted(state));
@@ -57,7 +50,7 @@
   return [{ type: 'set-request-timer', call, at: at + holdMs }];
 };
 
-/** Refuses a request that was held long enough. */
+/** Refuses a held request; without effect if the call is not held. */
 export const refuseHeldRequest = (
   state: GatewayState,
   call: CallId,
@@ -71,7 +64,7 @@
   return refuseCall(state, event, 'no-configuration', retryAfterUnrouted(state), at);
 };
 
-/** Refuses all requests that are held, once the store has failed. */
+/** Refuses all held requests once the store has failed. */
 export const refuseAllHeldRequests = (state: GatewayState, at: number): GatewayEffect[] =>
   isInformed(state) || !isStoreFailing(state)
     ? []
--- a/src/gateway/requests/inconclusive-attempts.ts
+++ b/src/gateway/requests/inconclusive-attempts.ts
@@ -1,4 +1,4 @@
-/** Tries of suspected requests that end without showing whether replicas end under them. */
+/** Calls of suspected requests that end without showing whether the request crashes replicas. */
 import { addInconclusive } from '../crashes/crash-record.js';
 import { updateKnowledge } from '../crashes/update-knowledge.js';
 import type { GatewayEffect } from '../effect.js';
@@ -8,14 +8,15 @@
 const mayStillRun = ({ legs, subqueries }: ActiveRequest): boolean =>
   subqueries.size > 0 || legs.some(({ running }) => running.size > 0);
 
-/** Whether a replica may have been sent the request, from here or by a feeder that has not ended yet. */
+/** Whether the request may have reached a replica, from here or through a subquery that is still open. */
 const mayHaveReachedReplica = ({ legs, subqueries }: ActiveRequest): boolean =>
   subqueries.size > 0 || legs.some(({ arrivals, runs }) => arrivals + runs > 0);
 
 /**
- * Takes note of a caller's try that ends now: where replicas refused or failed all of it, or its caller has left while one
- * may still run it, the next one waits, at all gateways. Sent at once, it would be at the next replica when the one before
- * ends. A try under which a replica has ended counts as a round instead.
+ * Records that a caller's call of a suspected request ends without evidence: replicas refused or failed every attempt, or
+ * the caller left while a replica may still be running one. The next call is then delayed at all gateways; sent at once,
+ * it would be running on the next replica when the previous one crashes. A call that crashed a replica counts as a round
+ * instead.
  */
 export const recordInconclusive = (
   state: GatewayState,
--- a/src/gateway/requests/merge-records.ts
+++ b/src/gateway/requests/merge-records.ts
@@ -1,4 +1,4 @@
-/** Merges parts of opaque records of one size: the greatest ones, compared byte by byte. */
+/** Merges parts of opaque, equally sized records: keeps the greatest ones, compared byte by byte. */
 
 /** Size of a record, in bytes. */
 export const RECORD_BYTES = 16;
@@ -14,7 +14,7 @@
   return false;
 };
 
-/** Where a record belongs among those that are kept, greatest first; after those that are equal. */
+/** Index at which a record is inserted into the kept ones, which are in descending order; after equal records. */
 const insertionIndex = (records: Buffer, kept: readonly number[], offset: number): number => {
   let low = 0;
   let high = kept.length;
@@ -29,7 +29,7 @@
   return low;
 };
 
-/** All whole records of the parts, one after the other; a rest shorter than a record is none. */
+/** Concatenates the whole records of the parts; a trailing incomplete record is dropped. */
 const joinParts = (parts: readonly Uint8Array[]): Buffer =>
   Buffer.concat(parts.map((part) => part.subarray(0, part.length - (part.length % RECORD_BYTES))));
 
@@ -50,8 +50,8 @@
 };
 
 /**
- * The greatest `maxRecords` records of all parts, greatest first; equal records all count, and a
- * rest shorter than a record is none.
+ * The greatest `maxRecords` records of all parts in descending order. Duplicates are kept; a trailing incomplete record
+ * is dropped.
  */
 export const mergeRecords = (parts: readonly Uint8Array[], maxRecords: number): Buffer => {
   const records = joinParts(parts);
--- a/src/gateway/requests/pause-outcomes.ts
+++ b/src/gateway/requests/pause-outcomes.ts
@@ -1,31 +1,30 @@
 /**
- * Whether it pays to keep a request waiting until a replica of its service can be tried again, from how
- * such waits have ended lately. Waiting that ends without service costs its caller the time in which another
- * gateway could have been asked.
+ * Estimates from recent outcomes whether a request should pause until a replica of its service may be used again. A pause
+ * that does not end with an answer costs the caller time in which another gateway could have served the request.
  */
 
-/** Weight of one more outcome in the share. */
+/** Weight of a new outcome in the moving average. */
 const OUTCOME_WEIGHT = 0.2;
 
-/** A wait pays when at least every second one ends with service: the caller's next try may fail as well. */
+/** Pausing is worthwhile when at least half of the pauses end with an answer: the caller's retry elsewhere may fail too. */
 const MIN_SERVED_SHARE = 0.5;
 
-/** One wait in so many is made all the same, to learn whether it pays again. */
+/** Share of pauses that are made although they are not worthwhile, to detect when they become so again. */
 const EXPLORATION_SHARE = 0.1;
 
-/** How waits for one service have ended: the share that were served, lately. */
+/** Outcomes of recent pauses for one service, as the moving share that were served. */
 export interface PauseOutcomes {
   servedShare: number;
 }
 
-/** Creates a record without outcomes: a wait is expected to be served. */
+/** Creates a record without outcomes, which expects pauses to be served. */
 export const createPauseOutcomes = (): PauseOutcomes => ({ servedShare: 1 });
 
-/** Notes how a wait has ended. */
+/** Records the outcome of one pause. */
 export const recordPauseOutcome = (outcomes: PauseOutcomes, isServed: boolean): void => {
   outcomes.servedShare += OUTCOME_WEIGHT * (Number(isServed) - outcomes.servedShare);
 };
 
-/** Whether to wait; `draw` is uniform in 0 to 1. */
+/** Whether a request should pause; `draw` is a uniform random number between 0 and 1. */
 export const isPauseWorthwhile = ({ servedShare }: PauseOutcomes, draw: number): boolean =>
   servedShare >= MIN_SERVED_SHARE || draw < EXPLORATION_SHARE;
--- a/src/gateway/requests/progress.ts
+++ b/src/gateway/requests/progress.ts
@@ -1,4 +1,4 @@
-/** Decides what a request does next: end, hedge, or wait. */
+/** Decides the next step of a request: end, hedge or wait. */
 import type { GatewayEffect } from '../effect.js';
 import type { RefusalReason } from '../model/request.js';
 import type { GatherTarget } from '../model/route.js';
@@ -12,7 +12,7 @@
 import { releaseLegs } from './release-legs.js';
 import type { ActiveRequest, Leg } from './request-state.js';
 
-/** Slack of the comparison of shares, for products such as 0.89 x 100. */
+/** Tolerance for rounding errors in coverage products such as 0.89 x 100. */
 const COVERAGE_EPSILON = 1e-9;
 
 const neededLegs = (target: GatherTarget): number =>
@@ -22,9 +22,9 @@
   request.answeredLegs + request.openLegs >= needed;
 
 /**
- * When a gather is answered with what is in, if that is enough. Before the objective each further part adds to the
- * answer's worth and waiting costs nothing; an answer after it counts little, whole or not. A caller whose time ends
- * before the objective gets what is in, not a refusal.
+ * When a gather is answered with the parts received so far, if they reach the required coverage. Before the objective each
+ * further part adds value and waiting costs nothing; after it, even a whole answer is worth little. A caller whose deadline
+ * is before the objective gets the parts received by then rather than a refusal.
  */
 const answerDueAt = ({ objectiveAt, deadlineAt }: ActiveRequest): number =>
   Math.min(objectiveAt, deadlineAt);
@@ -94,7 +94,7 @@
   return leg.refusedAsFull ? 'replicas-full' : 'no-replica';
 };
 
-/** Legs whose pause is over try all replicas again. */
+/** Resumes legs whose pause is over; they may use all replicas again. */
 const resumeLegs = (state: GatewayState, request: ActiveRequest, at: number): GatewayEffect[] =>
   request.legs.flatMap((leg) => {
     if (leg.resumeAt === undefined || leg.resumeAt > at) {
@@ -145,7 +145,7 @@
   return Math.min(deadlineAt, ...times);
 };
 
-/** Says that this feeder is at work, once, when it takes longer. */
+/** Acknowledges a subquery, once, when its answer takes longer. */
 const acknowledgeIfDue = (request: ActiveRequest, at: number): GatewayEffect[] => {
   if (request.acknowledgeAt === undefined || at < request.acknowledgeAt) {
     return [];
@@ -155,8 +155,8 @@
 };
 
 /**
- * A subquery of another gateway: from its objective on, parts are sent as they come. Shards that this
- * feeder sends to no replica are told at once.
+ * Progresses a subquery of another gateway. From the objective on, parts are sent as they arrive. Shards that this feeder
+ * sent to no replica are reported at once.
  */
 const progressSubquery = (
   state: GatewayState,
@@ -186,7 +186,7 @@
     : progressGather(state, request, target, at);
 };
 
-/** Lets held legs go, then ends the request if that is due; otherwise hedges what is slow and sets its timer. */
+/** Releases held legs, then ends the request if that is due; otherwise hedges slow legs and sets the timer. */
 export const progressRequest = (
   state: GatewayState,
   request: ActiveRequest,
--- a/src/gateway/requests/release-legs.ts
+++ b/src/gateway/requests/release-legs.ts
@@ -1,4 +1,4 @@
-/** Lets the legs go that were held because replicas may have ended under their request. */
+/** Releases legs that were held because their request may have crashed replicas. */
 import type { GatewayEffect } from '../effect.js';
 import { trace } from '../log/trace.js';
 import type { GatewayState } from '../state.js';
@@ -7,7 +7,7 @@
 import { endLeg, retryLeg } from './retry-leg.js';
 import { sendLegs } from './send-legs.js';
 
-/** Ends a leg that may not be sent; no other feeder is to be asked for it. */
+/** Ends a leg that may not be sent; it counts as sent, so that the coordinator does not request it from another feeder. */
 const failHeldLeg = (request: ActiveRequest, leg: Leg, at: number): void => {
   leg.wasSent = true;
   trace(request.decisions, at, { event: 'leg-failed', service: leg.service, runs: leg.runs });
@@ -24,14 +24,14 @@
     ? retryLeg(state, request, leg, 'retry', at)
     : sendLegs(state, request, [leg], leg.isRepeat, at);
 
-/** The held legs, from one that is drawn on, so that tries of a request go to different shards. */
+/** The held legs, rotated to a random start, so that repeated calls of a request reach different shards. */
 const heldLegsFromRandomStart = (state: GatewayState, { legs }: ActiveRequest): readonly Leg[] => {
   const held = legs.filter(({ isHeld }) => isHeld);
   const start = held.length < 2 ? 0 : Math.floor(state.random.next() * held.length);
   return [...held.slice(start), ...held.slice(0, start)];
 };
 
-/** Lets held legs go as far as may be: all, one, or none; all end where the request may not be sent any more. */
+/** Releases as many held legs as the guard allows: all, one or none. All of them end when the request may not be sent. */
 export const releaseLegs = (
   state: GatewayState,
   request: ActiveRequest,
--- a/src/gateway/requests/report-parts.ts
+++ b/src/gateway/requests/report-parts.ts
@@ -1,4 +1,4 @@
-/** Sends the parts of a subquery to the gateway that asked for them. */
+/** Sends the parts of a subquery to its coordinator. */
 import type { AnswerSubquery, GatewayEffect } from '../effect.js';
 import { trace, writeTrace } from '../log/trace.js';
 import type { ShardPart } from '../model/subquery.js';
@@ -7,14 +7,14 @@
 import { mergeRecords } from './merge-records.js';
 import type { ActiveRequest, Leg } from './request-state.js';
 
-/** Whether a leg ended without an attempt, and the gateway that asked does not know it yet. */
+/** Whether a leg ended without an attempt and the coordinator has not been informed yet. */
 const isUnsent = ({ isReported, outcome, wasSent }: Leg): boolean =>
   !isReported && outcome?.type === 'unanswered' && !wasSent;
 
-/** Whether another feeder should be asked for a part at once. */
+/** Whether the coordinator should at once request a part from another feeder. */
 export const hasUnsent = ({ legs }: ActiveRequest): boolean => legs.some(isUnsent);
 
-/** The parts that are in and were not sent yet. */
+/** Collects the received parts that were not reported yet, and marks them as reported. */
 const collectUnreportedParts = (
   { call, legs, crashes, isStopped }: ActiveRequest,
   maxRecords: number,
@@ -48,14 +48,14 @@
   return { type: 'answer-subquery', call, part };
 };
 
-/** Sends what is in and was not sent yet. */
+/** Sends the received parts and unsent shards that were not reported yet. */
 export const reportParts = (request: ActiveRequest, maxRecords: number): GatewayEffect[] => {
   const answer = collectUnreportedParts(request, maxRecords, false);
   const { shards, unsent = [] } = answer.part;
   return shards.length + unsent.length > 0 ? [answer] : [];
 };
 
-/** Sends the last parts and ends the subquery. */
+/** Sends the remaining parts and ends the subquery. */
 export const finishSubquery = (
   state: GatewayState,
   request: ActiveRequest,
--- a/src/gateway/requests/request-state.ts
+++ b/src/gateway/requests/request-state.ts
@@ -1,4 +1,4 @@
-/** Requests in progress: each has one leg, or one for each shard. */
+/** State of requests in progress. A request has a single leg, or one for each shard of a gather. */
 import type { TracedDecision } from '../log/log-event.js';
 import type { Route } from '../model/route.js';
 import type {
@@ -13,66 +13,64 @@
 /** The part of a request that one service answers. */
 export interface Leg {
   readonly service: string;
-  /** Identifiers of replicas that the request was sent to. */
+  /** Identifiers of the replicas to which this leg was sent; cleared after a pause. */
   readonly attemptedReplicas: Set<string>;
-  /** An attempt was sent from here; unlike `tried`, this stays when all replicas are tried again. */
+  /** This gateway has sent an attempt. Unlike `attemptedReplicas`, it is not reset after a pause. */
   wasSent: boolean;
-  /** Replicas may have run it before, for a feeder that has failed. */
+  /** Replicas may have run it before, for another feeder that failed. */
   isRepeat: boolean;
-  /** The replica that was chosen outside those that all feeders share; undefined while there is none. */
+  /** The replica chosen outside those shared by all feeders; undefined while there is none. */
   unsharedReplica: string | undefined;
-  /** Attempts that run. */
+  /** Running attempts. */
   readonly running: Set<AttemptId>;
-  /** Attempts that reached a replica, or may have. */
+  /** Number of attempts that reached a replica or may have. */
   arrivals: number;
-  /** Attempts that a replica ran, or may have. */
+  /** Number of attempts that a replica ran or may have run. */
   runs: number;
-  /** What ended the leg. */
+  /** How the leg ended; undefined while it is open. */
   outcome: LegOutcome | undefined;
-  /** The last failure of a replica, passed on when nothing better comes. */
+  /** The last failure answered by a replica; passed on if no usable answer arrives. */
   failure: ReplicaAnswer | undefined;
-  /** The last attempt was refused by a full replica. */
+  /** The last refusal came from a full replica. */
   refusedAsFull: boolean;
-  /** An attempt ended without telling whether the request ran: no refusal may say that it has not. */
+  /** An attempt ended without showing whether the request ran, so a refusal must not state that it has not. */
   mayHaveRun: boolean;
-  /** Pauses so far, after all replicas refused or could not be reached. */
+  /** Number of pauses so far, each after all replicas refused or could not be reached. */
   pauses: number;
-  /** When the leg tries all replicas again; undefined while it does not pause. */
+  /** When the current pause ends and all replicas may be used again; undefined while the leg is not paused. */
   resumeAt: number | undefined;
-  /** The subquery by which a feeder was asked for the part; undefined while none is open. */
+  /** The open subquery that requests the part from a feeder; undefined while there is none. */
   subquery: SubqueryId | undefined;
-  /** The part was sent to the gateway that asked for it. */
+  /** The outcome was reported to the coordinator. */
   isReported: boolean;
-  /** It waits until the guard of the request lets it go. */
+  /** The leg waits until the guard of its request allows it to be sent. */
   isHeld: boolean;
 }
 
-/**
- * How a leg ended. `fed`: a feeder has sent the part; its records are among those of the request.
- */
+/** How a leg ended. `fed`: a feeder sent the part, and its records are in `fedRecords` of the request. */
 export type LegOutcome =
   | { readonly type: 'answered'; readonly answer: ReplicaAnswer }
   | { readonly type: 'fed'; readonly signature: string }
   | { readonly type: 'unanswered' };
 
-/** A subquery that a feeder has not answered in full. */
+/** A subquery without a final answer. */
 export interface ActiveSubquery {
   readonly id: SubqueryId;
   readonly peer: string;
-  /** Legs that it was sent for; one that names another subquery, or none, has been moved since. */
+  /** Legs for which it was sent; a leg whose `subquery` differs has been moved since. */
   readonly legs: readonly Leg[];
-  /** Replicas may have run the request before, for another feeder. */
+  /** Replicas may have run these legs before, for another feeder. */
   readonly isRepeat: boolean;
   readonly sentAt: number;
-  /** When the feeder must have acknowledged it; undefined once it has. */
+  /** When the feeder's acknowledgement is due; undefined once it has responded. */
   acknowledgeBy: number | undefined;
-  /** It was overdue once already: what had arrived by then has been read since. */
+  /** A check has already found it overdue; the messages that had arrived by then have been read since. */
   isOverdue: boolean;
-  /** It was sent to see whether replicas end under the request. */
+  /** It was sent while the request may have crashed replicas, and shows whether it does. */
   readonly isProbe: boolean;
 }
 
-/** Who gets the answer: a caller, or a gateway that has asked for some shards. */
+/** Who receives the answer: a caller, or the coordinator of a gather that requested some shards. */
 export type RequestOrigin = 'caller' | 'coordinator';
 
 /** A request in progress. */
@@ -83,11 +81,11 @@
   readonly route: Route;
   readonly legs: readonly Leg[];
   readonly receivedAt: number;
-  /** When the final answer is due, whatever has come. */
+  /** When the final answer is due, complete or not. */
   readonly deadlineAt: number;
-  /** When an answer must leave to be in time for the objective. */
+  /** When an answer must be sent to meet the objective. */
   readonly objectiveAt: number;
-  /** When legs without an answer get a second attempt. */
+  /** When legs without an answer are hedged. */
   hedgeAt: number;
   hedged: boolean;
   answeredLegs: number;
@@ -95,34 +93,34 @@
   /** When the request's timer is due; undefined before it is first set. */
   timerAt: number | undefined;
   readonly subqueries: Map<SubqueryId, ActiveSubquery>;
-  /** Subqueries of which a feeder has said something. */
+  /** Number of subqueries to which a feeder has responded. */
   acknowledgedSubqueries: number;
-  /** Feeders that failed this request. */
+  /** Feeders that failed this request or did not send all its shards to replicas. */
   readonly failedFeeders: Set<string>;
-  /** When the gateway that asked is told that this feeder is at work; undefined once it knows. */
+  /** When this feeder acknowledges the subquery; undefined once it has, and for requests of callers. */
   acknowledgeAt: number | undefined;
-  /** Records of the parts that feeders have sent. */
+  /** Records of the parts received from feeders. */
   readonly fedRecords: Uint8Array[];
-  /** What was decided about it so far. */
+  /** Decisions about the request so far, for its trace. */
   readonly decisions: TracedDecision[];
-  /** Attempts that broke off whose replicas are being looked at. */
+  /** Number of broken attempts whose replicas are still being checked. */
   uncheckedBreaks: number;
-  /** Replicas that have ended under it. */
+  /** Number of replicas that crashed while running it. */
   crashes: number;
-  /** Those of them to which it was sent after others had ended. */
+  /** Number of those that were sent the request as a probe. */
   crashedProbes: number;
-  /** It was blocked, and is tried now. */
+  /** It is the trial of a blocked request. */
   isTrial: boolean;
-  /** It is suspected, and the other gateways were told that it is tried here. */
+  /** It is suspected, and this gateway has published its claim to probe it. */
   hasClaimed: boolean;
-  /** Legs were not sent because replicas end under the request. */
+  /** Some legs were not sent because the request crashes replicas. */
   isStopped: boolean;
 }
 
-/** An attempt at a replica that has not ended. */
+/** An attempt that has not ended. */
 export interface ActiveAttempt {
   readonly id: AttemptId;
-  /** The request that it was sent for, also after that has ended. */
+  /** The request for which it was sent, which may have ended. */
   readonly owner: ActiveRequest;
   readonly fingerprint: Fingerprint;
   readonly leg: Leg;
@@ -130,13 +128,13 @@
   readonly route: string;
   readonly repeatable: boolean;
   readonly sentAt: number;
-  /** It was sent to see whether replicas end under the request. */
+  /** It was sent while the request may have crashed replicas, and shows whether it does. */
   readonly isProbe: boolean;
-  /** Rounds of replicas that ended under the request, as they were known when it was sent. */
+  /** Crash rounds of the request that were known when the attempt was sent. */
   readonly knownRounds: number;
 }
 
-/** Whether what replicas answer to the request are parts of a gather. */
+/** Whether the answers of replicas to the request are parts of a gather. */
 export const isGather = ({ route }: ActiveRequest): boolean => route.target.type === 'gather';
 
 /** Creates a leg without attempts. */
@@ -160,15 +158,15 @@
   isHeld: false,
 });
 
-/** Legs of a subquery that still wait for it. */
+/** Open legs that still wait for this subquery. */
 export const openLegsOf = ({ id, legs }: ActiveSubquery): readonly Leg[] =>
   legs.filter(({ outcome, subquery }) => outcome === undefined && subquery === id);
 
-/** Whether the part of a leg is in. */
+/** Whether the leg ended with an answer or a part. */
 export const isAnswered = ({ outcome }: Leg): boolean =>
   outcome?.type === 'answered' || outcome?.type === 'fed';
 
-/** What a request begins with. */
+/** The properties that a request is created with. */
 export type RequestStart = Pick<
   ActiveRequest,
   | 'call'
@@ -183,7 +181,7 @@
   | 'acknowledgeAt'
 >;
 
-/** Creates a request for which nothing was sent yet. */
+/** Creates a request for which nothing has been sent yet. */
 export const createActiveRequest = (start: RequestStart): ActiveRequest => ({
   ...start,
   hedged: false,
--- a/src/gateway/requests/retry-after.ts
+++ b/src/gateway/requests/retry-after.ts
@@ -1,6 +1,6 @@
 /**
- * When a caller whose request has not run should come back: after the time to the next chance, as far as
- * this gateway can tell, spread over as long again so that callers do not return together.
+ * Retry delays for callers whose requests have not run: this gateway's estimate of the time until the request can be
+ * served, with up to 100% jitter so that callers do not return at the same time.
  */
 import type { RefusalReason } from '../model/request.js';
 import type { Replica } from '../replicas/replica.js';
@@ -9,15 +9,15 @@
 import type { ActiveRequest } from './request-state.js';
 
 /**
- * Where nothing tells when the next chance comes, in milliseconds: another gateway, to which the caller's
- * next connection goes, may serve at once.
+ * Shortest delay before jitter, in milliseconds, also used without an estimate: the caller's next connection goes to
+ * another gateway, which may be able to serve at once.
  */
 const MIN_RETRY_AFTER_MS = 50;
 
-/** Coming back later is no use to most callers, in milliseconds: their objectives are shorter. */
+/** Longest delay before jitter, in milliseconds: the objectives of most callers are shorter. */
 const MAX_RETRY_AFTER_MS = 1_000;
 
-/** A gateway that has not read the store tries again within this time, in milliseconds. */
+/** Time within which a gateway that has not read the store calls it again, in milliseconds. */
 const STORE_RETRY_MS = 100;
 
 const withJitter = (state: GatewayState, waitMs: number): number => {
@@ -25,21 +25,21 @@
   return Math.round(bounded * (1 + state.random.next()));
 };
 
-/** When the first replica that failed lately is tried again; 0 where one is not passed over. */
+/** Time until the first ejected replica is used again, in milliseconds; 0 when a replica is not ejected. */
 const untilNextReplica = (replicas: readonly Replica[], at: number): number => {
   const waits = replicas.map(({ ejectedUntil }) => Math.max(0, ejectedUntil - at));
   return waits.length === 0 ? 0 : Math.min(...waits);
 };
 
-/** A slot of a full replica is free after about the time that a request usually takes. */
+/** Time until a full replica has a free slot, in milliseconds: about the median latency of the route. */
 const untilNextSlot = (state: GatewayState, { route }: ActiveRequest): number =>
   state.latencies.get(route.name)?.median ?? 0;
 
-/** The wait for a request that was refused before it had a route. */
+/** Retry delay for a request refused because the gateway has not read the store, in milliseconds. */
 export const retryAfterUnrouted = (state: GatewayState): number =>
   withJitter(state, STORE_RETRY_MS);
 
-/** The wait for a request that was given up, in milliseconds. */
+/** Retry delay for a request that was given up, in milliseconds. */
 export const retryAfter = (
   state: GatewayState,
   request: ActiveRequest,
--- a/src/gateway/requests/retry-leg.ts
+++ b/src/gateway/requests/retry-leg.ts
@@ -1,4 +1,4 @@
-/** Tries a leg again after a failure: on another replica, or after a pause on all of them. */
+/** Retries a leg after a failure: at another replica, or at any of them after a pause. */
 import type { GatewayEffect } from '../effect.js';
 import type { AttemptReason } from '../log/log-event.js';
 import { trace } from '../log/trace.js';
@@ -10,14 +10,14 @@
 import { guardOf, holdLeg, maySendNext } from './guard.js';
 import type { ActiveRequest, Leg, LegOutcome } from './request-state.js';
 
-/** Pauses before all replicas are tried again, in milliseconds: doubled each time. */
+/** First pause before all replicas may be used again, in milliseconds, doubled each time, and the number of pauses. */
 const FIRST_PAUSE_MS = 30;
 const MAX_PAUSES = 6;
 
-/** A request that no replica has run is not held for longer than this part of its objective. */
-const MAX_UNRUN_PAUSE_SHARE = 0.2;
+/** Share of the objective within which a request of a single leg must resume from a pause. */
+const SINGLE_LEG_PAUSE_SHARE = 0.2;
 
-/** Ends a leg, with an answer or without. */
+/** Ends a leg with or without an answer. */
 export const endLeg = (request: ActiveRequest, leg: Leg, outcome: LegOutcome): void => {
   leg.outcome = outcome;
   leg.resumeAt = undefined;
@@ -28,14 +28,14 @@
   }
 };
 
-/** A leg that has paused shows whether pauses pay. */
+/** Records whether the pauses of an ended leg led to an answer; does nothing if it has not paused. */
 export const recordLegPauses = (state: GatewayState, { pauses, service, outcome }: Leg): void => {
   if (pauses > 0) {
     recordPauseOutcome(pauseOutcomesOf(state, service), outcome?.type !== 'unanswered');
   }
 };
 
-/** Legs beside others cost nobody time: the request waits for those all the same. */
+/** Whether a leg should pause. Beside other legs a pause costs no time, since the request waits for those anyway. */
 const isWaitingWorthwhile = (
   state: GatewayState,
   { legs }: ActiveRequest,
@@ -43,11 +43,11 @@
 ): boolean =>
   legs.length > 1 || isPauseWorthwhile(pauseOutcomesOf(state, service), state.random.next());
 
-/** Until when the leg may pause: for long only beside others that replicas work on. */
+/** Time before which a pause must end: the deadline for a request of several legs, earlier for a single one. */
 const latestResumeAt = ({ legs, receivedAt, deadlineAt, route }: ActiveRequest): number =>
-  legs.length > 1 ? deadlineAt : receivedAt + route.objectiveMs * MAX_UNRUN_PAUSE_SHARE;
+  legs.length > 1 ? deadlineAt : receivedAt + route.objectiveMs * SINGLE_LEG_PAUSE_SHARE;
 
-/** Pauses a leg that may be tried again later; false when it has paused enough. */
+/** Pauses a leg if a later attempt is allowed and worthwhile; false otherwise. */
 const pauseLeg = (state: GatewayState, request: ActiveRequest, leg: Leg, at: number): boolean => {
   const resumeAt = at + FIRST_PAUSE_MS * 2 ** leg.pauses;
   const { repeatable, maxAttempts, allowedRegions } = request.route;
@@ -65,7 +65,7 @@
   return true;
 };
 
-/** Ends a leg for which nothing more may be sent. */
+/** Ends a leg for which no more attempts may be sent. */
 const failLeg = (state: GatewayState, request: ActiveRequest, leg: Leg, at: number): void => {
   trace(request.decisions, at, { event: 'leg-failed', service: leg.service, runs: leg.runs });
   endLeg(request, leg, { type: 'unanswered' });
@@ -73,8 +73,8 @@
 };
 
 /**
- * Sends another attempt for the leg; it pauses, or ends unanswered, when none may be sent. It is held, or ends, where
- * replicas may have ended under the request.
+ * Sends another attempt for the leg. When none may be sent and none is running, the leg pauses or ends unanswered; if the
+ * request may have crashed replicas, the leg is held or ends.
  */
 export const retryLeg = (
   state: GatewayState,
--- a/src/gateway/requests/route-latency.ts
+++ b/src/gateway/requests/route-latency.ts
@@ -1,4 +1,4 @@
-/** How long attempts for one route usually take, and from when a second attempt pays. */
+/** Latency statistics of the attempts for one route, and the hedge delay derived from them. */
 import {
   addRatio,
   createLatencyHistogram,
@@ -7,23 +7,23 @@
 } from '../../core/query/latency-histogram.js';
 import type { Route } from '../model/route.js';
 
-/** Before any sample, an attempt is expected to take this part of the objective. */
+/** Initial median as a share of the objective, used before the first sample. */
 const INITIAL_MEDIAN_SHARE = 0.15;
 
-/** Step of the running median, relative to its value. */
+/** Smallest step of the running median, relative to its value. */
 const MEDIAN_STEP = 0.04;
 
-/** Least share of attempts that a hedge may double. */
-const MIN_HEDGED_SHARE = 0.12;
+/** Largest share of attempts whose latency may exceed the hedge delay that the histogram gives. */
+const MAX_HEDGED_SHARE = 0.12;
 
-/** A hedge pays when as much is left to wait for, in usual latencies. */
+/** Expected remaining wait from which a hedge is worthwhile, in usual latencies. */
 const MIN_REMAINING_RATIO = 0.8;
 
-/** A hedge is sent no earlier than this, in usual latencies, and no later, in objectives. */
+/** Earliest hedge in usual latencies, and latest hedge as a share of the objective. */
 const EARLIEST_HEDGE_RATIO = 1.5;
 const LATEST_HEDGE_SHARE = 0.42;
 
-/** Samples before the distribution is used. */
+/** Number of samples required before the distribution is used. */
 const MIN_SAMPLES = 60;
 
 /** Observed latencies of the attempts for one route. */
@@ -34,14 +34,14 @@
   readonly histogram: LatencyHistogram;
 }
 
-/** Creates the record of a route without samples. */
+/** Creates latency statistics without samples. */
 export const createRouteLatency = (route: Route): RouteLatency => ({
   median: route.objectiveMs * INITIAL_MEDIAN_SHARE,
   samples: 0,
   histogram: createLatencyHistogram(),
 });
 
-/** Adds the latency of an answered attempt, in milliseconds. */
+/** Records the latency of an answered attempt, in milliseconds. */
 export const addLatency = (latency: RouteLatency, elapsedMs: number): void => {
   latency.samples += 1;
   const step = Math.max(MEDIAN_STEP, 1 / latency.samples);
@@ -50,13 +50,13 @@
   addRatio(latency.histogram, elapsedMs / latency.median);
 };
 
-/** Time after which a leg without an answer gets a second attempt, in milliseconds. */
+/** Time after which a leg without an answer is hedged, in milliseconds. */
 export const hedgeDelay = (latency: RouteLatency, route: Route): number => {
   const latest = route.objectiveMs * LATEST_HEDGE_SHARE;
   if (latency.samples < MIN_SAMPLES) {
     return latest;
   }
-  const ratio = worthwhileRatio(latency.histogram, MIN_HEDGED_SHARE, MIN_REMAINING_RATIO);
+  const ratio = worthwhileRatio(latency.histogram, MAX_HEDGED_SHARE, MIN_REMAINING_RATIO);
   const delay = latency.median * Math.max(EARLIEST_HEDGE_RATIO, ratio);
   return Math.min(latest, delay);
 };
--- a/src/gateway/requests/send-legs.ts
+++ b/src/gateway/requests/send-legs.ts
@@ -1,7 +1,7 @@
 /**
- * Sends the legs of a request: to replicas, or by subqueries to the feeders of their shards. A gather
- * over many shards is too much work for one small machine in the time that it has; feeders share it,
- * and their connections to replicas are warm.
+ * Sends the legs of a request to replicas, or as subqueries to the feeders of their shards. A gather over many shards is
+ * too much work for one small machine within the objective; feeders share the work and keep warm connections to the
+ * replicas.
  */
 import type { GatewayEffect } from '../effect.js';
 import { trace } from '../log/trace.js';
@@ -17,25 +17,25 @@
 import { retryLeg } from './retry-leg.js';
 
 /**
- * Time within which a feeder says that it has a subquery: a part of the objective, at least so long, and
- * longer where feeders usually take longer.
+ * Time within which a feeder must acknowledge a subquery: this share of the objective, but at least the minimum in
+ * milliseconds, and longer when feeders usually take longer.
  */
 const ACKNOWLEDGE_SHARE = 0.3;
 const MIN_ACKNOWLEDGE_MS = 30;
 
-/** Time kept back of the objective for the way of parts from a feeder, in milliseconds. */
+/** Part of the objective reserved for the transfer of parts from a feeder, in milliseconds. */
 const PARTS_MARGIN_MS = 8;
 
-/** Time kept back of the deadline for the same, in milliseconds. */
+/** Part of the deadline reserved for the transfer of parts from a feeder, in milliseconds. */
 const DEADLINE_MARGIN_MS = 15;
 
-/** Legs that go to one feeder. */
+/** Legs that are sent to the same feeder. */
 interface FeederGroup {
   readonly peer: PeerRecord;
   readonly legs: Leg[];
 }
 
-/** The feeder for a leg; undefined when this gateway speaks to the replicas itself. */
+/** The feeder for a leg; undefined when this gateway sends the leg to a replica itself. */
 const feederOf = (
   state: GatewayState,
   request: ActiveRequest,
@@ -52,7 +52,7 @@
   return feeder?.name === state.settings.node ? undefined : feeder;
 };
 
-/** Sends a leg to a replica; one that another feeder may have sent before counts as an extra. */
+/** Sends a leg to a replica; a repeat counts as an extra arrival, since another feeder may have sent the leg before. */
 const sendDirect = (
   state: GatewayState,
   request: ActiveRequest,
@@ -134,7 +134,10 @@
   return [...claimed, { type: 'send-subquery', id, call: request.call, peer, subquery }];
 };
 
-/** Whether legs must wait because replicas may have ended under the request; one alone need not while it may go on. */
+/**
+ * Whether legs must be held because the request may have crashed replicas. A single leg is not held when it may be the next
+ * one to be sent.
+ */
 const mustHold = (
   state: GatewayState,
   request: ActiveRequest,
@@ -147,9 +150,9 @@
 };
 
 /**
- * Sends legs that have no open attempt. Where replicas may have ended under the request they are held.
+ * Sends legs that have no open attempt, or holds them if the request may have crashed replicas.
  *
- * @param isRepeat - replicas may have run them before, for a feeder that has failed
+ * @param isRepeat - replicas may have run the legs before, for a feeder that failed
  */
 export const sendLegs = (
   state: GatewayState,
--- a/src/gateway/requests/settle-attempt.ts
+++ b/src/gateway/requests/settle-attempt.ts
@@ -1,4 +1,4 @@
-/** Takes note of how attempts at replicas end. */
+/** Applies the end of an attempt to its replica and its leg. */
 import type { AttemptEnded } from '../event.js';
 import type { AttemptProblem } from '../model/request.js';
 import {
@@ -13,7 +13,7 @@
 import type { ActiveAttempt } from './request-state.js';
 import { addLatency } from './route-latency.js';
 
-/** Problems that say nothing about the replica's health. */
+/** Problems that do not indicate a failure of the replica. */
 const NEUTRAL_PROBLEMS: ReadonlySet<AttemptProblem> = new Set<AttemptProblem>([
   'aborted',
   'foreign-answer',
@@ -46,7 +46,7 @@
   }
 };
 
-/** What an attempt that was sent and not waited for says of its replica. */
+/** Records the unfinished duration of an attempt that this gateway aborted, as a sample for its replica. */
 const recordAborted = (
   state: GatewayState,
   attempt: ActiveAttempt,
@@ -78,7 +78,7 @@
   }
 };
 
-/** Takes an ended attempt out of the state, and notes what it says of its replica. */
+/** Removes an ended attempt from the state and applies its result; undefined if the attempt is unknown. */
 export const settleAttempt = (
   state: GatewayState,
   event: AttemptEnded,
@@ -99,9 +99,9 @@
 };
 
 /**
- * An attempt that did not arrive, or was not run, is taken off the counts again. A connection that
- * is reset before any answer on it is mostly one too many for its replica: nothing says that the request has not
- * run, and no refusal may, but one that may be repeated is tried again.
+ * Corrects the counts of the leg for an attempt that did not arrive or was not run. A connection that is reset before any
+ * answer usually means that the replica had too many connections. That does not prove that the request has not run, so a
+ * refusal must not state it; a repeatable request is retried nevertheless.
  */
 const applyToLeg = (attempt: ActiveAttempt, { result }: AttemptEnded): void => {
   const { leg, repeatable, replica } = attempt;
--- a/src/gateway/requests/subquery-result.ts
+++ b/src/gateway/requests/subquery-result.ts
@@ -1,4 +1,4 @@
-/** Takes what feeders say of subqueries. */
+/** Handles the responses of feeders to subqueries, and changes in the reachability of peers. */
 import type { GatewayEffect } from '../effect.js';
 import type {
   PeerAlive,
@@ -25,7 +25,7 @@
   readonly subquery: ActiveSubquery;
 }
 
-/** A subquery that is still wanted. */
+/** Finds a subquery of a request that is still in progress. */
 const findSubquery = (state: GatewayState, id: SubqueryId): FoundSubquery | undefined => {
   const call = state.subqueries.get(id);
   const request = call === undefined ? undefined : state.requests.get(call);
@@ -33,7 +33,7 @@
   return request === undefined || subquery === undefined ? undefined : { request, subquery };
 };
 
-/** A feeder has said something of a subquery: it is at work. */
+/** Records the first response of a feeder to a subquery. */
 const recordAcknowledged = (state: GatewayState, found: FoundSubquery, at: number): void => {
   const { request, subquery } = found;
   if (subquery.acknowledgeBy !== undefined) {
@@ -71,7 +71,7 @@
   }
 };
 
-/** A feeder whose replicas have ended under the request counts like a replica that has, until one has answered. */
+/** Counts a feeder that reports a crash and no part like a crashed replica. */
 const recordFeederCrash = (
   request: ActiveRequest,
   { isProbe }: ActiveSubquery,
@@ -83,7 +83,7 @@
   }
 };
 
-/** The legs for which the feeder has no part. */
+/** Ends the legs for which the feeder has no part. */
 const failMissingLegs = (request: ActiveRequest, subquery: ActiveSubquery, at: number): void => {
   for (const leg of openLegsOf(subquery)) {
     leg.runs += 1;
@@ -93,8 +93,8 @@
 };
 
 /**
- * Sends the legs that a feeder sent to no replica to the next feeder of their shards: one that was cut
- * off from the store does not know the replicas of a new index.
+ * Sends the legs that a feeder sent to no replica to the next feeder of their shards. A feeder that lost its connection to
+ * the store does not know the replicas of a new index.
  */
 const moveUnsent = (
   state: GatewayState,
@@ -117,7 +117,7 @@
   return sendLegs(state, request, legs, isRepeat, at);
 };
 
-/** A part shows that a replica can run the request, so that its other tries need not wait for it any more. */
+/** Records that a part proves that a replica can run the request, and progresses other calls that wait for this evidence. */
 const recordServed = (
   state: GatewayState,
   { request: { fingerprint } }: ActiveRequest,
--- a/src/gateway/requests/unawaited-attempts.ts
+++ b/src/gateway/requests/unawaited-attempts.ts
@@ -1,7 +1,8 @@
 /**
- * Attempts that are given up while a replica may run them: their caller left, their time is over, or what came was no
- * answer. The gateway closes their connections itself, so that none of them breaks when the replica ends. The replica is
- * watched for a while: a request that ends replicas does so also when nobody waits for it.
+ * Attempts that are given up while a replica may still be running them: the caller left, the deadline passed, or the
+ * response was invalid. The gateway closes their connections itself, so a crash of the replica does not show as a broken
+ * connection. The replica is watched for a while instead: a poison request crashes it even when nobody waits for the
+ * answer.
  */
 import { WATCH_MS } from '../crashes/crash-record.js';
 import type { GatewayEffect } from '../effect.js';
@@ -10,8 +11,8 @@
 import type { ActiveAttempt } from './request-state.js';
 
 /**
- * Remembers a run that its replica may still work on, and has the replica watched. A request of which some replica has sent
- * a part ends none, so that nothing is watched for what most gathers leave behind.
+ * Records a run that may still be in progress and watches its replica. A request that any replica has answered in part is
+ * no poison request, so the leftover attempts of most gathers are not watched.
  */
 export const watchRun = (
   state: GatewayState,
@@ -27,7 +28,7 @@
   return [{ type: 'watch-replica', replica: replica.record, untilAt: watchedUntil }];
 };
 
-/** Takes note of an attempt that ended without the replica's doing. */
+/** Watches the run of an attempt that failed without a broken connection, if the replica may have run it. */
 export const recordUnawaited = (
   state: GatewayState,
   attempt: ActiveAttempt,
--- a/src/gateway/requests/unreadable-log.ts
+++ b/src/gateway/requests/unreadable-log.ts
@@ -1,21 +1,21 @@
-/** Bounds the lines about one problem of what callers sent that is no request. */
+/** Limits the rate of log lines about each problem of unreadable requests. */
 
 /**
- * Least time between two lines about one problem, in milliseconds: a tenth of the lines that a gateway may
- * write, so that a caller that sends nothing else leaves room for the others.
+ * Shortest interval between two log lines about one problem, in milliseconds. It corresponds to a tenth of the lines that
+ * a gateway may write, so that a caller that only sends unreadable requests cannot displace other lines.
  */
 const LOG_INTERVAL_MS = 100;
 
-/** What was logged lately of one problem. */
+/** Log state of one problem. */
 export interface UnreadableLog {
   readonly loggedAt: number;
-  /** Refused since then without a line. */
+  /** Number of refusals since then that were not logged. */
   readonly unlogged: number;
 }
 
-/** What was logged before the first line. */
+/** Log state before the first line. */
 export const NOTHING_LOGGED: UnreadableLog = { loggedAt: Number.NEGATIVE_INFINITY, unlogged: 0 };
 
-/** Whether the next line may be written. */
+/** Whether a line may be written now. */
 export const mayLog = ({ loggedAt }: UnreadableLog, at: number): boolean =>
   at - loggedAt >= LOG_INTERVAL_MS;
--- a/src/gateway/requests/unreadable-requests.ts
+++ b/src/gateway/requests/unreadable-requests.ts
@@ -1,4 +1,4 @@
-/** Counts and logs what callers sent that is no request; the callers' port has refused it. */
+/** Counts and logs input from callers that could not be parsed as a request and was refused by the callers' port. */
 import type { GatewayEffect } from '../effect.js';
 import type { UnreadableRefused } from '../event.js';
 import type { BeliefChange } from '../log/log-event.js';
