--- a/src/gateway/budget/retry-budget.ts
+++ b/src/gateway/budget/retry-budget.ts
@@ -1,16 +1,15 @@
 /**
- * The budget of extra arrivals at one service: over a sliding window, at most a ratio of the
- * requests for it plus a fixed slack. Each gateway keeps to its own part of the budget, so that the
- * sum over all of them holds without asking anyone.
+ * Retry budget of one service. Over a sliding window, extra arrivals at the service are at most a ratio of its requests
+ * plus a fixed slack. Each gateway keeps to its own share, so that the sum over all gateways holds without coordination.
  */
 
-/** Slots into which a window is divided. */
+/** Number of time slots in a window. */
 const WINDOW_SLOTS = 50;
 
-/** Part of the ratio that is used; the rest covers requests that end in another window. */
+/** Share of the ratio that is used; the rest covers requests that end in another window. */
 const RATIO_SAFETY = 0.9;
 
-/** Counts over the last window, by slots of time. */
+/** Number of events in the last window, counted by time slot. */
 class SlidingCount {
   private readonly counts = new Float64Array(WINDOW_SLOTS + 1);
   private newestSlot = 0;
@@ -43,15 +42,15 @@
   }
 }
 
-/** What the budget of one gateway for one service allows. */
+/** Limits of one gateway's retry budget for one service. */
 export interface RetryBudgetPolicy {
   readonly ratio: number;
   readonly windowMs: number;
-  /** This gateway's part of the slack. */
+  /** This gateway's share of the slack, in arrivals. */
   readonly slack: number;
 }
 
-/** Requests and extra arrivals of one service, as this gateway caused them. */
+/** Counts the requests and extra arrivals of one service that this gateway accounts for. */
 export class RetryBudget {
   private readonly requests: SlidingCount;
   private readonly extras: SlidingCount;
@@ -62,12 +61,12 @@
     this.extras = new SlidingCount(slotMs);
   }
 
-  /** A request for the service has arrived from a caller. */
+  /** Counts a request for the service; extra arrivals are not requests. */
   countRequest(at: number): void {
     this.requests.add(at);
   }
 
-  /** Extra arrivals that are left now; may be negative. */
+  /** Number of extra arrivals that are still allowed; may be negative. */
   left(policy: RetryBudgetPolicy, at: number): number {
     this.requests.advance(at);
     this.extras.advance(at);
@@ -75,7 +74,7 @@
     return Math.floor(allowed - this.extras.total);
   }
 
-  /** Takes one extra arrival out of the budget; false when there is none left. */
+  /** Consumes one extra arrival; false when the budget is exhausted. */
   consume(policy: RetryBudgetPolicy, at: number): boolean {
     if (this.left(policy, at) < 1) {
       return false;
