--- a/test/gateway/cold-rate.test.ts
+++ b/test/gateway/cold-rate.test.ts
@@ -56,7 +56,7 @@
 /** Each step: after how long, and which gateway gets a request. */
 const steps = fc.array(fc.tuple(fc.nat(40), fc.nat(89)), { minLength: 50, maxLength: 250 });
 
-const play = (fleet: Fleet, requests: readonly (readonly [number, number])[]): number => {
+const peakOfReplay = (fleet: Fleet, requests: readonly (readonly [number, number])[]): number => {
   const times = new Map<VirtualGateway, number[]>();
   let now = 0;
   for (const [afterMs, index] of requests) {
@@ -65,9 +65,11 @@
     const before = gateway.sent.length;
     gateway.now = now;
     gateway.request();
-    const toFirst = gateway.sent.slice(before).filter(({ replica }) => replica.service === 's0');
+    const sentToFirstService = gateway.sent
+      .slice(before)
+      .filter(({ replica }) => replica.service === 's0');
     const known = times.get(gateway) ?? [];
-    times.set(gateway, [...known, ...toFirst.map(() => now)]);
+    times.set(gateway, [...known, ...sentToFirstService.map(() => now)]);
   }
   return peakOf(sendTimes(fleet, times));
 };
@@ -76,7 +78,7 @@
   it('gets no more than the bound in any second, from however many gateways', () => {
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 90 }), steps, (count, requests) => {
-        expect(play(fleetOf(count, SINGLE), requests)).toBeLessThanOrEqual(BOUND);
+        expect(peakOfReplay(fleetOf(count, SINGLE), requests)).toBeLessThanOrEqual(BOUND);
       }),
       { numRuns: 40, seed: 20_261_202 },
     );
@@ -90,7 +92,7 @@
           index === left % count ? [] : [recordOf(index)],
         );
         fleet.gateways.slice(0, count / 2).forEach((gateway) => gateway.listGateways(rest));
-        expect(play(fleet, requests)).toBeLessThanOrEqual(BOUND);
+        expect(peakOfReplay(fleet, requests)).toBeLessThanOrEqual(BOUND);
       }),
       { numRuns: 40, seed: 20_261_202 },
     );
@@ -98,7 +100,7 @@
 
   it('gets requests from as many gateways as it bears a second, where feeders do not speak to it', () => {
     const fleet = fleetOf(60, SINGLE);
-    play(
+    peakOfReplay(
       fleet,
       fleet.gateways.map((_, index) => [1, index] as const),
     );
@@ -109,15 +111,15 @@
   it('gets requests of the first feeder only where feeders speak to it', () => {
     const target = gatherOf(40, 0.5);
     const fleet = fleetOf(40, target);
-    fleet.gateways.forEach((gateway) => gateway.askForParts({ shards: ['s0'] }));
+    fleet.gateways.forEach((gateway) => gateway.receiveSubquery({ shards: ['s0'] }));
     const senders = fleet.gateways.filter(({ sent }) => sent.length > 0);
     expect(senders).toHaveLength(1);
   });
 
   it('gets nothing for a second from a gateway that may have sent something before its restart', () => {
     const fleet = fleetOf(1, SINGLE, false);
-    expect(play(fleet, [[900, 0]])).toBe(0);
-    expect(play(fleet, [[1_100, 0]])).toBe(1);
+    expect(peakOfReplay(fleet, [[900, 0]])).toBe(0);
+    expect(peakOfReplay(fleet, [[1_100, 0]])).toBe(1);
   });
 
   it('is used as any other once it is warm', () => {
@@ -127,7 +129,7 @@
       gateway.now = 60_001;
     }
     const requests = Array.from({ length: 40 }, (): [number, number] => [1, 0]);
-    expect(play(fleet, [[60_001, 0], ...requests])).toBe(41);
+    expect(peakOfReplay(fleet, [[60_001, 0], ...requests])).toBe(41);
   });
 
   it('is limited again when it has turned cold again', () => {
@@ -138,7 +140,7 @@
     const replica = gateway.state.replicas.of('s0')[0];
     expect(replica?.coldUntil).toBe(3_000);
     expect(
-      play(
+      peakOfReplay(
         { gateways },
         Array.from({ length: 30 }, () => [1, 0] as const),
       ),
--- a/test/gateway/feeders.test.ts
+++ b/test/gateway/feeders.test.ts
@@ -140,18 +140,18 @@
   it('passes a lost feeder over until it answers, and asks it meanwhile without a query', () => {
     const gateway = coordinator();
     const peer = firstOf(feederPlan(gateway.state).feeders).name;
-    const askedNow = (): readonly string[] => {
+    const requestedPeers = (): readonly string[] => {
       const before = gateway.subqueries.length;
       gateway.request();
       return gateway.subqueries.slice(before).map((sent) => sent.peer.name);
     };
-    expect(askedNow()).toContain(peer);
+    expect(requestedPeers()).toContain(peer);
     gateway.emit({ type: 'peer-lost', at: 0, peer, problem: 'silent' });
     expect(ofType(gateway, 'check-peer')).toMatchObject([{ peer: { name: peer } }]);
     gateway.advanceTo(5_000);
-    expect(askedNow()).not.toContain(peer);
+    expect(requestedPeers()).not.toContain(peer);
     gateway.emit({ type: 'peer-alive', at: gateway.now, peer });
-    expect(askedNow()).toContain(peer);
+    expect(requestedPeers()).toContain(peer);
   });
 
   it('passes a feeder that stops or refuses over until it says that it serves', () => {
@@ -313,7 +313,7 @@
 
   it('sends all parts together when they come soon, and no acknowledgement', () => {
     const gateway = feeder();
-    gateway.askForParts({ shards: ['s0', 's1'] });
+    gateway.receiveSubquery({ shards: ['s0', 's1'] });
     gateway.now = 10;
     gateway.sent.slice().forEach((sent) => gateway.end(sent, success(sent.replica.id)));
     const [parts, ...more] = answersOf(gateway.effects);
@@ -325,7 +325,7 @@
 
   it('acknowledges what takes longer, and sends what is in when parts are wanted', () => {
     const gateway = feeder();
-    gateway.askForParts({ shards: ['s0', 's1'], maxAttempts: 1 });
+    gateway.receiveSubquery({ shards: ['s0', 's1'], maxAttempts: 1 });
     gateway.advanceTo(12);
     expect(ofType(gateway, 'acknowledge-subquery')).toHaveLength(1);
     const [quick, slow] = gateway.sent;
@@ -347,7 +347,7 @@
 
   it('tells at once which shards it knows no replica of', () => {
     const gateway = feeder();
-    gateway.askForParts({ shards: ['s0', 'unknown'] });
+    gateway.receiveSubquery({ shards: ['s0', 'unknown'] });
     expect(answersOf(gateway.effects)).toMatchObject([
       { part: { shards: [], unsent: ['unknown'], isFinal: false } },
     ]);
@@ -359,7 +359,7 @@
 
   it('does not take a shard for unsent whose only answer was lost before a pause', () => {
     const gateway = feeder(0);
-    gateway.askForParts({ shards: ['s0', 's1'] });
+    gateway.receiveSubquery({ shards: ['s0', 's1'] });
     gateway.end(firstOf(gateway.sent), LOST);
     gateway.advanceTo(900);
     expect(gateway.sent).toHaveLength(2);
@@ -368,7 +368,7 @@
 
   it('sends a repeated subquery to one replica of each shard only', () => {
     const gateway = feeder(168);
-    gateway.askForParts({ shards: [ownShard(gateway)], isRepeat: true });
+    gateway.receiveSubquery({ shards: [ownShard(gateway)], isRepeat: true });
     gateway.advanceTo(60);
     expect(gateway.sent).toHaveLength(1);
     gateway.sent.slice().forEach((sent) => gateway.end(sent, LOST));
@@ -378,14 +378,14 @@
 
   it('sends no repeat that its retry budget does not allow', () => {
     const gateway = feeder(0);
-    gateway.askForParts({ shards: [ownShard(gateway)], isRepeat: true });
+    gateway.receiveSubquery({ shards: [ownShard(gateway)], isRepeat: true });
     expect(gateway.sent).toHaveLength(0);
     expect(answersOf(gateway.effects)).toMatchObject([{ part: { shards: [], isFinal: true } }]);
   });
 
   it('aborts its attempts when the gateway that asked is gone', () => {
     const gateway = feeder();
-    const call = gateway.askForParts({ shards: ['s0', 's1'] });
+    const call = gateway.receiveSubquery({ shards: ['s0', 's1'] });
     gateway.emit({ type: 'subquery-cancelled', at: 3, call, withinMs: 0 });
     expect(ofType(gateway, 'abort-attempt')).toHaveLength(2);
     expect(gateway.state.requests.size).toBe(0);
@@ -394,7 +394,7 @@
   it('takes no subquery while it stops', () => {
     const gateway = feeder();
     gateway.emit({ type: 'stop-requested', at: 0 });
-    gateway.askForParts({ shards: ['s0'] });
+    gateway.receiveSubquery({ shards: ['s0'] });
     expect(gateway.sent).toHaveLength(0);
     expect(ofType(gateway, 'refuse-subquery')).toHaveLength(1);
     expect(ofType(gateway, 'announce-stop')).toHaveLength(1);
@@ -403,7 +403,7 @@
   it('counts extras against the requests that it has seen, and no further', () => {
     const gateway = feeder(0);
     for (let count = 0; count < 100; count += 1) {
-      gateway.askForParts({ shards: ['s0'] });
+      gateway.receiveSubquery({ shards: ['s0'] });
       gateway.advanceTo(gateway.now + 60);
     }
     const extras = gateway.sent.length - 100;
@@ -491,12 +491,12 @@
   };
 
   /** Each lists the others alike, so that their plans are the same. */
-  const sameView = (gateway: VirtualGateway): VirtualGateway => {
+  const withCommonView = (gateway: VirtualGateway): VirtualGateway => {
     GATEWAYS.forEach((record) => gateway.state.peers.put(record));
     return gateway;
   };
 
-  const fleet = GATEWAYS.map((record) => sameView(gatewayNamed(record)));
+  const fleet = GATEWAYS.map((record) => withCommonView(gatewayNamed(record)));
 
   it('of the slack of a shard come to no more than the whole', () => {
     for (const service of NAMES) {
--- a/test/gateway/merge-records.test.ts
+++ b/test/gateway/merge-records.test.ts
@@ -22,9 +22,13 @@
 
 describe('the merge of records', () => {
   it('gives what sorting all records gives', () => {
-    const property = fc.property(fc.array(part, { maxLength: 6 }), fc.nat(20), (parts, most) => {
-      expect(mergeRecords(parts, most)).toEqual(mergeBySorting(parts, most));
-    });
+    const property = fc.property(
+      fc.array(part, { maxLength: 6 }),
+      fc.nat(20),
+      (parts, maxCount) => {
+        expect(mergeRecords(parts, maxCount)).toEqual(mergeBySorting(parts, maxCount));
+      },
+    );
     fc.assert(property, { seed: 20261202, numRuns: 500 });
   });
 
--- a/test/gateway/requests.test.ts
+++ b/test/gateway/requests.test.ts
@@ -297,10 +297,10 @@
 
 describe('a hedge', () => {
   /** Both replicas of the only shard say how long work takes there, then one gets a request. */
-  const gatewayWithPaces = (paces: readonly number[]): VirtualGateway => {
+  const gatewayWithSlowdowns = (slowdowns: readonly number[]): VirtualGateway => {
     const gateway = gatewayWith(1, 1);
     [...gateway.state.replicas.of('s0')].forEach((replica, index) => {
-      replica.load = { running: 0, waiting: 0, slots: 2, slowdown: paces[index] ?? 1 };
+      replica.load = { running: 0, waiting: 0, slots: 2, slowdown: slowdowns[index] ?? 1 };
       replica.loadAt = 0;
     });
     gateway.request();
@@ -308,19 +308,19 @@
   };
 
   it('goes to a quick replica when the first one is slow', () => {
-    const gateway = gatewayWithPaces([1, 1]);
+    const gateway = gatewayWithSlowdowns([1, 1]);
     gateway.advanceTo(60);
     expect(gateway.sent).toHaveLength(2);
   });
 
   it('is put off while the other replica is as slow as the one that works', () => {
-    const gateway = gatewayWithPaces([10, 10]);
+    const gateway = gatewayWithSlowdowns([10, 10]);
     gateway.advanceTo(90);
     expect(gateway.sent).toHaveLength(1);
   });
 
   it('is sent even so once the first attempt has run for longer than the other would take', () => {
-    const gateway = gatewayWithPaces([10, 10]);
+    const gateway = gatewayWithSlowdowns([10, 10]);
     gateway.advanceTo(600);
     expect(gateway.sent).toHaveLength(2);
   });
@@ -333,7 +333,7 @@
     }
   };
 
-  const gatewayOfOne = (): VirtualGateway => {
+  const gatewayWithOneReplica = (): VirtualGateway => {
     const gateway = new VirtualGateway();
     gateway.configure(1, [routeTo(SERVICE, { objectiveMs: 500 })]);
     gateway.listReplicas(['s0'], ['bole']);
@@ -341,10 +341,10 @@
   };
 
   /** Refuses a request that waits for a pause of its leg; returns after what time. */
-  const refuseNext = (gateway: VirtualGateway): number => {
+  const refusalDelay = (gateway: VirtualGateway): number => {
     const startedAt = gateway.now;
     const call = gateway.request();
-    for (let tries = 0; !gateway.answers.has(call) && tries < 20; tries += 1) {
+    for (let steps = 0; !gateway.answers.has(call) && steps < 20; steps += 1) {
       failAll(gateway);
       gateway.advanceTo(gateway.now + 10);
     }
@@ -352,18 +352,18 @@
   };
 
   it('waits for one at first, and no more once such waits have not been served', () => {
-    const gateway = gatewayOfOne();
-    expect(refuseNext(gateway)).toBeGreaterThan(20);
-    const waits = Array.from({ length: 40 }, () => refuseNext(gateway)).slice(10);
-    const atOnce = waits.filter((waited) => waited === 0).length;
-    expect(atOnce).toBeGreaterThan(20);
-    expect(atOnce).toBeLessThan(30);
+    const gateway = gatewayWithOneReplica();
+    expect(refusalDelay(gateway)).toBeGreaterThan(20);
+    const waits = Array.from({ length: 40 }, () => refusalDelay(gateway)).slice(10);
+    const immediate = waits.filter((waited) => waited === 0).length;
+    expect(immediate).toBeGreaterThan(20);
+    expect(immediate).toBeLessThan(30);
   });
 
   it('is told to come back when a replica is tried again, and others a while later', () => {
-    const gateway = gatewayOfOne();
+    const gateway = gatewayWithOneReplica();
     const waits = Array.from({ length: 12 }, () => {
-      refuseNext(gateway);
+      refusalDelay(gateway);
       return retryAfterOf(gateway, Math.max(...gateway.answers.keys()));
     });
     expect(Math.max(...waits)).toBeGreaterThan(250);
--- a/test/gateway/retry-budget.test.ts
+++ b/test/gateway/retry-budget.test.ts
@@ -17,12 +17,12 @@
 
 describe('a retry budget', () => {
   it('holds in every sliding window that ends with an extra arrival', () => {
-    const property = fc.property(steps, (taken) => {
+    const property = fc.property(steps, (actions) => {
       const budget = new RetryBudget(WINDOW_MS);
       const requests: number[] = [];
       const extras: number[] = [];
       let now = 0;
-      for (const { afterMs, isRequest } of taken) {
+      for (const { afterMs, isRequest } of actions) {
         now += afterMs;
         if (isRequest) {
           budget.countRequest(now);
--- a/test/gateway/standstill.test.ts
+++ b/test/gateway/standstill.test.ts
@@ -119,7 +119,7 @@
 
   it('is refused at once where another gateway asks for parts of it, and may ask a third', () => {
     const gateway = stoodStill();
-    const call = gateway.askForParts({ shards: ['s0'] });
+    const call = gateway.receiveSubquery({ shards: ['s0'] });
     expect(gateway.effects.at(-1)).toEqual({ type: 'refuse-subquery', call });
   });
 
--- a/test/gateway/unawaited-attempts.test.ts
+++ b/test/gateway/unawaited-attempts.test.ts
@@ -32,14 +32,14 @@
   );
 
 /** A caller leaves, and the only attempt ends as if the gateway had closed its connection. */
-const giveUpOne = (problem: AttemptProblem = 'aborted', mayHaveRun = true): VirtualGateway => {
+const abandonAttempt = (problem: AttemptProblem = 'aborted', mayHaveRun = true): VirtualGateway => {
   const gateway = gatheringGateway(1);
   leave(gateway, gateway.request(BUDGET_MS, false, 'print'));
   gateway.sent.forEach((attempt) => gateway.end(attempt, failed(problem, mayHaveRun)));
   return gateway;
 };
 
-const checkFirst = (gateway: VirtualGateway, at: number): void => {
+const reportReplicaDown = (gateway: VirtualGateway, at: number): void => {
   const replica = gateway.sent[0]?.replica.id ?? '';
   gateway.emit({ type: 'replica-checked', at, replica, isDown: true });
 };
@@ -51,14 +51,14 @@
   it.each(['aborted', 'timed-out', 'foreign-answer', 'bad-answer'] as const)(
     'has its replica watched: %s',
     (problem) => {
-      const gateway = giveUpOne(problem);
+      const gateway = abandonAttempt(problem);
       const [attempt] = gateway.sent;
       expect(watches(gateway)).toMatchObject([{ replica: attempt?.replica, untilAt: WATCH_MS }]);
     },
   );
 
   it('does not where it was not sent', () => {
-    expect(watches(giveUpOne('aborted', false))).toEqual([]);
+    expect(watches(abandonAttempt('aborted', false))).toEqual([]);
   });
 
   it('does not where a replica has sent another part', () => {
@@ -74,8 +74,8 @@
   });
 
   it('counts for its request when the replica is found to have ended, and is logged', () => {
-    const gateway = giveUpOne();
-    checkFirst(gateway, 100);
+    const gateway = abandonAttempt();
+    reportReplicaDown(gateway, 100);
     expect(verdictOf(gateway)).toBe('suspected');
     expect(crashLogs(gateway)).toMatchObject([
       { change: { fingerprints: ['print'], requests: 1, unawaited: 1 } },
@@ -83,27 +83,27 @@
   });
 
   it('does not count where the replica ends much later', () => {
-    const gateway = giveUpOne();
-    checkFirst(gateway, WATCH_MS + 1);
+    const gateway = abandonAttempt();
+    reportReplicaDown(gateway, WATCH_MS + 1);
     expect(verdictOf(gateway)).toBe('unsuspected');
     expect(crashLogs(gateway)).toEqual([]);
   });
 
   it('does not count where the replica was going to end', () => {
-    const gateway = giveUpOne();
+    const gateway = abandonAttempt();
     const replica = gateway.state.replicas.find(gateway.sent[0]?.replica.id ?? '');
     if (replica !== undefined) {
       gateway.state.replicas.put({ ...replica.record, draining: true }, 50);
     }
-    checkFirst(gateway, 100);
+    reportReplicaDown(gateway, 100);
     expect(verdictOf(gateway)).toBe('unsuspected');
   });
 });
 
 describe('an attempt of a request under which replicas may end', () => {
   it('is waited for longer than its caller waits: its end shows whether they do', () => {
-    const gateway = giveUpOne();
-    checkFirst(gateway, 10);
+    const gateway = abandonAttempt();
+    reportReplicaDown(gateway, 10);
     leave(gateway, gateway.request(BUDGET_MS, false, 'print'));
     const aborts = gateway.effects.filter(({ type }) => type === 'abort-attempt');
     expect(aborts.map((abort) => abort.type === 'abort-attempt' && abort.withinMs)).toEqual([
@@ -114,9 +114,9 @@
 
 describe('a try of a request under which replicas may end, whose caller has left', () => {
   /** The second try has ended so, and a third one has come. */
-  const tryAgainAfter = (result: AttemptResult): VirtualGateway => {
-    const gateway = giveUpOne();
-    checkFirst(gateway, 10);
+  const repeatAfter = (result: AttemptResult): VirtualGateway => {
+    const gateway = abandonAttempt();
+    reportReplicaDown(gateway, 10);
     leave(gateway, gateway.request(BUDGET_MS, false, 'print'));
     const [, attempt] = gateway.sent;
     if (attempt !== undefined) {
@@ -127,16 +127,16 @@
   };
 
   it('is followed by no other while nothing has shown whether its replica ends', () => {
-    expect(tryAgainAfter(failed('aborted')).sent).toHaveLength(2);
+    expect(repeatAfter(failed('aborted')).sent).toHaveLength(2);
   });
 
   it('is followed at once when its replica has answered it', () => {
-    expect(tryAgainAfter(answered).sent).toHaveLength(3);
+    expect(repeatAfter(answered).sent).toHaveLength(3);
   });
 });
 
 describe('a replica that is back before it is looked at', () => {
-  const idOf = (gateway: VirtualGateway): string => gateway.sent[0]?.replica.id ?? '';
+  const firstReplicaOf = (gateway: VirtualGateway): string => gateway.sent[0]?.replica.id ?? '';
 
   it('has ended where another one answers at its address', () => {
     const gateway = new VirtualGateway();
@@ -153,11 +153,15 @@
   });
 
   it('has ended where its entry tells a later start', () => {
-    const gateway = giveUpOne();
-    const record = gateway.state.replicas.find(idOf(gateway))?.record;
+    const gateway = abandonAttempt();
+    const record = gateway.state.replicas.find(firstReplicaOf(gateway))?.record;
     const list = (bornAt: number, revision: number): void => {
       const objects = [
-        { name: idOf(gateway), gone: false, ...(record && { value: { ...record, bornAt } }) },
+        {
+          name: firstReplicaOf(gateway),
+          gone: false,
+          ...(record && { value: { ...record, bornAt } }),
+        },
       ];
       const changes = { collection: 'replicas', objects, revision } as const;
       gateway.emit({ type: 'changes-read', at: gateway.now, changes });
@@ -172,9 +176,14 @@
     const gateway = gatheringGateway(1);
     gateway.request(BUDGET_MS, false, 'print');
     gateway.sent.forEach((attempt) => gateway.end(attempt, failed('reset')));
-    gateway.emit({ type: 'replica-checked', at: 5, replica: idOf(gateway), isDown: false });
-    expect(watches(gateway).map(({ replica }) => replica.id)).toEqual([idOf(gateway)]);
-    checkFirst(gateway, 200);
+    gateway.emit({
+      type: 'replica-checked',
+      at: 5,
+      replica: firstReplicaOf(gateway),
+      isDown: false,
+    });
+    expect(watches(gateway).map(({ replica }) => replica.id)).toEqual([firstReplicaOf(gateway)]);
+    reportReplicaDown(gateway, 200);
     expect(verdictOf(gateway)).toBe('suspected');
   });
 });
--- a/test/gateway/virtual-gateway.ts
+++ b/test/gateway/virtual-gateway.ts
@@ -71,7 +71,7 @@
   readonly downReplicas = new Set<string>();
   /** Replicas that are looked at have the outcome told at once; else the test tells it. */
   checksReplicas = true;
-  private readonly toCheck: string[] = [];
+  private readonly pendingChecks: string[] = [];
   private nextCall = 1;
   private revision = 1;
 
@@ -99,9 +99,9 @@
 
   emit(event: GatewayEvent): void {
     for (const effect of step(this.state, event)) {
-      this.take(effect);
+      this.recordEffect(effect);
     }
-    for (const replica of this.toCheck.splice(0)) {
+    for (const replica of this.pendingChecks.splice(0)) {
       const isDown = this.downReplicas.has(replica);
       this.emit({ type: 'replica-checked', at: this.now, replica, isDown });
     }
@@ -178,7 +178,7 @@
   }
 
   /** Another gateway asks this one for parts. */
-  askForParts(subquery: Partial<Subquery> & Pick<Subquery, 'shards'>): CallId {
+  receiveSubquery(subquery: Partial<Subquery> & Pick<Subquery, 'shards'>): CallId {
     const call = this.nextCall;
     this.nextCall += 1;
     const whole: Subquery = {
@@ -241,7 +241,7 @@
     this.now = at;
   }
 
-  private take(effect: GatewayEffect): void {
+  private recordEffect(effect: GatewayEffect): void {
     this.effects.push(effect);
     switch (effect.type) {
       case 'send-attempt':
@@ -257,7 +257,7 @@
         break;
       case 'check-replica':
         if (this.checksReplicas) {
-          this.toCheck.push(effect.replica.id);
+          this.pendingChecks.push(effect.replica.id);
         }
         break;
       case 'set-request-timer':
--- a/test/gateway/zones.test.ts
+++ b/test/gateway/zones.test.ts
@@ -36,7 +36,7 @@
   it('gets none of the parts that another gateway asks for', () => {
     const gateway = gatewayOver(10);
     gateway.evacuate('bole');
-    gateway.askForParts({ shards: ['s0', 's1', 's2'] });
+    gateway.receiveSubquery({ shards: ['s0', 's1', 's2'] });
     expect(zonesOf(gateway)).toEqual(['arada']);
   });
 
@@ -104,7 +104,7 @@
 
   it('is served there by feeders too, whatever they know of the route', () => {
     const gateway = gatewayInTwoRegions(['addis', 'wales']);
-    gateway.askForParts({ shards: ['s0', 's1', 's2', 's3'], allowedRegions: ['wales'] });
+    gateway.receiveSubquery({ shards: ['s0', 's1', 's2', 's3'], allowedRegions: ['wales'] });
     expect(zonesOf(gateway)).toEqual(['arada']);
   });
 
--- a/test/platform/feeders.test.ts
+++ b/test/platform/feeders.test.ts
@@ -42,7 +42,7 @@
 const arrivals = (): readonly number[] =>
   SHARDS.map((shard) => fixture.replicas.get(`${shard}-1`)?.arrived.length ?? 0);
 
-const takenBy = ({ state }: RunningGateway): number =>
+const acceptedSubqueries = ({ state }: RunningGateway): number =>
   state.counters.subqueries
     .values()
     .filter(({ labels }) => labels['step'] === 'taken')
@@ -50,14 +50,16 @@
 
 describe('a gather over feeders, over sockets', () => {
   it('has the greatest records of all shards and asks each replica once', async () => {
-    const warm = feeders.map(takenBy);
+    const acceptedBefore = feeders.map(acceptedSubqueries);
     const answer = await fixture.ask({ id: 'r-1', path: '/all/x' });
     expect(answer.status).toBe(200);
     expect(answer.headers['x-missing-parts']).toBe('0');
     expect(String(answer.headers['x-part-stamps']).split(', ')).toHaveLength(SHARDS.length);
     expect(answer.body).toEqual(Buffer.concat([record(11), record(10), record(9)]));
     expect(arrivals()).toEqual(SHARDS.map(() => 1));
-    const sent = feeders.map((feeder, index) => takenBy(feeder) - (warm[index] ?? 0));
+    const sent = feeders.map(
+      (feeder, index) => acceptedSubqueries(feeder) - (acceptedBefore[index] ?? 0),
+    );
     expect(sent.reduce((sum, each) => sum + each)).toBeGreaterThan(1);
   });
 
