--- a/test/gateway/cold-rate.test.ts
+++ b/test/gateway/cold-rate.test.ts
@@ -1,4 +1,4 @@
-/** The rate of requests to a cold replica, summed over gateways that tell each other nothing. */
+/** The request rate of a cold replica, summed over gateways that do not coordinate by messages. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import type { PeerRecord } from '../../src/gateway/model/peer-record.js';
@@ -23,7 +23,7 @@
   readonly gateways: readonly VirtualGateway[];
 }
 
-/** Gateways that all have just started, and know one replica of each service, which is cold. */
+/** Gateways that have all just started and know one cold replica of each service. */
 const fleetOf = (count: number, target: RouteTarget, firstStart = true): Fleet => {
   const records = Array.from({ length: count }, (_, index) => recordOf(index));
   const gateways = records.map(({ name }) => {
@@ -46,14 +46,14 @@
 const sendTimes = ({ gateways }: Fleet, times: Map<VirtualGateway, number[]>): readonly number[] =>
   gateways.flatMap((gateway) => times.get(gateway) ?? []).sort((left, right) => left - right);
 
-/** The most requests in any second. */
+/** The largest number of requests in any second. */
 const peakOf = (times: readonly number[]): number =>
   Math.max(
     0,
     ...times.map((from) => times.filter((at) => at >= from && at < from + SECOND_MS).length),
   );
 
-/** Each step: after how long, and which gateway gets a request. */
+/** Each step: a delay in milliseconds, and the index of the gateway that receives a request. */
 const steps = fc.array(fc.tuple(fc.nat(40), fc.nat(89)), { minLength: 50, maxLength: 250 });
 
 const peakOfReplay = (fleet: Fleet, requests: readonly (readonly [number, number])[]): number => {
@@ -74,8 +74,8 @@
   return peakOf(sendTimes(fleet, times));
 };
 
-describe('a cold replica with a rate', () => {
-  it('gets no more than the bound in any second, from however many gateways', () => {
+describe('a cold replica with a request rate', () => {
+  it('gets at most the bound in any second from any number of gateways', () => {
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 90 }), steps, (count, requests) => {
         expect(peakOfReplay(fleetOf(count, SINGLE), requests)).toBeLessThanOrEqual(BOUND);
@@ -84,7 +84,7 @@
     );
   });
 
-  it('gets no more than the bound while gateways hold two lists of each other', () => {
+  it('gets at most the bound while gateways hold two different lists of gateways', () => {
     fc.assert(
       fc.property(fc.integer({ min: 2, max: 60 }), fc.nat(59), steps, (count, left, requests) => {
         const fleet = fleetOf(count, SINGLE);
@@ -98,7 +98,7 @@
     );
   });
 
-  it('gets requests from as many gateways as it bears a second, where feeders do not speak to it', () => {
+  it('gets requests from as many gateways as its rate per second when it has no feeders', () => {
     const fleet = fleetOf(60, SINGLE);
     peakOfReplay(
       fleet,
@@ -108,7 +108,7 @@
     expect(senders).toHaveLength(RATE);
   });
 
-  it('gets requests of the first feeder only where feeders speak to it', () => {
+  it('gets requests only from its first feeder when it has feeders', () => {
     const target = gatherOf(40, 0.5);
     const fleet = fleetOf(40, target);
     fleet.gateways.forEach((gateway) => gateway.receiveSubquery({ shards: ['s0'] }));
@@ -116,13 +116,13 @@
     expect(senders).toHaveLength(1);
   });
 
-  it('gets nothing for a second from a gateway that may have sent something before its restart', () => {
+  it('gets nothing for a second from a restarted gateway, which may have sent requests before', () => {
     const fleet = fleetOf(1, SINGLE, false);
     expect(peakOfReplay(fleet, [[900, 0]])).toBe(0);
     expect(peakOfReplay(fleet, [[1_100, 0]])).toBe(1);
   });
 
-  it('is used as any other once it is warm', () => {
+  it('is not limited once it is warm', () => {
     const fleet = fleetOf(1, SINGLE);
     const [gateway] = fleet.gateways;
     if (gateway !== undefined) {
@@ -132,7 +132,7 @@
     expect(peakOfReplay(fleet, [[60_001, 0], ...requests])).toBe(41);
   });
 
-  it('is limited again when it has turned cold again', () => {
+  it('is limited again when it becomes cold again', () => {
     const { gateways } = fleetOf(1, SINGLE);
     const [gateway] = gateways as [VirtualGateway];
     gateway.listReplicas(['s0'], ['bole'], 0);
@@ -147,7 +147,7 @@
     ).toBe(RATE);
   });
 
-  it('has requests refused as not run where no other is left', () => {
+  it('causes requests to be refused as not run when it is the only replica', () => {
     const { gateways } = fleetOf(1, SINGLE);
     const [gateway] = gateways as [VirtualGateway];
     const calls = Array.from({ length: RATE + 3 }, () => gateway.request());
--- a/test/gateway/feeders.test.ts
+++ b/test/gateway/feeders.test.ts
@@ -11,7 +11,7 @@
 const SHARDS = 64;
 const NAMES = Array.from({ length: SHARDS }, (_, index) => `s${index}`);
 
-/** 64 gateways of one region; the first eight have four times the processor of the others. */
+/** 64 gateways of one region; the first eight have a capacity of 1, the others of 0.3. */
 const GATEWAYS: readonly PeerRecord[] = Array.from({ length: 64 }, (_, index) => ({
   name: `front-${index + 1}`,
   zone: index % 2 === 0 ? 'bole' : 'arada',
@@ -19,7 +19,7 @@
   capacity: index < 8 ? 1 : 0.3,
 }));
 
-/** `front-1` is the gateway with its own address and processor, as the fixture has them. */
+/** All gateways, with `own` in place of `front-1`. */
 const gatewaysWith = (own: PeerRecord): readonly PeerRecord[] => [own, ...GATEWAYS.slice(1)];
 
 const FEEDER = { ...GATEWAYS[0], name: 'front-1', zone: 'bole', capacity: 1 } as PeerRecord;
@@ -62,7 +62,7 @@
 const firstOf = <Value>(values: readonly Value[]): Value => {
   const [first] = values;
   if (first === undefined) {
-    throw new Error('there is none');
+    throw new Error('expected at least one value');
   }
   return first;
 };
@@ -74,7 +74,7 @@
   gateway.effects.filter((effect) => effect.type === type);
 
 describe('a gather over feeders', () => {
-  it('asks strong gateways for each shard once and merges their parts', () => {
+  it('requests each shard once from gateways of high capacity and merges their parts', () => {
     const gateway = coordinator();
     const call = gateway.request();
     expect(gateway.sent).toHaveLength(0);
@@ -90,7 +90,7 @@
     expect(new Set(signatures).size).toBe(SHARDS);
   });
 
-  it('goes directly to replicas where few gateways share many connections', () => {
+  it('is sent directly to replicas when few gateways share many connections', () => {
     const gateway = new VirtualGateway();
     gateway.configure(1, [routeTo(gatherOf(4, 1))], 26);
     gateway.listReplicas(NAMES.slice(0, 4));
@@ -99,7 +99,7 @@
     expect([gateway.sent.length, gateway.subqueries.length]).toEqual([4, 0]);
   });
 
-  it('answers before its objective with the parts that have come', () => {
+  it('is answered before its objective with the parts received so far', () => {
     const gateway = coordinator();
     const call = gateway.request();
     const [slow, ...others] = gateway.subqueries;
@@ -114,7 +114,7 @@
     }
   });
 
-  it('moves the shards of a feeder that says nothing, as repeats, and avoids it then', () => {
+  it('moves the shards of a silent feeder as repeats, and avoids this feeder afterwards', () => {
     const gateway = coordinator();
     const call = gateway.request();
     const silent = firstOf(gateway.subqueries);
@@ -137,7 +137,7 @@
     expect(asked).not.toContain(silent.peer.name);
   });
 
-  it('passes a lost feeder over until it answers, and asks it meanwhile without a query', () => {
+  it('skips a lost feeder until it responds, and checks it without a subquery', () => {
     const gateway = coordinator();
     const peer = firstOf(feederPlan(gateway.state).feeders).name;
     const requestedPeers = (): readonly string[] => {
@@ -154,7 +154,7 @@
     expect(requestedPeers()).toContain(peer);
   });
 
-  it('passes a feeder that stops or refuses over until it says that it serves', () => {
+  it('skips a feeder that stops or refuses until it confirms that it serves', () => {
     const gateway = coordinator();
     const [stopping, refusing] = feederPlan(gateway.state).feeders.map(({ name }) => name);
     const lost = { type: 'peer-lost', at: 0 } as const;
@@ -168,7 +168,7 @@
     expect(asked).not.toContain(refusing);
   });
 
-  it('does not judge feeders by what it was too busy to read', () => {
+  it('does not time out feeders whose messages this process was too busy to read', () => {
     const gateway = coordinator();
     gateway.request();
     const before = gateway.subqueries.length;
@@ -179,7 +179,7 @@
     expect(gateway.subqueries).toHaveLength(before);
   });
 
-  it('goes elsewhere at once when a feeder refuses, and not as a repeat', () => {
+  it('moves shards at once when a feeder refuses, and not as repeats', () => {
     const gateway = coordinator();
     gateway.request();
     const refused = firstOf(gateway.subqueries);
@@ -193,7 +193,7 @@
     expect(moved.some(({ subquery }) => subquery.isRepeat)).toBe(false);
   });
 
-  it('asks the next feeder for shards that a feeder sent to no replica, and not as a repeat', () => {
+  it('requests unsent shards from the next feeder, and not as repeats', () => {
     const gateway = coordinator();
     const call = gateway.request();
     const [uninformed, ...others] = gateway.subqueries.slice();
@@ -211,7 +211,7 @@
     expect(gateway.answers.get(call)).toMatchObject({ type: 'merged', missingShards: 0 });
   });
 
-  it('tells its feeders when the caller has left', () => {
+  it('cancels its subqueries at once when the caller has left', () => {
     const gateway = coordinator();
     const call = gateway.request();
     gateway.emit({ type: 'caller-left', at: 5, call });
@@ -221,8 +221,8 @@
   });
 });
 
-describe('feeders that say nothing', () => {
-  it('are not judged while most of them are silent: the time is lost elsewhere', () => {
+describe('silent feeders', () => {
+  it('do not time out while most feeders are silent, since the delay is elsewhere', () => {
     const gateway = coordinator();
     gateway.request();
     const sent = gateway.subqueries.length;
@@ -230,7 +230,7 @@
     expect([gateway.subqueries.length, ofType(gateway, 'check-peer').length]).toEqual([sent, 0]);
   });
 
-  it('are waited for up to the objective, and judged all together from then on', () => {
+  it('time out after the objective even if all of them are silent', () => {
     const gateway = coordinator();
     gateway.request();
     const sent = gateway.subqueries.length;
@@ -240,7 +240,7 @@
     expect(gateway.subqueries.length).toBeGreaterThan(sent);
   });
 
-  it('are waited for as long as feeders usually take', () => {
+  it('do not time out before the usual delay of feeders', () => {
     const gateway = coordinator();
     for (let request = 0; request < 20; request += 1) {
       gateway.subqueries.splice(0);
@@ -261,7 +261,7 @@
 });
 
 describe('the feeders of an index', () => {
-  /** Four zones with strong gateways in each; replicas stand in the zones that are named. */
+  /** Feeders of an index in four zones, each with gateways of high capacity; its replicas are in `replicaZones`. */
   const planWith = (replicaZones: readonly string[]): readonly PeerRecord[] => {
     const gateway = new VirtualGateway(40, SMALL.name, SMALL.capacity);
     gateway.configure(1, [routeTo(gatherOf(SHARDS, 0.9))], 54);
@@ -282,16 +282,16 @@
   const zonesOf = (feeders: readonly PeerRecord[]): readonly string[] =>
     [...new Set(feeders.map(({ zone }) => zone))].sort();
 
-  it('stand in the zones that hold its replicas', () => {
+  it('are in the zones of its replicas', () => {
     expect(zonesOf(planWith(['bole', 'arada']))).toEqual(['arada', 'bole']);
   });
 
-  it('stand anywhere where its replicas do', () => {
+  it('are in all zones when its replicas are', () => {
     const zones = ['arada', 'bole', 'kirkos', 'yeka'];
     expect(zonesOf(planWith(zones))).toEqual(zones);
   });
 
-  it('stand elsewhere too where the zones of its replicas have too few gateways', () => {
+  it('are also in other zones when the zones of its replicas have too few gateways', () => {
     expect(planWith(['gulele']).length).toBeGreaterThanOrEqual(3);
   });
 });
@@ -305,13 +305,13 @@
     return gateway;
   };
 
-  /** A shard that this gateway feeds before all others. */
+  /** A shard whose first feeder is this gateway. */
   const ownShard = (gateway: VirtualGateway): string =>
     firstOf(NAMES.filter((name) => feederPlan(gateway.state).rankOf(name, 'front-1') === 0));
 
   const LOST: AttemptResult = { type: 'failed', problem: 'reset', mayHaveRun: true };
 
-  it('sends all parts together when they come soon, and no acknowledgement', () => {
+  it('sends all parts together when they arrive soon, without an acknowledgement', () => {
     const gateway = feeder();
     gateway.receiveSubquery({ shards: ['s0', 's1'] });
     gateway.now = 10;
@@ -323,7 +323,7 @@
     expect(ofType(gateway, 'acknowledge-subquery')).toHaveLength(0);
   });
 
-  it('acknowledges what takes longer, and sends what is in when parts are wanted', () => {
+  it('acknowledges a longer subquery, and sends the parts received so far when they are due', () => {
     const gateway = feeder();
     gateway.receiveSubquery({ shards: ['s0', 's1'], maxAttempts: 1 });
     gateway.advanceTo(12);
@@ -345,7 +345,7 @@
     });
   });
 
-  it('tells at once which shards it knows no replica of', () => {
+  it('reports at once the shards of which it knows no replica', () => {
     const gateway = feeder();
     gateway.receiveSubquery({ shards: ['s0', 'unknown'] });
     expect(answersOf(gateway.effects)).toMatchObject([
@@ -357,7 +357,7 @@
     });
   });
 
-  it('does not take a shard for unsent whose only answer was lost before a pause', () => {
+  it('does not report a shard as unsent when its attempt was lost before a pause', () => {
     const gateway = feeder(0);
     gateway.receiveSubquery({ shards: ['s0', 's1'] });
     gateway.end(firstOf(gateway.sent), LOST);
@@ -366,7 +366,7 @@
     expect(answersOf(gateway.effects).flatMap(({ part }) => part.unsent)).toEqual([]);
   });
 
-  it('sends a repeated subquery to one replica of each shard only', () => {
+  it('sends a repeated subquery to only one replica of each shard', () => {
     const gateway = feeder(168);
     gateway.receiveSubquery({ shards: [ownShard(gateway)], isRepeat: true });
     gateway.advanceTo(60);
@@ -376,14 +376,14 @@
     expect(answersOf(gateway.effects)).toMatchObject([{ part: { shards: [], isFinal: true } }]);
   });
 
-  it('sends no repeat that its retry budget does not allow', () => {
+  it('sends no repeat when its retry budget is exhausted', () => {
     const gateway = feeder(0);
     gateway.receiveSubquery({ shards: [ownShard(gateway)], isRepeat: true });
     expect(gateway.sent).toHaveLength(0);
     expect(answersOf(gateway.effects)).toMatchObject([{ part: { shards: [], isFinal: true } }]);
   });
 
-  it('aborts its attempts when the gateway that asked is gone', () => {
+  it('aborts its attempts when the coordinator cancels the subquery', () => {
     const gateway = feeder();
     const call = gateway.receiveSubquery({ shards: ['s0', 's1'] });
     gateway.emit({ type: 'subquery-cancelled', at: 3, call, withinMs: 0 });
@@ -391,7 +391,7 @@
     expect(gateway.state.requests.size).toBe(0);
   });
 
-  it('takes no subquery while it stops', () => {
+  it('refuses subqueries while it stops', () => {
     const gateway = feeder();
     gateway.emit({ type: 'stop-requested', at: 0 });
     gateway.receiveSubquery({ shards: ['s0'] });
@@ -400,7 +400,7 @@
     expect(ofType(gateway, 'announce-stop')).toHaveLength(1);
   });
 
-  it('counts extras against the requests that it has seen, and no further', () => {
+  it('limits extra arrivals to a ratio of the requests that it has received', () => {
     const gateway = feeder(0);
     for (let count = 0; count < 100; count += 1) {
       gateway.receiveSubquery({ shards: ['s0'] });
@@ -412,8 +412,8 @@
   });
 });
 
-describe('feeders that send one request one after the other', () => {
-  /** Sends `requestId` through a feeder that has learnt other latencies than the others. */
+describe('feeders that send the same request in turn', () => {
+  /** Sends `requestId` through a feeder with latency statistics of its own; returns the replicas that it used. */
   const replicasUsed = (feeder: VirtualGateway, requestId: string, isRepeat: boolean): string[] => {
     const before = feeder.sent.length;
     const subquery = {
@@ -450,7 +450,7 @@
     return gateway;
   };
 
-  it('keep it to as many replicas of a shard as its route allows', () => {
+  it('use together no more replicas of a shard than its route allows', () => {
     const zones = ['bole', 'arada', 'arada'];
     const [first, second] = [feederIn(zones), feederIn(zones)];
     for (let request = 0; request < 50; request += 1) {
@@ -462,8 +462,8 @@
   });
 });
 
-describe('the replicas that a request keeps to', () => {
-  it('begin with those of the own region, and are drawn among equals', () => {
+describe('drawReplicas', () => {
+  it('draws replicas of the own region first, at random among equals', () => {
     const gateway = new VirtualGateway();
     gateway.configure(1, []);
     gateway.listReplicas(['s0'], ['hall', 'arada', 'bole', 'hall']);
@@ -480,7 +480,7 @@
   });
 });
 
-describe('the shares of all gateways', () => {
+describe('the shares of all gateways together', () => {
   const gatewayNamed = (record: PeerRecord): VirtualGateway => {
     const gateway = new VirtualGateway(168, record.name);
     gateway.configure(1, [routeTo(gatherOf(SHARDS, 0.9))], 54);
@@ -490,7 +490,7 @@
     return gateway;
   };
 
-  /** Each lists the others alike, so that their plans are the same. */
+  /** Lists the same gateways everywhere, so that all plans are the same. */
   const withCommonView = (gateway: VirtualGateway): VirtualGateway => {
     GATEWAYS.forEach((record) => gateway.state.peers.put(record));
     return gateway;
@@ -498,14 +498,14 @@
 
   const fleet = GATEWAYS.map((record) => withCommonView(gatewayNamed(record)));
 
-  it('of the slack of a shard come to no more than the whole', () => {
+  it('of the slack of a shard do not exceed the whole slack', () => {
     for (const service of NAMES) {
       const sum = fleet.reduce((total, { state }) => total + shareOf(state, service), 0);
       expect(sum).toBeLessThanOrEqual(1);
     }
   });
 
-  it('are worked out alike: every gateway names the same feeders', () => {
+  it('are based on the same feeders at every gateway', () => {
     for (const service of NAMES) {
       const named = fleet.map(({ state }) =>
         feederPlan(state)
@@ -517,26 +517,26 @@
     }
   });
 
-  it('let the feeders of a shard have more than one connection to each replica', () => {
+  it('give the feeders of a shard more than one connection to each replica', () => {
     const shares = fleet.map(({ state }) => connectionShare(state, 's0', 20_000));
     expect(Math.max(...shares)).toBeGreaterThan(10);
     expect(shares.filter((share) => share > 1)).toHaveLength(4);
   });
 
-  it('leave slack to the third and the fourth feeder of a shard, who step in for the others', () => {
+  it('leave slack to the third and fourth feeders of a shard, which replace the others', () => {
     const slack = fleet.map(({ state }) => Math.floor(168 * shareOf(state, 's0')));
     expect(slack.filter((each) => each >= 10)).toHaveLength(4);
   });
 });
 
-describe('a request under which replicas have ended, over feeders', () => {
-  /** Other gateways have seen a replica end under it three seconds ago. */
+describe('a suspected request over feeders', () => {
+  /** Another gateway reports that the request crashed a replica three seconds ago. */
   const suspect = (gateway: VirtualGateway): void => {
     const news = [{ fingerprint: 'print', rounds: 1, crashedMsAgo: 3_000 }];
     gateway.emit({ type: 'crashes-told', at: gateway.now, from: 'front-2', news });
   };
 
-  it('is not asked of another feeder at once where its caller has left', () => {
+  it('is not sent to another feeder at once when its caller has left', () => {
     const gateway = coordinator();
     suspect(gateway);
     const call = gateway.request(900, false, 'print');
--- a/test/gateway/merge-records.test.ts
+++ b/test/gateway/merge-records.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 import { mergeRecords, RECORD_BYTES } from '../../src/gateway/requests/merge-records.js';
 
-/** The same by sorting everything. */
+/** Reference implementation that sorts all records. */
 const mergeBySorting = (parts: readonly Uint8Array[], maxRecords: number): Buffer => {
   const records = parts.flatMap((part) => {
     const bytes = Buffer.from(part);
@@ -15,13 +15,13 @@
   return Buffer.concat(records.slice(0, maxRecords));
 };
 
-/** Bytes of few values, so that records share long prefixes and are often equal. */
+/** Bytes with few distinct values, so that records share long prefixes and are often equal. */
 const part = fc
   .array(fc.constantFrom(0, 1, 127, 128, 255), { maxLength: 12 * RECORD_BYTES })
   .map((bytes) => Uint8Array.from(bytes));
 
-describe('the merge of records', () => {
-  it('gives what sorting all records gives', () => {
+describe('mergeRecords', () => {
+  it('returns the same records as sorting all of them', () => {
     const property = fc.property(
       fc.array(part, { maxLength: 6 }),
       fc.nat(20),
@@ -32,13 +32,13 @@
     fc.assert(property, { seed: 20261202, numRuns: 500 });
   });
 
-  it('counts equal records each and leaves out a rest shorter than a record', () => {
+  it('keeps duplicate records and drops a trailing incomplete record', () => {
     const same = Buffer.alloc(RECORD_BYTES, 7);
     const merged = mergeRecords([Buffer.concat([same, Buffer.alloc(9, 255)]), same], 5);
     expect(merged).toEqual(Buffer.concat([same, same]));
   });
 
-  it('is empty without parts', () => {
+  it('returns no bytes without parts', () => {
     expect(mergeRecords([], 5)).toHaveLength(0);
   });
 });
--- a/test/gateway/requests.test.ts
+++ b/test/gateway/requests.test.ts
@@ -19,7 +19,7 @@
   return gateway;
 };
 
-/** Replicas answer the first `count` attempts at a time in milliseconds. */
+/** Answers the first `count` attempts at time `at`, in milliseconds. */
 const answerFirst = (gateway: VirtualGateway, count: number, at: number): void => {
   gateway.now = at;
   gateway.sent
@@ -28,7 +28,7 @@
 };
 
 describe('a gather in virtual time', () => {
-  it('answers with what is in 13 ms before its objective', () => {
+  it('answers with the parts received so far 13 ms before its objective', () => {
     const gateway = gatewayWith(10, 0.8);
     const call = gateway.request();
     answerFirst(gateway, 9, 10);
@@ -38,7 +38,7 @@
     expect(gateway.answers.get(call)).toMatchObject({ type: 'merged', missingShards: 1 });
   });
 
-  it('answers earlier where the caller has opened a connection for the request', () => {
+  it('answers earlier when the caller opened a connection for the request', () => {
     const gateway = gatewayWith(10, 0.8);
     const call = gateway.request(900, true);
     answerFirst(gateway, 9, 10);
@@ -48,7 +48,7 @@
     expect(gateway.answers.get(call)).toMatchObject({ type: 'merged', missingShards: 1 });
   });
 
-  it('answers with what is in where its caller has less time than the objective', () => {
+  it('answers with the parts received so far when its caller allows less time than the objective', () => {
     const gateway = gatewayWith(10, 0.8);
     const call = gateway.request(50);
     answerFirst(gateway, 9, 10);
@@ -56,7 +56,7 @@
     expect(gateway.answers.get(call)).toMatchObject({ type: 'merged', missingShards: 1 });
   });
 
-  it('answers as soon as the least coverage is in once the objective has passed', () => {
+  it('answers at the least coverage once the objective has passed', () => {
     const gateway = gatewayWith(10, 0.8);
     const call = gateway.request();
     gateway.sent
@@ -71,7 +71,7 @@
     expect(gateway.answers.get(call)).toMatchObject({ type: 'merged', missingShards: 2 });
   });
 
-  it('sends no leg twice while most legs are open, and only the open ones later', () => {
+  it('hedges no leg while most legs are open, and only the open ones later', () => {
     const gateway = gatewayWith(10, 0.8);
     gateway.request();
     gateway.advanceTo(50);
@@ -88,7 +88,7 @@
     expect(replicas.size).toBe(12);
   });
 
-  it('ends the slower attempts of a leg shortly after one was answered', () => {
+  it('aborts the slower attempt of a leg 40 ms after the other one was answered', () => {
     const gateway = gatewayWith(10, 0.8);
     gateway.request();
     gateway.sent
@@ -106,7 +106,7 @@
     });
   });
 
-  it('gives the slower attempt of an answered leg up once, not again when the request ends', () => {
+  it('aborts the slower attempt of an answered leg once, not again when the request ends', () => {
     const gateway = gatewayWith(10, 0.8);
     const call = gateway.request();
     answerFirst(gateway, 8, 0);
@@ -124,7 +124,7 @@
     expect(aborts).toHaveLength(1);
   });
 
-  it('pauses a leg that no replica takes, tries all again and completes', () => {
+  it('pauses a leg that no replica accepts, uses all replicas again and completes', () => {
     const gateway = gatewayWith(4, 1);
     const call = gateway.request();
     const [refused, ...others] = gateway.sent.splice(0);
@@ -146,7 +146,7 @@
     expect(gateway.answers.get(call)).toMatchObject({ type: 'merged', missingShards: 0 });
   });
 
-  it('is given up at once when too few shards can still answer', () => {
+  it('is refused at once when too few shards can still answer', () => {
     const gateway = gatewayWith(2, 1);
     const call = gateway.request();
     gateway.sent.splice(0).forEach((attempt) => gateway.end(attempt, LOST));
@@ -155,7 +155,7 @@
     expect(gateway.answeredAt.get(call)).toBe(0);
   });
 
-  it('has its final answer at the timeout of its route', () => {
+  it('is refused at the timeout of its route', () => {
     const gateway = gatewayWith(2, 1);
     const call = gateway.request(5_000);
     gateway.advanceTo(2_000);
@@ -172,7 +172,7 @@
     return gateway;
   };
 
-  it('that may run once is neither hedged nor sent again once it may have run', () => {
+  it('that is not repeatable is neither hedged nor retried once it may have run', () => {
     const gateway = gatewayFor(false);
     const call = gateway.request();
     gateway.advanceTo(200);
@@ -183,7 +183,7 @@
     expect(gateway.answers.get(call)).not.toHaveProperty('retryAfterMs');
   });
 
-  it('that may run once tells when to come back where it has not run', () => {
+  it('that is not repeatable is refused with a retry delay when it has not run', () => {
     const gateway = gatewayFor(false);
     const call = gateway.request();
     gateway.sent.splice(0).forEach((attempt) => gateway.end(attempt, REFUSED));
@@ -193,7 +193,7 @@
     expect(gateway.answers.get(call)).toHaveProperty('retryAfterMs');
   });
 
-  it('prefers the replica of its own zone, and the other one while that one is slow', () => {
+  it('prefers the replica in the zone of the gateway, and the other one while that one is slow', () => {
     const gateway = gatewayFor(true);
     gateway.request();
     expect(gateway.sent[0]?.replica.zone).toBe('bole');
@@ -203,7 +203,7 @@
   });
 });
 
-describe('a request that comes before the store was read', () => {
+describe('a request that arrives before the store was read', () => {
   const routes = [routeTo(SERVICE)];
 
   it('is held and sent once a configuration and the replicas are known', () => {
@@ -218,7 +218,7 @@
     expect(gateway.sent[0]?.deadlineAt).toBe(890);
   });
 
-  it('is refused after a tenth of the time that its caller waits, and told to come back', () => {
+  it("is refused with a retry delay after a tenth of its caller's timeout", () => {
     const gateway = new VirtualGateway();
     const call = gateway.request(900);
     gateway.advanceTo(300);
@@ -235,7 +235,7 @@
     expect(gateway.sent).toEqual([]);
   });
 
-  it('is held on when only the list of gateways fails, which it does not need', () => {
+  it('stays held when only the list of gateways fails, which is not required', () => {
     const gateway = new VirtualGateway();
     const call = gateway.request(900);
     gateway.now = 20;
@@ -248,7 +248,7 @@
     expect(gateway.answers.has(call)).toBe(false);
   });
 
-  it('is refused at once when the store turns out to fail, and so are those that follow', () => {
+  it('is refused at once when the store fails, and so are later requests', () => {
     const gateway = new VirtualGateway();
     const first = gateway.request(900);
     gateway.now = 20;
@@ -271,7 +271,7 @@
     expect(gateway.answeredAt.get(call)).toBe(200);
   });
 
-  it('is forgotten when its caller leaves', () => {
+  it('is dropped when its caller leaves', () => {
     const gateway = new VirtualGateway();
     const call = gateway.request(900);
     gateway.emit({ type: 'caller-left', at: 10, call });
@@ -283,7 +283,7 @@
 });
 
 describe('the retry budget', () => {
-  it('bounds hedges to a part of the requests and the slack', () => {
+  it('limits hedges to a ratio of the requests plus the slack', () => {
     const gateway = gatewayWith(1, 1, 4);
     for (let count = 0; count < 100; count += 1) {
       gateway.request();
@@ -296,7 +296,7 @@
 });
 
 describe('a hedge', () => {
-  /** Both replicas of the only shard say how long work takes there, then one gets a request. */
+  /** Both replicas of the only shard report a slowdown, then a request is sent to one of them. */
   const gatewayWithSlowdowns = (slowdowns: readonly number[]): VirtualGateway => {
     const gateway = gatewayWith(1, 1);
     [...gateway.state.replicas.of('s0')].forEach((replica, index) => {
@@ -307,26 +307,26 @@
     return gateway;
   };
 
-  it('goes to a quick replica when the first one is slow', () => {
+  it('goes to another fast replica when the first attempt is slow', () => {
     const gateway = gatewayWithSlowdowns([1, 1]);
     gateway.advanceTo(60);
     expect(gateway.sent).toHaveLength(2);
   });
 
-  it('is put off while the other replica is as slow as the one that works', () => {
+  it('is deferred while the other replica is as slow as the one that runs the attempt', () => {
     const gateway = gatewayWithSlowdowns([10, 10]);
     gateway.advanceTo(90);
     expect(gateway.sent).toHaveLength(1);
   });
 
-  it('is sent even so once the first attempt has run for longer than the other would take', () => {
+  it('is sent once the first attempt has run for longer than the other replica would take', () => {
     const gateway = gatewayWithSlowdowns([10, 10]);
     gateway.advanceTo(600);
     expect(gateway.sent).toHaveLength(2);
   });
 });
 
-describe('a request that no replica takes', () => {
+describe('a request that no replica accepts', () => {
   const failAll = (gateway: VirtualGateway): void => {
     while (gateway.sent.length > 0) {
       gateway.sent.splice(0).forEach((attempt) => gateway.end(attempt, UNREACHED));
@@ -340,7 +340,7 @@
     return gateway;
   };
 
-  /** Refuses a request that waits for a pause of its leg; returns after what time. */
+  /** Sends a request whose attempts all fail; returns the time until it is refused, in milliseconds. */
   const refusalDelay = (gateway: VirtualGateway): number => {
     const startedAt = gateway.now;
     const call = gateway.request();
@@ -351,7 +351,7 @@
     return (gateway.answeredAt.get(call) ?? Number.NaN) - startedAt;
   };
 
-  it('waits for one at first, and no more once such waits have not been served', () => {
+  it('pauses at first, and is mostly refused at once when such pauses were not served', () => {
     const gateway = gatewayWithOneReplica();
     expect(refusalDelay(gateway)).toBeGreaterThan(20);
     const waits = Array.from({ length: 40 }, () => refusalDelay(gateway)).slice(10);
@@ -360,7 +360,7 @@
     expect(immediate).toBeLessThan(30);
   });
 
-  it('is told to come back when a replica is tried again, and others a while later', () => {
+  it('gets a retry delay derived from the end of the ejection, with jitter', () => {
     const gateway = gatewayWithOneReplica();
     const waits = Array.from({ length: 12 }, () => {
       refusalDelay(gateway);
@@ -372,7 +372,7 @@
   });
 });
 
-describe('a request that fits no route', () => {
+describe('a request without a matching route', () => {
   it('is logged with the version in force and its age', () => {
     const gateway = new VirtualGateway();
     gateway.configure(30, [routeTo(SERVICE, { pathPrefix: '/other/' })]);
--- a/test/gateway/retry-budget.test.ts
+++ b/test/gateway/retry-budget.test.ts
@@ -5,18 +5,18 @@
 const WINDOW_MS = 10_000;
 const POLICY = { ratio: 0.2, windowMs: WINDOW_MS, slack: 3 };
 
-/** Steps of time, in milliseconds, each with a request or a wish for an extra arrival. */
+/** Time steps in milliseconds, each followed by a request or an attempt to consume an extra arrival. */
 const steps = fc.array(fc.record({ afterMs: fc.nat(900), isRequest: fc.boolean() }), {
   minLength: 1,
   maxLength: 400,
 });
 
-/** The window of the rule: it ends with an extra arrival, which is when the sum is greatest. */
+/** Number of times within a window that ends at `end`; the sum is greatest when it ends with an extra arrival. */
 const countWithin = (times: readonly number[], end: number, length: number): number =>
   times.filter((time) => time > end - length && time <= end).length;
 
 describe('a retry budget', () => {
-  it('holds in every sliding window that ends with an extra arrival', () => {
+  it('is not exceeded in any sliding window that ends with an extra arrival', () => {
     const property = fc.property(steps, (actions) => {
       const budget = new RetryBudget(WINDOW_MS);
       const requests: number[] = [];
@@ -37,7 +37,7 @@
     fc.assert(property, { seed: 20261202, numRuns: 300 });
   });
 
-  it('is free again once the window has passed', () => {
+  it('is available again once the window has passed', () => {
     const budget = new RetryBudget(WINDOW_MS);
     expect([1, 2, 3, 4].map(() => budget.consume(POLICY, 100))).toEqual([true, true, true, false]);
     expect(budget.consume(POLICY, WINDOW_MS)).toBe(false);
--- a/test/gateway/unawaited-attempts.test.ts
+++ b/test/gateway/unawaited-attempts.test.ts
@@ -5,7 +5,7 @@
 
 const BUDGET_MS = 900;
 
-/** A replica is watched for so long. */
+/** Time for which a replica is watched. */
 const WATCH_MS = 5_000;
 
 const failed = (problem: AttemptProblem, mayHaveRun = true): AttemptResult => ({
@@ -31,7 +31,7 @@
     (effect) => effect.type === 'write-log' && effect.change.event === 'replica-crashed',
   );
 
-/** A caller leaves, and the only attempt ends as if the gateway had closed its connection. */
+/** The caller leaves, and the only attempt ends with `problem`; by default the gateway has closed its connection. */
 const abandonAttempt = (problem: AttemptProblem = 'aborted', mayHaveRun = true): VirtualGateway => {
   const gateway = gatheringGateway(1);
   leave(gateway, gateway.request(BUDGET_MS, false, 'print'));
@@ -47,9 +47,9 @@
 const verdictOf = ({ state, now }: VirtualGateway): string =>
   state.crashes.memory.verdict('print', now);
 
-describe('an attempt that is no longer waited for', () => {
+describe('an attempt that is no longer awaited', () => {
   it.each(['aborted', 'timed-out', 'foreign-answer', 'bad-answer'] as const)(
-    'has its replica watched: %s',
+    'causes its replica to be watched: %s',
     (problem) => {
       const gateway = abandonAttempt(problem);
       const [attempt] = gateway.sent;
@@ -57,11 +57,11 @@
     },
   );
 
-  it('does not where it was not sent', () => {
+  it('does not cause its replica to be watched when it was not sent', () => {
     expect(watches(abandonAttempt('aborted', false))).toEqual([]);
   });
 
-  it('does not where a replica has sent another part', () => {
+  it('does not cause its replica to be watched when another replica has sent a part', () => {
     const gateway = gatheringGateway(2);
     const call = gateway.request(BUDGET_MS);
     const [first, second] = gateway.sent;
@@ -73,7 +73,7 @@
     expect(watches(gateway)).toEqual([]);
   });
 
-  it('counts for its request when the replica is found to have ended, and is logged', () => {
+  it('counts as a crash of its request when the replica is found down, and is logged', () => {
     const gateway = abandonAttempt();
     reportReplicaDown(gateway, 100);
     expect(verdictOf(gateway)).toBe('suspected');
@@ -82,14 +82,14 @@
     ]);
   });
 
-  it('does not count where the replica ends much later', () => {
+  it('does not count when the replica is found down after the watch period', () => {
     const gateway = abandonAttempt();
     reportReplicaDown(gateway, WATCH_MS + 1);
     expect(verdictOf(gateway)).toBe('unsuspected');
     expect(crashLogs(gateway)).toEqual([]);
   });
 
-  it('does not count where the replica was going to end', () => {
+  it('does not count when the replica was draining', () => {
     const gateway = abandonAttempt();
     const replica = gateway.state.replicas.find(gateway.sent[0]?.replica.id ?? '');
     if (replica !== undefined) {
@@ -100,8 +100,8 @@
   });
 });
 
-describe('an attempt of a request under which replicas may end', () => {
-  it('is waited for longer than its caller waits: its end shows whether they do', () => {
+describe('an attempt of a request that may crash replicas', () => {
+  it('gets 400 ms to end after its caller has left, since its end shows whether it crashes the replica', () => {
     const gateway = abandonAttempt();
     reportReplicaDown(gateway, 10);
     leave(gateway, gateway.request(BUDGET_MS, false, 'print'));
@@ -112,8 +112,8 @@
   });
 });
 
-describe('a try of a request under which replicas may end, whose caller has left', () => {
-  /** The second try has ended so, and a third one has come. */
+describe('a call of a suspected request whose caller has left', () => {
+  /** The second call's attempt ends with `result`, and a third call arrives. */
   const repeatAfter = (result: AttemptResult): VirtualGateway => {
     const gateway = abandonAttempt();
     reportReplicaDown(gateway, 10);
@@ -126,19 +126,19 @@
     return gateway;
   };
 
-  it('is followed by no other while nothing has shown whether its replica ends', () => {
+  it('delays the next call while its attempt is inconclusive', () => {
     expect(repeatAfter(failed('aborted')).sent).toHaveLength(2);
   });
 
-  it('is followed at once when its replica has answered it', () => {
+  it('lets the next call be sent at once when a replica has answered it', () => {
     expect(repeatAfter(answered).sent).toHaveLength(3);
   });
 });
 
-describe('a replica that is back before it is looked at', () => {
+describe('a replica that restarts before it is checked', () => {
   const firstReplicaOf = (gateway: VirtualGateway): string => gateway.sent[0]?.replica.id ?? '';
 
-  it('has ended where another one answers at its address', () => {
+  it('counts as crashed when another replica answers at its address', () => {
     const gateway = new VirtualGateway();
     gateway.configure(1, [routeTo(gatherOf(1, 0.5))]);
     gateway.listReplicas(['s0'], ['bole']);
@@ -152,7 +152,7 @@
     expect(verdictOf(gateway)).toBe('suspected');
   });
 
-  it('has ended where its entry tells a later start', () => {
+  it('counts as crashed when its entry reports a later start', () => {
     const gateway = abandonAttempt();
     const record = gateway.state.replicas.find(firstReplicaOf(gateway))?.record;
     const list = (bornAt: number, revision: number): void => {
@@ -172,7 +172,7 @@
     expect(verdictOf(gateway)).toBe('suspected');
   });
 
-  it('is watched on where it takes connections after one of them broke', () => {
+  it('stays watched when it accepts connections after one of them broke', () => {
     const gateway = gatheringGateway(1);
     gateway.request(BUDGET_MS, false, 'print');
     gateway.sent.forEach((attempt) => gateway.end(attempt, failed('reset')));
--- a/test/gateway/usable-answer.test.ts
+++ b/test/gateway/usable-answer.test.ts
@@ -11,8 +11,8 @@
 
 const signed = (status: number): ReplicaAnswer => answerOf(status, 'signature');
 
-describe('an answer that shows that a replica can run a request', () => {
-  it('is a success that it has signed', () => {
+describe('provesReplicaCanRun', () => {
+  it('accepts a signed success and no unsigned one', () => {
     expect([true, false].map((isPart) => provesReplicaCanRun(signed(200), isPart))).toEqual([
       true,
       true,
@@ -20,7 +20,7 @@
     expect(provesReplicaCanRun(answerOf(200), false)).toBe(false);
   });
 
-  it('is what its service says of the request, but for parts of a gather', () => {
+  it('accepts signed redirections and client errors, except for parts of a gather', () => {
     expect([302, 404].map((status) => provesReplicaCanRun(signed(status), false))).toEqual([
       true,
       true,
@@ -31,7 +31,7 @@
     ]);
   });
 
-  it.each([408, 421, 429, 500, 502, 503, 504])('is no refusal and no failure: %i', (status) => {
+  it.each([408, 421, 429, 500, 502, 503, 504])('rejects the refusal or failure %i', (status) => {
     expect([true, false].map((isPart) => provesReplicaCanRun(signed(status), isPart))).toEqual([
       false,
       false,
@@ -39,8 +39,8 @@
   });
 });
 
-describe('an answer that ends its leg', () => {
-  it('is a signed success, or what is passed on to the caller as it is', () => {
+describe('isUsable', () => {
+  it('accepts a signed success, and outside a gather also a client error that is passed on', () => {
     expect([200, 404, 500].map((status) => isUsable(signed(status), false))).toEqual([
       true,
       true,
--- a/test/gateway/virtual-gateway.ts
+++ b/test/gateway/virtual-gateway.ts
@@ -1,4 +1,4 @@
-/** A gateway's reducer in virtual time: events are fed by hand, effects are read as data. */
+/** Runs a gateway's reducer in virtual time: tests emit events and inspect the effects as data. */
 import type { GatewayEffect, SendAttempt, SendSubquery } from '../../src/gateway/effect.js';
 import type { GatewayEvent } from '../../src/gateway/event.js';
 import type { PeerRecord } from '../../src/gateway/model/peer-record.js';
@@ -17,7 +17,7 @@
 
 const HOST = { host: '127.0.0.1', port: 1 };
 
-/** Bounds as the users' deployments have them; the slack of the retry budget is theirs for one service. */
+/** Bounds of the users' deployments; the slack of the retry budget applies to one service. */
 export const GATEWAY_BOUNDS: GatewayBounds = {
   drainMs: 3_000,
   graceMs: 6_000,
@@ -27,7 +27,7 @@
   retrySlack: 56,
 };
 
-/** A route whose objective is 100 ms. */
+/** A route with an objective of 100 ms. */
 export const routeTo = (target: RouteTarget, fields: Partial<Route> = {}): Route => ({
   name: 'route',
   host: 'shop.example',
@@ -49,27 +49,27 @@
   minCoverage,
 });
 
-/** The answer of a replica that succeeded. */
+/** A signed successful answer of a replica. */
 export const success = (signature: string): AttemptResult => ({
   type: 'answered',
   answer: { status: 200, headers: [], body: Buffer.alloc(16), signature },
   closing: false,
 });
 
-/** Runs the reducer and keeps what it asked for. */
+/** Runs the reducer and records its effects. */
 export class VirtualGateway {
   readonly state: GatewayState;
   readonly sent: SendAttempt[] = [];
   readonly subqueries: SendSubquery[] = [];
   readonly answers = new Map<CallId, CallerResponse>();
   readonly answeredAt = new Map<CallId, number>();
-  /** When the timer of each request is due. */
+  /** Due time of each request's timer. */
   readonly timers = new Map<CallId, number>();
   readonly effects: GatewayEffect[] = [];
   now = 0;
-  /** Replicas that refuse connections; all others take them. */
+  /** Replicas that refuse connections; all others accept them. */
   readonly downReplicas = new Set<string>();
-  /** Replicas that are looked at have the outcome told at once; else the test tells it. */
+  /** Whether replica checks are answered at once; otherwise the test emits their results. */
   checksReplicas = true;
   private readonly pendingChecks: string[] = [];
   private nextCall = 1;
@@ -107,7 +107,7 @@
     }
   }
 
-  /** Puts a version with these routes in force. */
+  /** Puts a configuration with these routes in force. */
   configure(
     version: number,
     routes: readonly Route[],
@@ -161,7 +161,7 @@
     });
   }
 
-  /** The operator orders that the replicas of a zone get no requests, or takes that back. */
+  /** Orders the evacuation of a zone, or cancels the order when `gone` is set. */
   evacuate(zone: string, gone = false): void {
     this.revision += 1;
     const objects = [{ name: zone, gone, ...(!gone && { value: { zone } }) }];
@@ -169,7 +169,7 @@
     this.emit({ type: 'changes-read', at: this.now, changes });
   }
 
-  /** Takes the list of gateways from the store, twice: it has settled then. */
+  /** Reads the list of gateways from the store twice, after which it counts as settled. */
   listGateways(gateways: readonly PeerRecord[]): void {
     const objects = gateways.map((value) => ({ name: value.name, gone: false, value }));
     const list = { collection: 'gateways', objects, more: false, last: '', revision: 1 } as const;
@@ -177,7 +177,7 @@
     this.emit({ type: 'page-read', at: this.now, page: list });
   }
 
-  /** Another gateway asks this one for parts. */
+  /** Emits a subquery of another gateway. */
   receiveSubquery(subquery: Partial<Subquery> & Pick<Subquery, 'shards'>): CallId {
     const call = this.nextCall;
     this.nextCall += 1;
@@ -203,7 +203,7 @@
     return call;
   }
 
-  /** A caller asks; each request is another one unless its fingerprint is given. */
+  /** Emits a caller's request; each has a fingerprint of its own unless one is given. */
   request(budgetMs = 900, isFirstOnConnection = false, fingerprint?: string): CallId {
     const call = this.nextCall;
     this.nextCall += 1;
@@ -224,7 +224,7 @@
     this.emit({ type: 'attempt-ended', at: this.now, attempt: attempt.attempt, result });
   }
 
-  /** Moves the clock on, firing the timers of requests as they come due. */
+  /** Advances the clock, emitting `request-due` for timers as they become due. */
   advanceTo(at: number): void {
     for (;;) {
       const due = [...this.timers].filter(([, time]) => time <= at);
@@ -268,7 +268,7 @@
   }
 }
 
-/** A gateway with a route over `shards` shards of two replicas each; the test tells what looks at replicas find. */
+/** A gateway with a route over `shards` shards of two replicas each; the test emits the results of replica checks. */
 export const gatheringGateway = (shards: number): VirtualGateway => {
   const gateway = new VirtualGateway();
   gateway.checksReplicas = false;
@@ -277,7 +277,7 @@
   return gateway;
 };
 
-/** A replica that can be used. */
+/** The record of a usable replica. */
 export const replicaRecord = (id: string, service: string, draining = false): ReplicaRecord => ({
   id,
   service,
--- a/test/gateway/zones.test.ts
+++ b/test/gateway/zones.test.ts
@@ -18,7 +18,7 @@
   return gateway;
 };
 
-describe('a zone that is evacuated', () => {
+describe('an evacuated zone', () => {
   it('gets no first attempts, hedges or retries', () => {
     const gateway = gatewayOver(10);
     gateway.evacuate('bole');
@@ -33,14 +33,14 @@
     expect(zonesOf(gateway)).toEqual(['arada']);
   });
 
-  it('gets none of the parts that another gateway asks for', () => {
+  it('gets no attempts for subqueries of another gateway', () => {
     const gateway = gatewayOver(10);
     gateway.evacuate('bole');
     gateway.receiveSubquery({ shards: ['s0', 's1', 's2'] });
     expect(zonesOf(gateway)).toEqual(['arada']);
   });
 
-  it('gets requests again once the order is taken back', () => {
+  it('gets requests again once the order is cancelled', () => {
     const gateway = gatewayOver(20);
     gateway.evacuate('bole');
     gateway.evacuate('bole', true);
@@ -48,7 +48,7 @@
     expect(zonesOf(gateway)).toContain('bole');
   });
 
-  it('has requests refused at once, as not run, where it holds all replicas', () => {
+  it('causes requests to be refused at once, as not run, when it holds all replicas', () => {
     const gateway = new VirtualGateway();
     gateway.configure(1, [routeTo(SERVICE)]);
     gateway.listReplicas(['s0'], ['bole']);
@@ -62,7 +62,7 @@
     expect(gateway.answeredAt.get(call)).toBe(0);
   });
 
-  it('gets no connections that are opened ahead', () => {
+  it('gets no connections opened in advance', () => {
     const gateway = new VirtualGateway();
     gateway.evacuate('bole');
     gateway.configure(1, [routeTo(gatherOf(4, 0.8))]);
@@ -93,7 +93,7 @@
     return gateway;
   };
 
-  it('is served in these only, hedges among them', () => {
+  it('is served in these regions only, including hedges', () => {
     const gateway = gatewayInTwoRegions(['wales']);
     const call = gateway.request();
     gateway.sent.slice(0, 9).forEach((attempt) => gateway.end(attempt, success('x')));
@@ -102,13 +102,13 @@
     expect(gateway.answers.get(call)).toMatchObject({ type: 'merged' });
   });
 
-  it('is served there by feeders too, whatever they know of the route', () => {
+  it('is served in these regions by feeders too, whatever their own configuration of the route', () => {
     const gateway = gatewayInTwoRegions(['addis', 'wales']);
     gateway.receiveSubquery({ shards: ['s0', 's1', 's2', 's3'], allowedRegions: ['wales'] });
     expect(zonesOf(gateway)).toEqual(['arada']);
   });
 
-  it('is refused at once where no replica stands in them', () => {
+  it('is refused at once when no replica is in these regions', () => {
     const gateway = gatewayInTwoRegions(['elsewhere']);
     const call = gateway.request();
     expect(gateway.sent).toHaveLength(0);
--- a/test/platform/any-proper-request.test.ts
+++ b/test/platform/any-proper-request.test.ts
@@ -27,7 +27,7 @@
 /** Tokens of RFC 9110, section 5.6.2. */
 const TOKEN = `${LETTERS}${DIGITS}!#$%&'*+-.^_\`|~`;
 
-/** Characters of paths and queries (RFC 3986), and some that clients send besides. */
+/** Characters of paths and queries (RFC 3986), and further ones that clients send. */
 const PATH = `${LETTERS}${DIGITS}-._~!$&'()*+,;=:@/%[]{}|^"<>\\`;
 
 const VALUE = `${LETTERS}${DIGITS} \t!"#$%&'()*+,-./:;<=>?@[]^_{|}~\x80\xe9\xff`;
@@ -40,7 +40,7 @@
   .tuple(textOf(PATH, 60), fc.option(textOf(`${PATH}?`, 60)))
   .map(([path, query]) => `/one/${path}${query === null ? '' : `?${query}`}`);
 
-/** Headers of the caller's own; none has a meaning for the connection or the gateway. */
+/** Custom headers without a meaning for the connection or the gateway. */
 const anyHeaders = fc.array(
   fc.tuple(textOf(TOKEN, 20), textOf(VALUE, 300)).map(([name, value]) => `x-own-${name}: ${value}`),
   { maxLength: 40 },
@@ -101,7 +101,7 @@
 
 describe('any proper requests', () => {
   it(
-    'are served, one after the other on a connection, however their bytes arrive',
+    'are served in sequence on one connection, however their bytes are split',
     () =>
       fc.assert(
         fc.asyncProperty(
--- a/test/platform/feeders.test.ts
+++ b/test/platform/feeders.test.ts
@@ -11,7 +11,10 @@
 let fixture: GatewayFixture;
 let feeders: RunningGateway[];
 
-/** A weak gateway that callers ask, and three strong ones; a replica has too few connections for all. */
+/**
+ * A gateway of low capacity that receives the callers' requests, and three of high capacity. A replica has too few
+ * connections for all of them.
+ */
 beforeEach(async () => {
   fixture = await GatewayFixture.create();
   const route = routeSpec({
@@ -31,7 +34,10 @@
   }
   await fixture.serve();
   const isSettled = ({ state }: RunningGateway): boolean => state.gatewaysSettled;
-  await until(() => [fixture.gateway, ...feeders].every(isSettled), 'all know each other');
+  await until(
+    () => [fixture.gateway, ...feeders].every(isSettled),
+    'the lists of gateways are settled',
+  );
   await until(() => fixture.gateway.state.peers.size === 4, 'the list is complete');
 }, 20_000);
 
@@ -49,7 +55,7 @@
     .reduce((sum, { value }) => sum + value, 0);
 
 describe('a gather over feeders, over sockets', () => {
-  it('has the greatest records of all shards and asks each replica once', async () => {
+  it('returns the greatest records of all shards and sends one request to each replica', async () => {
     const acceptedBefore = feeders.map(acceptedSubqueries);
     const answer = await fixture.ask({ id: 'r-1', path: '/all/x' });
     expect(answer.status).toBe(200);
@@ -63,7 +69,7 @@
     expect(sent.reduce((sum, each) => sum + each)).toBeGreaterThan(1);
   });
 
-  it('is whole again right after a feeder was killed', async () => {
+  it('is whole right after a feeder was killed', async () => {
     const plan = feederPlan(fixture.gateway.state);
     const [first] = plan.feeders.filter(({ name }) => name !== 'front-1');
     const index = ['front-2', 'front-3', 'front-4'].indexOf(first?.name ?? '');
@@ -73,7 +79,7 @@
     expect(arrivals()).toEqual(SHARDS.map(() => 1));
   });
 
-  it('ends at the replicas when the caller has left', async () => {
+  it('is cancelled at the replicas when the caller has left', async () => {
     fixture.replicas.forEach((replica) => {
       replica.behaviour.silent = true;
     });
--- a/test/platform/gateway.test.ts
+++ b/test/platform/gateway.test.ts
@@ -3,7 +3,7 @@
 import { GatewayFixture, until } from './gateway-fixture.js';
 import { routeSpec } from './operator-spec.js';
 
-/** Well before the 2 s of a caller; exact times are checked in virtual time. */
+/** Well before a caller's timeout of 2 s; exact times are checked in virtual time. */
 const BEFORE_DEADLINE_MS = 1_200;
 
 let fixture: GatewayFixture;
@@ -38,7 +38,7 @@
 };
 
 describe('routes', () => {
-  it('pass method, path, query, headers and body unchanged, with the time that is left', async () => {
+  it('forward method, path, query, headers and body unchanged, with the remaining time', async () => {
     fixture.configure([single({ kind: 'unsafe' })], ['desk']);
     const replica = await fixture.addReplica('desk-1', 'desk');
     await fixture.serve();
@@ -59,7 +59,7 @@
     expect(Number(arrived?.headers['x-time-budget-ms'])).toBeLessThan(2_000);
   });
 
-  it('are chosen by host and longest prefix, and 404 where there is none', async () => {
+  it('are chosen by host and longest prefix, and a request without a route gets 404', async () => {
     const deep = routeSpec({ path_prefix: '/one/deep/', service: 'deep' });
     fixture.configure([single(), deep], ['desk', 'deep']);
     await fixture.addReplica('desk-1', 'desk');
@@ -91,8 +91,8 @@
   });
 });
 
-describe('what may run once', () => {
-  it('is not repeated after its connection was lost', async () => {
+describe('a request that is not repeatable', () => {
+  it('is not retried after its connection was lost', async () => {
     fixture.configure([single({ kind: 'unsafe' })], ['desk']);
     const first = await fixture.addReplica('desk-1', 'desk', { silent: true });
     const second = await fixture.addReplica('desk-2', 'desk', { silent: true });
@@ -106,7 +106,7 @@
     expect(arrivals()).toBe(1);
   });
 
-  it('goes on to another replica when the first says that it has not run', async () => {
+  it('is sent to another replica when the first one refuses it as not run', async () => {
     fixture.configure([single({ kind: 'unsafe' })], ['desk']);
     await fixture.addReplica('desk-1', 'desk', { slots: 0 });
     await fixture.addReplica('desk-2', 'desk', {}, 'hall');
@@ -115,7 +115,7 @@
     expect(answer.headers['x-server-stamp']).toBe('desk-2.1');
   });
 
-  it('is refused at once, with when to come back, when no replica takes it', async () => {
+  it('is refused at once with a retry delay when no replica accepts it', async () => {
     fixture.configure([single({ kind: 'unsafe' })], ['desk']);
     await fixture.addReplica('desk-1', 'desk', { slots: 0 });
     await fixture.serve();
@@ -126,12 +126,12 @@
   });
 });
 
-describe('the connection to a replica', () => {
+describe('a connection to a replica', () => {
   it.each([
     ['GET', 'a body'],
     ['DELETE', 'a body'],
     ['HEAD', ''],
-  ])('serves one request after the other, also %s with the body "%s"', async (method, body) => {
+  ])('serves requests in succession, also %s with the body "%s"', async (method, body) => {
     fixture.configure([single()], ['desk']);
     const replica = await fixture.addReplica('desk-1', 'desk');
     await fixture.serve();
@@ -145,8 +145,8 @@
   });
 });
 
-describe('what may be repeated', () => {
-  it('is not promised to have not run after a replica ran it and reset the connection', async () => {
+describe('a repeatable request', () => {
+  it('is not refused as not run after a replica ran it and reset the connection', async () => {
     fixture.configure([single({ max_attempts: 1 })], ['desk']);
     const replica = await fixture.addReplica('desk-1', 'desk', { losesAnswers: true });
     await fixture.serve();
@@ -156,8 +156,8 @@
   });
 });
 
-describe('an address that another incarnation has', () => {
-  it('runs nothing: the request goes to another replica', async () => {
+describe('an address in use by another replica', () => {
+  it('runs nothing: the request is sent to a third replica', async () => {
     fixture.configure([single()], ['desk']);
     const other = await fixture.addReplica('desk-2', 'desk');
     fixture.store.put('servers', 'desk-1', other.entry('desk', 'bole'));
@@ -171,7 +171,7 @@
 });
 
 describe('a failing replica', () => {
-  it('passes its own failure on, with its signature, when nothing better comes', async () => {
+  it('has its failure passed on with its signature when no replica succeeds', async () => {
     fixture.configure([single()], ['desk']);
     await fixture.addReplica('desk-1', 'desk', { status: 500 });
     await fixture.addReplica('desk-2', 'desk', { status: 500 });
@@ -182,7 +182,7 @@
   });
 
   it.each([302, 404])(
-    'that answers %i unsigned has not answered: another is asked',
+    'that answers %i unsigned is not passed on: another replica gets the request',
     async (status) => {
       fixture.configure([single()], ['desk']);
       await fixture.addReplica('desk-1', 'desk', { status, signed: false });
@@ -193,7 +193,7 @@
     },
   );
 
-  it('that answers 404 unsigned does not turn away a request that may run once', async () => {
+  it('that answers 404 unsigned leads to 502 without a retry when the request is not repeatable', async () => {
     fixture.configure([single({ kind: 'unsafe' })], ['desk']);
     const replica = await fixture.addReplica('desk-1', 'desk', { status: 404, signed: false });
     await fixture.addReplica('desk-2', 'desk', {}, 'hall');
@@ -204,7 +204,7 @@
     expect(fixture.replicas.get('desk-2')?.arrived).toHaveLength(0);
   });
 
-  it('that answers 404 with its signature is passed on', async () => {
+  it('that answers 404 signed has its answer passed on', async () => {
     fixture.configure([single()], ['desk']);
     await fixture.addReplica('desk-1', 'desk', { status: 404 });
     await fixture.serve();
@@ -213,7 +213,7 @@
     expect(answer.headers['x-server-stamp']).toBe('desk-1.1');
   });
 
-  it('that is silent is hedged by another', async () => {
+  it('that is silent is hedged by another replica', async () => {
     fixture.configure([single({ target_ms: 200 })], ['desk']);
     await fixture.addReplica('desk-1', 'desk', { silent: true });
     await fixture.addReplica('desk-2', 'desk', {}, 'hall');
@@ -235,7 +235,7 @@
     expect(answer.body.toString()).toBe('shard-d-1.......shard-c-1.......shard-b-1.......');
   });
 
-  it('answers before its objective without a shard that is silent', async () => {
+  it('is answered before its objective without a silent shard', async () => {
     await serveGather({ target_ms: 400 });
     const silent = fixture.replicas.get('shard-b-1');
     if (silent !== undefined) {
@@ -247,7 +247,7 @@
     expect(answer.elapsedMs).toBeLessThan(BEFORE_DEADLINE_MS);
   });
 
-  it('is no success below the least coverage', async () => {
+  it('does not succeed below the least coverage', async () => {
     await serveGather({ timeout_ms: 300, target_ms: 200 });
     for (const id of ['shard-a-1', 'shard-b-1']) {
       const replica = fixture.replicas.get(id);
@@ -261,7 +261,7 @@
     expect(answer.elapsedMs).toBeLessThan(BEFORE_DEADLINE_MS);
   });
 
-  it('takes no failure of a replica for a part, though it is signed', async () => {
+  it('does not accept a signed failure of a replica as a part', async () => {
     await serveGather();
     const failing = fixture.replicas.get('shard-c-1');
     if (failing !== undefined) {
@@ -274,7 +274,7 @@
     expect(answer.headers['x-part-stamps']).not.toContain('shard-c-1');
   });
 
-  it('keeps to the shards of one version while another comes into force', async () => {
+  it('uses the shards of one version while another comes into force', async () => {
     await serveGather();
     fixture.replicas.forEach((replica) => (replica.behaviour.workMs = 150));
     await fixture.serve();
@@ -290,7 +290,7 @@
 });
 
 describe('a caller that leaves', () => {
-  it('takes its request away from the replicas', async () => {
+  it('has its request cancelled at the replicas', async () => {
     fixture.configure([single()], ['desk']);
     const replica = await fixture.addReplica('desk-1', 'desk', { workMs: 1_000 });
     await fixture.serve();
@@ -305,8 +305,8 @@
   });
 });
 
-describe('replicas that leave', () => {
-  it('get no work once they drain', async () => {
+describe('draining replicas', () => {
+  it('get no requests once the drain is known', async () => {
     fixture.configure([single()], ['desk']);
     const draining = await fixture.addReplica('desk-1', 'desk');
     await fixture.addReplica('desk-2', 'desk', {}, 'hall');
--- a/test/platform/proper-requests.test.ts
+++ b/test/platform/proper-requests.test.ts
@@ -41,16 +41,16 @@
 
   it.each<readonly [string, string]>([
     ['with a port in its host', requestHead('GET /one/x', [], 'shop.example:8080')],
-    ['with its host in other case', requestHead('GET /one/x', [], 'SHOP.Example')],
+    ['with its host in mixed case', requestHead('GET /one/x', [], 'SHOP.Example')],
     ['with percent-encoded bytes in its path', requestHead('GET /one/%2e%2E/%00/%C3%A9/%2F')],
     ['with slashes and dots in its path', requestHead('GET /one//../x/./')],
-    ['with marks in its path', requestHead("GET /one/-._~!$&'()*+,;=:@[]{}|^`<>")],
+    ['with punctuation in its path', requestHead("GET /one/-._~!$&'()*+,;=:@[]{}|^`<>")],
     ['with slashes in its query', requestHead('GET /one/x?a=/two/&b=//&c=?&d=%zz')],
     ['with an empty query', requestHead('GET /one/x?')],
     ['with empty values of headers', requestHead('GET /one/x', ['X-Empty:', 'X-Blank:   '])],
-    ['with bytes past ASCII in a header', requestHead('GET /one/x', ['X-Own: \xe9\xff\t\x80'])],
-    ['with marks in the name of a header', requestHead('GET /one/x', ["!#$%&'*+-.^_`|~: x"])],
-    ['with a header that stands twice', requestHead('GET /one/x', ['X-Own: 1', 'X-Own: 2'])],
+    ['with non-ASCII bytes in a header', requestHead('GET /one/x', ['X-Own: \xe9\xff\t\x80'])],
+    ['with punctuation in a header name', requestHead('GET /one/x', ["!#$%&'*+-.^_`|~: x"])],
+    ['with a duplicate header', requestHead('GET /one/x', ['X-Own: 1', 'X-Own: 2'])],
     ['with a long header', requestHead('GET /one/x', [`X-Long: ${'v'.repeat(15_000)}`])],
     ['with a long path', requestHead(`GET /one/${'p'.repeat(15_000)}`)],
     ['with very many headers', requestHead('GET /one/x').replace('Host', `${MANY_FIELDS}Host`)],
@@ -59,14 +59,14 @@
       'that asks for another protocol',
       requestHead('GET /one/x', ['Connection: Upgrade', 'Upgrade: h2c']),
     ],
-    ['with an expectation of its own', requestHead('GET /one/x', ['Expect: a-surprise'])],
+    ['with an unknown expectation', requestHead('GET /one/x', ['Expect: a-surprise'])],
     ['whose target is absolute', requestHead('GET http://shop.example/one/x?a=1')],
     [
       'whose absolute target has a port',
       requestHead('GET http://Shop.example:80/one/x', [], 'other'),
     ],
     ['of another method', requestHead('DELETE /one/x')],
-    ['that asks for the head only', requestHead('HEAD /one/x')],
+    ['of the method HEAD', requestHead('HEAD /one/x')],
     ['with a body', requestHead('POST /one/x', WITH_LENGTH) + BODY],
     ['with an empty body', requestHead('POST /one/x', ['Content-Length: 0'])],
     ['with a body and a safe method', requestHead('GET /one/x', WITH_LENGTH) + BODY],
@@ -76,7 +76,7 @@
       `${requestHead('POST /one/x', CHUNKED)}9;a=b;c="d e"\r\n${BODY}\r\n0\r\nX-After: 1\r\n\r\n`,
     ],
     [
-      'with a body of the most bytes',
+      'with a body of the largest allowed size',
       requestHead('POST /one/x', [`Content-Length: ${LIMITS.max_body_bytes}`]) +
         'b'.repeat(LIMITS.max_body_bytes),
     ],
@@ -84,7 +84,7 @@
     expect(await statusesOf(text)).toEqual([200]);
   });
 
-  it('that waits to be asked for its body is asked for it and served', async () => {
+  it('that expects 100 Continue gets it and is served', async () => {
     const caller = await openCaller();
     caller.send(requestHead('POST /one/x', [...WITH_LENGTH, 'Expect: 100-continue']));
     expect(await caller.statuses(1)).toEqual([100]);
@@ -102,7 +102,7 @@
     expect(await caller.statuses(1)).toEqual([200]);
   });
 
-  it('is served with those that are sent before its answer on the same connection', async () => {
+  it('is served together with requests pipelined on the same connection', async () => {
     const text =
       requestHead('GET /one/x') +
       requestHead('POST /one/y', WITH_LENGTH) +
@@ -112,7 +112,7 @@
   });
 });
 
-describe('a proper request on a connection that goes wrong after it', () => {
+describe('a proper request followed by invalid input on its connection', () => {
   beforeEach(async () => {
     await fixture.serve();
     const replica = fixture.replicas.get('desk-1');
@@ -121,18 +121,18 @@
     }
   });
 
-  it('has its own answer; what follows is refused after that', async () => {
+  it('is answered before the invalid input is refused', async () => {
     const text = `${requestHead('GET /one/x')}no request at all\r\n\r\n`;
     expect(await statusesOf(text, 2)).toEqual([200, 400]);
   });
 
-  it('has its own answer with another one before it and a broken body behind', async () => {
+  it('is answered together with another one before a broken body is refused', async () => {
     const broken = `${requestHead('POST /one/z', CHUNKED)}no size\r\n`;
     const text = requestHead('GET /one/x') + requestHead('GET /one/y') + broken;
     expect(await statusesOf(text, 3)).toEqual([200, 200, 400]);
   });
 
-  it('has its own answer where it was to be the last one', async () => {
+  it('is answered when it asks for the connection to be closed', async () => {
     const caller = await openCaller();
     caller.send(`${requestHead('GET /one/x', ['Connection: close'])}no request at all\r\n\r\n`);
     await until(() => caller.isClosed, 'the connection is closed');
@@ -149,7 +149,7 @@
   const allow = async (limits: Partial<typeof LIMITS>): Promise<void> =>
     fixture.untilInForce(fixture.configure([route], ['desk'], 26, limits));
 
-  it('of a configuration that are wider than the first ones are granted', async () => {
+  it('of a configuration that are larger than the initial ones apply', async () => {
     await fixture.serve();
     await allow({ max_header_bytes: 100_000, max_body_bytes: 2_000_000 });
     const body = 'b'.repeat(BEYOND_FIRST_BODY);
@@ -157,7 +157,7 @@
     expect(await statusesOf(requestHead('POST /one/x', fields) + body)).toEqual([200]);
   });
 
-  it('that grow are granted on connections that are open', async () => {
+  it('that grow apply to open connections', async () => {
     await fixture.serve();
     const caller = await openCaller();
     caller.send(requestHead('GET /one/x'));
@@ -167,7 +167,7 @@
     expect(await caller.statuses(2)).toEqual([200, 200]);
   });
 
-  it('that grow are granted to a body that is under way', async () => {
+  it('that grow apply to a body in transfer', async () => {
     await fixture.serve();
     const caller = await openCaller();
     const length = 2 * LIMITS.max_body_bytes;
@@ -177,7 +177,7 @@
     expect(await caller.statuses(1)).toEqual([200]);
   });
 
-  it('that shrink leave a body alone that is under way', async () => {
+  it('that shrink do not apply to a body in transfer', async () => {
     await fixture.serve();
     const caller = await openCaller();
     const length = LIMITS.max_body_bytes;
@@ -188,7 +188,7 @@
     expect(await caller.statuses(1)).toEqual([200]);
   });
 
-  it('are not known before the first configuration: nothing is refused for good', async () => {
+  it('are unknown before the first configuration, so excess is refused with 503', async () => {
     fixture.store.mode = 'busy';
     await fixture.startGateway();
     await until(() => !fixture.gateway.state.store.reachable, 'the store has failed');
--- a/test/platform/raw-caller.ts
+++ b/test/platform/raw-caller.ts
@@ -1,4 +1,4 @@
-/** A caller that sends bytes as the test gives them over one connection, and reads the answers. */
+/** A caller that sends the bytes given by the test over one connection and reads the answers. */
 import { connect, type Socket } from 'node:net';
 import type { HostPort } from '../../src/settings/node-settings.js';
 import { until } from './gateway-fixture.js';
@@ -10,7 +10,7 @@
   readonly body: string;
 }
 
-/** The head of a request with an identifier; `line` is its method and target. */
+/** The head of a request with an identifier; `line` consists of method and target. */
 export const requestHead = (
   line: string,
   fields: readonly string[] = [],
@@ -20,7 +20,7 @@
 
 const HEAD_END = '\r\n\r\n';
 
-/** Takes the whole answers off the front of `text`. Each must have a length, or end with the connection. */
+/** Parses the complete answers at the start of `text`. Each needs a content length or extends to the end of `text`. */
 const readAnswers = (text: string): readonly RawAnswer[] => {
   const headEnd = text.indexOf(HEAD_END);
   if (headEnd < 0) {
@@ -40,7 +40,7 @@
   return [{ status, head, body: rest.slice(0, length) }, ...readAnswers(rest.slice(length))];
 };
 
-/** A connection of a caller. */
+/** One caller's connection. */
 export class RawCaller {
   private received = '';
   isClosed = false;
@@ -64,7 +64,7 @@
     this.socket.write(text, 'latin1');
   }
 
-  /** Sends no more; answers are still read. */
+  /** Half-closes the connection; answers are still read. */
   endSending(): void {
     this.socket.end();
   }
@@ -73,7 +73,7 @@
     return readAnswers(this.received);
   }
 
-  /** Statuses of the first `count` answers; interim answers count too. */
+  /** Waits for `count` answers, interim ones included, or the end of the connection; returns the statuses of all so far. */
   async statuses(count: number): Promise<readonly number[]> {
     await until(() => this.answers.length >= count || this.isClosed, `${count} answers are in`);
     return this.answers.map(({ status }) => status);
--- a/test/platform/refused-requests.test.ts
+++ b/test/platform/refused-requests.test.ts
@@ -27,14 +27,14 @@
   return Number(line?.slice(series.length) ?? 0);
 };
 
-/** The final decisions that were logged of requests. */
+/** The decisions of all logged traces. */
 const finalDecisions = (): readonly Decision[] =>
   fixture.log.traces.flatMap(({ decisions }) => decisions.map(({ decision }) => decision));
 
 const TOO_LONG = LIMITS.max_body_bytes + 1;
 const CHUNKED = ['Transfer-Encoding: chunked'];
 
-describe('a request that is refused for its own fault', () => {
+describe('a request that is refused because of its content', () => {
   it.each<readonly [string, number, string]>([
     ['no-route', 404, requestHead('GET /none/x')],
     ['no-request-id', 400, requestHead('GET /one/x').replace('r-1', '')],
@@ -53,7 +53,7 @@
   });
 });
 
-describe('what cannot be read as a request', () => {
+describe('input that cannot be parsed as a request', () => {
   const unreadable = () =>
     fixture.log.lines.filter(({ change }) => change.event === 'request-unreadable');
 
@@ -86,7 +86,7 @@
     ]);
   });
 
-  it('is counted and logged when the caller stops in the middle', async () => {
+  it('is counted and logged when the caller closes its side within a request', async () => {
     caller.send('GET /one/x HTTP/1.1\r\nHo');
     caller.endSending();
     expect(await caller.statuses(1)).toEqual([400]);
@@ -94,7 +94,7 @@
     expect(unreadable()).toMatchObject([{ change: { problem: 'cut-off', status: 400 } }]);
   });
 
-  it('takes the requests before it away from the replicas when its caller stops in the middle', async () => {
+  it('cancels the requests before it when the caller closes its side within a request', async () => {
     const replica = await fixture.addReplica('slow-1', 'slow', { workMs: 2_000 });
     const route = routeSpec({ path_prefix: '/slow/', service: 'slow' });
     await fixture.untilInForce(fixture.configure([route], ['slow']));
