--- a/src/gateway/crashes/broken-run.ts
+++ b/src/gateway/crashes/broken-attempt.ts
@@ -2,7 +2,7 @@
 import type { ActiveAttempt } from '../requests/request-state.js';
 
 /** What broke off, and when, in milliseconds on this gateway's clock. */
-export interface BrokenRun {
+export interface BrokenAttempt {
   readonly attempt: ActiveAttempt;
   readonly brokenAt: number;
 }
--- a/src/gateway/crashes/crash-record.ts
+++ b/src/gateway/crashes/crash-history.ts
@@ -22,16 +22,16 @@
  */
 const FIRST_BLOCK_MS = 60_000;
 const BLOCK_FACTOR = 10;
-const LONGEST_BLOCK_MS = 6 * 3_600_000;
+const MAX_BLOCK_MS = 6 * 3_600_000;
 
 /** While one gateway tries a blocked request, the others wait for the outcome so long, in milliseconds. */
-const TRIAL_MS = 5_000;
+const BLOCKED_TRIAL_MS = 5_000;
 
 /** What is known is forgotten so long after the last crash or the end of a block, in milliseconds. */
-const MEMORY_MS = 600_000;
+const RETENTION_MS = 600_000;
 
 /** A request that was served is remembered so long, in milliseconds: older news of it may still be on its way. */
-const SERVED_MEMORY_MS = 10_000;
+const SERVED_RETENTION_MS = 10_000;
 
 /** A replica that ended under an attempt. */
 export interface Crash {
@@ -42,7 +42,7 @@
 }
 
 /** All that is known; it is the same at all gateways once their news have reached each other. */
-export interface CrashKnowledge {
+export interface CrashHistory {
   /** Rounds of crashes since a replica last answered. */
   readonly rounds: number;
   /** When a replica last ended under it. */
@@ -63,7 +63,7 @@
 export type CrashVerdict = 'unsuspected' | 'suspected' | 'blocked' | 'trial-due';
 
 /** Of a request of which nothing is known. */
-export const NOTHING_KNOWN: CrashKnowledge = {
+export const EMPTY_HISTORY: CrashHistory = {
   rounds: 0,
   crashedAt: Number.NEGATIVE_INFINITY,
   servedAt: Number.NEGATIVE_INFINITY,
@@ -73,67 +73,67 @@
   trialUntil: Number.NEGATIVE_INFINITY,
 };
 
-const blockMs = (level: number): number =>
-  Math.min(LONGEST_BLOCK_MS, FIRST_BLOCK_MS * BLOCK_FACTOR ** (level - 1));
+const blockDurationMs = (level: number): number =>
+  Math.min(MAX_BLOCK_MS, FIRST_BLOCK_MS * BLOCK_FACTOR ** (level - 1));
 
-const block = (known: CrashKnowledge, level: number, at: number): CrashKnowledge => ({
-  ...known,
+const block = (history: CrashHistory, level: number, at: number): CrashHistory => ({
+  ...history,
   level,
   blockedAt: at,
-  trialDueAt: at + blockMs(level),
+  trialDueAt: at + blockDurationMs(level),
   trialUntil: Number.NEGATIVE_INFINITY,
 });
 
-const addRounds = (known: CrashKnowledge, rounds: number, crashedAt: number): CrashKnowledge => {
+const recordRounds = (history: CrashHistory, rounds: number, crashedAt: number): CrashHistory => {
   const counted = {
-    ...known,
-    rounds: Math.min(BLOCKING_ROUNDS, Math.max(known.rounds, rounds)),
-    crashedAt: Math.max(known.crashedAt, crashedAt),
+    ...history,
+    rounds: Math.min(BLOCKING_ROUNDS, Math.max(history.rounds, rounds)),
+    crashedAt: Math.max(history.crashedAt, crashedAt),
   };
   const isProven = counted.rounds >= BLOCKING_ROUNDS && counted.level === 0;
   return isProven ? block(counted, 1, crashedAt) : counted;
 };
 
 /** Takes a replica that ended under an attempt. One that was a trial lengthens the block. */
-export const addCrash = (
-  known: CrashKnowledge,
+export const recordCrash = (
+  history: CrashHistory,
   { knownRounds, sentAt, crashedAt }: Crash,
-): CrashKnowledge => {
-  if (crashedAt <= known.servedAt) {
-    return known;
+): CrashHistory => {
+  if (crashedAt <= history.servedAt) {
+    return history;
   }
-  if (known.level > 0 && sentAt >= known.trialDueAt) {
-    return block({ ...known, crashedAt }, known.level + 1, crashedAt);
+  if (history.level > 0 && sentAt >= history.trialDueAt) {
+    return block({ ...history, crashedAt }, history.level + 1, crashedAt);
   }
-  return addRounds(known, knownRounds + 1, crashedAt);
+  return recordRounds(history, knownRounds + 1, crashedAt);
 };
 
 /** Takes an answer of a replica: what was seen before it no longer counts. */
-export const addServed = (known: CrashKnowledge, at: number): CrashKnowledge => {
-  if (at <= known.servedAt) {
-    return known;
+export const recordAnswer = (history: CrashHistory, at: number): CrashHistory => {
+  if (at <= history.servedAt) {
+    return history;
   }
-  return known.crashedAt > at ? { ...known, servedAt: at } : { ...NOTHING_KNOWN, servedAt: at };
+  return history.crashedAt > at ? { ...history, servedAt: at } : { ...EMPTY_HISTORY, servedAt: at };
 };
 
 /** What this gateway knew in an earlier life: when the crashes were is not known, and a block begins anew. */
-export const recalledKnowledge = (rounds: number, at: number): CrashKnowledge =>
-  addRounds(NOTHING_KNOWN, rounds, at);
+export const historyFromOwnEntry = (rounds: number, at: number): CrashHistory =>
+  recordRounds(EMPTY_HISTORY, rounds, at);
 
 /**
  * What another gateway's entry in the store says. It may be out of date, so that it blocks nothing, and is taken for older
  * than any answer that a gateway still remembers.
  */
-export const knowledgeOfOther = (rounds: number, at: number): CrashKnowledge =>
-  addRounds(NOTHING_KNOWN, Math.min(rounds, BLOCKING_ROUNDS - 1), at - SERVED_MEMORY_MS);
+export const historyFromPeerEntry = (rounds: number, at: number): CrashHistory =>
+  recordRounds(EMPTY_HISTORY, Math.min(rounds, BLOCKING_ROUNDS - 1), at - SERVED_RETENTION_MS);
 
 /** The same for a suspected request: it is tried often, and most that are suspected have only met crashes. */
-const PROBE_MS = 1_000;
+const SUSPECTED_TRIAL_MS = 1_000;
 
 /** Takes note that a gateway tries a blocked or suspected request now. */
-export const beginTrial = (known: CrashKnowledge, at: number): CrashKnowledge => ({
-  ...known,
-  trialUntil: at + (known.level > 0 ? TRIAL_MS : PROBE_MS),
+export const markTrialStarted = (history: CrashHistory, at: number): CrashHistory => ({
+  ...history,
+  trialUntil: at + (history.level > 0 ? BLOCKED_TRIAL_MS : SUSPECTED_TRIAL_MS),
 });
 
 /**
@@ -141,105 +141,107 @@
  * passed since a replica last ended under it, from two rounds on after twice as long, within these bounds in milliseconds:
  * each try reaches replicas too.
  */
-const SEVERAL_ROUNDS_FACTOR = 2;
-const LEAST_PAUSE_MS = 250;
-const LONGEST_PAUSE_MS = 30_000;
+const REPEATED_CRASH_PAUSE_FACTOR = 2;
+const MIN_PAUSE_MS = 250;
+const MAX_PAUSE_MS = 30_000;
 
 /**
  * A run that nobody waits for is watched for so long, in milliseconds: some replicas work on after the time that they were
  * given. A replica that ends later has hardly ended by the run.
  */
-export const WATCH_MS = 5_000;
+export const UNAWAITED_RUN_WATCH_MS = 5_000;
 
 /**
  * The longest pause after one round, in milliseconds. One round is met by every request that was at a replica when it ended,
  * and an innocent one must not be refused for long.
  */
-const LONGEST_FIRST_PAUSE_MS = WATCH_MS;
+const MAX_FIRST_ROUND_PAUSE_MS = UNAWAITED_RUN_WATCH_MS;
 
 /**
  * The shortest pause after a try that a replica may still run, in milliseconds, from two rounds on. Sent before, the next
  * try would be at another replica when the first one ends.
  */
-const LEAST_RUNNING_PAUSE_MS = WATCH_MS;
+const MIN_PAUSE_WHILE_RUNNING_MS = UNAWAITED_RUN_WATCH_MS;
 
 /**
  * Takes note that a try of a suspected request has ended without showing whether replicas end under it.
  *
  * @param mayStillRun - a replica may still run it
  */
-export const addInconclusive = (
-  known: CrashKnowledge,
+export const recordInconclusiveTrial = (
+  history: CrashHistory,
   at: number,
   mayStillRun = false,
-): CrashKnowledge => {
-  const hasSeveralRounds = known.rounds > 1;
-  const longestMs = hasSeveralRounds ? LONGEST_PAUSE_MS : LONGEST_FIRST_PAUSE_MS;
-  const leastMs = hasSeveralRounds && mayStillRun ? LEAST_RUNNING_PAUSE_MS : LEAST_PAUSE_MS;
-  const sinceCrashMs = (at - known.crashedAt) * (hasSeveralRounds ? SEVERAL_ROUNDS_FACTOR : 1);
-  const pauseMs = Math.max(leastMs, Math.min(longestMs, sinceCrashMs));
-  return { ...known, trialUntil: Math.max(known.trialUntil, at + pauseMs) };
+): CrashHistory => {
+  const hasSeveralRounds = history.rounds > 1;
+  const maxMs = hasSeveralRounds ? MAX_PAUSE_MS : MAX_FIRST_ROUND_PAUSE_MS;
+  const minMs = hasSeveralRounds && mayStillRun ? MIN_PAUSE_WHILE_RUNNING_MS : MIN_PAUSE_MS;
+  const sinceCrashMs =
+    (at - history.crashedAt) * (hasSeveralRounds ? REPEATED_CRASH_PAUSE_FACTOR : 1);
+  const pauseMs = Math.max(minMs, Math.min(maxMs, sinceCrashMs));
+  return { ...history, trialUntil: Math.max(history.trialUntil, at + pauseMs) };
 };
 
 /**
  * Joins what this gateway knows with what another one has told. Of two blocks of the same level the own one stays:
  * what is told is later by the time that it was on its way, and would grow with each time that it is told.
  */
-export const joinKnowledge = (own: CrashKnowledge, told: CrashKnowledge): CrashKnowledge => {
-  const served = addServed(own, told.servedAt);
-  if (told.crashedAt <= served.servedAt) {
+export const mergeHistories = (own: CrashHistory, received: CrashHistory): CrashHistory => {
+  const served = recordAnswer(own, received.servedAt);
+  if (received.crashedAt <= served.servedAt) {
     return served;
   }
-  const { level, blockedAt, trialDueAt } = told.level > served.level ? told : served;
-  const trialUntil = Math.max(served.trialUntil, told.trialUntil);
-  const joined = { ...served, level, blockedAt, trialDueAt, trialUntil };
-  return addRounds(joined, told.rounds, told.crashedAt);
+  const { level, blockedAt, trialDueAt } = received.level > served.level ? received : served;
+  const trialUntil = Math.max(served.trialUntil, received.trialUntil);
+  const merged = { ...served, level, blockedAt, trialDueAt, trialUntil };
+  return recordRounds(merged, received.rounds, received.crashedAt);
 };
 
 /** Times of two gateways that differ by less are taken for the same, in milliseconds. */
-const SAME_TIME_MS = 250;
+const CLOCK_TOLERANCE_MS = 250;
 
-const isLater = (after: number, before: number): boolean => after > before + SAME_TIME_MS;
+const isClearlyLater = (after: number, before: number): boolean =>
+  after > before + CLOCK_TOLERANCE_MS;
 
 /** Whether other gateways should hear of a change. */
-export const isNews = (before: CrashKnowledge, after: CrashKnowledge): boolean =>
+export const isWorthPublishing = (before: CrashHistory, after: CrashHistory): boolean =>
   after.level !== before.level ||
   after.rounds !== before.rounds ||
-  isLater(after.servedAt, before.servedAt) ||
-  isLater(after.trialUntil, before.trialUntil);
+  isClearlyLater(after.servedAt, before.servedAt) ||
+  isClearlyLater(after.trialUntil, before.trialUntil);
 
 /** What may be done with a request now. */
-export const verdictOf = (known: CrashKnowledge, at: number): CrashVerdict => {
-  if (known.level === 0) {
-    return known.rounds === 0 ? 'unsuspected' : 'suspected';
+export const verdictOf = (history: CrashHistory, at: number): CrashVerdict => {
+  if (history.level === 0) {
+    return history.rounds === 0 ? 'unsuspected' : 'suspected';
   }
-  return at < unblockedAt(known) ? 'blocked' : 'trial-due';
+  return at < nextTrialAt(history) ? 'blocked' : 'trial-due';
 };
 
 /** When a blocked request may be tried next. */
-export const unblockedAt = ({ trialDueAt, trialUntil }: CrashKnowledge): number =>
+export const nextTrialAt = ({ trialDueAt, trialUntil }: CrashHistory): number =>
   Math.max(trialDueAt, trialUntil);
 
 /** When nothing need be remembered any more. */
-export const forgottenAt = ({
+export const expiresAt = ({
   rounds,
   crashedAt,
   level,
   servedAt,
   trialDueAt,
-}: CrashKnowledge): number => {
+}: CrashHistory): number => {
   if (level > 0) {
-    return trialDueAt + MEMORY_MS;
+    return trialDueAt + RETENTION_MS;
   }
-  return rounds === 0 ? servedAt + SERVED_MEMORY_MS : crashedAt + MEMORY_MS;
+  return rounds === 0 ? servedAt + SERVED_RETENTION_MS : crashedAt + RETENTION_MS;
 };
 
 /** Whether a request makes room before another one: the less serious, of two alike the one whose time is over first. */
-export const isForgottenBefore = (known: CrashKnowledge, other: CrashKnowledge): boolean => {
-  if (known.level !== other.level) {
-    return known.level < other.level;
+export const isEvictedBefore = (history: CrashHistory, other: CrashHistory): boolean => {
+  if (history.level !== other.level) {
+    return history.level < other.level;
   }
-  return known.rounds === other.rounds
-    ? forgottenAt(known) < forgottenAt(other)
-    : known.rounds < other.rounds;
+  return history.rounds === other.rounds
+    ? expiresAt(history) < expiresAt(other)
+    : history.rounds < other.rounds;
 };
--- a/src/gateway/crashes/crash-news.ts
+++ b/src/gateway/crashes/crash-update.ts
@@ -1,9 +1,9 @@
 /** What gateways tell each other of requests under which replicas have ended: their clocks differ, so ages are told. */
 import type { Fingerprint } from '../model/request.js';
-import { type CrashKnowledge, NOTHING_KNOWN } from './crash-record.js';
+import { type CrashHistory, EMPTY_HISTORY } from './crash-history.js';
 
 /** What is known of one request. Ages and times left are in milliseconds when it is told. */
-export interface CrashNews {
+export interface CrashUpdate {
   readonly fingerprint: Fingerprint;
   readonly rounds: number;
   /** Absent where no crash counts. */
@@ -23,11 +23,11 @@
 }
 
 /** What is told of a request now. */
-export const toNews = (
+export const toCrashUpdate = (
   fingerprint: Fingerprint,
-  { rounds, crashedAt, servedAt, level, blockedAt, trialDueAt, trialUntil }: CrashKnowledge,
+  { rounds, crashedAt, servedAt, level, blockedAt, trialDueAt, trialUntil }: CrashHistory,
   at: number,
-): CrashNews => ({
+): CrashUpdate => ({
   fingerprint,
   rounds,
   ...(Number.isFinite(crashedAt) && { crashedMsAgo: at - crashedAt }),
@@ -44,11 +44,11 @@
 });
 
 /** What was told, by this gateway's clock. */
-export const fromNews = (
-  { rounds, crashedMsAgo, servedMsAgo, pauseLeftMs, block }: CrashNews,
+export const fromCrashUpdate = (
+  { rounds, crashedMsAgo, servedMsAgo, pauseLeftMs, block }: CrashUpdate,
   at: number,
-): CrashKnowledge => ({
-  ...NOTHING_KNOWN,
+): CrashHistory => ({
+  ...EMPTY_HISTORY,
   rounds,
   ...(crashedMsAgo !== undefined && { crashedAt: at - crashedMsAgo }),
   ...(servedMsAgo !== undefined && { servedAt: at - servedMsAgo }),
--- a/src/gateway/crashes/neighbours.ts
+++ b/src/gateway/crashes/neighbours.ts
@@ -16,9 +16,9 @@
     ({ name }) => name !== settings.node && !peers.isSuspect(name, at),
   );
   const own = hash32(settings.node);
-  const placesOn = ({ name }: PeerRecord): number => (hash32(name) - own) >>> 0;
+  const ringDistance = ({ name }: PeerRecord): number => (hash32(name) - own) >>> 0;
   const ring = others.sort(
-    (left, right) => placesOn(left) - placesOn(right) || (left.name < right.name ? -1 : 1),
+    (left, right) => ringDistance(left) - ringDistance(right) || (left.name < right.name ? -1 : 1),
   );
   const neighbours: PeerRecord[] = [];
   for (let step = 1; step <= ring.length; step *= 2) {
--- /dev/null
+++ b/src/gateway/crashes/publish-crashes.ts
@@ -0,0 +1,140 @@
+/** Tells other gateways of requests under which replicas have ended, and takes what they tell. */
+import type { GatewayEffect } from '../effect.js';
+import type { CrashNewsDue, CrashesTold } from '../event.js';
+import type { PeerRecord } from '../model/peer-record.js';
+import type { Fingerprint } from '../model/request.js';
+import { registerIfMissing } from '../peers/follow-gateways.js';
+import type { GatewayState } from '../state.js';
+import { type CrashUpdate, fromCrashUpdate, toCrashUpdate } from './crash-update.js';
+import { type CrashHistory, mergeHistories } from './crash-history.js';
+import { neighboursOf } from './neighbours.js';
+import { SERIOUS_ROUNDS, schedulePublish, updateHistory } from './update-history.js';
+
+/**
+ * What is serious is told again so often, in milliseconds, to a part of the neighbours by turns, so that gateways that
+ * have just started, or were cut off, hear it from each that tells them within 3 s. Platforms count a gateway as in
+ * touch again after 4 s or more.
+ */
+const REPUBLISH_MS = 1_000;
+const REPUBLISH_GROUPS = 3;
+
+/** Requests of one message, some 150 bytes each. */
+const MAX_UPDATES_PER_MESSAGE = 64;
+
+const isSerious = ({ rounds }: CrashHistory): boolean => rounds >= SERIOUS_ROUNDS;
+
+const seriousRequests = ({ crashes }: GatewayState): readonly Fingerprint[] =>
+  [...crashes.histories.all()]
+    .filter(([, known]) => isSerious(known))
+    .map(([fingerprint]) => fingerprint);
+
+const updatesOf = (
+  { crashes }: GatewayState,
+  fingerprints: readonly Fingerprint[],
+  at: number,
+): readonly CrashUpdate[] =>
+  fingerprints.map((fingerprint) =>
+    toCrashUpdate(fingerprint, crashes.histories.find(fingerprint, at), at),
+  );
+
+const publish = (peers: readonly PeerRecord[], news: readonly CrashUpdate[]): GatewayEffect[] =>
+  peers.length === 0 || news.length === 0 ? [] : [{ type: 'tell-crashes', peers, news }];
+
+/** Tells all neighbours what they have not been told; what finds no room is told with the next message. */
+const publishPending = (state: GatewayState, at: number): GatewayEffect[] => {
+  const { pending: pending, knownToPeers: knownToPeers } = state.crashes;
+  const fingerprints = [...pending].slice(0, MAX_UPDATES_PER_MESSAGE);
+  fingerprints.forEach((fingerprint) => {
+    pending.delete(fingerprint);
+    knownToPeers.add(fingerprint);
+  });
+  return publish(neighboursOf(state, at), updatesOf(state, fingerprints, at));
+};
+
+/**
+ * Tells what the neighbours do not know of a request whose caller is answered now, without a replica's answer. What is
+ * serious goes before the answer: the caller may ask one of them next. The rest can wait, and goes with what else is told.
+ */
+export const publishBeforeAnswer = (
+  state: GatewayState,
+  fingerprint: Fingerprint,
+  at: number,
+): GatewayEffect[] => {
+  const { histories: histories, pending: pending, knownToPeers: knownToPeers } = state.crashes;
+  if (!pending.has(fingerprint)) {
+    return [];
+  }
+  if (!isSerious(histories.find(fingerprint, at))) {
+    return schedulePublish(state, at);
+  }
+  pending.delete(fingerprint);
+  knownToPeers.add(fingerprint);
+  return publish(neighboursOf(state, at), updatesOf(state, [fingerprint], at));
+};
+
+/** Tells the neighbours whose turn it is what is serious, again. */
+const republishSerious = (state: GatewayState, at: number): GatewayEffect[] => {
+  const { crashes } = state;
+  if (at < crashes.republishAt) {
+    return [];
+  }
+  crashes.republishAt = at + REPUBLISH_MS;
+  crashes.republishGroup = (crashes.republishGroup + 1) % REPUBLISH_GROUPS;
+  const peers = neighboursOf(state, at).filter(
+    (_, index) => index % REPUBLISH_GROUPS === crashes.republishGroup,
+  );
+  return publish(
+    peers,
+    updatesOf(state, seriousRequests(state).slice(0, MAX_UPDATES_PER_MESSAGE), at),
+  );
+};
+
+const removeExpired = ({ crashes }: GatewayState, at: number): void => {
+  crashes.histories.removeExpired(at);
+  const known = crashes.histories.all();
+  for (const fingerprints of [crashes.knownToPeers, crashes.kept]) {
+    [...fingerprints]
+      .filter((fingerprint) => !known.has(fingerprint))
+      .forEach((fingerprint) => fingerprints.delete(fingerprint));
+  }
+};
+
+/** Has what this gateway learnt first-hand stand in its entry in the store. */
+const storeSuspects = (state: GatewayState, at: number): GatewayEffect[] =>
+  state.registration.listedGeneration === undefined ? [] : registerIfMissing(state, at);
+
+/** Handles `crash-news-due`. */
+export const handleCrashUpdatesDue = (
+  state: GatewayState,
+  { at }: CrashNewsDue,
+): GatewayEffect[] => {
+  const { crashes } = state;
+  crashes.publishAt = undefined;
+  crashes.publishedAt = at;
+  removeExpired(state, at);
+  const published = [...publishPending(state, at), ...republishSerious(state, at)];
+  if (crashes.pending.size > 0) {
+    return [...published, ...schedulePublish(state, at)];
+  }
+  const isSeriousLeft = seriousRequests(state).length > 0;
+  return [
+    ...published,
+    ...storeSuspects(state, at),
+    ...(isSeriousLeft ? schedulePublish(state, crashes.republishAt) : []),
+  ];
+};
+
+/** Handles `crashes-told`: takes what is news here, and passes it on. */
+export const handleCrashUpdates = (
+  state: GatewayState,
+  { news, from, at }: CrashesTold,
+): GatewayEffect[] =>
+  news.flatMap((each) => {
+    const { fingerprint } = each;
+    const merged = mergeHistories(
+      state.crashes.histories.find(fingerprint, at),
+      fromCrashUpdate(each, at),
+    );
+    state.crashes.knownToPeers.add(fingerprint);
+    return updateHistory(state, fingerprint, merged, { from, isUrgent: true }, at);
+  });
--- a/src/gateway/crashes/recall-suspects.ts
+++ b/src/gateway/crashes/restore-suspects.ts
@@ -5,34 +5,34 @@
 import type { GatewayEffect } from '../effect.js';
 import type { PeerRecord, SuspectedRequest } from '../model/peer-record.js';
 import type { GatewayState } from '../state.js';
-import { NOTHING_KNOWN, knowledgeOfOther, recalledKnowledge } from './crash-record.js';
-import { updateKnowledge } from './update-knowledge.js';
+import { EMPTY_HISTORY, historyFromPeerEntry, historyFromOwnEntry } from './crash-history.js';
+import { updateHistory } from './update-history.js';
 
 /** Takes a request that stands in an entry, unless more is known of it. */
-const recall = (
+const restoreSuspect = (
   state: GatewayState,
   { name: from }: PeerRecord,
   { fingerprint, rounds }: SuspectedRequest,
   at: number,
 ): GatewayEffect[] => {
-  if (state.crashes.memory.find(fingerprint, at) !== NOTHING_KNOWN) {
+  if (state.crashes.histories.find(fingerprint, at) !== EMPTY_HISTORY) {
     return [];
   }
   const isOwn = from === state.settings.node;
-  const known = isOwn ? recalledKnowledge(rounds, at) : knowledgeOfOther(rounds, at);
-  return updateKnowledge(state, fingerprint, known, { from, isUrgent: isOwn }, at);
+  const known = isOwn ? historyFromOwnEntry(rounds, at) : historyFromPeerEntry(rounds, at);
+  return updateHistory(state, fingerprint, known, { from, isUrgent: isOwn }, at);
 };
 
 /** Reads the entries of all gateways, this one's first, from each list until one has its own. */
-export const recallSuspects = (state: GatewayState, at: number): GatewayEffect[] => {
+export const restoreSuspects = (state: GatewayState, at: number): GatewayEffect[] => {
   const { crashes, peers, settings } = state;
-  if (crashes.isRecalled) {
+  if (crashes.isOwnEntryRead) {
     return [];
   }
   const own = peers.find(settings.node);
-  crashes.isRecalled = own !== undefined;
+  crashes.isOwnEntryRead = own !== undefined;
   const others = [...peers.all()].filter(({ name }) => name !== settings.node);
   return [...(own === undefined ? [] : [own]), ...others].flatMap((entry) =>
-    (entry.suspects ?? []).flatMap((suspect) => recall(state, entry, suspect, at)),
+    (entry.suspects ?? []).flatMap((suspect) => restoreSuspect(state, entry, suspect, at)),
   );
 };
--- a/src/gateway/crashes/unawaited-runs.ts
+++ b/src/gateway/crashes/unawaited-runs.ts
@@ -15,7 +15,7 @@
 }
 
 /** Requests that are remembered for one replica: more than it works on at once. */
-const MOST_FOR_ONE_REPLICA = 64;
+const MAX_RUNS_PER_REPLICA = 64;
 
 type RunsByFingerprint = Map<Fingerprint, UnawaitedRun>;
 
@@ -24,32 +24,32 @@
   private readonly byReplica = new Map<string, RunsByFingerprint>();
 
   add(replica: string, run: UnawaitedRun, at: number): void {
-    const runs = this.unfinished(replica, at);
+    const runs = this.currentRuns(replica, at);
     const known = runs.get(run.fingerprint);
     if (known === undefined || known.knownRounds <= run.knownRounds) {
       runs.delete(run.fingerprint);
       runs.set(run.fingerprint, run);
     }
     const [oldest] = runs.keys();
-    if (runs.size > MOST_FOR_ONE_REPLICA && oldest !== undefined) {
+    if (runs.size > MAX_RUNS_PER_REPLICA && oldest !== undefined) {
       runs.delete(oldest);
     }
     this.byReplica.set(replica, runs);
   }
 
   /** Whether a replica may be at one. */
-  has(replica: string, at: number): boolean {
-    return this.unfinished(replica, at).size > 0;
+  hasRuns(replica: string, at: number): boolean {
+    return this.currentRuns(replica, at).size > 0;
   }
 
   /** Takes the runs out that a replica may have been at when it ended. */
-  take(replica: string, at: number): readonly UnawaitedRun[] {
-    const runs = [...this.unfinished(replica, at).values()];
+  removeRuns(replica: string, at: number): readonly UnawaitedRun[] {
+    const runs = [...this.currentRuns(replica, at).values()];
     this.byReplica.delete(replica);
     return runs;
   }
 
-  private unfinished(replica: string, at: number): RunsByFingerprint {
+  private currentRuns(replica: string, at: number): RunsByFingerprint {
     const runs = this.byReplica.get(replica) ?? new Map<Fingerprint, UnawaitedRun>();
     for (const [fingerprint, { watchedUntil }] of runs) {
       if (watchedUntil < at) {
--- a/src/gateway/crashes/update-knowledge.ts
+++ b/src/gateway/crashes/update-history.ts
@@ -3,19 +3,24 @@
 import type { BeliefChange } from '../log/log-event.js';
 import type { Fingerprint } from '../model/request.js';
 import type { GatewayState } from '../state.js';
-import { addServed, BLOCKING_ROUNDS, type CrashKnowledge, isNews } from './crash-record.js';
+import {
+  recordAnswer,
+  BLOCKING_ROUNDS,
+  type CrashHistory,
+  isWorthPublishing,
+} from './crash-history.js';
 
 /**
  * News that can wait are told together after this time, in milliseconds. Most requests that were running when replicas
  * ended for another cause are answered by other replicas meanwhile, and nothing is told of them.
  */
-const TELL_TOGETHER_MS = 100;
+const PUBLISH_BATCH_MS = 100;
 
 /**
  * Between two messages to the same gateway lies so much time, in milliseconds: where many replicas end together, what is
  * known of all that they ran goes in few messages. A caller that was refused is at another gateway after some 10 ms.
  */
-const TELL_APART_MS = 4;
+const MIN_PUBLISH_INTERVAL_MS = 4;
 
 /**
  * Rounds from which a suspicion is logged, told again and again, and kept in the store: one is met by every request that
@@ -24,21 +29,24 @@
 export const SERIOUS_ROUNDS = 2;
 
 /** Has news told by a time. */
-export const tellBy = ({ crashes }: GatewayState, wantedAt: number): GatewayEffect[] => {
-  const at = Math.max(wantedAt, crashes.toldAt + TELL_APART_MS);
-  if (crashes.tellAt !== undefined && crashes.tellAt <= at) {
+export const schedulePublish = ({ crashes }: GatewayState, wantedAt: number): GatewayEffect[] => {
+  const at = Math.max(wantedAt, crashes.publishedAt + MIN_PUBLISH_INTERVAL_MS);
+  if (crashes.publishAt !== undefined && crashes.publishAt <= at) {
     return [];
   }
-  crashes.tellAt = at;
+  crashes.publishAt = at;
   return [{ type: 'set-crash-news-timer', at }];
 };
 
 /** Has what is known of a request told at once, unless others know it. */
-const tellAtOnce = (state: GatewayState, fingerprint: Fingerprint, at: number): GatewayEffect[] =>
-  state.crashes.untold.has(fingerprint) ? tellBy(state, at) : [];
+const schedulePublishNow = (
+  state: GatewayState,
+  fingerprint: Fingerprint,
+  at: number,
+): GatewayEffect[] => (state.crashes.pending.has(fingerprint) ? schedulePublish(state, at) : []);
 
 /** An answer that shows that a replica can run a request. */
-export interface SeenAnswer {
+export interface ObservedAnswer {
   readonly replica: string;
   readonly status: number;
 }
@@ -48,15 +56,15 @@
   /** This gateway's name, or that of the one that told it. */
   readonly from: string;
   /** The answer that was seen, where it is one. */
-  readonly answer?: SeenAnswer;
+  readonly answer?: ObservedAnswer;
   /** Told at once: the request may be on its way to another gateway. */
   readonly isUrgent: boolean;
 }
 
 const describeChange = (
   fingerprint: Fingerprint,
-  before: CrashKnowledge,
-  after: CrashKnowledge,
+  before: CrashHistory,
+  after: CrashHistory,
   { from, answer }: UpdateOrigin,
   at: number,
 ): BeliefChange | undefined => {
@@ -75,24 +83,24 @@
 };
 
 /** Takes what is known of a request now. */
-export const updateKnowledge = (
+export const updateHistory = (
   state: GatewayState,
   fingerprint: Fingerprint,
-  after: CrashKnowledge,
+  after: CrashHistory,
   origin: UpdateOrigin,
   at: number,
 ): GatewayEffect[] => {
   const { from, isUrgent } = origin;
-  const { memory, untold, kept } = state.crashes;
-  const before = memory.find(fingerprint, at);
+  const { histories: histories, pending: pending, kept } = state.crashes;
+  const before = histories.find(fingerprint, at);
   if (after === before) {
     return [];
   }
-  memory.put(fingerprint, after);
-  if (!isNews(before, after)) {
-    return isUrgent ? tellAtOnce(state, fingerprint, at) : [];
+  histories.put(fingerprint, after);
+  if (!isWorthPublishing(before, after)) {
+    return isUrgent ? schedulePublishNow(state, fingerprint, at) : [];
   }
-  untold.add(fingerprint);
+  pending.add(fingerprint);
   if (after.rounds < SERIOUS_ROUNDS) {
     kept.delete(fingerprint);
   } else if (after.rounds > before.rounds && from === state.settings.node) {
@@ -102,7 +110,7 @@
   const level = change?.event === 'request-blocked' ? 'warn' : 'info';
   const log: GatewayEffect[] =
     change === undefined ? [] : [{ type: 'write-log', level, part: 'request', change }];
-  return [...log, ...tellBy(state, isUrgent ? at : at + TELL_TOGETHER_MS)];
+  return [...log, ...schedulePublish(state, isUrgent ? at : at + PUBLISH_BATCH_MS)];
 };
 
 /**
@@ -110,22 +118,22 @@
  *
  * @param answer - undefined where a feeder has it
  */
-export const noteServed = (
+export const recordServedRequest = (
   state: GatewayState,
   fingerprint: Fingerprint,
-  answer: SeenAnswer | undefined,
+  answer: ObservedAnswer | undefined,
   at: number,
 ): GatewayEffect[] => {
-  const { memory, untold, told } = state.crashes;
-  if (!told.has(fingerprint)) {
-    untold.delete(fingerprint);
-    memory.remove(fingerprint);
+  const { histories: histories, pending: pending, knownToPeers: knownToPeers } = state.crashes;
+  if (!knownToPeers.has(fingerprint)) {
+    pending.delete(fingerprint);
+    histories.remove(fingerprint);
     return [];
   }
-  const known = memory.find(fingerprint, at);
-  const served = addServed(known, at);
-  const isAwaited = known.trialUntil > at;
+  const history = histories.find(fingerprint, at);
+  const served = recordAnswer(history, at);
+  const isAwaited = history.trialUntil > at;
   const seen = answer === undefined ? {} : { answer };
   const origin = { from: state.settings.node, ...seen, isUrgent: isAwaited };
-  return updateKnowledge(state, fingerprint, served, origin, at);
+  return updateHistory(state, fingerprint, served, origin, at);
 };
--- a/src/gateway/effect.ts
+++ b/src/gateway/effect.ts
@@ -1,5 +1,5 @@
 /** Every effect that the gateway's reducer asks of its driver. Effects are data. */
-import type { CrashNews } from './crashes/crash-news.js';
+import type { CrashUpdate } from './crashes/crash-update.js';
 import type { BeliefChange, TracedDecision, TraceReason } from './log/log-event.js';
 import type { CallerLimits, GatewayConfiguration } from './model/route.js';
 import type { PeerRecord } from './model/peer-record.js';
@@ -49,7 +49,7 @@
 export interface TellCrashes {
   readonly type: 'tell-crashes';
   readonly peers: readonly PeerRecord[];
-  readonly news: readonly CrashNews[];
+  readonly news: readonly CrashUpdate[];
 }
 
 /** Sets the timer after which other gateways are told of them. */
--- a/src/gateway/event.ts
+++ b/src/gateway/event.ts
@@ -2,7 +2,7 @@
  * Every event that the gateway's reducer takes. Each carries `at`, the time in milliseconds on the
  * monotonic clock of the process; the reducer reads no other clock.
  */
-import type { CrashNews } from './crashes/crash-news.js';
+import type { CrashUpdate } from './crashes/crash-update.js';
 import type { GatewayConfiguration } from './model/route.js';
 import type { PeerProblem, Subquery, SubqueryId, SubqueryPart } from './model/subquery.js';
 import type {
@@ -104,7 +104,7 @@
   readonly at: number;
   /** Name of the gateway that told it. */
   readonly from: string;
-  readonly news: readonly CrashNews[];
+  readonly news: readonly CrashUpdate[];
 }
 
 /** A timer of a request has run out. */
--- a/src/gateway/metrics/gateway-metrics.ts
+++ b/src/gateway/metrics/gateway-metrics.ts
@@ -26,7 +26,7 @@
   gauge(
     'requests_blocked',
     'Requests that are refused because replicas end under them.',
-    () => state.crashes.memory.blockedCount,
+    () => state.crashes.histories.blockedCount,
   ),
   gauge('gateways_listed', 'Gateways that share budgets.', () => state.gateways),
   gauge('ready', '1 while new callers are wanted.', () => Number(state.ready)),
--- a/src/gateway/peers/follow-gateways.ts
+++ b/src/gateway/peers/follow-gateways.ts
@@ -2,7 +2,7 @@
  * Keeps the list of gateways that share replicas and budgets. Each has an entry in the store under its
  * own name, which a restart keeps; it is written when it is missing or tells something else.
  */
-import { recallSuspects } from '../crashes/recall-suspects.js';
+import { restoreSuspects } from '../crashes/restore-suspects.js';
 import type { GatewayEffect } from '../effect.js';
 import type { RegistrationDue } from '../event.js';
 import { isSamePeerRecord, type PeerRecord } from '../model/peer-record.js';
@@ -26,7 +26,7 @@
   const { node, zone, peers, capacity } = settings;
   const suspects = [...crashes.kept].slice(-MOST_SUSPECTS).map((fingerprint) => ({
     fingerprint,
-    rounds: crashes.memory.all().get(fingerprint)?.rounds ?? 0,
+    rounds: crashes.histories.all().get(fingerprint)?.rounds ?? 0,
   }));
   return {
     name: node,
@@ -107,7 +107,7 @@
   const { listedGeneration } = registration;
   registration.listedGeneration = peers.generation;
   const isUnchanged = listedGeneration === undefined || listedGeneration === peers.generation;
-  const recalled = recallSuspects(state, at);
+  const recalled = restoreSuspects(state, at);
   state.gatewaysSettled ||= holdsOwn(state) && isUnchanged;
   const own = [...recalled, ...registerIfMissing(state, at)];
   if (state.gatewaysSettled) {
--- a/src/gateway/reducer.ts
+++ b/src/gateway/reducer.ts
@@ -3,7 +3,7 @@
  * the effects in the order in which the driver must carry them out.
  */
 import { match } from 'ts-pattern';
-import { takeCrashesTold, takeCrashNewsDue } from './crashes/tell-crashes.js';
+import { handleCrashUpdates, handleCrashUpdatesDue } from './crashes/publish-crashes.js';
 import type { GatewayEffect } from './effect.js';
 import type { GatewayEvent, Started } from './event.js';
 import { beginStop, continueStop, updateReadiness } from './lifecycle.js';
@@ -85,9 +85,9 @@
     .with({ type: 'caller-left' }, (left) => takeCallerLeft(state, left))
     .with({ type: 'attempt-ended' }, (ended) => takeResult(state, ended))
     .with({ type: 'replica-checked' }, (checked) => takeReplicaChecked(state, checked))
-    .with({ type: 'crash-news-due' }, (due) => takeCrashNewsDue(state, due))
+    .with({ type: 'crash-news-due' }, (due) => handleCrashUpdatesDue(state, due))
     .with({ type: 'crashes-told' }, (told) => [
-      ...takeCrashesTold(state, told),
+      ...handleCrashUpdates(state, told),
       ...told.news.flatMap(({ fingerprint }) => wakeRequests(state, fingerprint, told.at)),
     ])
     .with({ type: 'request-due' }, (due) => takeRequestDue(state, due))
--- a/src/gateway/requests/accept-request.ts
+++ b/src/gateway/requests/accept-request.ts
@@ -1,6 +1,6 @@
 /** Takes a caller's request: finds its route and sends the first attempts. */
-import { beginTrial, unblockedAt } from '../crashes/crash-record.js';
-import { updateKnowledge } from '../crashes/update-knowledge.js';
+import { markTrialStarted, nextTrialAt } from '../crashes/crash-history.js';
+import { updateHistory } from '../crashes/update-history.js';
 import type { GatewayEffect } from '../effect.js';
 import type { RequestReceived } from '../event.js';
 import { trace } from '../log/trace.js';
@@ -105,16 +105,16 @@
   event: RequestReceived,
   at: number,
 ): GatewayEffect[] => {
-  const known = state.crashes.memory.find(event.request.fingerprint, at);
-  const retryAfterMs = Math.ceil(unblockedAt(known) - at);
+  const known = state.crashes.histories.find(event.request.fingerprint, at);
+  const retryAfterMs = Math.ceil(nextTrialAt(known) - at);
   return refuseCall(state, event, 'crashes-replicas', retryAfterMs, at);
 };
 
 /** A blocked request is tried here; the other gateways go on refusing it until the outcome is known. */
 const claimTrial = (state: GatewayState, fingerprint: Fingerprint, at: number): GatewayEffect[] => {
-  const known = beginTrial(state.crashes.memory.find(fingerprint, at), at);
+  const known = markTrialStarted(state.crashes.histories.find(fingerprint, at), at);
   const origin = { from: state.settings.node, isUrgent: true };
-  return updateKnowledge(state, fingerprint, known, origin, at);
+  return updateHistory(state, fingerprint, known, origin, at);
 };
 
 /** Finds the route of a request and sends it, at a time that may be later than its arrival. */
@@ -125,7 +125,7 @@
     return refuseCall(state, event, 'no-route', undefined);
   }
   const { fingerprint } = request;
-  const verdict = state.crashes.memory.verdict(fingerprint, at);
+  const verdict = state.crashes.histories.verdict(fingerprint, at);
   if (verdict === 'blocked') {
     return refuseBlocked(state, event, at);
   }
--- a/src/gateway/requests/accept-subquery.ts
+++ b/src/gateway/requests/accept-subquery.ts
@@ -61,7 +61,7 @@
   { crashes }: GatewayState,
   { fingerprint, subquery, at }: SubqueryReceived,
 ): boolean => {
-  const verdict = crashes.memory.verdict(fingerprint, at);
+  const verdict = crashes.histories.verdict(fingerprint, at);
   const isBlocked = verdict === 'blocked' || verdict === 'trial-due';
   return isBlocked && subquery.isTrial !== true;
 };
--- a/src/gateway/requests/attempts.ts
+++ b/src/gateway/requests/attempts.ts
@@ -196,7 +196,7 @@
     repeatable: route.repeatable,
     sentAt: at,
     isProbe: guardOf(state, request, at) !== 'free',
-    knownRounds: state.crashes.memory.find(request.request.fingerprint, at).rounds,
+    knownRounds: state.crashes.histories.find(request.request.fingerprint, at).rounds,
   });
   return {
     type: 'send-attempt',
--- a/src/gateway/requests/broken-attempts.ts
+++ b/src/gateway/requests/broken-attempts.ts
@@ -2,10 +2,14 @@
  * Attempts that broke off while a replica may have run them. Whether the replica has ended, or only the connection,
  * is looked into: a connection breaks in many ways that say nothing about the request.
  */
-import type { BrokenRun } from '../crashes/broken-run.js';
-import { addCrash, type Crash } from '../crashes/crash-record.js';
+import type { BrokenAttempt } from '../crashes/broken-attempt.js';
+import { recordCrash, type Crash } from '../crashes/crash-history.js';
 import type { UnawaitedRun } from '../crashes/unawaited-runs.js';
-import { noteServed, type SeenAnswer, updateKnowledge } from '../crashes/update-knowledge.js';
+import {
+  recordServedRequest,
+  type ObservedAnswer,
+  updateHistory,
+} from '../crashes/update-history.js';
 import type { GatewayEffect } from '../effect.js';
 import type { AttemptEnded, ReplicaChecked } from '../event.js';
 import type { BeliefChange } from '../log/log-event.js';
@@ -62,7 +66,7 @@
 const goodAnswerOf = (
   { replica, owner }: ActiveAttempt,
   { result }: AttemptEnded,
-): SeenAnswer | undefined =>
+): ObservedAnswer | undefined =>
   result.type === 'answered' && showsThatItRuns(result.answer, asksForParts(owner))
     ? { replica, status: result.answer.status }
     : undefined;
@@ -103,7 +107,7 @@
   if (isBrokenOff(event)) {
     return noteBrokenOff(state, attempt, at);
   }
-  const { memory } = state.crashes;
+  const { histories: memory } = state.crashes;
   const answer = goodAnswerOf(attempt, event);
   if (answer === undefined) {
     return [...noteUnawaited(state, attempt, event), ...noteReplaced(state, attempt, event)];
@@ -111,13 +115,16 @@
   if (memory.verdict(fingerprint, at) === 'unsuspected') {
     return [];
   }
-  return [...noteServed(state, fingerprint, answer, at), ...wakeRequests(state, fingerprint, at)];
+  return [
+    ...recordServedRequest(state, fingerprint, answer, at),
+    ...wakeRequests(state, fingerprint, at),
+  ];
 };
 
 const logCrash = (
   state: GatewayState,
   replica: string,
-  broken: readonly BrokenRun[],
+  broken: readonly BrokenAttempt[],
   unawaited: readonly UnawaitedRun[],
 ): GatewayEffect => {
   const service = state.replicas.find(replica)?.record.service ?? '';
@@ -136,7 +143,7 @@
 };
 
 /** Counts a crash at the request under which it came; returns whether others must know of it at once. */
-const countCrash = (state: GatewayState, { attempt }: BrokenRun, at: number): boolean => {
+const countCrash = (state: GatewayState, { attempt }: BrokenAttempt, at: number): boolean => {
   const request = state.requests.get(attempt.owner.call);
   if (request === undefined) {
     return false;
@@ -156,13 +163,13 @@
   isStriking: boolean,
   at: number,
 ): GatewayEffect[] => {
-  const after = addCrash(state.crashes.memory.find(fingerprint, at), crash);
+  const after = recordCrash(state.crashes.histories.find(fingerprint, at), crash);
   const isUrgent = isStriking || after.rounds > 1;
   const { node: from } = state.settings;
-  return updateKnowledge(state, fingerprint, after, { from, isUrgent }, at);
+  return updateHistory(state, fingerprint, after, { from, isUrgent }, at);
 };
 
-const takeBroken = (state: GatewayState, run: BrokenRun, at: number): GatewayEffect[] => {
+const takeBroken = (state: GatewayState, run: BrokenAttempt, at: number): GatewayEffect[] => {
   const isStriking = countCrash(state, run, at);
   const { fingerprint, knownRounds, sentAt } = run.attempt;
   const crash = { knownRounds, sentAt, crashedAt: run.brokenAt };
@@ -179,7 +186,7 @@
 /** What a replica that has ended may have been working on without anybody waiting; one that drains ends by itself. */
 const unawaitedAt = (state: GatewayState, replica: string, at: number): readonly UnawaitedRun[] => {
   const isDraining = state.replicas.find(replica)?.record.draining === true;
-  const runs = state.unawaitedRuns.take(replica, at);
+  const runs = state.unawaitedRuns.removeRuns(replica, at);
   return isDraining ? [] : runs;
 };
 
@@ -187,7 +194,7 @@
 const countEnd = (
   state: GatewayState,
   replica: string,
-  broken: readonly BrokenRun[],
+  broken: readonly BrokenAttempt[],
   unawaited: readonly UnawaitedRun[],
   at: number,
 ): GatewayEffect[] =>
@@ -202,7 +209,7 @@
 /** The requests of these runs that are still in progress, once each; their breaks are explained now. */
 const explainBreaks = (
   state: GatewayState,
-  broken: readonly BrokenRun[],
+  broken: readonly BrokenAttempt[],
 ): ReadonlySet<ActiveRequest> => {
   const requests = broken.flatMap(({ attempt }) => state.requests.get(attempt.owner.call) ?? []);
   requests.forEach((request) => {
@@ -241,6 +248,6 @@
   replica: string,
   at: number,
 ): GatewayEffect[] =>
-  state.unawaitedRuns.has(replica, at)
+  state.unawaitedRuns.hasRuns(replica, at)
     ? takeReplicaChecked(state, { type: 'replica-checked', replica, isDown: true, at })
     : [];
--- a/src/gateway/requests/finish.ts
+++ b/src/gateway/requests/finish.ts
@@ -1,6 +1,6 @@
 /** Ends requests: with a replica's answer, a merged one, or the gateway's own. */
-import { unblockedAt } from '../crashes/crash-record.js';
-import { tellBeforeAnswer } from '../crashes/tell-crashes.js';
+import { nextTrialAt } from '../crashes/crash-history.js';
+import { publishBeforeAnswer } from '../crashes/publish-crashes.js';
 import type { GatewayEffect } from '../effect.js';
 import type { RequestReceived } from '../event.js';
 import type { Decision } from '../log/log-event.js';
@@ -109,8 +109,8 @@
   { fingerprint }: RequestReceived['request'],
   at: number,
 ): NonNullable<AnswerDecision['blocked']> => {
-  const known = crashes.memory.find(fingerprint, at);
-  const forMs = Math.round(unblockedAt(known) - at);
+  const known = crashes.histories.find(fingerprint, at);
+  const forMs = Math.round(nextTrialAt(known) - at);
   return { fingerprint, rounds: known.rounds, level: known.level, forMs };
 };
 
@@ -164,7 +164,7 @@
   const ran = mayHaveRun(request);
   const retry = ran ? {} : { retryAfterMs: retryAfter(state, request, reason, at) };
   const response = { type: 'refusal', reason, mayHaveRun: ran, ...retry } as const;
-  const told = tellBeforeAnswer(state, request.request.fingerprint, at);
+  const told = publishBeforeAnswer(state, request.request.fingerprint, at);
   return [...told, ...finishRequest(state, request, response, at)];
 };
 
--- a/src/gateway/requests/guard.ts
+++ b/src/gateway/requests/guard.ts
@@ -25,7 +25,7 @@
   if (request.answeredLegs > 0) {
     return 'free';
   }
-  const verdict = state.crashes.memory.verdict(request.request.fingerprint, at);
+  const verdict = state.crashes.histories.verdict(request.request.fingerprint, at);
   const isBlocked = verdict === 'blocked' || verdict === 'trial-due';
   if ((isBlocked && !request.isTrial) || hasLostProbe(request)) {
     return 'stopped';
@@ -71,7 +71,7 @@
   { crashes, settings }: GatewayState,
   { origin, request, isTrial, hasClaimed }: ActiveRequest,
 ): number => {
-  const known = crashes.memory.all().get(request.fingerprint);
+  const known = crashes.histories.all().get(request.fingerprint);
   if (known === undefined || origin === 'coordinator' || isTrial || hasClaimed) {
     return Number.NEGATIVE_INFINITY;
   }
@@ -84,7 +84,8 @@
  * other: replicas may end long after they began to run it, and all that had begun meanwhile would end too.
  */
 export const mayGoOn = (state: GatewayState, request: ActiveRequest, at: number): boolean => {
-  const isSuspected = state.crashes.memory.verdict(request.request.fingerprint, at) === 'suspected';
+  const isSuspected =
+    state.crashes.histories.verdict(request.request.fingerprint, at) === 'suspected';
   if (!isQuiet(request) || !isSuspected) {
     return isQuiet(request);
   }
--- a/src/gateway/requests/note-inconclusive.ts
+++ b/src/gateway/requests/note-inconclusive.ts
@@ -1,6 +1,6 @@
 /** Tries of suspected requests that end without showing whether replicas end under them. */
-import { addInconclusive } from '../crashes/crash-record.js';
-import { updateKnowledge } from '../crashes/update-knowledge.js';
+import { recordInconclusiveTrial } from '../crashes/crash-history.js';
+import { updateHistory } from '../crashes/update-history.js';
 import type { GatewayEffect } from '../effect.js';
 import type { GatewayState } from '../state.js';
 import type { ActiveRequest } from './request-state.js';
@@ -23,7 +23,7 @@
   at: number,
 ): GatewayEffect[] => {
   const { fingerprint } = request.request;
-  const { memory } = state.crashes;
+  const { histories: memory } = state.crashes;
   const hasShown = request.answeredLegs + request.crashes + request.uncheckedBreaks > 0;
   if (
     hasShown ||
@@ -33,7 +33,7 @@
   ) {
     return [];
   }
-  const paused = addInconclusive(memory.find(fingerprint, at), at, mayStillRun(request));
+  const paused = recordInconclusiveTrial(memory.find(fingerprint, at), at, mayStillRun(request));
   const origin = { from: state.settings.node, isUrgent: true };
-  return updateKnowledge(state, fingerprint, paused, origin, at);
+  return updateHistory(state, fingerprint, paused, origin, at);
 };
--- a/src/gateway/requests/take-result.ts
+++ b/src/gateway/requests/take-result.ts
@@ -81,7 +81,7 @@
   const { fingerprint } = attempt;
   const noted = noteRunEnd(state, attempt, event);
   const taken = takeRequestResult(state, attempt, event);
-  const isSuspected = state.crashes.memory.verdict(fingerprint, event.at) !== 'unsuspected';
+  const isSuspected = state.crashes.histories.verdict(fingerprint, event.at) !== 'unsuspected';
   return [...noted, ...taken, ...(isSuspected ? wakeRequests(state, fingerprint, event.at) : [])];
 };
 
--- a/src/gateway/requests/take-subquery-result.ts
+++ b/src/gateway/requests/take-subquery-result.ts
@@ -11,7 +11,7 @@
 import { trace } from '../log/trace.js';
 import type { SubqueryId, SubqueryPart } from '../model/subquery.js';
 import { noteDelay } from '../delay-estimate.js';
-import { noteServed } from '../crashes/update-knowledge.js';
+import { recordServedRequest } from '../crashes/update-history.js';
 import type { GatewayState } from '../state.js';
 import { wakeRequests } from './broken-attempts.js';
 import { moveLegs, suspectPeer } from './check-subqueries.js';
@@ -123,9 +123,12 @@
   { request: { fingerprint } }: ActiveRequest,
   at: number,
 ): GatewayEffect[] =>
-  state.crashes.memory.verdict(fingerprint, at) === 'unsuspected'
+  state.crashes.histories.verdict(fingerprint, at) === 'unsuspected'
     ? []
-    : [...noteServed(state, fingerprint, undefined, at), ...wakeRequests(state, fingerprint, at)];
+    : [
+        ...recordServedRequest(state, fingerprint, undefined, at),
+        ...wakeRequests(state, fingerprint, at),
+      ];
 
 /** Handles `subquery-answered`. */
 export const takeSubqueryAnswer = (
--- a/src/gateway/requests/unawaited-attempts.ts
+++ b/src/gateway/requests/unawaited-attempts.ts
@@ -3,7 +3,7 @@
  * answer. The gateway closes their connections itself, so that none of them breaks when the replica ends. The replica is
  * watched for a while: a request that ends replicas does so also when nobody waits for it.
  */
-import { WATCH_MS } from '../crashes/crash-record.js';
+import { UNAWAITED_RUN_WATCH_MS } from '../crashes/crash-history.js';
 import type { GatewayEffect } from '../effect.js';
 import type { AttemptEnded } from '../event.js';
 import type { GatewayState } from '../state.js';
@@ -22,7 +22,7 @@
   if (replica === undefined || owner.answeredLegs > 0) {
     return [];
   }
-  const watchedUntil = at + WATCH_MS;
+  const watchedUntil = at + UNAWAITED_RUN_WATCH_MS;
   state.unawaitedRuns.add(id, { fingerprint, knownRounds, sentAt, watchedUntil }, at);
   return [{ type: 'watch-replica', replica: replica.record, untilAt: watchedUntil }];
 };
--- a/src/gateway/runtime/peers/peer-message.ts
+++ b/src/gateway/runtime/peers/peer-message.ts
@@ -1,5 +1,5 @@
 /** Messages between gateways. Their encoding is in `peer-codec.ts`. */
-import type { CrashNews } from '../../crashes/crash-news.js';
+import type { CrashUpdate } from '../../crashes/crash-update.js';
 import type { CollectionName } from '../../store/collection.js';
 import type { GatewayConfiguration } from '../../model/route.js';
 import type { ReaderNews } from '../../readers/reader-news.js';
@@ -86,7 +86,7 @@
   readonly type: 'crashes';
   /** Name of the sender. */
   readonly from: string;
-  readonly news: readonly CrashNews[];
+  readonly news: readonly CrashUpdate[];
 }
 
 /** Every message between gateways. */
--- a/src/gateway/state.ts
+++ b/src/gateway/state.ts
@@ -1,7 +1,7 @@
 /** The state of a gateway; the reducer owns it and updates it in place. */
 import { createRandom, type Random } from '../core/random.js';
 import { RetryBudget } from './budget/retry-budget.js';
-import type { BrokenRun } from './crashes/broken-run.js';
+import type { BrokenAttempt } from './crashes/broken-attempt.js';
 import { type CrashState, createCrashState } from './crashes/crash-state.js';
 import { UnawaitedRuns } from './crashes/unawaited-runs.js';
 import type { RequestReceived } from './event.js';
@@ -125,7 +125,7 @@
   readonly attempts: Map<AttemptId, ActiveAttempt>;
   nextAttempt: AttemptId;
   /** Runs that broke off, by the replica that is being looked at. */
-  readonly brokenRuns: Map<string, BrokenRun[]>;
+  readonly brokenRuns: Map<string, BrokenAttempt[]>;
   /** Runs that nobody waits for any more, and under which replicas may still end. */
   readonly unawaitedRuns: UnawaitedRuns;
   /** Requests under which replicas have ended. */
--- a/src/gateway/store/apply-objects.ts
+++ b/src/gateway/store/apply-objects.ts
@@ -272,7 +272,7 @@
 export const forgetGoneReplicas = (state: GatewayState, at: number): GatewayEffect[] => {
   const before = at - state.settings.bounds.drainMs * FORGET_SHARE;
   return state.replicas.forgetGone(before).map((replica): GatewayEffect => {
-    state.unawaitedRuns.take(replica, at);
+    state.unawaitedRuns.removeRuns(replica, at);
     return { type: 'close-replica', replica };
   });
 };
--- a/test/gateway/crash-fuzz.test.ts
+++ b/test/gateway/crash-fuzz.test.ts
@@ -173,8 +173,8 @@
 };
 
 const blockedAt = ({ state }: CrashNode, at: number): readonly string[] =>
-  [...state.crashes.memory.all().keys()]
-    .filter((fingerprint) => state.crashes.memory.verdict(fingerprint, at) === 'blocked')
+  [...state.crashes.histories.all().keys()]
+    .filter((fingerprint) => state.crashes.histories.verdict(fingerprint, at) === 'blocked')
     .sort();
 
 const wasBlocked = ({ responses }: Asked): boolean =>
@@ -214,7 +214,7 @@
   const unanswered = network.asked
     .filter((asked) => asked.responses.length === 0 && !asked.isLost && !hasLeft(asked))
     .map(({ fingerprint, askedAt }) => `${fingerprint} of ${Math.round(askedAt)} had no answer`);
-  const sizes = network.nodes.filter(({ state }) => state.crashes.memory.size > 256);
+  const sizes = network.nodes.filter(({ state }) => state.crashes.histories.size > 256);
   const views = new Set(network.nodes.map((node) => blockedAt(node, network.clockOf(node)).join()));
   return [
     ...late,
--- a/test/gateway/crash-record.test.ts
+++ b/test/gateway/crash-record.test.ts
@@ -1,26 +1,26 @@
 import { describe, expect, it } from 'vitest';
-import { CrashMemory } from '../../src/gateway/crashes/crash-memory.js';
-import { fromNews, toNews } from '../../src/gateway/crashes/crash-news.js';
+import { CrashHistories } from '../../src/gateway/crashes/crash-histories.js';
+import { fromCrashUpdate, toCrashUpdate } from '../../src/gateway/crashes/crash-update.js';
 import {
-  addCrash,
-  addInconclusive,
-  addServed,
-  beginTrial,
-  type CrashKnowledge,
-  isNews,
-  joinKnowledge,
-  NOTHING_KNOWN,
-  unblockedAt,
+  recordCrash,
+  recordInconclusiveTrial,
+  recordAnswer,
+  markTrialStarted,
+  type CrashHistory,
+  isWorthPublishing,
+  mergeHistories,
+  EMPTY_HISTORY,
+  nextTrialAt,
   verdictOf,
-} from '../../src/gateway/crashes/crash-record.js';
+} from '../../src/gateway/crashes/crash-history.js';
 
-const crash = (known: CrashKnowledge, at: number, knownRounds = known.rounds): CrashKnowledge =>
-  addCrash(known, { knownRounds, sentAt: at - 20, crashedAt: at });
+const crash = (known: CrashHistory, at: number, knownRounds = known.rounds): CrashHistory =>
+  recordCrash(known, { knownRounds, sentAt: at - 20, crashedAt: at });
 
-const crashedTimes = (count: number): CrashKnowledge =>
-  Array.from({ length: count }).reduce<CrashKnowledge>(
+const crashedTimes = (count: number): CrashHistory =>
+  Array.from({ length: count }).reduce<CrashHistory>(
     (known, _, index) => crash(known, 100 * (index + 1)),
-    NOTHING_KNOWN,
+    EMPTY_HISTORY,
   );
 
 const BLOCKED = crashedTimes(3);
@@ -33,21 +33,21 @@
   });
 
   it('counts all replicas that ended under attempts sent in the same knowledge as one round', () => {
-    const known = [10, 11, 300, 5_000].reduce((each, at) => crash(each, at, 0), NOTHING_KNOWN);
+    const known = [10, 11, 300, 5_000].reduce((each, at) => crash(each, at, 0), EMPTY_HISTORY);
     expect(known.rounds).toBe(1);
   });
 
   it('is nothing any more once a replica has answered', () => {
-    expect(verdictOf(addServed(crashedTimes(2), 250), 260)).toBe('unsuspected');
-    expect(verdictOf(addServed(BLOCKED, 350), 360)).toBe('unsuspected');
+    expect(verdictOf(recordAnswer(crashedTimes(2), 250), 260)).toBe('unsuspected');
+    expect(verdictOf(recordAnswer(BLOCKED, 350), 360)).toBe('unsuspected');
   });
 
   it('is not cleared by an answer from before the crash', () => {
-    expect(verdictOf(addServed(BLOCKED, 250), 360)).toBe('blocked');
+    expect(verdictOf(recordAnswer(BLOCKED, 250), 360)).toBe('blocked');
   });
 
   it('does not come back by a crash from before the answer', () => {
-    const served = addServed(NOTHING_KNOWN, 500);
+    const served = recordAnswer(EMPTY_HISTORY, 500);
     expect(crash(served, 400)).toBe(served);
   });
 
@@ -55,36 +55,36 @@
     const dueAt = 300 + BLOCK_MS;
     expect(verdictOf(BLOCKED, dueAt - 1)).toBe('blocked');
     expect(verdictOf(BLOCKED, dueAt)).toBe('trial-due');
-    const tried = beginTrial(BLOCKED, dueAt);
+    const tried = markTrialStarted(BLOCKED, dueAt);
     expect(verdictOf(tried, dueAt + 4_999)).toBe('blocked');
     expect(verdictOf(tried, dueAt + 5_000)).toBe('trial-due');
   });
 
   it('is a block ten times as long after a trial under which a replica ended', () => {
     const dueAt = 300 + BLOCK_MS;
-    const again = crash(beginTrial(BLOCKED, dueAt), dueAt + 30);
-    expect([again.level, unblockedAt(again)]).toEqual([2, dueAt + 30 + 10 * BLOCK_MS]);
+    const again = crash(markTrialStarted(BLOCKED, dueAt), dueAt + 30);
+    expect([again.level, nextTrialAt(again)]).toEqual([2, dueAt + 30 + 10 * BLOCK_MS]);
   });
 
   it('is no longer a block by crashes of attempts that were on their way when it began', () => {
     const late = crash(BLOCKED, 320);
-    expect([late.level, unblockedAt(late)]).toEqual([1, 300 + BLOCK_MS]);
+    expect([late.level, nextTrialAt(late)]).toEqual([1, 300 + BLOCK_MS]);
   });
 });
 
 describe('what two gateways know', () => {
-  const tellTo = (own: CrashKnowledge, told: CrashKnowledge, at: number): CrashKnowledge =>
-    joinKnowledge(own, fromNews(toNews('print', told, at), at));
+  const tellTo = (own: CrashHistory, told: CrashHistory, at: number): CrashHistory =>
+    mergeHistories(own, fromCrashUpdate(toCrashUpdate('print', told, at), at));
 
   it('is the same once each has told the other', () => {
     const states = [
-      NOTHING_KNOWN,
+      EMPTY_HISTORY,
       crashedTimes(1),
       crashedTimes(2),
       BLOCKED,
-      crash(beginTrial(BLOCKED, 300 + BLOCK_MS), 330 + BLOCK_MS),
-      addServed(crashedTimes(2), 250),
-      addServed(BLOCKED, 1_000),
+      crash(markTrialStarted(BLOCKED, 300 + BLOCK_MS), 330 + BLOCK_MS),
+      recordAnswer(crashedTimes(2), 250),
+      recordAnswer(BLOCKED, 1_000),
     ];
     const at = 400 + BLOCK_MS;
     for (const left of states) {
@@ -96,24 +96,27 @@
   });
 
   it('is no news when it is told twice, nor when it comes back', () => {
-    const once = tellTo(NOTHING_KNOWN, BLOCKED, 400);
-    expect(isNews(NOTHING_KNOWN, once)).toBe(true);
-    expect(isNews(once, tellTo(once, BLOCKED, 900))).toBe(false);
-    expect(isNews(BLOCKED, tellTo(BLOCKED, once, 500))).toBe(false);
+    const once = tellTo(EMPTY_HISTORY, BLOCKED, 400);
+    expect(isWorthPublishing(EMPTY_HISTORY, once)).toBe(true);
+    expect(isWorthPublishing(once, tellTo(once, BLOCKED, 900))).toBe(false);
+    expect(isWorthPublishing(BLOCKED, tellTo(BLOCKED, once, 500))).toBe(false);
   });
 
   it('does not make a block longer by the time that news are on their way', () => {
-    const late = joinKnowledge(BLOCKED, fromNews(toNews('print', BLOCKED, 400), 2_400));
-    expect(unblockedAt(late)).toBe(unblockedAt(BLOCKED));
+    const late = mergeHistories(
+      BLOCKED,
+      fromCrashUpdate(toCrashUpdate('print', BLOCKED, 400), 2_400),
+    );
+    expect(nextTrialAt(late)).toBe(nextTrialAt(BLOCKED));
   });
 });
 
 describe('the memory of requests', () => {
   it('holds 256, and blocked ones longest', () => {
-    const memory = new CrashMemory();
+    const memory = new CrashHistories();
     memory.put('blocked', BLOCKED);
     for (let index = 0; index < 1_000; index += 1) {
-      memory.put(`suspected-${index}`, crash(NOTHING_KNOWN, 400 + index));
+      memory.put(`suspected-${index}`, crash(EMPTY_HISTORY, 400 + index));
     }
     expect(memory.size).toBe(256);
     expect(memory.verdict('blocked', 1_500)).toBe('blocked');
@@ -122,41 +125,41 @@
   });
 
   it('holds one under which replicas have ended twice, whatever many others have met once', () => {
-    const memory = new CrashMemory();
+    const memory = new CrashHistories();
     memory.put('twice', crashedTimes(2));
     for (let index = 0; index < 1_000; index += 1) {
-      memory.put(`once-${index}`, crash(NOTHING_KNOWN, 400 + index));
+      memory.put(`once-${index}`, crash(EMPTY_HISTORY, 400 + index));
     }
     expect(memory.find('twice', 1_500).rounds).toBe(2);
   });
 
   it('forgets a suspicion after ten minutes, and a block ten minutes after its end', () => {
-    const memory = new CrashMemory();
+    const memory = new CrashHistories();
     memory.put('suspected', crashedTimes(1));
     memory.put('blocked', BLOCKED);
     expect(memory.verdict('suspected', 600_099)).toBe('suspected');
     expect(memory.verdict('suspected', 600_100)).toBe('unsuspected');
     expect(memory.verdict('blocked', 660_299)).toBe('trial-due');
     expect(memory.verdict('blocked', 660_300)).toBe('unsuspected');
-    memory.forgetOld(660_300);
+    memory.removeExpired(660_300);
     expect(memory.size).toBe(0);
   });
 });
 
 describe('a try of a suspected request that has shown nothing', () => {
-  const suspected = crash(NOTHING_KNOWN, 1_000);
+  const suspected = crash(EMPTY_HISTORY, 1_000);
   const twice = crash(suspected, 1_000);
-  const pausesOf = (known: CrashKnowledge): readonly number[] =>
-    [1_010, 3_000, 9_000, 90_000].map((at) => addInconclusive(known, at).trialUntil - at);
+  const pausesOf = (known: CrashHistory): readonly number[] =>
+    [1_010, 3_000, 9_000, 90_000].map((at) => recordInconclusiveTrial(known, at).trialUntil - at);
 
   it('is followed by the next after twice as long as has passed since a replica last ended under it', () => {
     expect(pausesOf(twice)).toEqual([250, 4_000, 16_000, 30_000]);
   });
 
   it('is followed only when its end has been watched for, where a replica may still run it', () => {
-    const pause = (at: number): number => addInconclusive(twice, at, true).trialUntil - at;
+    const pause = (at: number): number => recordInconclusiveTrial(twice, at, true).trialUntil - at;
     expect([1_010, 3_000, 9_000].map(pause)).toEqual([5_000, 5_000, 16_000]);
-    expect(addInconclusive(suspected, 1_010, true).trialUntil).toBe(1_260);
+    expect(recordInconclusiveTrial(suspected, 1_010, true).trialUntil).toBe(1_260);
   });
 
   it('is followed soon where replicas have ended in one round only, as under all that they ran', () => {
@@ -164,10 +167,10 @@
   });
 
   it('leaves it suspected, and is news to other gateways', () => {
-    const paused = addInconclusive(suspected, 3_000);
+    const paused = recordInconclusiveTrial(suspected, 3_000);
     expect(verdictOf(paused, 3_000)).toBe('suspected');
-    expect(isNews(suspected, paused)).toBe(true);
-    const told = fromNews(toNews('print', paused, 3_000), 13_000);
-    expect(joinKnowledge(NOTHING_KNOWN, told).trialUntil).toBe(15_000);
+    expect(isWorthPublishing(suspected, paused)).toBe(true);
+    const told = fromCrashUpdate(toCrashUpdate('print', paused, 3_000), 13_000);
+    expect(mergeHistories(EMPTY_HISTORY, told).trialUntil).toBe(15_000);
   });
 });
--- a/test/gateway/met-crashes.test.ts
+++ b/test/gateway/met-crashes.test.ts
@@ -211,7 +211,7 @@
   };
 
   const verdictAt = (node: CrashNode | undefined, network: CrashNetwork): string | undefined =>
-    node?.state.crashes.memory.verdict('lethal', network.now);
+    node?.state.crashes.histories.verdict('lethal', network.now);
 
   it('is suspected by a gateway that starts, from the entries of those that cannot tell it', () => {
     const network = networkOf(11);
--- a/test/gateway/unawaited-attempts.test.ts
+++ b/test/gateway/unawaited-attempts.test.ts
@@ -45,7 +45,7 @@
 };
 
 const verdictOf = ({ state, now }: VirtualGateway): string =>
-  state.crashes.memory.verdict('print', now);
+  state.crashes.histories.verdict('print', now);
 
 describe('an attempt that is no longer waited for', () => {
   it.each(['aborted', 'timed-out', 'foreign-answer', 'bad-answer'] as const)(
--- a/test/platform/crashing-requests.test.ts
+++ b/test/platform/crashing-requests.test.ts
@@ -96,6 +96,6 @@
     [fixture.gateway, ...peers].forEach((gateway) => gateway.kill());
     await delay(50);
     const anew = await fixture.startPeer(writer?.settings.node ?? '', 1);
-    await until(() => anew.state.crashes.memory.size > 0, 'it is known again');
+    await until(() => anew.state.crashes.histories.size > 0, 'it is known again');
   });
 });
