--- a/src/gateway/effect.ts
+++ b/src/gateway/effect.ts
@@ -6,7 +6,7 @@
 import type { Subquery, SubqueryId, SubqueryPart } from './model/subquery.js';
 import type { ReplicaRecord } from './model/replica-record.js';
 import type { AttemptId, CallerResponse, CallId } from './model/request.js';
-import type { FollowerId, KnownPositions, ReaderNews } from './readers/reader-news.js';
+import type { FollowerId, KnownPositions, ReaderUpdate } from './readers/reader-update.js';
 import type { CollectionName, StoreCall } from './store/collection.js';
 
 /** Sends a request to a replica; ends in `attempt-ended`, always, also when aborted. */
@@ -201,7 +201,7 @@
 export interface TellFollowers {
   readonly type: 'tell-followers';
   readonly followers: readonly FollowerId[];
-  readonly news: ReaderNews;
+  readonly news: ReaderUpdate;
 }
 
 /** Sets the timer of the stop. */
--- a/src/gateway/event.ts
+++ b/src/gateway/event.ts
@@ -13,7 +13,7 @@
   Fingerprint,
   UnreadableProblem,
 } from './model/request.js';
-import type { FollowerId, KnownPositions, ReaderNews } from './readers/reader-news.js';
+import type { FollowerId, KnownPositions, ReaderUpdate } from './readers/reader-update.js';
 import type { GatewaySettings } from './settings.js';
 import type { CollectionName } from './store/collection.js';
 import type { StoreChanges, StorePage } from './store/store-objects.js';
@@ -242,7 +242,7 @@
   readonly at: number;
   /** Name of the reader, as it was followed. */
   readonly reader: string;
-  readonly news: ReaderNews;
+  readonly news: ReaderUpdate;
 }
 
 /** It is time to look who reads the store, and to tell followers that this gateway lives. */
--- a/src/gateway/readers/candidates.ts
+++ b/src/gateway/readers/candidates.ts
@@ -16,21 +16,21 @@
 const byZone = (peers: Iterable<PeerRecord>): ReadonlyMap<string, readonly PeerRecord[]> => {
   const zones = new Map<string, PeerRecord[]>();
   for (const peer of peers) {
-    const known = zones.get(peer.zone) ?? [];
-    known.push(peer);
-    zones.set(peer.zone, known);
+    const peersOfZone = zones.get(peer.zone) ?? [];
+    peersOfZone.push(peer);
+    zones.set(peer.zone, peersOfZone);
   }
   return zones;
 };
 
-const orderPeers = ({ peers, settings }: GatewayState): ReaderOrder => {
+const computeReaderOrder = ({ peers, settings }: GatewayState): ReaderOrder => {
   const { zone, zoneRegions } = settings;
   const zones = byZone(peers.all());
   const rankZone = (name: string): readonly PeerRecord[] =>
     rankByRendezvous(`reader/${name}`, zones.get(name) ?? []);
-  const farAway = (name: string): number => Number(zoneRegions[name] !== zoneRegions[zone]);
+  const isOtherRegion = (name: string): number => Number(zoneRegions[name] !== zoneRegions[zone]);
   const others = [...zones.keys()].filter((name) => name !== zone).sort();
-  others.sort((left, right) => farAway(left) - farAway(right));
+  others.sort((left, right) => isOtherRegion(left) - isOtherRegion(right));
   return {
     generation: peers.generation,
     ownZone: rankZone(zone),
@@ -38,16 +38,16 @@
   };
 };
 
-const orderOf = (state: GatewayState): ReaderOrder => {
+const readerOrderOf = (state: GatewayState): ReaderOrder => {
   if (state.reading.order?.generation !== state.peers.generation) {
-    state.reading.order = orderPeers(state);
+    state.reading.order = computeReaderOrder(state);
   }
   return state.reading.order;
 };
 
 /** Gateways to ask, the preferred one first; this gateway is among them where it may read for others. */
 export const readerCandidates = (state: GatewayState, at: number): readonly PeerRecord[] => {
-  const { ownZone, otherZones } = orderOf(state);
+  const { ownZone, otherZones } = readerOrderOf(state);
   const own = state.settings.node;
   const isTrusted = ({ name }: PeerRecord): boolean =>
     name === own || !state.peers.isSuspect(name, at);
--- a/src/gateway/readers/compare-versions.ts
+++ b/src/gateway/readers/compare-versions.ts
@@ -3,7 +3,7 @@
 import { isReturnRecent } from '../returns/return-state.js';
 import type { GatewayState } from '../state.js';
 import type { Source } from './reading-state.js';
-import { knownPositions } from './tell-followers.js';
+import { knownPositions } from './publish-to-followers.js';
 
 /**
  * A reader and its followers may have different versions of the configuration at the same position of the store: the store
--- a/src/gateway/readers/take-news.ts
+++ b/src/gateway/readers/handle-reader-update.ts
@@ -30,12 +30,12 @@
 import type { Stored, StoreObjects } from '../store/store-objects.js';
 import { comparePositions, type StorePosition } from '../store/store-position.js';
 import { compareVersions } from './compare-versions.js';
-import type { CollectionChanges, CollectionSnapshot, ReaderStatus } from './reader-news.js';
+import type { CollectionChanges, CollectionSnapshot, ReaderStatus } from './reader-update.js';
 import type { Source } from './reading-state.js';
-import { knownPositions, tellChanges, tellNamed } from './tell-followers.js';
+import { knownPositions, publishChanges, publishNamed } from './publish-to-followers.js';
 
 /** What is told twice is dropped without a word; what is older than what is known is worth a line. */
-const dropNews = (
+const discardUpdate = (
   { collections }: GatewayState,
   source: Source,
   { collection, era, revision }: CollectionSnapshot | CollectionChanges,
@@ -58,7 +58,7 @@
 };
 
 /** Versions of the configuration tell by themselves which is newer, wherever the store stood. */
-const takeVersion = (
+const applyConfiguration = (
   state: GatewayState,
   { peer }: Source,
   snapshot: CollectionSnapshot,
@@ -67,13 +67,13 @@
   snapshot.collection === 'configuration' ? applyObjects(state, snapshot, at, peer.name) : [];
 
 /** A watch that waits was made from an earlier position, maybe of another era: another one takes its place. */
-const watchAnew = (
+const restartWatch = (
   { reading, store }: GatewayState,
   progress: CollectionProgress,
 ): GatewayEffect[] => (reading.isReading && store.reachable ? [callNow(progress)] : []);
 
 /** Takes the objects of a snapshot that the store does not list, where nothing is known of them here. */
-const takeAwaited = (
+const applyAwaited = (
   state: GatewayState,
   { peer }: Source,
   snapshot: CollectionSnapshot,
@@ -87,14 +87,14 @@
   const isNew = ({ name }: Stored<unknown>): boolean =>
     awaited.includes(name) && !isKnownOrDeparted(state, collection, name);
   // The objects are some of the snapshot's; the union of collections cannot say so.
-  const taken = { collection, objects: all.filter(isNew) } as StoreObjects;
-  const applied = applyObjects(state, taken, at, peer.name);
+  const unknownHere = { collection, objects: all.filter(isNew) } as StoreObjects;
+  const applied = applyObjects(state, unknownHere, at, peer.name);
   awaitNames(state, collection, awaited, at);
   return applied;
 };
 
 /** The snapshot without the objects that the store does not list. */
-const listedPart = (snapshot: CollectionSnapshot): CollectionSnapshot => {
+const withoutAwaited = (snapshot: CollectionSnapshot): CollectionSnapshot => {
   const awaited = new Set(snapshot.awaited);
   const objects: readonly Stored<unknown>[] = snapshot.objects;
   // The objects are some of the snapshot's; the union of collections cannot say so.
@@ -104,22 +104,25 @@
   } as CollectionSnapshot;
 };
 
-const takeSnapshot = (
+const applySnapshot = (
   state: GatewayState,
   source: Source,
-  told: CollectionSnapshot,
+  received: CollectionSnapshot,
   at: number,
 ): GatewayEffect[] => {
-  const { collection, revision, era } = told;
+  const { collection, revision, era } = received;
   const progress = state.collections[collection];
   const before = positionOf(progress);
   if (before !== undefined && comparePositions({ era, revision }, before) <= 0) {
-    return [...takeVersion(state, source, told, at), ...dropNews(state, source, told)];
+    return [
+      ...applyConfiguration(state, source, received, at),
+      ...discardUpdate(state, source, received),
+    ];
   }
-  const hasReturned = isOfEarlierEra(progress, era);
-  const snapshot = listedPart(told);
+  const isNewEra = isOfEarlierEra(progress, era);
+  const snapshot = withoutAwaited(received);
   const listed = new Set(snapshot.objects.map(({ name }) => name));
-  const present = hasReturned ? listed : withAwaited(state, collection, listed);
+  const present = isNewEra ? listed : withAwaited(state, collection, listed);
   const changed = new Set([
     ...changedNames(state, snapshot),
     ...unlistedNames(state, collection, present),
@@ -128,25 +131,25 @@
   progress.revision = revision;
   progress.era = era;
   progress.isListed = true;
-  const taken = withholdOlder(state, snapshot, at);
-  const applied = applyObjects(state, taken, at, source.peer.name);
-  if (hasReturned) {
+  const accepted = withholdOlder(state, snapshot, at);
+  const applied = applyObjects(state, accepted, at, source.peer.name);
+  if (isNewEra) {
     awaitUnlisted(state, collection, listed, at);
     spreadRegistration(state, collection, at);
   }
-  const awaited = takeAwaited(state, source, told, at);
+  const awaited = applyAwaited(state, source, received, at);
   return [
     ...applied,
     ...awaited,
     ...applyWholeList(state, collection, withAwaited(state, collection, listed), at),
-    ...tellNamed(state, collection, changed, before, at),
+    ...publishNamed(state, collection, changed, before, at),
     ...(collection === 'gateways' ? takeGatewaysList(state, at) : []),
-    ...(hasReturned ? watchAnew(state, progress) : []),
+    ...(isNewEra ? restartWatch(state, progress) : []),
   ];
 };
 
 /** Asks for a snapshot of what was missed. */
-const askAgain = (state: GatewayState, { peer }: Source): GatewayEffect => ({
+const requestSnapshot = (state: GatewayState, { peer }: Source): GatewayEffect => ({
   type: 'follow-reader',
   peer,
   positions: knownPositions(state),
@@ -156,7 +159,10 @@
  * Whether changes go on from what is known. Those that a reader found when the store had returned from a copy do only for
  * a gateway that knows just what the reader knew.
  */
-const continues = ({ after, afterEra, era }: CollectionChanges, known: StorePosition): boolean =>
+const isContinuation = (
+  { after, afterEra, era }: CollectionChanges,
+  known: StorePosition,
+): boolean =>
   afterEra === era && known.era === era
     ? after <= known.revision
     : comparePositions({ era: afterEra, revision: after }, known) === 0;
@@ -165,42 +171,42 @@
  * Takes changes. Those that end where this gateway stands are a reader's decision about what the store has lost or brought
  * back; they are not passed on, since gateways may follow one another.
  */
-const takeReaderChanges = (
+const applyChanges = (
   state: GatewayState,
   source: Source,
-  told: CollectionChanges,
+  received: CollectionChanges,
   at: number,
 ): GatewayEffect[] => {
-  const { collection, revision, era } = told;
+  const { collection, revision, era } = received;
   const progress = state.collections[collection];
   const before = positionOf(progress);
   if (before !== undefined && comparePositions({ era, revision }, before) < 0) {
-    return dropNews(state, source, told);
+    return discardUpdate(state, source, received);
   }
-  if (before === undefined || !continues(told, before)) {
-    return [askAgain(state, source)];
+  if (before === undefined || !isContinuation(received, before)) {
+    return [requestSnapshot(state, source)];
   }
   if (comparePositions({ era, revision }, before) === 0) {
-    return applyObjects(state, told, at, source.peer.name);
+    return applyObjects(state, received, at, source.peer.name);
   }
-  const hasReturned = isOfEarlierEra(progress, era);
+  const isNewEra = isOfEarlierEra(progress, era);
   progress.revision = revision;
   progress.era = era;
-  const changes = hasReturned ? awaitGone(state, withholdOlder(state, told, at), at) : told;
-  if (hasReturned) {
+  const changes = isNewEra ? awaitGone(state, withholdOlder(state, received, at), at) : received;
+  if (isNewEra) {
     spreadRegistration(state, collection, at);
   }
   return [
     ...applyObjects(state, changes, at, source.peer.name),
-    ...tellChanges(state, told, before, at),
+    ...publishChanges(state, received, before, at),
     ...forgetGoneReplicas(state, at),
     ...(collection === 'gateways' ? registerIfMissing(state, at) : []),
-    ...(hasReturned ? watchAnew(state, progress) : []),
+    ...(isNewEra ? restartWatch(state, progress) : []),
   ];
 };
 
 /** A reader that is current has told all that the store holds. */
-const takeStatus = (
+const handleStatus = (
   state: GatewayState,
   source: Source,
   { isCurrent, confirmedMsAgo = 0, version }: ReaderStatus,
@@ -223,7 +229,7 @@
 };
 
 /** Handles `reader-told`; what comes from a gateway that is no longer followed is dropped. */
-export const takeReaderNews = (
+export const handleReaderUpdate = (
   state: GatewayState,
   { reader, news, at }: ReaderTold,
 ): GatewayEffect[] => {
@@ -231,16 +237,16 @@
   if (source === undefined) {
     return [];
   }
-  source.heardAt = at;
+  source.lastUpdateAt = at;
   if (news.type === 'status') {
-    return takeStatus(state, source, news, at);
+    return handleStatus(state, source, news, at);
   }
   const { era, eraAgeMs = 0, collection } = news;
   return [
     ...noteEra(state, era, { from: reader, collection, since: at - eraAgeMs }),
     ...(news.type === 'snapshot'
-      ? takeSnapshot(state, source, news, at)
-      : takeReaderChanges(state, source, news, at)),
+      ? applySnapshot(state, source, news, at)
+      : applyChanges(state, source, news, at)),
     ...noteReturnRead(state, at),
   ];
 };
--- a/src/gateway/readers/tell-followers.ts
+++ b/src/gateway/readers/publish-to-followers.ts
@@ -10,8 +10,8 @@
 import { isDeaf } from '../store/note-failure.js';
 import type { StoreChanges, StoreObjects } from '../store/store-objects.js';
 import { comparePositions, type StorePosition } from '../store/store-position.js';
-import type { FollowerId, KnownPositions, ReaderNews, ReaderStatus } from './reader-news.js';
-import { CONFIGURATION_OBJECT, newsEra, objectsNamed, snapshotOf } from './news-content.js';
+import type { FollowerId, KnownPositions, ReaderUpdate, ReaderStatus } from './reader-update.js';
+import { CONFIGURATION_OBJECT, eraFields, namedObjects, snapshotOf } from './update-content.js';
 import { followTiming } from './reading-state.js';
 
 const isComplete = (state: GatewayState): boolean =>
@@ -29,11 +29,11 @@
   state.reading.isReading && canRead(state) && isComplete(state);
 
 /** Up to where this gateway knows the collections; nothing of `unknown`, so that all of it is told. */
-export const knownPositions = (state: GatewayState, unknown?: CollectionName): KnownPositions =>
+export const knownPositions = (state: GatewayState, except?: CollectionName): KnownPositions =>
   Object.fromEntries(
     collectionsOf(state).flatMap((name) => {
       const position = positionOf(state.collections[name]);
-      return position === undefined || name === unknown ? [] : [[name, position]];
+      return position === undefined || name === except ? [] : [[name, position]];
     }),
   );
 
@@ -48,53 +48,59 @@
   };
 };
 
-const tell = (followers: readonly FollowerId[], news: ReaderNews): GatewayEffect[] =>
+const sendUpdate = (followers: readonly FollowerId[], news: ReaderUpdate): GatewayEffect[] =>
   followers.length === 0 ? [] : [{ type: 'tell-followers', followers, news }];
 
-const toldFollowers = ({ reading }: GatewayState): readonly FollowerId[] =>
-  [...reading.followers].filter(([, { isTold }]) => isTold).map(([id]) => id);
+const synchronizedFollowers = ({ reading }: GatewayState): readonly FollowerId[] =>
+  [...reading.followers].filter(([, { isSynchronized: isTold }]) => isTold).map(([id]) => id);
 
-const lacking = (
+const followersLacking = (
   { reading, collections }: GatewayState,
   followers: readonly FollowerId[],
   name: CollectionName,
 ): readonly FollowerId[] =>
   followers.filter((id) => {
-    const told = reading.followers.get(id)?.positions[name];
-    const known = positionOf(collections[name]);
-    return told === undefined || known === undefined || comparePositions(told, known) !== 0;
+    const followerPosition = reading.followers.get(id)?.positions[name];
+    const position = positionOf(collections[name]);
+    return (
+      followerPosition === undefined ||
+      position === undefined ||
+      comparePositions(followerPosition, position) !== 0
+    );
   });
 
 /** Tells those that have just come all that they lack, once this gateway knows it. */
-export const tellNewcomers = (state: GatewayState, at: number): GatewayEffect[] => {
+export const publishToNewFollowers = (state: GatewayState, at: number): GatewayEffect[] => {
   const { followers } = state.reading;
-  const newcomers = [...followers].filter(([, { isTold }]) => !isTold).map(([id]) => id);
-  if (newcomers.length === 0 || !isComplete(state)) {
+  const newFollowers = [...followers]
+    .filter(([, { isSynchronized: isTold }]) => !isTold)
+    .map(([id]) => id);
+  if (newFollowers.length === 0 || !isComplete(state)) {
     return [];
   }
   const snapshots = collectionsOf(state).flatMap((name) => {
-    const lackingIt = lacking(state, newcomers, name);
-    const snapshot = lackingIt.length === 0 ? undefined : snapshotOf(state, name, at);
-    return snapshot === undefined ? [] : tell(lackingIt, snapshot);
+    const recipients = followersLacking(state, newFollowers, name);
+    const snapshot = recipients.length === 0 ? undefined : snapshotOf(state, name, at);
+    return snapshot === undefined ? [] : sendUpdate(recipients, snapshot);
   });
-  newcomers.forEach((id) => followers.set(id, { positions: {}, isTold: true }));
-  return [...snapshots, ...tell(newcomers, statusOf(state, at))];
+  newFollowers.forEach((id) => followers.set(id, { positions: {}, isSynchronized: true }));
+  return [...snapshots, ...sendUpdate(newFollowers, statusOf(state, at))];
 };
 
 /** Tells all of a collection. */
-const tellSnapshot = (
+const publishSnapshot = (
   state: GatewayState,
   collection: CollectionName,
   at: number,
 ): GatewayEffect[] => {
-  const followers = toldFollowers(state);
+  const followers = synchronizedFollowers(state);
   const snapshot = followers.length === 0 ? undefined : snapshotOf(state, collection, at);
-  const told = snapshot === undefined ? [] : tell(followers, snapshot);
-  return [...told, ...tellNewcomers(state, at)];
+  const updates = snapshot === undefined ? [] : sendUpdate(followers, snapshot);
+  return [...updates, ...publishToNewFollowers(state, at)];
 };
 
 /** Tells what has changed since a position. */
-export const tellChanges = (
+export const publishChanges = (
   state: GatewayState,
   changes: StoreChanges,
   { era: afterEra, revision: after }: StorePosition,
@@ -104,13 +110,13 @@
   const { era } = state.collections[collection];
   // Objects and collection go together in `changes`; the union of collections cannot say so.
   const read = { collection, objects } as StoreObjects;
-  return tell(toldFollowers(state), {
+  return sendUpdate(synchronizedFollowers(state), {
     type: 'changes',
     ...read,
     revision,
     after,
     ...(afterEra !== undefined && { afterEra }),
-    ...newsEra(state, era, at),
+    ...eraFields(state, era, at),
   });
 };
 
@@ -118,7 +124,7 @@
  * Tells what has changed in a collection since the position `after`, by the names of what has: nothing is told
  * again that followers know. Where nothing was known before, all of it is told.
  */
-export const tellNamed = (
+export const publishNamed = (
   state: GatewayState,
   collection: CollectionName,
   names: ReadonlySet<string>,
@@ -127,32 +133,38 @@
 ): GatewayEffect[] => {
   const { revision } = state.collections[collection];
   if (after === undefined || revision === undefined) {
-    return tellSnapshot(state, collection, at);
+    return publishSnapshot(state, collection, at);
   }
   const changes =
-    toldFollowers(state).length === 0
+    synchronizedFollowers(state).length === 0
       ? []
-      : tellChanges(state, { ...objectsNamed(state, collection, names, at), revision }, after, at);
-  return [...changes, ...tellNewcomers(state, at)];
+      : publishChanges(
+          state,
+          { ...namedObjects(state, collection, names, at), revision },
+          after,
+          at,
+        );
+  return [...changes, ...publishToNewFollowers(state, at)];
 };
 
 /** Tells followers that this gateway lives and whether it is current, where that is due or has changed. */
-export const tellStatus = (state: GatewayState, at: number): GatewayEffect[] => {
+export const publishStatus = (state: GatewayState, at: number): GatewayEffect[] => {
   const { reading, settings } = state;
   const status = statusOf(state, at);
   const { heartbeatMs } = followTiming(settings.bounds);
-  const isDue = at - reading.toldAt >= heartbeatMs || reading.toldCurrent !== status.isCurrent;
-  const followers = isDue ? toldFollowers(state) : [];
+  const isDue =
+    at - reading.statusPublishedAt >= heartbeatMs || reading.publishedCurrent !== status.isCurrent;
+  const followers = isDue ? synchronizedFollowers(state) : [];
   if (followers.length === 0) {
     return [];
   }
-  reading.toldAt = at;
-  reading.toldCurrent = status.isCurrent;
-  return tell(followers, status);
+  reading.statusPublishedAt = at;
+  reading.publishedCurrent = status.isCurrent;
+  return sendUpdate(followers, status);
 };
 
 /** Takes a configuration that a follower knows and the store has lost, and tells it to all followers. */
-const takeOffered = (
+const applyOfferedConfiguration = (
   state: GatewayState,
   value: GatewayConfiguration,
   at: number,
@@ -164,7 +176,7 @@
   const { configuration } = state.collections;
   return [
     ...applyObjects(state, { collection: 'configuration', objects }, at, 'a follower'),
-    ...tellNamed(
+    ...publishNamed(
       state,
       'configuration',
       new Set([CONFIGURATION_OBJECT]),
@@ -175,16 +187,17 @@
 };
 
 /** Handles `follower-joined`; one that missed something joins again. */
-export const takeFollower = (
+export const handleFollowerJoined = (
   state: GatewayState,
   { follower, positions, configuration, at }: FollowerJoined,
 ): GatewayEffect[] => {
-  state.reading.followers.set(follower, { positions, isTold: false });
-  const taken = configuration === undefined ? [] : takeOffered(state, configuration, at);
-  return [...taken, ...tellNewcomers(state, at)];
+  state.reading.followers.set(follower, { positions, isSynchronized: false });
+  const applied =
+    configuration === undefined ? [] : applyOfferedConfiguration(state, configuration, at);
+  return [...applied, ...publishToNewFollowers(state, at)];
 };
 
 /** Handles `follower-left`. */
-export const takeFollowerLeft = (state: GatewayState, { follower }: FollowerLeft): void => {
+export const handleFollowerLeft = (state: GatewayState, { follower }: FollowerLeft): void => {
   state.reading.followers.delete(follower);
 };
--- a/src/gateway/readers/reader-news.ts
+++ b/src/gateway/readers/reader-update.ts
@@ -10,7 +10,7 @@
 export type KnownPositions = Partial<Readonly<Record<CollectionName, StorePosition>>>;
 
 /** What news of objects tell of the era that they are of; nothing where none is known, as in earlier builds. */
-interface NewsEra {
+interface UpdateEra {
   readonly era?: number;
   /** How long ago the reader, or one that told it, first knew of the era, in milliseconds. */
   readonly eraAgeMs?: number;
@@ -18,7 +18,7 @@
 
 /** A whole collection: objects that it does not hold are gone. */
 export type CollectionSnapshot = StoreObjects &
-  NewsEra & {
+  UpdateEra & {
     readonly type: 'snapshot';
     readonly revision: number;
     /** Names of the objects that the store, since it has returned from a copy, does not list. */
@@ -27,7 +27,7 @@
 
 /** What has changed in a collection after one position and up to another. */
 export type CollectionChanges = StoreObjects &
-  NewsEra & {
+  UpdateEra & {
     readonly type: 'changes';
     readonly after: number;
     /** Era of `after`. */
@@ -50,4 +50,4 @@
 }
 
 /** Everything that a reader tells. */
-export type ReaderNews = CollectionSnapshot | CollectionChanges | ReaderStatus;
+export type ReaderUpdate = CollectionSnapshot | CollectionChanges | ReaderStatus;
--- a/src/gateway/readers/ask-anew.ts
+++ b/src/gateway/readers/refresh-outdated.ts
@@ -4,7 +4,7 @@
 import { beginList, callNow } from '../store/follow-collection.js';
 
 /** A watch that waits shows nothing, and may be over a connection that is gone: all collections are listed. */
-const listAll = (state: GatewayState): GatewayEffect[] =>
+const relistAll = (state: GatewayState): GatewayEffect[] =>
   collectionsOf(state).map((name) => {
     const progress = state.collections[name];
     beginList(progress);
@@ -15,12 +15,12 @@
  * Has a gateway whose knowledge may be out of date list the store, where it reads it. Readers that it follows are forgotten,
  * so that they are asked again and count by what they say from now on.
  */
-export const askAnew = (state: GatewayState, at: number): GatewayEffect[] => {
+export const refreshOutdated = (state: GatewayState, at: number): GatewayEffect[] => {
   const { outdated, reading, store } = state;
   if (outdated === undefined || outdated.askedAt !== undefined) {
     return [];
   }
   outdated.askedAt = at;
   reading.sources.clear();
-  return reading.isReading && store.reachable ? listAll(state) : [];
+  return reading.isReading && store.reachable ? relistAll(state) : [];
 };
--- a/src/gateway/readers/news-content.ts
+++ b/src/gateway/readers/update-content.ts
@@ -8,7 +8,7 @@
 import { awaitedNames } from '../store/list-changes.js';
 import type { Stored, StoreObjects } from '../store/store-objects.js';
 import type { StoreEra } from '../store/store-position.js';
-import type { CollectionSnapshot } from './reader-news.js';
+import type { CollectionSnapshot } from './reader-update.js';
 
 /** Name of the one object of the configuration where a reader tells it. */
 export const CONFIGURATION_OBJECT = 'configuration';
@@ -61,7 +61,7 @@
 };
 
 /** What news of the era tell. */
-export const newsEra = (
+export const eraFields = (
   { returns }: GatewayState,
   era: StoreEra,
   at: number,
@@ -89,13 +89,13 @@
     type: 'snapshot',
     ...objectsOf(state, collection, at),
     revision,
-    ...newsEra(state, era, at),
+    ...eraFields(state, era, at),
     ...(awaited.length > 0 && { awaited }),
   };
 };
 
 /** The named objects as they are known now; those that are not known, or that the store does not list, are gone. */
-export const objectsNamed = (
+export const namedObjects = (
   state: GatewayState,
   collection: CollectionName,
   names: ReadonlySet<string>,
--- a/src/gateway/readers/update-reading.ts
+++ b/src/gateway/readers/update-reading.ts
@@ -12,16 +12,16 @@
 import { resumeCollections } from '../store/apply-collections.js';
 import { stopFollowing } from '../store/follow-collection.js';
 import { probeIfWanted } from '../store/probe-store.js';
-import { askAnew } from './ask-anew.js';
+import { refreshOutdated } from './refresh-outdated.js';
 import { readerCandidates, seedCandidates } from './candidates.js';
 import { followTiming, type Source } from './reading-state.js';
-import { canRead, knownPositions, tellStatus } from './tell-followers.js';
+import { canRead, knownPositions, publishStatus } from './publish-to-followers.js';
 
 /**
  * Time in which the list of gateways must have come from the store, in milliseconds. When all start for
  * the first time it settles after two lists, 1.5 s apart.
  */
-const ROSTER_PATIENCE_MS = 4_000;
+const ROSTER_WAIT_MS = 4_000;
 
 /**
  * Gateways that start together and can serve from what they listed ask their reader at different times
@@ -29,27 +29,27 @@
  */
 export const FOLLOW_SPREAD_MS = 1_500;
 
-interface Choice {
+interface ReaderChoice {
   /** Gateways that should tell this one, the preferred one first. */
   readonly follow: readonly PeerRecord[];
   /** This gateway should read the store itself. */
-  readonly reads: boolean;
+  readonly shouldRead: boolean;
 }
 
 /** Whether a source tells all that the store holds; `pending`: it has been asked and may still answer. */
-const statusOf = (
+const sourceStatus = (
   state: GatewayState,
   source: Source | undefined,
   at: number,
 ): 'current' | 'pending' | 'lost' => {
-  const { silenceMs, firstWordMs } = followTiming(state.settings.bounds);
+  const { silenceMs, firstUpdateMs: firstWordMs } = followTiming(state.settings.bounds);
   if (source === undefined) {
     return 'pending';
   }
   if (source.isCurrent === undefined) {
-    return at - source.askedAt < firstWordMs ? 'pending' : 'lost';
+    return at - source.requestedAt < firstWordMs ? 'pending' : 'lost';
   }
-  const isTimely = source.isCurrent && at - source.heardAt <= silenceMs;
+  const isTimely = source.isCurrent && at - source.lastUpdateAt <= silenceMs;
   return isTimely && !source.isIncomparable ? 'current' : 'lost';
 };
 
@@ -61,39 +61,39 @@
  * Goes through the candidates up to the first that is current, or may be. A gateway that comes before it
  * goes on trying to read the store.
  */
-const chooseAmong = (
+const chooseFromCandidates = (
   state: GatewayState,
   candidates: readonly PeerRecord[],
   at: number,
-): Choice => {
+): ReaderChoice => {
   const { reading, settings } = state;
   const follow: PeerRecord[] = [];
-  let isPreferred = false;
+  let isPreferredReader = false;
   for (const candidate of candidates) {
     if (candidate.name === settings.node) {
       if (canRead(state)) {
-        return { follow, reads: true };
+        return { follow, shouldRead: true };
       }
-      isPreferred = true;
+      isPreferredReader = true;
       continue;
     }
     follow.push(candidate);
-    const status = statusOf(state, reading.sources.get(candidate.name), at);
+    const status = sourceStatus(state, reading.sources.get(candidate.name), at);
     if (status === 'current') {
-      return { follow, reads: isPreferred };
+      return { follow, shouldRead: isPreferredReader };
     }
     if (status === 'pending') {
-      return { follow, reads: isPreferred || reading.isReading };
+      return { follow, shouldRead: isPreferredReader || reading.isReading };
     }
   }
-  return { follow, reads: isPreferred || reading.isReading || mayReadAlone(state, at) };
+  return { follow, shouldRead: isPreferredReader || reading.isReading || mayReadAlone(state, at) };
 };
 
 const isAlone = ({ peers, settings }: GatewayState): boolean =>
   [...peers.all()].every(({ name }) => name === settings.node);
 
 /** The choice; undefined while it is too early for one. */
-const choose = (state: GatewayState, at: number): Choice | undefined => {
+const chooseReaders = (state: GatewayState, at: number): ReaderChoice | undefined => {
   const { reading, startedAt, store, gatewaysSettled } = state;
   const isRosterKnown = gatewaysSettled || !isAlone(state);
   if (isRosterKnown) {
@@ -101,17 +101,17 @@
     const isEarly = at < reading.followFrom && isInformed(state);
     return isEarly && candidates[0]?.name !== state.settings.node
       ? undefined
-      : chooseAmong(state, candidates, at);
+      : chooseFromCandidates(state, candidates, at);
   }
-  const isLate = at - startedAt >= ROSTER_PATIENCE_MS || !store.reachable;
-  return isLate ? chooseAmong(state, seedCandidates(state, at), at) : undefined;
+  const isLate = at - startedAt >= ROSTER_WAIT_MS || !store.reachable;
+  return isLate ? chooseFromCandidates(state, seedCandidates(state, at), at) : undefined;
 };
 
-const followAnew = (state: GatewayState, peer: PeerRecord, at: number): GatewayEffect[] => {
+const followNewSource = (state: GatewayState, peer: PeerRecord, at: number): GatewayEffect[] => {
   const source: Source = {
     peer,
-    askedAt: at,
-    heardAt: at,
+    requestedAt: at,
+    lastUpdateAt: at,
     isCurrent: undefined,
     offeredVersion: undefined,
     isIncomparable: false,
@@ -124,7 +124,7 @@
   ];
 };
 
-const followThese = (
+const updateSources = (
   state: GatewayState,
   wanted: readonly PeerRecord[],
   at: number,
@@ -136,12 +136,12 @@
   return [
     ...wanted
       .filter(({ name }) => !sources.has(name))
-      .flatMap((peer) => followAnew(state, peer, at)),
+      .flatMap((peer) => followNewSource(state, peer, at)),
     ...dropped.map((reader): GatewayEffect => ({ type: 'unfollow-reader', reader })),
   ];
 };
 
-const dropCalls = (state: GatewayState): GatewayEffect[] =>
+const cancelStoreCalls = (state: GatewayState): GatewayEffect[] =>
   collectionsOf(state).map((collection) => {
     stopFollowing(state.collections[collection]);
     return { type: 'drop-store-call', collection };
@@ -157,7 +157,7 @@
   const change: BeliefChange = { event: 'reading-changed', isReading, followers };
   const log: GatewayEffect = { type: 'write-log', level: 'info', part: 'store', change };
   if (!isReading) {
-    return [log, ...dropCalls(state)];
+    return [log, ...cancelStoreCalls(state)];
   }
   return store.reachable ? [log, ...resumeCollections(state)] : [log];
 };
@@ -165,28 +165,28 @@
 /** Looks again from whom this gateway learns, and tells its followers what is due. */
 export const updateReading = (state: GatewayState, at: number): GatewayEffect[] => {
   const isEnding = state.phase === 'stopping' || state.phase === 'ended';
-  const choice = isEnding ? undefined : choose(state, at);
+  const choice = isEnding ? undefined : chooseReaders(state, at);
   if (choice === undefined) {
-    return [...probeIfWanted(state), ...tellStatus(state, at)];
+    return [...probeIfWanted(state), ...publishStatus(state, at)];
   }
-  const reads = choice.reads || state.reading.followers.size > 0;
+  const shouldRead = choice.shouldRead || state.reading.followers.size > 0;
   return [
-    ...followThese(state, choice.follow, at),
-    ...setReading(state, reads),
+    ...updateSources(state, choice.follow, at),
+    ...setReading(state, shouldRead),
     ...probeIfWanted(state),
-    ...tellStatus(state, at),
+    ...publishStatus(state, at),
   ];
 };
 
 /** Handles `reading-due`. */
-export const takeReadingDue = (state: GatewayState, at: number): GatewayEffect[] => [
+export const handleReadingDue = (state: GatewayState, at: number): GatewayEffect[] => [
   ...settleUnconfirmed(state, at),
-  ...askAnew(state, at),
+  ...refreshOutdated(state, at),
   ...updateReading(state, at),
-  { type: 'set-reading-timer', at: at + followTiming(state.settings.bounds).firstWordMs },
+  { type: 'set-reading-timer', at: at + followTiming(state.settings.bounds).firstUpdateMs },
 ];
 
 /** A peer is lost: what it told is no longer kept up. */
-export const dropSource = (state: GatewayState, peer: string): void => {
+export const removeSource = (state: GatewayState, peer: string): void => {
   state.reading.sources.delete(peer);
 };
--- a/src/gateway/reducer.ts
+++ b/src/gateway/reducer.ts
@@ -8,12 +8,12 @@
 import type { GatewayEvent, Started } from './event.js';
 import { beginStop, continueStop, updateReadiness } from './lifecycle.js';
 import { takeRegistrationDue } from './peers/follow-gateways.js';
-import { takeReaderNews } from './readers/take-news.js';
-import { takeFollower, takeFollowerLeft } from './readers/tell-followers.js';
+import { handleReaderUpdate } from './readers/handle-reader-update.js';
+import { handleFollowerJoined, handleFollowerLeft } from './readers/publish-to-followers.js';
 import {
-  dropSource,
+  removeSource,
   FOLLOW_SPREAD_MS,
-  takeReadingDue,
+  handleReadingDue,
   updateReading,
 } from './readers/update-reading.js';
 import { noteEra } from './returns/note-era.js';
@@ -47,7 +47,7 @@
 const start = (state: GatewayState, { at }: Started): GatewayEffect[] => {
   state.startedAt = at;
   state.reading.followFrom = at + state.random.next() * FOLLOW_SPREAD_MS;
-  return [...listCollections(state), ...takeReadingDue(state, at)];
+  return [...listCollections(state), ...handleReadingDue(state, at)];
 };
 
 /** Takes note of the era that an answer of the store names. */
@@ -115,17 +115,17 @@
       ...updateReading(state, ended.at),
     ])
     .with({ type: 'registration-due' }, (due) => takeRegistrationDue(state, due))
-    .with({ type: 'reading-due' }, ({ at }) => takeReadingDue(state, at))
+    .with({ type: 'reading-due' }, ({ at }) => handleReadingDue(state, at))
     .with({ type: 'follower-joined' }, (joined) => [
-      ...takeFollower(state, joined),
+      ...handleFollowerJoined(state, joined),
       ...updateReading(state, joined.at),
     ])
     .with({ type: 'follower-left' }, (left) => {
-      takeFollowerLeft(state, left);
+      handleFollowerLeft(state, left);
       return updateReading(state, left.at);
     })
     .with({ type: 'reader-told' }, (told) => [
-      ...takeReaderNews(state, told),
+      ...handleReaderUpdate(state, told),
       ...useKnowledge(state, told.at),
     ])
     .with({ type: 'subquery-received' }, (received) => acceptSubquery(state, received))
@@ -136,7 +136,7 @@
     .with({ type: 'subquery-answered' }, (answered) => takeSubqueryAnswer(state, answered))
     .with({ type: 'subquery-failed' }, (failed) => takeSubqueryFailure(state, failed))
     .with({ type: 'peer-lost' }, (lost) => {
-      dropSource(state, lost.peer);
+      removeSource(state, lost.peer);
       return [...takePeerLost(state, lost), ...updateReading(state, lost.at)];
     })
     .with({ type: 'peer-alive' }, (alive) => [
--- a/src/gateway/returns/unconfirmed.ts
+++ b/src/gateway/returns/unconfirmed.ts
@@ -1,6 +1,6 @@
 /** What is kept apart after a return of the store, until it is confirmed or its time is over. */
 import type { GatewayEffect } from '../effect.js';
-import { knownPositions, tellNamed } from '../readers/tell-followers.js';
+import { knownPositions, publishNamed } from '../readers/publish-to-followers.js';
 import { collectionsOf, type GatewayState } from '../state.js';
 import { applyObjects } from '../store/apply-objects.js';
 import type { CollectionName } from '../store/collection.js';
@@ -24,7 +24,7 @@
   const position = positionOf(state.collections[collection]);
   return [
     ...applyObjects(state, read, at, 'store'),
-    ...tellNamed(state, collection, new Set(names), position, at),
+    ...publishNamed(state, collection, new Set(names), position, at),
   ];
 };
 
--- a/src/gateway/runtime/peers/follow-message.ts
+++ b/src/gateway/runtime/peers/follow-message.ts
@@ -1,6 +1,6 @@
 /** The message by which a gateway follows a reader: revisions and eras apart, as earlier builds know only the first. */
 import type { FollowReader } from '../../effect.js';
-import type { KnownPositions } from '../../readers/reader-news.js';
+import type { KnownPositions } from '../../readers/reader-update.js';
 import type { FollowMessage } from './peer-message.js';
 
 /** Creates the message. */
--- a/src/gateway/runtime/peers/peer-message.ts
+++ b/src/gateway/runtime/peers/peer-message.ts
@@ -2,7 +2,7 @@
 import type { CrashUpdate } from '../../crashes/crash-update.js';
 import type { CollectionName } from '../../store/collection.js';
 import type { GatewayConfiguration } from '../../model/route.js';
-import type { ReaderNews } from '../../readers/reader-news.js';
+import type { ReaderUpdate } from '../../readers/reader-update.js';
 import type { Subquery, SubqueryId, SubqueryPart } from '../../model/subquery.js';
 
 /** Asks for the parts of some shards; the request's bytes go with it. */
@@ -78,7 +78,7 @@
 /** What a reader of the store tells. */
 export interface NewsMessage {
   readonly type: 'news';
-  readonly news: ReaderNews;
+  readonly news: ReaderUpdate;
 }
 
 /** Tells of requests under which replicas have ended. */
--- a/src/gateway/runtime/peers/peer-port.ts
+++ b/src/gateway/runtime/peers/peer-port.ts
@@ -8,7 +8,7 @@
 import type { CallerRequests } from '../caller-requests.js';
 import type { GatewayEventSink } from '../gateway-loop.js';
 import { listenOn } from '../sockets.js';
-import type { FollowerId } from '../../readers/reader-news.js';
+import type { FollowerId } from '../../readers/reader-update.js';
 import { positionsOf } from './follow-message.js';
 import { frameOf, PeerConnection } from './peer-connection.js';
 import type { CancelMessage, FollowMessage, PeerMessage, SubqueryMessage } from './peer-message.js';
--- a/src/gateway/store/apply-collections.ts
+++ b/src/gateway/store/apply-collections.ts
@@ -7,7 +7,7 @@
   spreadRegistration,
   takeGatewaysList,
 } from '../peers/follow-gateways.js';
-import { tellChanges, tellNamed } from '../readers/tell-followers.js';
+import { publishChanges, publishNamed } from '../readers/publish-to-followers.js';
 import { awaitUnlisted, withholdOlder } from '../returns/cross-era.js';
 import { noteReturnRead } from '../returns/note-era.js';
 import { collectionsOf, type GatewayState } from '../state.js';
@@ -123,7 +123,7 @@
   const settled = collection === 'gateways' ? takeGatewaysList(state, at) : [];
   return [
     ...removed,
-    ...tellNamed(state, collection, changed, before, at),
+    ...publishNamed(state, collection, changed, before, at),
     ...settled,
     ...noteReturnRead(state, at),
     ...continueAfterList(state, progress),
@@ -150,7 +150,7 @@
   const effects = isNews
     ? [
         ...applyObjects(state, changes, at, 'store'),
-        ...tellChanges(state, changes, { era, revision: known }, at),
+        ...publishChanges(state, changes, { era, revision: known }, at),
       ]
     : [];
   progress.confirmedAt = at;
--- a/test/gateway/peer-port.test.ts
+++ b/test/gateway/peer-port.test.ts
@@ -2,7 +2,7 @@
 import { setTimeout as delay } from 'node:timers/promises';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import type { GatewayEvent } from '../../src/gateway/event.js';
-import type { ReaderNews } from '../../src/gateway/readers/reader-news.js';
+import type { ReaderUpdate } from '../../src/gateway/readers/reader-update.js';
 import { CallerRequests } from '../../src/gateway/runtime/caller-requests.js';
 import { PeerConnection } from '../../src/gateway/runtime/peers/peer-connection.js';
 import type { PeerMessage } from '../../src/gateway/runtime/peers/peer-message.js';
@@ -78,7 +78,7 @@
     expect(joined).toMatchObject({
       positions: { configuration: { era: undefined, revision: 7 } },
     });
-    const news: ReaderNews = {
+    const news: ReaderUpdate = {
       type: 'snapshot',
       collection: 'configuration',
       objects: [{ name: 'main', gone: false, value: configurationOf(8) }],
--- a/test/gateway/reader-interruptions.test.ts
+++ b/test/gateway/reader-interruptions.test.ts
@@ -18,7 +18,7 @@
 import { describe, expect, it } from 'vitest';
 import type { GatewayEffect } from '../../src/gateway/effect.js';
 import type { Route } from '../../src/gateway/model/route.js';
-import type { ReaderNews } from '../../src/gateway/readers/reader-news.js';
+import type { ReaderUpdate } from '../../src/gateway/readers/reader-update.js';
 import { step } from '../../src/gateway/reducer.js';
 import { ReaderNetwork, type VirtualNode } from './reader-network.js';
 import { configurationOf, replicaOf } from './virtual-store.js';
@@ -132,7 +132,7 @@
 describe('a list after a cut', () => {
   it('is told to followers as what it has changed', () => {
     const network = threeZones();
-    const told: ReaderNews[] = [];
+    const told: ReaderUpdate[] = [];
     network.onTold = (news) => told.push(news);
     changeUnheard(network);
     network.advance(READ_AGAIN_MS);
@@ -184,7 +184,7 @@
     });
     const at = network.now;
     const { revision = 0 } = follower.state.collections.replicas;
-    const news: ReaderNews = {
+    const news: ReaderUpdate = {
       type: 'changes',
       collection: 'replicas',
       objects: [{ name: 'r-0', gone: false, value: replicaOf('r-0', true) }],
--- a/test/gateway/reader-lists.test.ts
+++ b/test/gateway/reader-lists.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 import type { GatewayEffect } from '../../src/gateway/effect.js';
 import type { ReplicaRecord } from '../../src/gateway/model/replica-record.js';
-import type { ReaderNews } from '../../src/gateway/readers/reader-news.js';
+import type { ReaderUpdate } from '../../src/gateway/readers/reader-update.js';
 import { step } from '../../src/gateway/reducer.js';
 import { ReaderNetwork, type VirtualNode } from './reader-network.js';
 import { configurationOf, replicaOf } from './virtual-store.js';
@@ -33,11 +33,11 @@
 const listsOf = (network: ReaderNetwork): number =>
   network.calls.filter(({ type }) => type === 'list').length;
 
-const told = (effects: readonly GatewayEffect[]): readonly ReaderNews[] =>
+const told = (effects: readonly GatewayEffect[]): readonly ReaderUpdate[] =>
   effects.flatMap((effect) => (effect.type === 'tell-followers' ? [effect.news] : []));
 
 /** Replicas of the news that are told not to drain. */
-const toldToServe = (news: readonly ReaderNews[]): readonly string[] =>
+const toldToServe = (news: readonly ReaderUpdate[]): readonly string[] =>
   news.flatMap((each) =>
     each.type !== 'status' && each.collection === 'replicas'
       ? each.objects.filter(({ value }) => value?.draining === false).map(({ name }) => name)
@@ -141,8 +141,8 @@
     const peer = { name: 'x', zone: 'bole', address: { host: '10.0.0.9', port: 1 }, capacity: 1 };
     const source = {
       peer,
-      askedAt: network.now,
-      heardAt: network.now,
+      requestedAt: network.now,
+      lastUpdateAt: network.now,
       isCurrent: true,
       offeredVersion: undefined,
       isIncomparable: false,
--- a/test/gateway/reader-logs.test.ts
+++ b/test/gateway/reader-logs.test.ts
@@ -1,7 +1,7 @@
 /** What the logs say of how a gateway came to know what is in the store, and how late that may have been. */
 import { describe, expect, it } from 'vitest';
 import type { GatewayEffect } from '../../src/gateway/effect.js';
-import type { ReaderNews } from '../../src/gateway/readers/reader-news.js';
+import type { ReaderUpdate } from '../../src/gateway/readers/reader-update.js';
 import { step } from '../../src/gateway/reducer.js';
 import { confirmedAt } from '../../src/gateway/store/confirmation.js';
 import { ReaderNetwork, type VirtualNode } from './reader-network.js';
@@ -32,7 +32,7 @@
     const [reader = ''] = follower.state.reading.sources.keys();
     const { revision = 0, confirmedAt: shownAt } = follower.state.collections.configuration;
     const at = shownAt + 7_000;
-    const news: ReaderNews = {
+    const news: ReaderUpdate = {
       type: 'changes',
       collection: 'configuration',
       objects: [{ name: 'main', gone: false, value: configurationOf(2) }],
@@ -55,7 +55,7 @@
     const follower = followerOf(network);
     const [reader = ''] = follower.state.reading.sources.keys();
     const tell = (): readonly unknown[] => {
-      const news: ReaderNews = { type: 'status', isCurrent: false };
+      const news: ReaderUpdate = { type: 'status', isCurrent: false };
       return changesOf(
         step(follower.state, { type: 'reader-told', at: network.now, reader, news }),
       );
--- a/test/gateway/reader-network.ts
+++ b/test/gateway/reader-network.ts
@@ -5,7 +5,7 @@
 import type { FollowReader, GatewayEffect, TellFollowers } from '../../src/gateway/effect.js';
 import type { GatewayEvent, StoreCallFailed } from '../../src/gateway/event.js';
 import type { BeliefChange } from '../../src/gateway/log/log-event.js';
-import type { FollowerId, ReaderNews } from '../../src/gateway/readers/reader-news.js';
+import type { FollowerId, ReaderUpdate } from '../../src/gateway/readers/reader-update.js';
 import { step } from '../../src/gateway/reducer.js';
 import type { GatewaySettings } from '../../src/gateway/settings.js';
 import { createGatewayState, type GatewayState } from '../../src/gateway/state.js';
@@ -87,7 +87,7 @@
   /** Sees what gateways log of what they believe. */
   onLine: (node: VirtualNode, change: BeliefChange) => void = () => undefined;
   /** Sees what readers tell their followers. */
-  onTold: (news: ReaderNews) => void = () => undefined;
+  onTold: (news: ReaderUpdate) => void = () => undefined;
   private readonly queue: Scheduled[] = [];
   private readonly cuts = new Set<string>();
   /** Watches that wait hear of no changes. */
@@ -104,7 +104,7 @@
     () => undefined;
   private answeredCalls = 0;
   private isStoreAway = false;
-  private heldNews: { readonly follow: Follow; readonly news: ReaderNews }[] = [];
+  private heldNews: { readonly follow: Follow; readonly news: ReaderUpdate }[] = [];
   private follows: Follow[] = [];
   private nextFollower = 1;
   private order = 0;
@@ -626,7 +626,7 @@
   }
 
   /** Held news go first: a connection keeps the order. */
-  private deliver(follow: Follow, news: ReaderNews): void {
+  private deliver(follow: Follow, news: ReaderUpdate): void {
     const { from, to } = follow;
     if (this.isLinked(from, to)) {
       this.later(LINK_MS, from, {
--- a/test/gateway/readers.test.ts
+++ b/test/gateway/readers.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import type { GatewayEffect } from '../../src/gateway/effect.js';
-import type { ReaderNews } from '../../src/gateway/readers/reader-news.js';
+import type { ReaderUpdate } from '../../src/gateway/readers/reader-update.js';
 import { step } from '../../src/gateway/reducer.js';
 import { ReaderNetwork, type VirtualNode } from './reader-network.js';
 import { configurationOf, replicaOf } from './virtual-store.js';
@@ -191,7 +191,7 @@
     const { revision = 0 } = follower.state.collections.replicas;
     const objects = [{ name: 'r-07', gone: false, value: replicaOf('r-7', true) }];
     const told = (
-      news: Extract<ReaderNews, { type: 'changes' | 'snapshot' }>,
+      news: Extract<ReaderUpdate, { type: 'changes' | 'snapshot' }>,
     ): readonly GatewayEffect[] =>
       step(follower.state, { type: 'reader-told', at: network.now, reader: reader ?? '', news });
     const collection = 'replicas';
--- a/test/gateway/replica-identity.test.ts
+++ b/test/gateway/replica-identity.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import type { ReplicaRecord } from '../../src/gateway/model/replica-record.js';
-import { snapshotOf } from '../../src/gateway/readers/news-content.js';
+import { snapshotOf } from '../../src/gateway/readers/update-content.js';
 import type { Replica } from '../../src/gateway/replicas/replica.js';
 import { routeTo, VirtualGateway } from './virtual-gateway.js';
 
