--- a/src/gateway/readers/compare-versions.ts
+++ b/src/gateway/readers/compare-versions.ts
@@ -1,6 +1,6 @@
 /** Compares the version of the configuration at a reader with the own one. */
 import type { GatewayEffect } from '../effect.js';
-import { isReturnRecent } from '../returns/return-state.js';
+import { isRestoreRecent } from '../returns/restore-state.js';
 import type { GatewayState } from '../state.js';
 import type { Source } from './reading-state.js';
 import { knownPositions } from './publish-to-followers.js';
@@ -28,7 +28,7 @@
     return [{ type: 'follow-reader', peer, positions }];
   }
   const isKnownThere = version === own || source.offeredVersion === own;
-  if (isKnownThere || !isReturnRecent(state.returns, at)) {
+  if (isKnownThere || !isRestoreRecent(state.returns, at)) {
     return [];
   }
   source.offeredVersion = own;
--- a/src/gateway/readers/handle-reader-update.ts
+++ b/src/gateway/readers/handle-reader-update.ts
@@ -11,13 +11,13 @@
   takeGatewaysList,
 } from '../peers/follow-gateways.js';
 import {
-  awaitGone,
-  awaitNames,
-  awaitUnlisted,
+  keepGone,
+  keepMissing,
+  keepUnlisted,
   isKnownOrDeparted,
   withholdOlder,
 } from '../returns/cross-era.js';
-import { noteEra, noteReturnRead } from '../returns/note-era.js';
+import { recordEra, completeRestore } from '../returns/record-era.js';
 import { collectionsOf, type GatewayState } from '../state.js';
 import { applyObjects, applyWholeList, forgetGoneReplicas } from '../store/apply-objects.js';
 import {
@@ -89,7 +89,7 @@
   // The objects are some of the snapshot's; the union of collections cannot say so.
   const unknownHere = { collection, objects: all.filter(isNew) } as StoreObjects;
   const applied = applyObjects(state, unknownHere, at, peer.name);
-  awaitNames(state, collection, awaited, at);
+  keepMissing(state, collection, awaited, at);
   return applied;
 };
 
@@ -134,7 +134,7 @@
   const accepted = withholdOlder(state, snapshot, at);
   const applied = applyObjects(state, accepted, at, source.peer.name);
   if (isNewEra) {
-    awaitUnlisted(state, collection, listed, at);
+    keepUnlisted(state, collection, listed, at);
     spreadRegistration(state, collection, at);
   }
   const awaited = applyAwaited(state, source, received, at);
@@ -192,7 +192,7 @@
   const isNewEra = isOfEarlierEra(progress, era);
   progress.revision = revision;
   progress.era = era;
-  const changes = isNewEra ? awaitGone(state, withholdOlder(state, received, at), at) : received;
+  const changes = isNewEra ? keepGone(state, withholdOlder(state, received, at), at) : received;
   if (isNewEra) {
     spreadRegistration(state, collection, at);
   }
@@ -243,10 +243,10 @@
   }
   const { era, eraAgeMs = 0, collection } = news;
   return [
-    ...noteEra(state, era, { from: reader, collection, since: at - eraAgeMs }),
+    ...recordEra(state, era, { from: reader, collection, since: at - eraAgeMs }),
     ...(news.type === 'snapshot'
       ? applySnapshot(state, source, news, at)
       : applyChanges(state, source, news, at)),
-    ...noteReturnRead(state, at),
+    ...completeRestore(state, at),
   ];
 };
--- a/src/gateway/readers/update-reading.ts
+++ b/src/gateway/readers/update-reading.ts
@@ -7,7 +7,7 @@
 import type { GatewayEffect } from '../effect.js';
 import type { BeliefChange } from '../log/log-event.js';
 import type { PeerRecord } from '../model/peer-record.js';
-import { settleUnconfirmed } from '../returns/unconfirmed.js';
+import { expireUnconfirmed } from '../returns/unconfirmed.js';
 import { collectionsOf, type GatewayState, isInformed } from '../state.js';
 import { resumeCollections } from '../store/apply-collections.js';
 import { stopFollowing } from '../store/follow-collection.js';
@@ -180,7 +180,7 @@
 
 /** Handles `reading-due`. */
 export const handleReadingDue = (state: GatewayState, at: number): GatewayEffect[] => [
-  ...settleUnconfirmed(state, at),
+  ...expireUnconfirmed(state, at),
   ...refreshOutdated(state, at),
   ...updateReading(state, at),
   { type: 'set-reading-timer', at: at + followTiming(state.settings.bounds).firstUpdateMs },
--- a/src/gateway/reducer.ts
+++ b/src/gateway/reducer.ts
@@ -16,7 +16,7 @@
   handleReadingDue,
   updateReading,
 } from './readers/update-reading.js';
-import { noteEra } from './returns/note-era.js';
+import { recordEra } from './returns/record-era.js';
 import { preconnectReplicas } from './replicas/preconnect.js';
 import { acceptHeldRequests, acceptRequest } from './requests/accept-request.js';
 import { acceptSubquery, takeSubqueryCancelled } from './requests/accept-subquery.js';
@@ -56,7 +56,7 @@
   { era, at }: { readonly era?: StoreEra; readonly at: number },
   collection?: CollectionName,
 ): GatewayEffect[] =>
-  noteEra(state, era, {
+  recordEra(state, era, {
     from: 'store',
     since: at,
     ...(collection !== undefined && { collection }),
--- a/src/gateway/requests/accept-request.ts
+++ b/src/gateway/requests/accept-request.ts
@@ -7,7 +7,7 @@
 import type { CallerRequest, Fingerprint, RefusalReason } from '../model/request.js';
 import type { Route } from '../model/route.js';
 import { SplitCursor, isSameSplit } from '../routing/split-cursor.js';
-import { isReturnRecent } from '../returns/return-state.js';
+import { isRestoreRecent } from '../returns/restore-state.js';
 import { type GatewayState, isInformed } from '../state.js';
 import { refuseCall } from './finish.js';
 import { pausedUntil } from './guard.js';
@@ -84,7 +84,7 @@
     fingerprint: request.request.fingerprint,
     version: state.inForce?.configuration.version ?? 0,
     versionAgeMs: Math.round(at - (state.inForce?.since ?? at)),
-    ...(isReturnRecent(state.returns, at) && {
+    ...(isRestoreRecent(state.returns, at) && {
       storeReturnedMsAgo: Math.round(at - state.returns.eraSince),
     }),
     legs: request.legs.length,
--- a/src/gateway/returns/cross-era.ts
+++ b/src/gateway/returns/cross-era.ts
@@ -11,14 +11,14 @@
 import {
   awaitedUntil,
   type UnconfirmedObject,
-  withheldSpread,
+  withheldSpreadMs,
   withheldUntil,
-} from './return-state.js';
+} from './restore-state.js';
 
-const startedAgain = (listed: number | undefined, known: number | undefined): boolean =>
+const isLaterStart = (listed: number | undefined, known: number | undefined): boolean =>
   listed !== undefined && known !== undefined && listed > known;
 
-const startedBefore = (listed: number | undefined, known: number | undefined): boolean =>
+const isEarlierStart = (listed: number | undefined, known: number | undefined): boolean =>
   listed !== undefined && known !== undefined && listed < known;
 
 /** Whether the entry brings a replica back that has left, or that drains, or an earlier start of it. */
@@ -29,10 +29,10 @@
   const known = replicas.find(id);
   const departed = returns.departedReplicas.get(id);
   const knownBornAt = known?.record.bornAt ?? departed?.bornAt;
-  if (startedAgain(bornAt, knownBornAt)) {
+  if (isLaterStart(bornAt, knownBornAt)) {
     return false;
   }
-  if (startedBefore(bornAt, knownBornAt)) {
+  if (isEarlierStart(bornAt, knownBornAt)) {
     return true;
   }
   if (known === undefined) {
@@ -72,7 +72,7 @@
   }
 };
 
-const note = (
+const recordUnconfirmed = (
   { returns }: GatewayState,
   collection: CollectionName,
   name: string,
@@ -99,17 +99,21 @@
     return read;
   }
   const all: readonly Stored<unknown>[] = read.objects;
-  const spreadMs = withheldSpread(collection) * state.random.next();
+  const spreadMs = withheldSpreadMs(collection) * state.random.next();
   all
     .filter(({ name }) => older.has(name))
     .forEach((stored) =>
-      note(state, collection, stored.name, { type: 'older', until: until + spreadMs, stored }),
+      recordUnconfirmed(state, collection, stored.name, {
+        type: 'older',
+        until: until + spreadMs,
+        stored,
+      }),
     );
   return { ...read, objects: all.filter(({ name }) => !older.has(name)) };
 };
 
 /** Keeps the named objects, which the copy lacks, as they are known. */
-export const awaitNames = (
+export const keepMissing = (
   state: GatewayState,
   collection: CollectionName,
   names: readonly string[],
@@ -117,17 +121,17 @@
 ): void => {
   const until = awaitedUntil(state.returns, collection);
   if (at < until) {
-    names.forEach((name) => note(state, collection, name, { type: 'missing', until }));
+    names.forEach((name) => recordUnconfirmed(state, collection, name, { type: 'missing', until }));
   }
 };
 
 /** Keeps what is known and the list lacks. */
-export const awaitUnlisted = (
+export const keepUnlisted = (
   state: GatewayState,
   collection: CollectionName,
   listed: ReadonlySet<string>,
   at: number,
-): void => awaitNames(state, collection, unlistedNames(state, collection, listed), at);
+): void => keepMissing(state, collection, unlistedNames(state, collection, listed), at);
 
 const isKnown = (state: GatewayState, collection: CollectionName, name: string): boolean => {
   switch (collection) {
@@ -162,7 +166,7 @@
  * News of the first list of an era say `gone` of what it lacked. What is known of these objects is kept; the result are
  * the other objects.
  */
-export const awaitGone = <Read extends StoreObjects>(
+export const keepGone = <Read extends StoreObjects>(
   state: GatewayState,
   read: Read,
   at: number,
@@ -172,7 +176,7 @@
   const isKept = ({ name, gone }: Stored<unknown>): boolean =>
     gone && isKnown(state, collection, name);
   const kept = at < awaitedUntil(state.returns, collection) ? all.filter(isKept) : [];
-  awaitNames(
+  keepMissing(
     state,
     collection,
     kept.map(({ name }) => name),
--- a/src/gateway/returns/note-era.ts
+++ b/src/gateway/returns/record-era.ts
@@ -17,7 +17,7 @@
 }
 
 /** A reader lists at once what it knows of an earlier era: its watches would not tell what the store has lost. */
-const listEarlierEra = (
+const relistEarlierEra = (
   state: GatewayState,
   except: CollectionName | undefined,
 ): GatewayEffect[] => {
@@ -34,7 +34,7 @@
 };
 
 /** Takes note of an era that an answer of the store, or a reader, names. */
-export const noteEra = (
+export const recordEra = (
   state: GatewayState,
   era: StoreEra,
   { from, collection, since }: EraSource,
@@ -54,7 +54,7 @@
   }
   store.era = era;
   if (previous === undefined) {
-    return listEarlierEra(state, collection);
+    return relistEarlierEra(state, collection);
   }
   returns.eraSince = since;
   const { ongoing } = returns;
@@ -66,12 +66,12 @@
   const change: BeliefChange = { event: 'store-era-changed', era, previous, from };
   return [
     { type: 'write-log', level: 'info', part: 'store', change },
-    ...listEarlierEra(state, collection),
+    ...relistEarlierEra(state, collection),
   ];
 };
 
 /** Says what a return has changed, once all collections have been read since. */
-export const noteReturnRead = (state: GatewayState, at: number): GatewayEffect[] => {
+export const completeRestore = (state: GatewayState, at: number): GatewayEffect[] => {
   const { returns, store, collections, inForce } = state;
   const { ongoing, eraSince } = returns;
   const isBehind = collectionsOf(state).some((name) =>
--- a/src/gateway/returns/return-state.ts
+++ b/src/gateway/returns/restore-state.ts
@@ -20,13 +20,13 @@
 const GATEWAY_REWRITE_MS = 10_000;
 
 /** Entries of replicas that have ended lapse after so many heartbeats without a write. */
-const LAPSE_HEARTBEATS = 3;
+const EXPIRY_HEARTBEATS = 3;
 
 /** Time between two heartbeats of a replica where the settings do not tell it, in milliseconds. */
-const ASSUMED_HEARTBEAT_MS = 2_000;
+const DEFAULT_HEARTBEAT_MS = 2_000;
 
 /** Copies are up to 10 s old, and the store is away for some seconds before it returns; in milliseconds. */
-const REMEMBER_MS = 30_000;
+const RETENTION_MS = 30_000;
 
 /**
  * An object of which the copy holds something else than this gateway knows. `missing`: the copy lacks it; it is known on.
@@ -38,14 +38,14 @@
   | { readonly type: 'older'; readonly until: number; readonly stored: Stored<unknown> };
 
 /** What has gone lately: a copy may bring it back. */
-export interface Departed {
+export interface Departure {
   readonly at: number;
   /** When the replica started, in milliseconds since 1970; absent where its entry did not tell it. */
   readonly bornAt?: number;
 }
 
 /** A return of which not all collections have been read since. */
-export interface OngoingReturn {
+export interface OngoingRestore {
   readonly previousEra: number;
   /** Objects that the copy lacks and that are known on, by collection. */
   readonly missing: Map<CollectionName, number>;
@@ -54,17 +54,17 @@
 }
 
 /** All that is remembered for returns. */
-export interface ReturnState {
+export interface RestoreState {
   readonly unconfirmed: Readonly<Record<CollectionName, Map<string, UnconfirmedObject>>>;
-  readonly departedReplicas: Map<string, Departed>;
-  readonly reopenedZones: Map<string, Departed>;
+  readonly departedReplicas: Map<string, Departure>;
+  readonly reopenedZones: Map<string, Departure>;
   /** When this gateway, or one that told it, first knew that the store has returned; long ago where it has not. */
   eraSince: number;
-  ongoing: OngoingReturn | undefined;
+  ongoing: OngoingRestore | undefined;
 }
 
 /** Nothing is remembered. */
-export const createReturnState = (): ReturnState => ({
+export const createRestoreState = (): RestoreState => ({
   unconfirmed: {
     configuration: new Map(),
     replicas: new Map(),
@@ -78,22 +78,22 @@
 });
 
 /** Whether the store has returned so lately that a copy may have brought something back. */
-export const isReturnRecent = ({ eraSince }: ReturnState, at: number): boolean =>
-  at < eraSince + REMEMBER_MS;
+export const isRestoreRecent = ({ eraSince }: RestoreState, at: number): boolean =>
+  at < eraSince + RETENTION_MS;
 
 /** Until when an object that the copy lacks is known on. */
-export const awaitedUntil = ({ eraSince }: ReturnState, collection: CollectionName): number =>
+export const awaitedUntil = ({ eraSince }: RestoreState, collection: CollectionName): number =>
   eraSince + (collection === 'gateways' ? GATEWAY_REWRITE_MS : REWRITE_MS);
 
 /** Until when an object that the copy brings back is not taken. */
 export const withheldUntil = (
-  returns: ReturnState,
+  returns: RestoreState,
   collection: CollectionName,
-  { replicaHeartbeatMs = ASSUMED_HEARTBEAT_MS }: GatewayBounds,
+  { replicaHeartbeatMs = DEFAULT_HEARTBEAT_MS }: GatewayBounds,
 ): number => {
-  const lapseMs = LAPSE_HEARTBEATS * replicaHeartbeatMs;
+  const expiryMs = EXPIRY_HEARTBEATS * replicaHeartbeatMs;
   return collection === 'replicas'
-    ? returns.eraSince + REWRITE_MS + lapseMs
+    ? returns.eraSince + REWRITE_MS + expiryMs
     : awaitedUntil(returns, collection);
 };
 
@@ -101,20 +101,20 @@
  * Gateways read again what still stands at different times within this span, in milliseconds: a reader sends each some
  * 100 KB. Orders about zones must be in force in time, and are few.
  */
-const READ_AGAIN_SPREAD_MS = 1_500;
+const REREAD_SPREAD_MS = 1_500;
 
 /** By how much the times may differ at which gateways no longer withhold what a copy has brought back. */
-export const withheldSpread = (collection: CollectionName): number =>
-  collection === 'evacuations' ? 0 : READ_AGAIN_SPREAD_MS;
+export const withheldSpreadMs = (collection: CollectionName): number =>
+  collection === 'evacuations' ? 0 : REREAD_SPREAD_MS;
 
 /** Forgets what departed too long ago for a copy to bring it back. */
-export const forgetDeparted = (
-  { departedReplicas, reopenedZones }: ReturnState,
+export const removeExpiredDepartures = (
+  { departedReplicas, reopenedZones }: RestoreState,
   at: number,
 ): void => {
   for (const departed of [departedReplicas, reopenedZones]) {
     for (const [name, { at: departedAt }] of departed) {
-      if (departedAt >= at - REMEMBER_MS) {
+      if (departedAt >= at - RETENTION_MS) {
         break;
       }
       departed.delete(name);
--- a/src/gateway/returns/unconfirmed.ts
+++ b/src/gateway/returns/unconfirmed.ts
@@ -6,10 +6,10 @@
 import type { CollectionName } from '../store/collection.js';
 import { beginList, callNow, positionOf } from '../store/follow-collection.js';
 import type { StoreObjects } from '../store/store-objects.js';
-import { forgetDeparted, type UnconfirmedObject } from './return-state.js';
+import { removeExpiredDepartures, type UnconfirmedObject } from './restore-state.js';
 
 /** What the copy lacked and has not come back is gone; followers are told. */
-const dropMissing = (
+const removeMissing = (
   state: GatewayState,
   collection: CollectionName,
   names: readonly string[],
@@ -32,7 +32,7 @@
  * What the copy brought back and still stands may live. It may also have changed since, where this gateway has left the
  * reading to another: all is read again, from the store or from who reads it.
  */
-const readAgain = (
+const rereadOlder = (
   state: GatewayState,
   collection: CollectionName,
   names: readonly string[],
@@ -56,7 +56,7 @@
   }));
 };
 
-const settleCollection = (
+const expireInCollection = (
   state: GatewayState,
   collection: CollectionName,
   at: number,
@@ -65,15 +65,15 @@
   const namesOf = (type: UnconfirmedObject['type']): readonly string[] =>
     due.filter(([, object]) => object.type === type).map(([name]) => name);
   return [
-    ...dropMissing(state, collection, namesOf('missing'), at),
-    ...readAgain(state, collection, namesOf('older')),
+    ...removeMissing(state, collection, namesOf('missing'), at),
+    ...rereadOlder(state, collection, namesOf('older')),
   ];
 };
 
 /** Ends what has been kept apart for long enough. */
-export const settleUnconfirmed = (state: GatewayState, at: number): GatewayEffect[] => {
+export const expireUnconfirmed = (state: GatewayState, at: number): GatewayEffect[] => {
   if (state.store.reachable) {
-    forgetDeparted(state.returns, at);
+    removeExpiredDepartures(state.returns, at);
   }
-  return collectionsOf(state).flatMap((collection) => settleCollection(state, collection, at));
+  return collectionsOf(state).flatMap((collection) => expireInCollection(state, collection, at));
 };
--- a/src/gateway/state.ts
+++ b/src/gateway/state.ts
@@ -13,7 +13,7 @@
 import type { FeederPlan } from './peers/feeder-plan.js';
 import { PeerDirectory } from './peers/peer-directory.js';
 import { createReadingState, type ReadingState } from './readers/reading-state.js';
-import { createReturnState, type ReturnState } from './returns/return-state.js';
+import { createRestoreState, type RestoreState } from './returns/restore-state.js';
 import { ReplicaDirectory } from './replicas/directory.js';
 import type { ActiveAttempt, ActiveRequest } from './requests/request-state.js';
 import { createPauseOutcomes, type PauseOutcomes } from './requests/pause-outcomes.js';
@@ -104,7 +104,7 @@
   nextSubquery: SubqueryId;
   readonly store: StoreReachability;
   /** What is remembered for returns of the store from a copy. */
-  readonly returns: ReturnState;
+  readonly returns: RestoreState;
   phase: LifecyclePhase;
   /** When the request to stop came. */
   stoppingSince: number;
@@ -166,7 +166,7 @@
     regainedAt: Number.NEGATIVE_INFINITY,
     era: undefined,
   },
-  returns: createReturnState(),
+  returns: createRestoreState(),
   phase: 'starting',
   stoppingSince: Number.POSITIVE_INFINITY,
   ready: false,
--- a/src/gateway/store/apply-collections.ts
+++ b/src/gateway/store/apply-collections.ts
@@ -8,8 +8,8 @@
   takeGatewaysList,
 } from '../peers/follow-gateways.js';
 import { publishChanges, publishNamed } from '../readers/publish-to-followers.js';
-import { awaitUnlisted, withholdOlder } from '../returns/cross-era.js';
-import { noteReturnRead } from '../returns/note-era.js';
+import { keepUnlisted, withholdOlder } from '../returns/cross-era.js';
+import { completeRestore } from '../returns/record-era.js';
 import { collectionsOf, type GatewayState } from '../state.js';
 import { applyObjects, applyWholeList, forgetGoneReplicas } from './apply-objects.js';
 import type { CollectionName } from './collection.js';
@@ -116,7 +116,7 @@
   );
   const changed = takeUntold(progress, unlisted);
   if (hasReturned) {
-    awaitUnlisted(state, collection, listed, at);
+    keepUnlisted(state, collection, listed, at);
     spreadRegistration(state, collection, at);
   }
   const removed = applyWholeList(state, collection, withAwaited(state, collection, listed), at);
@@ -125,7 +125,7 @@
     ...removed,
     ...publishNamed(state, collection, changed, before, at),
     ...settled,
-    ...noteReturnRead(state, at),
+    ...completeRestore(state, at),
     ...continueAfterList(state, progress),
   ];
 };
--- a/src/gateway/store/apply-objects.ts
+++ b/src/gateway/store/apply-objects.ts
@@ -7,7 +7,7 @@
 import { isOtherStart, type ReplicaRecord } from '../model/replica-record.js';
 import type { Replica } from '../replicas/replica.js';
 import { RouteTable } from '../routing/route-table.js';
-import type { Departed } from '../returns/return-state.js';
+import type { Departure } from '../returns/restore-state.js';
 import { takeReplicaEnded } from '../requests/broken-attempts.js';
 import type { GatewayState } from '../state.js';
 import type { CollectionName } from './collection.js';
@@ -75,7 +75,7 @@
 
 /** Notes what has gone, or is there again, for a copy of the store that brings it back. */
 const noteDeparture = (
-  departures: Map<string, Departed>,
+  departures: Map<string, Departure>,
   name: string,
   hasGone: boolean,
   at: number,
