--- a/src/gateway/crashes/crash-histories.ts
+++ b/src/gateway/crashes/crash-histories.ts
@@ -1,4 +1,4 @@
-/** What is known of requests under which replicas have ended, bounded in number and time. */
+/** The crash histories of requests, limited in number and age. */
 import type { Fingerprint } from '../model/request.js';
 import {
   type CrashHistory,
@@ -10,12 +10,12 @@
 } from './crash-history.js';
 
 /**
- * Requests that are remembered. Each that is suspected or blocked has cost a replica, so that more than a few at a time
- * come from replicas that end for another cause, and are cleared by their next answer.
+ * Requests whose history is kept. Each suspected or blocked request has cost a replica. More than a few at a time
+ * therefore mean that replicas crash for another reason, and the next answer to each of these requests clears it.
  */
 const MAX_REQUESTS = 256;
 
-/** Requests by their fingerprint. Times are milliseconds on this gateway's clock. */
+/** Crash histories by request fingerprint. Times are milliseconds on this gateway's clock. */
 export class CrashHistories {
   private readonly byFingerprint = new Map<Fingerprint, CrashHistory>();
 
@@ -23,29 +23,30 @@
     return this.byFingerprint.size;
   }
 
-  /** What is known of a request; `NOTHING_KNOWN` where that is nothing. */
+  /** The history of a request; `EMPTY_HISTORY` where there is none or it has expired. */
   find(fingerprint: Fingerprint, at: number): CrashHistory {
     const history = this.byFingerprint.get(fingerprint);
     return history === undefined || expiresAt(history) <= at ? EMPTY_HISTORY : history;
   }
 
+  /** What the gateway may do with a request now. */
   verdict(fingerprint: Fingerprint, at: number): CrashVerdict {
     return this.byFingerprint.size === 0
       ? 'unsuspected'
       : verdictOf(this.find(fingerprint, at), at);
   }
 
-  /** Requests that are blocked, or due to be tried. */
+  /** Number of requests that are blocked or due for a trial. */
   get blockedCount(): number {
     return [...this.byFingerprint.values()].filter(({ level }) => level > 0).length;
   }
 
-  /** All that is known. */
+  /** All histories, including expired ones that have not been removed yet. */
   all(): ReadonlyMap<Fingerprint, CrashHistory> {
     return this.byFingerprint;
   }
 
-  /** Takes what is known now. The least serious request makes room for a new one. */
+  /** Stores the history of a request. Above the limit, the least serious request is evicted. */
   put(fingerprint: Fingerprint, history: CrashHistory): void {
     this.byFingerprint.set(fingerprint, history);
     if (this.byFingerprint.size > MAX_REQUESTS) {
@@ -57,7 +58,7 @@
     this.byFingerprint.delete(fingerprint);
   }
 
-  /** Forgets what is old. */
+  /** Removes histories that have expired. */
   removeExpired(at: number): void {
     for (const [fingerprint, history] of this.byFingerprint) {
       if (expiresAt(history) <= at) {
@@ -66,7 +67,7 @@
     }
   }
 
-  /** Many requests that met one crash do not push out one that ends replicas. */
+  /** Evicts by severity, so that many requests that met a single crash do not displace a poison request. */
   private evictLeastSerious(): void {
     const [leastSerious] = [...this.byFingerprint].reduce((least, each) =>
       isEvictedBefore(each[1], least[1]) ? each : least,
--- a/src/gateway/crashes/crash-history.ts
+++ b/src/gateway/crashes/crash-history.ts
@@ -1,68 +1,70 @@
 /**
- * What is known of one request, by its fingerprint, under which replicas have ended.
+ * The crash history of one request, identified by its fingerprint: decides whether it is a poison request.
  *
- * A request is only suspected when a replica ended under it: replicas end for other causes too, also many at once, with
- * all that they run. What counts is rounds: a replica that ended under an attempt belongs to the round after those of
- * which the gateway knew when it sent the attempt. All that was at replicas when they ended together is one round,
- * whatever clocks say and however many gateways had sent it. A request is blocked after several rounds with no answer
- * of any replica since. One answer shows that a replica can run it, and clears it.
+ * A crash of a replica only makes the requests that it was running suspected, since replicas also crash for other
+ * reasons, many at once too. Crashes are therefore counted in rounds: the crash of an attempt belongs to the round
+ * after those that the gateway knew of when it sent the attempt. All attempts that were running when replicas crashed
+ * together form one round, independent of clocks and of the number of gateways that sent them. A request is blocked
+ * after several rounds without an answer of any replica since. One answer shows that a replica can run it, and clears
+ * it.
  *
  * Times are milliseconds on this gateway's clock.
  */
 
 /**
- * Rounds that block a request. With fewer, one that was twice at replicas that ended for another cause would be refused;
- * each more costs at least one replica more.
+ * Rounds that block a request. With fewer, a request that was running twice when replicas crashed for another reason
+ * would be refused. Each additional round costs at least one more replica.
  */
 export const BLOCKING_ROUNDS = 3;
 
 /**
- * A request is blocked for so long at first, in milliseconds, and then tried at one replica: longer than a deployment
- * takes to restart its replicas. Blocks become longer by the factor, since each trial may cost a replica.
+ * Duration of the first block, in milliseconds, after which the request is tried at one replica. It is longer than a
+ * deployment takes to restart its replicas. Each further block is longer by the factor, since a trial may cost a
+ * replica.
  */
 const FIRST_BLOCK_MS = 60_000;
 const BLOCK_FACTOR = 10;
 const MAX_BLOCK_MS = 6 * 3_600_000;
 
-/** While one gateway tries a blocked request, the others wait for the outcome so long, in milliseconds. */
+/** Time that other gateways wait for the outcome of a trial of a blocked request, in milliseconds. */
 const BLOCKED_TRIAL_MS = 5_000;
 
-/** What is known is forgotten so long after the last crash or the end of a block, in milliseconds. */
+/** A history expires this long after the last crash or the end of the block, in milliseconds. */
 const RETENTION_MS = 600_000;
 
-/** A request that was served is remembered so long, in milliseconds: older news of it may still be on its way. */
+/** The history of an answered request is kept this long, in milliseconds: older updates may still be on their way. */
 const SERVED_RETENTION_MS = 10_000;
 
-/** A replica that ended under an attempt. */
+/** A crash of a replica while it was running an attempt. */
 export interface Crash {
-  /** Rounds that the gateway knew when it sent the attempt. */
+  /** Rounds that the gateway knew of when it sent the attempt. */
   readonly knownRounds: number;
   readonly sentAt: number;
   readonly crashedAt: number;
 }
 
-/** All that is known; it is the same at all gateways once their news have reached each other. */
+/** The history of a request. Histories at all gateways converge once their updates have reached each other. */
 export interface CrashHistory {
   /** Rounds of crashes since a replica last answered. */
   readonly rounds: number;
-  /** When a replica last ended under it. */
+  /** When a replica last crashed while running it. */
   readonly crashedAt: number;
   /** When a replica last answered it; minus infinity where none has. */
   readonly servedAt: number;
-  /** How often it was blocked in a row; 0 while it is not. */
+  /** Number of consecutive blocks; 0 while it is not blocked. */
   readonly level: number;
   /** When the level last rose. */
   readonly blockedAt: number;
-  /** When a blocked request may be tried. */
+  /** When a trial of a blocked request is due. */
   readonly trialDueAt: number;
-  /** Until when the outcome of a trial is waited for. */
+  /** Until when gateways wait for the outcome of a running trial, or hold a suspected request back. */
   readonly trialUntil: number;
 }
 
 /** What a gateway may do with a request. */
 export type CrashVerdict = 'unsuspected' | 'suspected' | 'blocked' | 'trial-due';
 
-/** Of a request of which nothing is known. */
+/** The history of a request without recorded crashes or answers. */
 export const EMPTY_HISTORY: CrashHistory = {
   rounds: 0,
   crashedAt: Number.NEGATIVE_INFINITY,
@@ -94,7 +96,7 @@
   return isProven ? block(counted, 1, crashedAt) : counted;
 };
 
-/** Takes a replica that ended under an attempt. One that was a trial lengthens the block. */
+/** Records a crash of a replica while it was running an attempt. A crash during a trial lengthens the block. */
 export const recordCrash = (
   history: CrashHistory,
   { knownRounds, sentAt, crashedAt }: Crash,
@@ -108,7 +110,7 @@
   return recordRounds(history, knownRounds + 1, crashedAt);
 };
 
-/** Takes an answer of a replica: what was seen before it no longer counts. */
+/** Records an answer of a replica. Crashes before it no longer count. */
 export const recordAnswer = (history: CrashHistory, at: number): CrashHistory => {
   if (at <= history.servedAt) {
     return history;
@@ -116,57 +118,63 @@
   return history.crashedAt > at ? { ...history, servedAt: at } : { ...EMPTY_HISTORY, servedAt: at };
 };
 
-/** What this gateway knew in an earlier life: when the crashes were is not known, and a block begins anew. */
+/**
+ * The history from this gateway's own entry in the store, written by an earlier incarnation. The entry does not tell
+ * when the crashes were, so a block starts again.
+ */
 export const historyFromOwnEntry = (rounds: number, at: number): CrashHistory =>
   recordRounds(EMPTY_HISTORY, rounds, at);
 
 /**
- * What another gateway's entry in the store says. It may be out of date, so that it blocks nothing, and is taken for older
- * than any answer that a gateway still remembers.
+ * The history from another gateway's entry in the store. The entry may be out of date, so it never blocks the request,
+ * and it counts as older than any answer that a gateway still has in its history.
  */
 export const historyFromPeerEntry = (rounds: number, at: number): CrashHistory =>
   recordRounds(EMPTY_HISTORY, Math.min(rounds, BLOCKING_ROUNDS - 1), at - SERVED_RETENTION_MS);
 
-/** The same for a suspected request: it is tried often, and most that are suspected have only met crashes. */
+/**
+ * Time that other gateways wait for the outcome of a trial of a suspected request, in milliseconds. Such trials are
+ * frequent, and most suspected requests were only running when a replica crashed for another reason.
+ */
 const SUSPECTED_TRIAL_MS = 1_000;
 
-/** Takes note that a gateway tries a blocked or suspected request now. */
+/** Marks that a gateway starts a trial of a blocked or suspected request. */
 export const markTrialStarted = (history: CrashHistory, at: number): CrashHistory => ({
   ...history,
   trialUntil: at + (history.level > 0 ? BLOCKED_TRIAL_MS : SUSPECTED_TRIAL_MS),
 });
 
 /**
- * A suspected request whose try has shown nothing, since replicas refused or failed it, is tried again after as long as has
- * passed since a replica last ended under it, from two rounds on after twice as long, within these bounds in milliseconds:
- * each try reaches replicas too.
+ * A trial of a suspected request is inconclusive where replicas refused or failed it. The next one follows after a
+ * pause as long as the time since the last crash, or twice as long from two rounds on, within these bounds in
+ * milliseconds. Trials are spaced out because each of them reaches replicas.
  */
 const REPEATED_CRASH_PAUSE_FACTOR = 2;
 const MIN_PAUSE_MS = 250;
 const MAX_PAUSE_MS = 30_000;
 
 /**
- * A run that nobody waits for is watched for so long, in milliseconds: some replicas work on after the time that they were
- * given. A replica that ends later has hardly ended by the run.
+ * Time for which an unawaited run is watched, in milliseconds: some replicas continue past the deadline of a request. A
+ * later crash is unlikely to be caused by the run.
  */
 export const UNAWAITED_RUN_WATCH_MS = 5_000;
 
 /**
- * The longest pause after one round, in milliseconds. One round is met by every request that was at a replica when it ended,
- * and an innocent one must not be refused for long.
+ * Longest pause after a single round, in milliseconds. Every request that a crashed replica was running has one round,
+ * and a harmless request must not be refused for long.
  */
 const MAX_FIRST_ROUND_PAUSE_MS = UNAWAITED_RUN_WATCH_MS;
 
 /**
- * The shortest pause after a try that a replica may still run, in milliseconds, from two rounds on. Sent before, the next
- * try would be at another replica when the first one ends.
+ * Shortest pause, from two rounds on, after a trial that a replica may still be running, in milliseconds. A trial sent
+ * earlier could already be running at another replica when the first replica crashes.
  */
 const MIN_PAUSE_WHILE_RUNNING_MS = UNAWAITED_RUN_WATCH_MS;
 
 /**
- * Takes note that a try of a suspected request has ended without showing whether replicas end under it.
+ * Records that a trial of a suspected request ended without showing whether the request crashes replicas.
  *
- * @param mayStillRun - a replica may still run it
+ * @param mayStillRun - whether a replica may still be running it
  */
 export const recordInconclusiveTrial = (
   history: CrashHistory,
@@ -183,8 +191,9 @@
 };
 
 /**
- * Joins what this gateway knows with what another one has told. Of two blocks of the same level the own one stays:
- * what is told is later by the time that it was on its way, and would grow with each time that it is told.
+ * Merges this gateway's history of a request with one received from another gateway. Of two blocks of the same level,
+ * the own one is kept: a received block ends later by the time that the update was in transit, and would grow with each
+ * hop.
  */
 export const mergeHistories = (own: CrashHistory, received: CrashHistory): CrashHistory => {
   const served = recordAnswer(own, received.servedAt);
@@ -197,20 +206,20 @@
   return recordRounds(merged, received.rounds, received.crashedAt);
 };
 
-/** Times of two gateways that differ by less are taken for the same, in milliseconds. */
+/** Times from two gateways that differ by no more than this count as equal, in milliseconds. */
 const CLOCK_TOLERANCE_MS = 250;
 
 const isClearlyLater = (after: number, before: number): boolean =>
   after > before + CLOCK_TOLERANCE_MS;
 
-/** Whether other gateways should hear of a change. */
+/** Whether a change must be published to other gateways. */
 export const isWorthPublishing = (before: CrashHistory, after: CrashHistory): boolean =>
   after.level !== before.level ||
   after.rounds !== before.rounds ||
   isClearlyLater(after.servedAt, before.servedAt) ||
   isClearlyLater(after.trialUntil, before.trialUntil);
 
-/** What may be done with a request now. */
+/** What the gateway may do with a request now. */
 export const verdictOf = (history: CrashHistory, at: number): CrashVerdict => {
   if (history.level === 0) {
     return history.rounds === 0 ? 'unsuspected' : 'suspected';
@@ -218,11 +227,11 @@
   return at < nextTrialAt(history) ? 'blocked' : 'trial-due';
 };
 
-/** When a blocked request may be tried next. */
+/** When the next trial of a blocked request may start. */
 export const nextTrialAt = ({ trialDueAt, trialUntil }: CrashHistory): number =>
   Math.max(trialDueAt, trialUntil);
 
-/** When nothing need be remembered any more. */
+/** When the history may be removed. */
 export const expiresAt = ({
   rounds,
   crashedAt,
@@ -236,7 +245,9 @@
   return rounds === 0 ? servedAt + SERVED_RETENTION_MS : crashedAt + RETENTION_MS;
 };
 
-/** Whether a request makes room before another one: the less serious, of two alike the one whose time is over first. */
+/**
+ * Whether a history is evicted before another one: the less serious first, of two equals the one that expires first.
+ */
 export const isEvictedBefore = (history: CrashHistory, other: CrashHistory): boolean => {
   if (history.level !== other.level) {
     return history.level < other.level;
--- a/src/gateway/crashes/crash-state.ts
+++ b/src/gateway/crashes/crash-state.ts
@@ -1,28 +1,29 @@
-/** What a gateway keeps about requests under which replicas have ended. */
+/** The gateway's state about requests that crash replicas. */
 import type { Fingerprint } from '../model/request.js';
 import { CrashHistories } from './crash-histories.js';
 
-/** The requests, and what of them other gateways have not been told. */
+/** Crash histories, and which of them other gateways have or still need. */
 export interface CrashState {
   readonly histories: CrashHistories;
-  /** Requests of which something new is known here. */
+  /** Requests whose history has changed and has not been published since. */
   readonly pending: Set<Fingerprint>;
-  /** Requests that other gateways know of. */
+  /** Requests that were published to other gateways or received from one. */
   readonly knownToPeers: Set<Fingerprint>;
-  /** When news are told next; undefined while nothing is to be told. */
+  /** When pending updates are published next; undefined while no timer is set. */
   publishAt: number | undefined;
-  /** When news were last told. */
+  /** When updates were last published. */
   publishedAt: number;
-  /** When what is serious is told again, at the earliest, and whose turn it was last. */
+  /** Earliest time at which serious requests are published again. */
   republishAt: number;
+  /** Group of neighbours that received serious requests last. */
   republishGroup: number;
-  /** Requests that stand in this gateway's entry in the store: it learnt first-hand that replicas end under them. */
+  /** Requests named in this gateway's entry in the store: it has itself seen replicas crash while running them. */
   readonly kept: Set<Fingerprint>;
-  /** What stood there from the life before has been read. */
+  /** The suspects that an earlier incarnation left in this gateway's entry have been read. */
   isOwnEntryRead: boolean;
 }
 
-/** Creates the state of a gateway that knows of none. */
+/** Creates the state of a gateway that knows of no crashes. */
 export const createCrashState = (): CrashState => ({
   histories: new CrashHistories(),
   pending: new Set(),
--- a/src/gateway/crashes/crash-update.ts
+++ b/src/gateway/crashes/crash-update.ts
@@ -1,28 +1,28 @@
-/** What gateways tell each other of requests under which replicas have ended: their clocks differ, so ages are told. */
+/** The crash updates that gateways send each other. They carry ages instead of times, since clocks differ. */
 import type { Fingerprint } from '../model/request.js';
 import { type CrashHistory, EMPTY_HISTORY } from './crash-history.js';
 
-/** What is known of one request. Ages and times left are in milliseconds when it is told. */
+/** The crash history of one request. Ages and remaining times are in milliseconds as of sending. */
 export interface CrashUpdate {
   readonly fingerprint: Fingerprint;
   readonly rounds: number;
-  /** Absent where no crash counts. */
+  /** Age of the last crash; absent where no crash counts. */
   readonly crashedMsAgo?: number;
-  /** Absent where no replica has answered it. */
+  /** Age of the last answer; absent where no replica has answered the request. */
   readonly servedMsAgo?: number;
-  /** How much longer a suspected one is not to be tried by others; absent where it may be. */
+  /** How much longer other gateways hold a suspected request back; absent where they may send it. */
   readonly pauseLeftMs?: number;
-  /** Absent where it is not blocked. */
+  /** The block; absent where the request is not blocked. */
   readonly block?: {
     readonly level: number;
     readonly blockedMsAgo: number;
     readonly trialInMs: number;
-    /** How much longer the outcome of a trial is waited for; absent where none runs. */
+    /** How much longer gateways wait for the outcome of the running trial; absent where none runs. */
     readonly trialLeftMs?: number;
   };
 }
 
-/** What is told of a request now. */
+/** Converts a history to an update, with ages as of `at`. */
 export const toCrashUpdate = (
   fingerprint: Fingerprint,
   { rounds, crashedAt, servedAt, level, blockedAt, trialDueAt, trialUntil }: CrashHistory,
@@ -43,7 +43,7 @@
   }),
 });
 
-/** What was told, by this gateway's clock. */
+/** Converts an update received at `at` to a history with times on this gateway's clock. */
 export const fromCrashUpdate = (
   { rounds, crashedMsAgo, servedMsAgo, pauseLeftMs, block }: CrashUpdate,
   at: number,
--- a/src/gateway/crashes/neighbours.ts
+++ b/src/gateway/crashes/neighbours.ts
@@ -1,13 +1,13 @@
 /**
- * Whom a gateway tells first-hand: the gateways stand in a ring by the hash of their names, and each tells those that
- * are 1, 2, 4, 8 and so on places further. What each passes on reaches N gateways in log2(N) steps, by N log2(N)
- * messages, and no gateway need know who has heard.
+ * The peers that a gateway sends crash updates to directly. Gateways are ordered in a ring by the hash of their names,
+ * and each sends to those 1, 2, 4, 8 and so on places further. Forwarded updates reach N gateways in log2(N) steps with
+ * N log2(N) messages, and no gateway needs to know which others already have them.
  */
 import { hash32 } from '../../core/hash.js';
 import type { PeerRecord } from '../model/peer-record.js';
 import type { GatewayState } from '../state.js';
 
-/** The gateways that this one tells; those that have failed to answer are left out of the ring. */
+/** The peers that this gateway sends to, nearest first. Peers suspected of having failed are left out of the ring. */
 export const neighboursOf = (
   { peers, settings }: GatewayState,
   at: number,
--- a/src/gateway/crashes/publish-crashes.ts
+++ b/src/gateway/crashes/publish-crashes.ts
@@ -1,4 +1,4 @@
-/** Tells other gateways of requests under which replicas have ended, and takes what they tell. */
+/** Publishes crash histories to other gateways, and handles the updates that they send. */
 import type { GatewayEffect } from '../effect.js';
 import type { CrashNewsDue, CrashesTold } from '../event.js';
 import type { PeerRecord } from '../model/peer-record.js';
@@ -11,14 +11,14 @@
 import { SERIOUS_ROUNDS, schedulePublish, updateHistory } from './update-history.js';
 
 /**
- * What is serious is told again so often, in milliseconds, to a part of the neighbours by turns, so that gateways that
- * have just started, or were cut off, hear it from each that tells them within 3 s. Platforms count a gateway as in
- * touch again after 4 s or more.
+ * Interval, in milliseconds, at which serious requests are published again, to one group of neighbours after the other.
+ * A gateway that has just started or was cut off thus receives them within 3 s from each gateway that sends to it.
+ * Platforms count a gateway as connected again after 4 s or more.
  */
 const REPUBLISH_MS = 1_000;
 const REPUBLISH_GROUPS = 3;
 
-/** Requests of one message, some 150 bytes each. */
+/** Requests in one message, about 150 bytes each. */
 const MAX_UPDATES_PER_MESSAGE = 64;
 
 const isSerious = ({ rounds }: CrashHistory): boolean => rounds >= SERIOUS_ROUNDS;
@@ -40,7 +40,7 @@
 const publish = (peers: readonly PeerRecord[], news: readonly CrashUpdate[]): GatewayEffect[] =>
   peers.length === 0 || news.length === 0 ? [] : [{ type: 'tell-crashes', peers, news }];
 
-/** Tells all neighbours what they have not been told; what finds no room is told with the next message. */
+/** Publishes pending requests to all neighbours. Those beyond the size limit go with the next message. */
 const publishPending = (state: GatewayState, at: number): GatewayEffect[] => {
   const { pending: pending, knownToPeers: knownToPeers } = state.crashes;
   const fingerprints = [...pending].slice(0, MAX_UPDATES_PER_MESSAGE);
@@ -52,8 +52,8 @@
 };
 
 /**
- * Tells what the neighbours do not know of a request whose caller is answered now, without a replica's answer. What is
- * serious goes before the answer: the caller may ask one of them next. The rest can wait, and goes with what else is told.
+ * Publishes a pending request whose caller is about to be answered without a replica's answer. A serious request is
+ * sent before the answer, since the caller may retry at one of the neighbours. Any other goes with the next batch.
  */
 export const publishBeforeAnswer = (
   state: GatewayState,
@@ -72,7 +72,7 @@
   return publish(neighboursOf(state, at), updatesOf(state, [fingerprint], at));
 };
 
-/** Tells the neighbours whose turn it is what is serious, again. */
+/** Publishes serious requests again to the group of neighbours whose turn it is. */
 const republishSerious = (state: GatewayState, at: number): GatewayEffect[] => {
   const { crashes } = state;
   if (at < crashes.republishAt) {
@@ -99,11 +99,11 @@
   }
 };
 
-/** Has what this gateway learnt first-hand stand in its entry in the store. */
+/** Writes the suspects that this gateway has itself observed to its entry in the store. */
 const storeSuspects = (state: GatewayState, at: number): GatewayEffect[] =>
   state.registration.listedGeneration === undefined ? [] : registerIfMissing(state, at);
 
-/** Handles `crash-news-due`. */
+/** Handles `crash-news-due`: publishes pending updates and those due for repetition. */
 export const handleCrashUpdatesDue = (
   state: GatewayState,
   { at }: CrashNewsDue,
@@ -124,7 +124,7 @@
   ];
 };
 
-/** Handles `crashes-told`: takes what is news here, and passes it on. */
+/** Handles `crashes-told`: merges the received histories, and forwards those that change. */
 export const handleCrashUpdates = (
   state: GatewayState,
   { news, from, at }: CrashesTold,
--- a/src/gateway/crashes/restore-suspects.ts
+++ b/src/gateway/crashes/restore-suspects.ts
@@ -1,6 +1,6 @@
 /**
- * Knows, after a start, under which requests replicas have ended: gateways keep those in their entries in the store, which
- * are listed before the first request is taken, and before a neighbour may tell.
+ * Restores suspected requests after a start. Gateways keep them in their entries in the store, which are listed before
+ * the gateway accepts its first request and before a neighbour may send an update.
  */
 import type { GatewayEffect } from '../effect.js';
 import type { PeerRecord, SuspectedRequest } from '../model/peer-record.js';
@@ -8,7 +8,7 @@
 import { EMPTY_HISTORY, historyFromPeerEntry, historyFromOwnEntry } from './crash-history.js';
 import { updateHistory } from './update-history.js';
 
-/** Takes a request that stands in an entry, unless more is known of it. */
+/** Restores a suspected request from an entry, unless the gateway already has a history of it. */
 const restoreSuspect = (
   state: GatewayState,
   { name: from }: PeerRecord,
@@ -23,7 +23,10 @@
   return updateHistory(state, fingerprint, known, { from, isUrgent: isOwn }, at);
 };
 
-/** Reads the entries of all gateways, this one's first, from each list until one has its own. */
+/**
+ * Restores the suspects in the entries of all gateways, this one's first. Each list is read until one holds this
+ * gateway's own entry.
+ */
 export const restoreSuspects = (state: GatewayState, at: number): GatewayEffect[] => {
   const { crashes, peers, settings } = state;
   if (crashes.isOwnEntryRead) {
--- a/src/gateway/crashes/unawaited-runs.ts
+++ b/src/gateway/crashes/unawaited-runs.ts
@@ -1,28 +1,32 @@
 /**
- * Runs that nobody waits for any more: the gateway has closed their connections, and a replica may still work on them,
- * or end under them.
+ * Unawaited runs: the gateway has closed the connection of the attempt, but the replica may still run the request and
+ * crash.
  */
 import type { Fingerprint } from '../model/request.js';
 
-/** One of them. Times are milliseconds on this gateway's clock. */
+/** One unawaited run. Times are milliseconds on this gateway's clock. */
 export interface UnawaitedRun {
   readonly fingerprint: Fingerprint;
-  /** Rounds of crashes that the gateway knew when it sent the attempt. */
+  /** Rounds of crashes that the gateway knew of when it sent the attempt. */
   readonly knownRounds: number;
   readonly sentAt: number;
-  /** An end of the replica after that has nothing to do with the run. */
+  /** A crash of the replica after this time is not attributed to the run. */
   readonly watchedUntil: number;
 }
 
-/** Requests that are remembered for one replica: more than it works on at once. */
+/** Runs kept for one replica: more than a replica runs at once. */
 const MAX_RUNS_PER_REPLICA = 64;
 
 type RunsByFingerprint = Map<Fingerprint, UnawaitedRun>;
 
-/** The runs by replica; of several of the same request at a replica, the one of which most was known. */
+/**
+ * Unawaited runs by replica. Of several runs of one request at a replica, the one sent with the most known rounds is
+ * kept.
+ */
 export class UnawaitedRuns {
   private readonly byReplica = new Map<string, RunsByFingerprint>();
 
+  /** Adds a run. Above the limit, the oldest run of the replica is evicted. */
   add(replica: string, run: UnawaitedRun, at: number): void {
     const runs = this.currentRuns(replica, at);
     const known = runs.get(run.fingerprint);
@@ -37,18 +41,19 @@
     this.byReplica.set(replica, runs);
   }
 
-  /** Whether a replica may be at one. */
+  /** Whether a replica may still be running one. */
   hasRuns(replica: string, at: number): boolean {
     return this.currentRuns(replica, at).size > 0;
   }
 
-  /** Takes the runs out that a replica may have been at when it ended. */
+  /** Removes and returns the runs that a replica may have been working on when it crashed. */
   removeRuns(replica: string, at: number): readonly UnawaitedRun[] {
     const runs = [...this.currentRuns(replica, at).values()];
     this.byReplica.delete(replica);
     return runs;
   }
 
+  /** The runs of a replica that are still watched; removes the others. */
   private currentRuns(replica: string, at: number): RunsByFingerprint {
     const runs = this.byReplica.get(replica) ?? new Map<Fingerprint, UnawaitedRun>();
     for (const [fingerprint, { watchedUntil }] of runs) {
--- a/src/gateway/crashes/update-history.ts
+++ b/src/gateway/crashes/update-history.ts
@@ -1,4 +1,4 @@
-/** Takes what is newly known of a request under which replicas have ended, logs it, and has it told. */
+/** Updates the crash history of a request, logs the change and schedules its publication. */
 import type { GatewayEffect } from '../effect.js';
 import type { BeliefChange } from '../log/log-event.js';
 import type { Fingerprint } from '../model/request.js';
@@ -11,24 +11,25 @@
 } from './crash-history.js';
 
 /**
- * News that can wait are told together after this time, in milliseconds. Most requests that were running when replicas
- * ended for another cause are answered by other replicas meanwhile, and nothing is told of them.
+ * Updates that are not urgent are published together after this delay, in milliseconds. When replicas crash for another
+ * reason, other replicas answer most of the affected requests in the meantime, and nothing is published about these.
  */
 const PUBLISH_BATCH_MS = 100;
 
 /**
- * Between two messages to the same gateway lies so much time, in milliseconds: where many replicas end together, what is
- * known of all that they ran goes in few messages. A caller that was refused is at another gateway after some 10 ms.
+ * Least time between two messages to the same gateway, in milliseconds. Where many replicas crash together, the
+ * histories of all their requests go in few messages. A caller that was refused reaches another gateway after about 10
+ * ms.
  */
 const MIN_PUBLISH_INTERVAL_MS = 4;
 
 /**
- * Rounds from which a suspicion is logged, told again and again, and kept in the store: one is met by every request that
- * was at a replica that ended, and the one after two blocks the request.
+ * Rounds from which a suspected request is logged, published repeatedly and kept in the store. Every request that a
+ * crashed replica was running has one round, and the round after two blocks the request.
  */
 export const SERIOUS_ROUNDS = 2;
 
-/** Has news told by a time. */
+/** Schedules the publication of pending updates for `wantedAt` at the latest, or as soon as the interval allows. */
 export const schedulePublish = ({ crashes }: GatewayState, wantedAt: number): GatewayEffect[] => {
   const at = Math.max(wantedAt, crashes.publishedAt + MIN_PUBLISH_INTERVAL_MS);
   if (crashes.publishAt !== undefined && crashes.publishAt <= at) {
@@ -38,26 +39,26 @@
   return [{ type: 'set-crash-news-timer', at }];
 };
 
-/** Has what is known of a request told at once, unless others know it. */
+/** Schedules the immediate publication of a request, if it is pending. */
 const schedulePublishNow = (
   state: GatewayState,
   fingerprint: Fingerprint,
   at: number,
 ): GatewayEffect[] => (state.crashes.pending.has(fingerprint) ? schedulePublish(state, at) : []);
 
-/** An answer that shows that a replica can run a request. */
+/** An answer which shows that a replica can run a request. */
 export interface ObservedAnswer {
   readonly replica: string;
   readonly status: number;
 }
 
-/** How knowledge came, and how soon others need it. */
+/** Where a change of a history comes from, and how soon other gateways need it. */
 export interface UpdateOrigin {
-  /** This gateway's name, or that of the one that told it. */
+  /** This gateway's name, or the name of the gateway that sent the update. */
   readonly from: string;
-  /** The answer that was seen, where it is one. */
+  /** The answer that cleared the request, where one did. */
   readonly answer?: ObservedAnswer;
-  /** Told at once: the request may be on its way to another gateway. */
+  /** The change is published at once, since the request may be on its way to another gateway. */
   readonly isUrgent: boolean;
 }
 
@@ -82,7 +83,7 @@
     : undefined;
 };
 
-/** Takes what is known of a request now. */
+/** Replaces the history of a request; logs the change and schedules its publication where it matters to others. */
 export const updateHistory = (
   state: GatewayState,
   fingerprint: Fingerprint,
@@ -114,9 +115,9 @@
 };
 
 /**
- * A replica has answered the request: what was seen of it before no longer counts.
+ * Records that a replica has answered the request, so that earlier crashes no longer count.
  *
- * @param answer - undefined where a feeder has it
+ * @param answer - the answer; undefined where a feeder received it
  */
 export const recordServedRequest = (
   state: GatewayState,
