--- a/src/gateway/readers/candidates.ts
+++ b/src/gateway/readers/candidates.ts
@@ -1,16 +1,16 @@
 /**
- * Which gateways may read the store for others: a few of each zone, in an order that all of them work out
- * alike from the list of gateways. None is appointed: a gateway reads once it is asked to.
+ * Candidates for reading the store on behalf of other gateways: a few of each zone, in an order that all gateways
+ * compute identically from the list of gateways. No reader is elected: a gateway reads once another one follows it.
  */
 import type { PeerRecord } from '../model/peer-record.js';
 import { rankByRendezvous } from '../peers/rendezvous.js';
 import type { GatewayState } from '../state.js';
 import type { ReaderOrder } from './reading-state.js';
 
-/** Gateways of the own zone that are asked before those of other zones. */
+/** Candidates of the own zone, which come before those of other zones. */
 const ZONE_CANDIDATES = 3;
 
-/** Gateways of other zones that are asked after them, each the first one of its zone. */
+/** Candidates of other zones, each the first one of its zone. */
 const OTHER_ZONE_CANDIDATES = 2;
 
 const byZone = (peers: Iterable<PeerRecord>): ReadonlyMap<string, readonly PeerRecord[]> => {
@@ -45,7 +45,7 @@
   return state.reading.order;
 };
 
-/** Gateways to ask, the preferred one first; this gateway is among them where it may read for others. */
+/** Reader candidates, the preferred one first. This gateway is among them where it may read for others. */
 export const readerCandidates = (state: GatewayState, at: number): readonly PeerRecord[] => {
   const { ownZone, otherZones } = readerOrderOf(state);
   const own = state.settings.node;
@@ -58,7 +58,7 @@
   ];
 };
 
-/** The gateways that the settings name; asked while no list of gateways is to be had. */
+/** The seed gateways of the settings, which serve as candidates while no list of gateways is available. */
 export const seedCandidates = (state: GatewayState, at: number): readonly PeerRecord[] => {
   const { seeds, peers, zone } = state.settings;
   return seeds
--- a/src/gateway/readers/compare-versions.ts
+++ b/src/gateway/readers/compare-versions.ts
@@ -1,4 +1,4 @@
-/** Compares the version of the configuration at a reader with the own one. */
+/** Compares the configuration version of a reader with this gateway's, and transfers the newer configuration. */
 import type { GatewayEffect } from '../effect.js';
 import { isRestoreRecent } from '../returns/restore-state.js';
 import type { GatewayState } from '../state.js';
@@ -6,9 +6,9 @@
 import { knownPositions } from './publish-to-followers.js';
 
 /**
- * A reader and its followers may have different versions of the configuration at the same position of the store: the store
- * has lost one when it returned, and those that have started since do not know it. The newer one is asked for, or offered;
- * this is looked at for as long as a return is remembered.
+ * Requests the reader's configuration where it is newer, or offers this gateway's. A reader and its followers may have
+ * different versions at the same store position: a restored store has lost a version, and gateways started since then
+ * never received it. A configuration is offered only for as long as the restore counts as recent.
  */
 export const compareVersions = (
   state: GatewayState,
--- a/src/gateway/readers/handle-reader-update.ts
+++ b/src/gateway/readers/handle-reader-update.ts
@@ -1,6 +1,6 @@
 /**
- * Takes what a reader tells of the store, and passes it on: a gateway that reads for others may itself follow a
- * reader. Its own watch does not return what it has been told, and its followers believe that it is current.
+ * Applies the updates of a reader and forwards them, since a gateway that reads for others may itself follow a reader.
+ * Its own watch does not return changes that an update has already brought, and its followers rely on it being current.
  */
 import type { GatewayEffect } from '../effect.js';
 import type { ReaderTold } from '../event.js';
@@ -34,7 +34,7 @@
 import type { Source } from './reading-state.js';
 import { knownPositions, publishChanges, publishNamed } from './publish-to-followers.js';
 
-/** What is told twice is dropped without a word; what is older than what is known is worth a line. */
+/** Discards an outdated update. An update older than the known position is logged; an exact duplicate is not. */
 const discardUpdate = (
   { collections }: GatewayState,
   source: Source,
@@ -57,7 +57,10 @@
   return [{ type: 'write-log', level: 'info', part: 'store', change }];
 };
 
-/** Versions of the configuration tell by themselves which is newer, wherever the store stood. */
+/**
+ * Applies the configuration of an outdated snapshot: configuration versions can be compared independently of store
+ * positions.
+ */
 const applyConfiguration = (
   state: GatewayState,
   { peer }: Source,
@@ -66,13 +69,13 @@
 ): GatewayEffect[] =>
   snapshot.collection === 'configuration' ? applyObjects(state, snapshot, at, peer.name) : [];
 
-/** A watch that waits was made from an earlier position, maybe of another era: another one takes its place. */
+/** Replaces a waiting watch, which was started from an earlier position and possibly in another era. */
 const restartWatch = (
   { reading, store }: GatewayState,
   progress: CollectionProgress,
 ): GatewayEffect[] => (reading.isReading && store.reachable ? [callNow(progress)] : []);
 
-/** Takes the objects of a snapshot that the store does not list, where nothing is known of them here. */
+/** Applies the objects of a snapshot that the store does not list, where this gateway does not know them. */
 const applyAwaited = (
   state: GatewayState,
   { peer }: Source,
@@ -86,7 +89,7 @@
   const all: readonly Stored<unknown>[] = snapshot.objects;
   const isNew = ({ name }: Stored<unknown>): boolean =>
     awaited.includes(name) && !isKnownOrDeparted(state, collection, name);
-  // The objects are some of the snapshot's; the union of collections cannot say so.
+  // The objects are a subset of the snapshot's, which the union type cannot express.
   const unknownHere = { collection, objects: all.filter(isNew) } as StoreObjects;
   const applied = applyObjects(state, unknownHere, at, peer.name);
   keepMissing(state, collection, awaited, at);
@@ -97,7 +100,7 @@
 const withoutAwaited = (snapshot: CollectionSnapshot): CollectionSnapshot => {
   const awaited = new Set(snapshot.awaited);
   const objects: readonly Stored<unknown>[] = snapshot.objects;
-  // The objects are some of the snapshot's; the union of collections cannot say so.
+  // The objects are a subset of the snapshot's, which the union type cannot express.
   return {
     ...snapshot,
     objects: objects.filter(({ name }) => !awaited.has(name)),
@@ -148,7 +151,7 @@
   ];
 };
 
-/** Asks for a snapshot of what was missed. */
+/** Requests a snapshot of everything newer than the known positions. */
 const requestSnapshot = (state: GatewayState, { peer }: Source): GatewayEffect => ({
   type: 'follow-reader',
   peer,
@@ -156,8 +159,8 @@
 });
 
 /**
- * Whether changes go on from what is known. Those that a reader found when the store had returned from a copy do only for
- * a gateway that knows just what the reader knew.
+ * Whether changes continue from the known position. Changes that span a restore of the store do so only for a gateway
+ * at exactly the position from which the reader computed them.
  */
 const isContinuation = (
   { after, afterEra, era }: CollectionChanges,
@@ -168,8 +171,8 @@
     : comparePositions({ era: afterEra, revision: after }, known) === 0;
 
 /**
- * Takes changes. Those that end where this gateway stands are a reader's decision about what the store has lost or brought
- * back; they are not passed on, since gateways may follow one another.
+ * Applies changes. Changes that end at the known position are a reader's decision about objects that a restored store
+ * has lost or brought back. They are not forwarded, since gateways may follow each other.
  */
 const applyChanges = (
   state: GatewayState,
@@ -205,7 +208,7 @@
   ];
 };
 
-/** A reader that is current has told all that the store holds. */
+/** Applies a status. The status of a current reader confirms that its updates cover everything that the store holds. */
 const handleStatus = (
   state: GatewayState,
   source: Source,
@@ -228,7 +231,7 @@
   return [...compared, { type: 'write-log', level: 'info', part: 'store', change }];
 };
 
-/** Handles `reader-told`; what comes from a gateway that is no longer followed is dropped. */
+/** Handles `reader-told`. Updates of a gateway that is no longer followed are discarded. */
 export const handleReaderUpdate = (
   state: GatewayState,
   { reader, news, at }: ReaderTold,
--- a/src/gateway/readers/publish-to-followers.ts
+++ b/src/gateway/readers/publish-to-followers.ts
@@ -1,4 +1,4 @@
-/** Tells the gateways that follow this one what it reads from the store. */
+/** Publishes what this gateway reads from the store to its followers. */
 import type { GatewayEffect } from '../effect.js';
 import type { FollowerJoined, FollowerLeft } from '../event.js';
 import type { GatewayConfiguration } from '../model/route.js';
@@ -18,17 +18,17 @@
   collectionsOf(state).every((name) => state.collections[name].revision !== undefined);
 
 /**
- * Whether this gateway can read the store. Probes alone do not show it: the store may refuse new connections
- * and serve those that are open.
+ * Whether this gateway can read the store. Probes alone do not show this: the store may refuse new connections while it
+ * serves those that are open.
  */
 export const canRead = (state: GatewayState): boolean =>
   state.store.reachable && !collectionsOf(state).some((name) => isDeaf(state.collections[name]));
 
-/** Whether what this gateway tells is all that the store holds. */
+/** Whether this gateway's updates cover everything that the store holds. */
 const isCurrent = (state: GatewayState): boolean =>
   state.reading.isReading && canRead(state) && isComplete(state);
 
-/** Up to where this gateway knows the collections; nothing of `unknown`, so that all of it is told. */
+/** The positions up to which this gateway knows the collections. `except` is left out, to request all of it. */
 export const knownPositions = (state: GatewayState, except?: CollectionName): KnownPositions =>
   Object.fromEntries(
     collectionsOf(state).flatMap((name) => {
@@ -69,7 +69,7 @@
     );
   });
 
-/** Tells those that have just come all that they lack, once this gateway knows it. */
+/** Sends new followers everything that they lack, once this gateway has read all collections. */
 export const publishToNewFollowers = (state: GatewayState, at: number): GatewayEffect[] => {
   const { followers } = state.reading;
   const newFollowers = [...followers]
@@ -87,7 +87,7 @@
   return [...snapshots, ...sendUpdate(newFollowers, statusOf(state, at))];
 };
 
-/** Tells all of a collection. */
+/** Publishes a snapshot of a collection. */
 const publishSnapshot = (
   state: GatewayState,
   collection: CollectionName,
@@ -99,7 +99,7 @@
   return [...updates, ...publishToNewFollowers(state, at)];
 };
 
-/** Tells what has changed since a position. */
+/** Publishes the changes of a collection since a position. */
 export const publishChanges = (
   state: GatewayState,
   changes: StoreChanges,
@@ -108,7 +108,7 @@
 ): GatewayEffect[] => {
   const { collection, objects, revision } = changes;
   const { era } = state.collections[collection];
-  // Objects and collection go together in `changes`; the union of collections cannot say so.
+  // Objects and collection belong together in `changes`, which the union type cannot express.
   const read = { collection, objects } as StoreObjects;
   return sendUpdate(synchronizedFollowers(state), {
     type: 'changes',
@@ -121,8 +121,8 @@
 };
 
 /**
- * Tells what has changed in a collection since the position `after`, by the names of what has: nothing is told
- * again that followers know. Where nothing was known before, all of it is told.
+ * Publishes the named objects, which have changed since the position `after`, so that followers are not sent again what
+ * they already have. Without a previous position, a snapshot is published.
  */
 export const publishNamed = (
   state: GatewayState,
@@ -147,7 +147,7 @@
   return [...changes, ...publishToNewFollowers(state, at)];
 };
 
-/** Tells followers that this gateway lives and whether it is current, where that is due or has changed. */
+/** Publishes this gateway's status where the heartbeat is due or `isCurrent` has changed. */
 export const publishStatus = (state: GatewayState, at: number): GatewayEffect[] => {
   const { reading, settings } = state;
   const status = statusOf(state, at);
@@ -163,7 +163,7 @@
   return sendUpdate(followers, status);
 };
 
-/** Takes a configuration that a follower knows and the store has lost, and tells it to all followers. */
+/** Applies a configuration that the store has lost and a follower offers, and publishes it to all followers. */
 const applyOfferedConfiguration = (
   state: GatewayState,
   value: GatewayConfiguration,
@@ -186,7 +186,7 @@
   ];
 };
 
-/** Handles `follower-joined`; one that missed something joins again. */
+/** Handles `follower-joined`. A follower that missed an update joins again. */
 export const handleFollowerJoined = (
   state: GatewayState,
   { follower, positions, configuration, at }: FollowerJoined,
--- a/src/gateway/readers/reading-state.ts
+++ b/src/gateway/readers/reading-state.ts
@@ -1,36 +1,37 @@
-/** How a gateway learns what the store holds: from the store itself, or from gateways that read it. */
+/** State of how a gateway learns the store's content: from the store itself, or from gateways that read it. */
 import type { PeerRecord } from '../model/peer-record.js';
 import type { GatewayBounds } from '../settings.js';
 import type { FollowerId, KnownPositions } from './reader-update.js';
 
 /**
- * The bounds of the operators are divided like this between the steps of a failure: a reader falls
- * silent, the next ones are asked, the store is read. With bounds of 3 s: a word each 0.5 s, silence
- * after 1.2 s, the next reader after 0.3 s more; lists of the store take some 0.1 s.
+ * The operator's bounds are divided into these fractions for the steps of a failover: a reader falls silent, the next
+ * ones are followed, the store is read. With bounds of 3 s, a heartbeat is due every 0.5 s, a reader counts as silent
+ * after 1.2 s, and the next one is followed after another 0.3 s. Listing the store takes about 0.1 s.
  */
 const HEARTBEAT_FRACTION = 1 / 6;
 const SILENCE_FRACTION = 0.4;
 const FIRST_UPDATE_FRACTION = 0.1;
 
 /**
- * A gateway whose readers have lost the store, and that finds it again itself, gives them this part of the
- * bounds to find it too: they look for it more often, and hundreds of gateways would list it at once.
+ * When a gateway whose readers have lost the store reaches it again, it waits for this fraction of the bounds so that
+ * the readers can reconnect too. Readers probe the store more often, and otherwise hundreds of gateways would list it
+ * at once.
  */
 const REGAIN_FRACTION = 0.2;
 
-/** Times of following, in milliseconds. */
+/** Timing of following readers, in milliseconds. */
 export interface FollowTiming {
-  /** A reader tells its followers so often that it lives. */
+  /** Interval at which a reader sends its status to its followers. */
   readonly heartbeatMs: number;
-  /** A reader that has said nothing for so long no longer counts as current. */
+  /** A reader that has sent nothing for longer than this no longer counts as current. */
   readonly silenceMs: number;
-  /** A reader that was asked says its first word within this time. */
+  /** Time within which a newly followed reader must send its first status. */
   readonly firstUpdateMs: number;
-  /** Readers that lost the store find it within this time after this gateway has. */
+  /** Time that readers have to reach the store again after this gateway has. */
   readonly regainMs: number;
 }
 
-/** The times that fit the bounds within which changes must be known. */
+/** The timing that keeps the bounds within which changes must be known. */
 export const followTiming = ({ drainMs, configurationMs }: GatewayBounds): FollowTiming => {
   const boundMs = Math.min(drainMs, configurationMs);
   return {
@@ -41,50 +42,53 @@
   };
 };
 
-/** A gateway that was asked to tell what it reads. */
+/** A reader that this gateway follows. */
 export interface Source {
   readonly peer: PeerRecord;
+  /** When this gateway asked to follow it. */
   readonly requestedAt: number;
-  /** When it last said something. */
+  /** When it last sent an update; initially `requestedAt`. */
   lastUpdateAt: number;
-  /** Its last word on whether it is current; undefined before its first. */
+  /** Whether its last status said that it is current; undefined before the first status. */
   isCurrent: boolean | undefined;
-  /** The version of the configuration that it was told, as it has an older one. */
+  /** The configuration version that was offered to it, since it has an older one. */
   offeredVersion: number | undefined;
-  /** It tells no eras, and this gateway knows one: what it tells cannot be compared. */
+  /** Its updates name no era, but this gateway knows one, so that their positions cannot be compared. */
   isIncomparable: boolean;
 }
 
-/** A gateway that this one tells. */
+/** A gateway that follows this one. */
 export interface Follower {
+  /** Up to where it knows the collections when it joins; empty once it is synchronized. */
   readonly positions: KnownPositions;
-  /** It was told all that is known; what changes is told from then on. */
+  /** It has received everything that this gateway knows, and receives changes from then on. */
   isSynchronized: boolean;
 }
 
-/** The order of all listed gateways; kept until the list changes. */
+/** The order of all listed gateways as readers; cached until the list changes. */
 export interface ReaderOrder {
+  /** Generation of the list that the order was computed from. */
   readonly generation: number;
   /** Gateways of the own zone, the preferred one first. */
   readonly ownZone: readonly PeerRecord[];
-  /** Gateways of each other zone alike; zones of the own region first. */
+  /** Gateways of each other zone in the same manner; zones of the own region first. */
   readonly otherZones: readonly (readonly PeerRecord[])[];
 }
 
-/** Who tells this gateway, and whom it tells. */
+/** The readers that this gateway follows, and the gateways that follow it. */
 export interface ReadingState {
   /** This gateway reads the store itself. */
   isReading: boolean;
-  /** Gateways that were asked, by name; the preferred one comes first. */
+  /** Readers that this gateway follows, by name; the preferred one comes first. */
   readonly sources: Map<string, Source>;
   readonly followers: Map<FollowerId, Follower>;
-  /** What the followers were told last. */
+  /** The value of `isCurrent` in the last status sent to the followers. */
   publishedCurrent: boolean | undefined;
-  /** When they were told it. */
+  /** When that status was sent. */
   statusPublishedAt: number;
-  /** A gateway that has just started and can serve asks its first reader after this time. */
+  /** A gateway that can serve right after its start follows its first reader from this time on. */
   followFrom: number;
-  /** The order in which gateways are asked, as it was last worked out. */
+  /** The last computed order of readers. */
   order: ReaderOrder | undefined;
 }
 
--- a/src/gateway/readers/refresh-outdated.ts
+++ b/src/gateway/readers/refresh-outdated.ts
@@ -1,9 +1,9 @@
-/** Asks again for all that the store holds, after the process stood still. */
+/** Reads everything that the store holds again after a process pause. */
 import type { GatewayEffect } from '../effect.js';
 import { collectionsOf, type GatewayState } from '../state.js';
 import { beginList, callNow } from '../store/follow-collection.js';
 
-/** A watch that waits shows nothing, and may be over a connection that is gone: all collections are listed. */
+/** Lists all collections. A waiting watch confirms nothing, and its connection may have been lost during the pause. */
 const relistAll = (state: GatewayState): GatewayEffect[] =>
   collectionsOf(state).map((name) => {
     const progress = state.collections[name];
@@ -12,8 +12,8 @@
   });
 
 /**
- * Has a gateway whose knowledge may be out of date list the store, where it reads it. Readers that it follows are forgotten,
- * so that they are asked again and count by what they say from now on.
+ * Refreshes a gateway whose state may be out of date: it lists the store where it reads the store itself. The readers
+ * that it follows are removed, so that it follows them again and judges them only by updates after the pause.
  */
 export const refreshOutdated = (state: GatewayState, at: number): GatewayEffect[] => {
   const { outdated, reading, store } = state;
--- a/src/gateway/readers/update-content.ts
+++ b/src/gateway/readers/update-content.ts
@@ -1,4 +1,4 @@
-/** What a reader tells of a collection: the objects as it knows them, and the era that they are of. */
+/** The content of the updates that a reader publishes: the objects of a collection as it knows them, and their era. */
 import type { PeerRecord } from '../model/peer-record.js';
 import type { ReplicaRecord } from '../model/replica-record.js';
 import type { Replica } from '../replicas/replica.js';
@@ -10,21 +10,24 @@
 import type { StoreEra } from '../store/store-position.js';
 import type { CollectionSnapshot } from './reader-update.js';
 
-/** Name of the one object of the configuration where a reader tells it. */
+/** Name of the single object of the `configuration` collection in updates of readers. */
 export const CONFIGURATION_OBJECT = 'configuration';
 
-/** A gateway as the store has it, also where it returned with an older entry: only the gateway itself can write it again. */
+/**
+ * The entry of a gateway as the store has it, even where a restore brought back an older one: only the gateway itself
+ * can write it again.
+ */
 const gatewayObject = ({ peers, returns }: GatewayState, name: string): Stored<PeerRecord> => {
   const unconfirmed = returns.unconfirmed.gateways.get(name);
   if (unconfirmed?.type === 'older') {
-    // What is kept apart of the gateways are entries of gateways.
+    // Unconfirmed objects of the `gateways` collection are entries of gateways.
     return unconfirmed.stored as Stored<PeerRecord>;
   }
   const value = peers.find(name);
   return value === undefined ? { name, gone: false } : { name, gone: false, value };
 };
 
-/** A replica as followers may use it; one whose entry cannot be read is named without a value. */
+/** A replica as followers may use it. A replica whose entry cannot be read has a name but no value. */
 const replicaObject = (
   { record, coldUntil, isUnreadable }: Replica,
   at: number,
@@ -60,7 +63,7 @@
   }
 };
 
-/** What news of the era tell. */
+/** The fields of an update that describe its era. */
 export const eraFields = (
   { returns }: GatewayState,
   era: StoreEra,
@@ -73,7 +76,7 @@
   };
 };
 
-/** All of a collection; undefined where it is not known to any position. */
+/** A snapshot of a collection; undefined where the collection has no known position. */
 export const snapshotOf = (
   state: GatewayState,
   collection: CollectionName,
@@ -94,7 +97,7 @@
   };
 };
 
-/** The named objects as they are known now; those that are not known, or that the store does not list, are gone. */
+/** The named objects as they are known now. Objects that are unknown, or that the store does not list, are gone. */
 export const namedObjects = (
   state: GatewayState,
   collection: CollectionName,
@@ -113,6 +116,6 @@
     ...present,
     ...gone.map((name) => ({ name, gone: true })),
   ];
-  // `present` is of the same collection; the union of collections cannot say so.
+  // `present` belongs to the same collection, which the union type cannot express.
   return { collection, objects } as StoreObjects;
 };
--- a/src/gateway/readers/update-reading.ts
+++ b/src/gateway/readers/update-reading.ts
@@ -1,8 +1,8 @@
 /**
- * Decides from whom this gateway learns what the store holds. In each zone one gateway reads it and tells
- * the others, so that calls to the store grow with the zones and not with the gateways. A reader that is
- * silent, lost or has lost the store is replaced by the next one in the order of candidates; a gateway
- * that finds none reads the store itself. Nobody is elected: a gateway reads while it is asked to.
+ * Decides from which gateways this one learns the store's content. In each zone one gateway reads the store and
+ * publishes to the others, so that calls to the store grow with the number of zones and not of gateways. A reader that
+ * is silent, unreachable or has lost the store is replaced by the next candidate. A gateway without a usable reader
+ * reads the store itself. No reader is elected: a gateway reads while it has followers.
  */
 import type { GatewayEffect } from '../effect.js';
 import type { BeliefChange } from '../log/log-event.js';
@@ -18,25 +18,25 @@
 import { canRead, knownPositions, publishStatus } from './publish-to-followers.js';
 
 /**
- * Time in which the list of gateways must have come from the store, in milliseconds. When all start for
- * the first time it settles after two lists, 1.5 s apart.
+ * Time within which the list of gateways must have been read from the store, in milliseconds. When all gateways start
+ * for the first time, it settles after two lists, 1.5 s apart.
  */
 const ROSTER_WAIT_MS = 4_000;
 
 /**
- * Gateways that start together and can serve from what they listed ask their reader at different times
- * within this span, in milliseconds: it is as busy as they are, and sends each some 100 KB.
+ * Gateways that start together and can serve from their own lists follow their reader at different times within this
+ * span, in milliseconds: the reader is as busy as they are, and sends each about 100 KB.
  */
 export const FOLLOW_SPREAD_MS = 1_500;
 
 interface ReaderChoice {
-  /** Gateways that should tell this one, the preferred one first. */
+  /** Gateways to follow, the preferred one first. */
   readonly follow: readonly PeerRecord[];
-  /** This gateway should read the store itself. */
+  /** Whether this gateway should read the store itself. */
   readonly shouldRead: boolean;
 }
 
-/** Whether a source tells all that the store holds; `pending`: it has been asked and may still answer. */
+/** Whether a source is current. `pending` means that it has been asked, or will be, and may still answer in time. */
 const sourceStatus = (
   state: GatewayState,
   source: Source | undefined,
@@ -53,13 +53,13 @@
   return isTimely && !source.isIncomparable ? 'current' : 'lost';
 };
 
-/** Whether a gateway that is no candidate may read the store itself, now that all candidates have failed. */
+/** Whether a gateway that is no candidate may read the store itself after all candidates have failed. */
 const mayReadAlone = ({ store, settings }: GatewayState, at: number): boolean =>
   store.reachable && at - store.regainedAt >= followTiming(settings.bounds).regainMs;
 
 /**
- * Goes through the candidates up to the first that is current, or may be. A gateway that comes before it
- * goes on trying to read the store.
+ * Follows the candidates up to the first one that is current or pending. Where this gateway precedes that candidate, it
+ * keeps attempting to read the store.
  */
 const chooseFromCandidates = (
   state: GatewayState,
@@ -92,7 +92,7 @@
 const isAlone = ({ peers, settings }: GatewayState): boolean =>
   [...peers.all()].every(({ name }) => name === settings.node);
 
-/** The choice; undefined while it is too early for one. */
+/** Chooses the gateways to follow; undefined while it is too early to choose. */
 const chooseReaders = (state: GatewayState, at: number): ReaderChoice | undefined => {
   const { reading, startedAt, store, gatewaysSettled } = state;
   const isRosterKnown = gatewaysSettled || !isAlone(state);
@@ -162,7 +162,7 @@
   return store.reachable ? [log, ...resumeCollections(state)] : [log];
 };
 
-/** Looks again from whom this gateway learns, and tells its followers what is due. */
+/** Chooses the readers again, applies the choice, and publishes the status to followers where it is due. */
 export const updateReading = (state: GatewayState, at: number): GatewayEffect[] => {
   const isEnding = state.phase === 'stopping' || state.phase === 'ended';
   const choice = isEnding ? undefined : chooseReaders(state, at);
@@ -178,7 +178,7 @@
   ];
 };
 
-/** Handles `reading-due`. */
+/** Handles `reading-due`: expires unconfirmed objects, refreshes outdated state and updates the readers. */
 export const handleReadingDue = (state: GatewayState, at: number): GatewayEffect[] => [
   ...expireUnconfirmed(state, at),
   ...refreshOutdated(state, at),
@@ -186,7 +186,7 @@
   { type: 'set-reading-timer', at: at + followTiming(state.settings.bounds).firstUpdateMs },
 ];
 
-/** A peer is lost: what it told is no longer kept up. */
+/** Removes a source whose connection was lost: it no longer sends updates. */
 export const removeSource = (state: GatewayState, peer: string): void => {
   state.reading.sources.delete(peer);
 };
