--- a/src/gateway/returns/cross-era.ts
+++ b/src/gateway/returns/cross-era.ts
@@ -1,6 +1,6 @@
 /**
- * Reads collections when the store has returned from a copy: what the copy lacks or brings back is kept apart until it is
- * confirmed, or its time is over.
+ * Reads collections after the store was restored from a backup. Objects that the backup lacks or brings back stay
+ * unconfirmed until the store confirms them or their time is over.
  */
 import { isSamePeerRecord, type PeerRecord } from '../model/peer-record.js';
 import type { ReplicaRecord } from '../model/replica-record.js';
@@ -21,7 +21,7 @@
 const isEarlierStart = (listed: number | undefined, known: number | undefined): boolean =>
   listed !== undefined && known !== undefined && listed < known;
 
-/** Whether the entry brings a replica back that has left, or that drains, or an earlier start of it. */
+/** Whether the entry brings back a replica that has left, a draining replica as active, or an earlier start of one. */
 const isOlderReplica = (
   { replicas, returns }: GatewayState,
   { id, bornAt, draining }: ReplicaRecord,
@@ -72,6 +72,7 @@
   }
 };
 
+/** Records an unconfirmed object, and counts it for the ongoing restore. */
 const recordUnconfirmed = (
   { returns }: GatewayState,
   collection: CollectionName,
@@ -84,8 +85,9 @@
 };
 
 /**
- * The listed objects without those that the copy brings back; these are kept apart. Not only the first list since the
- * return may hold them: a gateway that learnt of it from a reader may list for itself later.
+ * Returns the listed objects without those that the backup brings back, which are recorded as unconfirmed. Any list may
+ * contain such objects, not only the first one since the restore: a gateway that learnt of the restore from a reader
+ * may list the store itself later.
  */
 export const withholdOlder = <Read extends StoreObjects>(
   state: GatewayState,
@@ -112,7 +114,7 @@
   return { ...read, objects: all.filter(({ name }) => !older.has(name)) };
 };
 
-/** Keeps the named objects, which the copy lacks, as they are known. */
+/** Keeps the named objects, which the backup lacks, in use and records them as unconfirmed. */
 export const keepMissing = (
   state: GatewayState,
   collection: CollectionName,
@@ -125,7 +127,7 @@
   }
 };
 
-/** Keeps what is known and the list lacks. */
+/** Keeps the known objects that the list lacks. */
 export const keepUnlisted = (
   state: GatewayState,
   collection: CollectionName,
@@ -148,7 +150,10 @@
   }
 };
 
-/** Whether this gateway knows more of an object that the copy lacks than a reader can tell it. */
+/**
+ * Whether this gateway knows an object, or that it has gone: a reader's copy of an object that the backup lacks adds
+ * nothing.
+ */
 export const isKnownOrDeparted = (
   state: GatewayState,
   collection: CollectionName,
@@ -163,8 +168,8 @@
 };
 
 /**
- * News of the first list of an era say `gone` of what it lacked. What is known of these objects is kept; the result are
- * the other objects.
+ * Updates from the first list of an era mark the objects that it lacked as `gone`. Keeps those of them that this
+ * gateway knows, and returns the other objects.
  */
 export const keepGone = <Read extends StoreObjects>(
   state: GatewayState,
--- a/src/gateway/returns/record-era.ts
+++ b/src/gateway/returns/record-era.ts
@@ -1,4 +1,4 @@
-/** Notes the era of the store: a later one than before tells that it has returned from a copy. */
+/** Records the era of the store. A later era than before means that the store was restored from a backup. */
 import type { GatewayEffect } from '../effect.js';
 import type { BeliefChange } from '../log/log-event.js';
 import { collectionsOf, type GatewayState } from '../state.js';
@@ -6,17 +6,26 @@
 import { beginList, callNow, isOfEarlierEra } from '../store/follow-collection.js';
 import { compareEras, type StoreEra } from '../store/store-position.js';
 
-/** Where knowledge of an era comes from. */
+/** Where an era was learnt from. */
 export interface EraSource {
   /** `store`, or the name of a gateway. */
   readonly from: string;
-  /** The collection that was being read: what came of it says how it is read on. */
+  /**
+   * The collection that was being read. It is not listed again here, since its own result decides how reading
+   * continues.
+   */
   readonly collection?: CollectionName;
-  /** When the era was first known, to this gateway or to the one that told it. */
+  /**
+   * When this gateway, or the one that sent the update, first learnt of the era; in milliseconds on this gateway's
+   * clock.
+   */
   readonly since: number;
 }
 
-/** A reader lists at once what it knows of an earlier era: its watches would not tell what the store has lost. */
+/**
+ * Lists the collections that this reader knows from an earlier era at once: its watches would not report what the store
+ * has lost.
+ */
 const relistEarlierEra = (
   state: GatewayState,
   except: CollectionName | undefined,
@@ -33,7 +42,7 @@
   return behind.map(callNow);
 };
 
-/** Takes note of an era that an answer of the store, or a reader, names. */
+/** Records an era named by an answer of the store or by a reader. */
 export const recordEra = (
   state: GatewayState,
   era: StoreEra,
@@ -43,7 +52,7 @@
   const { era: previous } = store;
   const order = era === undefined ? 0 : compareEras(era, previous);
   if (order < 0 && !Number.isFinite(returns.eraSince)) {
-    // This gateway has started since the return, and learns of it from one that has not noticed yet.
+    // This gateway has started since the restore, and learns of it from a gateway that has not noticed it yet.
     returns.eraSince = since;
   }
   if (era !== undefined && order === 0) {
@@ -70,7 +79,7 @@
   ];
 };
 
-/** Says what a return has changed, once all collections have been read since. */
+/** Completes a restore once all collections have been read since, and logs what it has changed. */
 export const completeRestore = (state: GatewayState, at: number): GatewayEffect[] => {
   const { returns, store, collections, inForce } = state;
   const { ongoing, eraSince } = returns;
--- a/src/gateway/returns/restore-state.ts
+++ b/src/gateway/returns/restore-state.ts
@@ -1,69 +1,76 @@
 /**
- * What is remembered for a return of the store from a copy that is some seconds old. The copy lacks what was written
- * after it and brings back what had changed since; operators and replicas write theirs again within seconds, gateways
- * their own entries. Until then what this gateway knows better holds.
+ * State for restores of the store from a backup that is some seconds old. The backup lacks objects written after it,
+ * and brings back objects as they were before later changes. Operators and replicas write their objects again within
+ * seconds, and gateways write their own entries. Until then, this gateway's newer knowledge takes precedence.
  */
 import type { GatewayBounds } from '../settings.js';
 import type { CollectionName } from '../store/collection.js';
 import type { Stored } from '../store/store-objects.js';
 
 /**
- * Replicas that live and reach the store are in it again within about two seconds of its return, and operators write
- * theirs as soon; in milliseconds.
+ * Time, in milliseconds, within which live replicas that reach the store are in it again after a restore: about two
+ * seconds. Operators write their objects again as soon.
  */
 const REWRITE_MS = 2_000;
 
 /**
- * Gateways that are out of touch write their entries later, in milliseconds: one that is forgotten too early has its share
- * of the budgets given to others while it still uses it.
+ * The same for gateways, in milliseconds: those that are cut off write their entries later. The share of the budgets of
+ * a gateway that is removed too early goes to others while it still uses it.
  */
 const GATEWAY_REWRITE_MS = 10_000;
 
-/** Entries of replicas that have ended lapse after so many heartbeats without a write. */
+/** Entries of dead replicas expire after this many heartbeats without a write. */
 const EXPIRY_HEARTBEATS = 3;
 
-/** Time between two heartbeats of a replica where the settings do not tell it, in milliseconds. */
+/** Interval between heartbeats of a replica where the settings name none, in milliseconds. */
 const DEFAULT_HEARTBEAT_MS = 2_000;
 
-/** Copies are up to 10 s old, and the store is away for some seconds before it returns; in milliseconds. */
+/**
+ * Time for which departures and a restore are remembered, in milliseconds: backups are up to 10 s old, and the store is
+ * unavailable for some seconds before it is restored.
+ */
 const RETENTION_MS = 30_000;
 
 /**
- * An object of which the copy holds something else than this gateway knows. `missing`: the copy lacks it; it is known on.
- * `older`: the copy has it as it was before, which is not taken. Both until the time `until`, when what the store holds is
- * taken.
+ * An object that differs between the backup and this gateway. `missing`: the backup lacks it, and the gateway keeps it.
+ * `older`: the backup holds an earlier state of it, which the gateway does not apply. From `until` on, the store's
+ * content is applied.
  */
 export type UnconfirmedObject =
   | { readonly type: 'missing'; readonly until: number }
   | { readonly type: 'older'; readonly until: number; readonly stored: Stored<unknown> };
 
-/** What has gone lately: a copy may bring it back. */
+/** A recent departure of an object, which a backup may bring back. */
 export interface Departure {
+  /** When it departed, in milliseconds on this gateway's clock. */
   readonly at: number;
-  /** When the replica started, in milliseconds since 1970; absent where its entry did not tell it. */
+  /** When the replica started, in milliseconds since 1970; absent where its entry did not say. */
   readonly bornAt?: number;
 }
 
-/** A return of which not all collections have been read since. */
+/** A restore since which not all collections have been read yet. */
 export interface OngoingRestore {
   readonly previousEra: number;
-  /** Objects that the copy lacks and that are known on, by collection. */
+  /** Number of objects that the backup lacks and that are kept, by collection. */
   readonly missing: Map<CollectionName, number>;
-  /** Objects that the copy brings back and that are not taken, by collection. */
+  /** Number of objects that the backup brings back and that are not applied, by collection. */
   readonly older: Map<CollectionName, number>;
 }
 
-/** All that is remembered for returns. */
+/** Unconfirmed objects and recent departures, for restores of the store. */
 export interface RestoreState {
   readonly unconfirmed: Readonly<Record<CollectionName, Map<string, UnconfirmedObject>>>;
   readonly departedReplicas: Map<string, Departure>;
   readonly reopenedZones: Map<string, Departure>;
-  /** When this gateway, or one that told it, first knew that the store has returned; long ago where it has not. */
+  /**
+   * When this gateway, or one that it follows, first learnt of the restore, in milliseconds on this gateway's clock;
+   * minus infinity where there was none.
+   */
   eraSince: number;
   ongoing: OngoingRestore | undefined;
 }
 
-/** Nothing is remembered. */
+/** Creates the state of a gateway that knows of no restore. */
 export const createRestoreState = (): RestoreState => ({
   unconfirmed: {
     configuration: new Map(),
@@ -77,15 +84,15 @@
   ongoing: undefined,
 });
 
-/** Whether the store has returned so lately that a copy may have brought something back. */
+/** Whether the store was restored so recently that the backup may still bring objects back. */
 export const isRestoreRecent = ({ eraSince }: RestoreState, at: number): boolean =>
   at < eraSince + RETENTION_MS;
 
-/** Until when an object that the copy lacks is known on. */
+/** Until when an object that the backup lacks is kept. */
 export const awaitedUntil = ({ eraSince }: RestoreState, collection: CollectionName): number =>
   eraSince + (collection === 'gateways' ? GATEWAY_REWRITE_MS : REWRITE_MS);
 
-/** Until when an object that the copy brings back is not taken. */
+/** Until when an object that the backup brings back is not applied. */
 export const withheldUntil = (
   returns: RestoreState,
   collection: CollectionName,
@@ -98,16 +105,16 @@
 };
 
 /**
- * Gateways read again what still stands at different times within this span, in milliseconds: a reader sends each some
- * 100 KB. Orders about zones must be in force in time, and are few.
+ * Gateways read the remaining withheld objects again at different times within this span, in milliseconds, since a
+ * reader sends each about 100 KB. Evacuations are exempt: they are few, and must take effect in time.
  */
 const REREAD_SPREAD_MS = 1_500;
 
-/** By how much the times may differ at which gateways no longer withhold what a copy has brought back. */
+/** The span, in milliseconds, over which gateways stop withholding objects that a backup has brought back. */
 export const withheldSpreadMs = (collection: CollectionName): number =>
   collection === 'evacuations' ? 0 : REREAD_SPREAD_MS;
 
-/** Forgets what departed too long ago for a copy to bring it back. */
+/** Removes departures that are too old for a backup to bring the objects back. */
 export const removeExpiredDepartures = (
   { departedReplicas, reopenedZones }: RestoreState,
   at: number,
--- a/src/gateway/returns/unconfirmed.ts
+++ b/src/gateway/returns/unconfirmed.ts
@@ -1,4 +1,4 @@
-/** What is kept apart after a return of the store, until it is confirmed or its time is over. */
+/** Expires the unconfirmed objects that remain after a restore of the store. */
 import type { GatewayEffect } from '../effect.js';
 import { knownPositions, publishNamed } from '../readers/publish-to-followers.js';
 import { collectionsOf, type GatewayState } from '../state.js';
@@ -8,7 +8,7 @@
 import type { StoreObjects } from '../store/store-objects.js';
 import { removeExpiredDepartures, type UnconfirmedObject } from './restore-state.js';
 
-/** What the copy lacked and has not come back is gone; followers are told. */
+/** Removes objects that the backup lacked and that were not written again, and publishes this to followers. */
 const removeMissing = (
   state: GatewayState,
   collection: CollectionName,
@@ -19,7 +19,7 @@
     return [];
   }
   const objects = names.map((name) => ({ name, gone: true }));
-  // What is gone has no value of any collection; the union of collections cannot say so.
+  // Objects that are gone have no value in any collection, which the union type cannot express.
   const read = { collection, objects } as StoreObjects;
   const position = positionOf(state.collections[collection]);
   return [
@@ -29,8 +29,8 @@
 };
 
 /**
- * What the copy brought back and still stands may live. It may also have changed since, where this gateway has left the
- * reading to another: all is read again, from the store or from who reads it.
+ * Reads a collection again, from the store or from its readers, where objects that the backup brought back are still
+ * there. These may be alive, and may have changed since if this gateway has handed reading over to another one.
  */
 const rereadOlder = (
   state: GatewayState,
@@ -70,7 +70,7 @@
   ];
 };
 
-/** Ends what has been kept apart for long enough. */
+/** Expires unconfirmed objects whose time is over, and old departures while the store is reachable. */
 export const expireUnconfirmed = (state: GatewayState, at: number): GatewayEffect[] => {
   if (state.store.reachable) {
     removeExpiredDepartures(state.returns, at);
