--- a/src/gateway/crashes/broken-run.ts
+++ /dev/null
@@ -1,8 +0,0 @@
-/** A run at a replica that broke off. */
-import type { ActiveAttempt } from '../requests/request-state.js';
-
-/** What broke off, and when, in milliseconds on this gateway's clock. */
-export interface BrokenRun {
-  readonly attempt: ActiveAttempt;
-  readonly brokenAt: number;
-}
--- a/src/gateway/effect.ts
+++ b/src/gateway/effect.ts
@@ -1,12 +1,12 @@
 /** Every effect that the gateway's reducer asks of its driver. Effects are data. */
-import type { CrashNews } from './crashes/crash-news.js';
+import type { CrashUpdate } from './crashes/crash-update.js';
 import type { BeliefChange, TracedDecision, TraceReason } from './log/log-event.js';
 import type { CallerLimits, GatewayConfiguration } from './model/route.js';
 import type { PeerRecord } from './model/peer-record.js';
 import type { Subquery, SubqueryId, SubqueryPart } from './model/subquery.js';
 import type { ReplicaRecord } from './model/replica-record.js';
 import type { AttemptId, CallerResponse, CallId } from './model/request.js';
-import type { FollowerId, KnownPositions, ReaderNews } from './readers/reader-news.js';
+import type { FollowerId, KnownPositions, ReaderUpdate } from './readers/reader-update.js';
 import type { CollectionName, StoreCall } from './store/collection.js';
 
 /** Sends a request to a replica; ends in `attempt-ended`, always, also when aborted. */
@@ -49,7 +49,7 @@
 export interface TellCrashes {
   readonly type: 'tell-crashes';
   readonly peers: readonly PeerRecord[];
-  readonly news: readonly CrashNews[];
+  readonly news: readonly CrashUpdate[];
 }
 
 /** Sets the timer after which other gateways are told of them. */
@@ -201,7 +201,7 @@
 export interface TellFollowers {
   readonly type: 'tell-followers';
   readonly followers: readonly FollowerId[];
-  readonly news: ReaderNews;
+  readonly news: ReaderUpdate;
 }
 
 /** Sets the timer of the stop. */
--- a/src/gateway/event.ts
+++ b/src/gateway/event.ts
@@ -2,7 +2,7 @@
  * Every event that the gateway's reducer takes. Each carries `at`, the time in milliseconds on the
  * monotonic clock of the process; the reducer reads no other clock.
  */
-import type { CrashNews } from './crashes/crash-news.js';
+import type { CrashUpdate } from './crashes/crash-update.js';
 import type { GatewayConfiguration } from './model/route.js';
 import type { PeerProblem, Subquery, SubqueryId, SubqueryPart } from './model/subquery.js';
 import type {
@@ -13,7 +13,7 @@
   Fingerprint,
   UnreadableProblem,
 } from './model/request.js';
-import type { FollowerId, KnownPositions, ReaderNews } from './readers/reader-news.js';
+import type { FollowerId, KnownPositions, ReaderUpdate } from './readers/reader-update.js';
 import type { GatewaySettings } from './settings.js';
 import type { CollectionName } from './store/collection.js';
 import type { StoreChanges, StorePage } from './store/store-objects.js';
@@ -104,7 +104,7 @@
   readonly at: number;
   /** Name of the gateway that told it. */
   readonly from: string;
-  readonly news: readonly CrashNews[];
+  readonly news: readonly CrashUpdate[];
 }
 
 /** A timer of a request has run out. */
@@ -242,7 +242,7 @@
   readonly at: number;
   /** Name of the reader, as it was followed. */
   readonly reader: string;
-  readonly news: ReaderNews;
+  readonly news: ReaderUpdate;
 }
 
 /** It is time to look who reads the store, and to tell followers that this gateway lives. */
--- a/src/gateway/readers/candidates.ts
+++ b/src/gateway/readers/candidates.ts
@@ -1,36 +1,36 @@
 /**
- * Which gateways may read the store for others: a few of each zone, in an order that all of them work out
- * alike from the list of gateways. None is appointed: a gateway reads once it is asked to.
+ * Candidates for reading the store on behalf of other gateways: a few of each zone, in an order that all gateways
+ * compute identically from the list of gateways. No reader is elected: a gateway reads once another one follows it.
  */
 import type { PeerRecord } from '../model/peer-record.js';
 import { rankByRendezvous } from '../peers/rendezvous.js';
 import type { GatewayState } from '../state.js';
 import type { ReaderOrder } from './reading-state.js';
 
-/** Gateways of the own zone that are asked before those of other zones. */
+/** Candidates of the own zone, which come before those of other zones. */
 const ZONE_CANDIDATES = 3;
 
-/** Gateways of other zones that are asked after them, each the first one of its zone. */
+/** Candidates of other zones, each the first one of its zone. */
 const OTHER_ZONE_CANDIDATES = 2;
 
 const byZone = (peers: Iterable<PeerRecord>): ReadonlyMap<string, readonly PeerRecord[]> => {
   const zones = new Map<string, PeerRecord[]>();
   for (const peer of peers) {
-    const known = zones.get(peer.zone) ?? [];
-    known.push(peer);
-    zones.set(peer.zone, known);
+    const peersOfZone = zones.get(peer.zone) ?? [];
+    peersOfZone.push(peer);
+    zones.set(peer.zone, peersOfZone);
   }
   return zones;
 };
 
-const orderPeers = ({ peers, settings }: GatewayState): ReaderOrder => {
+const computeReaderOrder = ({ peers, settings }: GatewayState): ReaderOrder => {
   const { zone, zoneRegions } = settings;
   const zones = byZone(peers.all());
   const rankZone = (name: string): readonly PeerRecord[] =>
     rankByRendezvous(`reader/${name}`, zones.get(name) ?? []);
-  const farAway = (name: string): number => Number(zoneRegions[name] !== zoneRegions[zone]);
+  const isOtherRegion = (name: string): number => Number(zoneRegions[name] !== zoneRegions[zone]);
   const others = [...zones.keys()].filter((name) => name !== zone).sort();
-  others.sort((left, right) => farAway(left) - farAway(right));
+  others.sort((left, right) => isOtherRegion(left) - isOtherRegion(right));
   return {
     generation: peers.generation,
     ownZone: rankZone(zone),
@@ -38,16 +38,16 @@
   };
 };
 
-const orderOf = (state: GatewayState): ReaderOrder => {
+const readerOrderOf = (state: GatewayState): ReaderOrder => {
   if (state.reading.order?.generation !== state.peers.generation) {
-    state.reading.order = orderPeers(state);
+    state.reading.order = computeReaderOrder(state);
   }
   return state.reading.order;
 };
 
-/** Gateways to ask, the preferred one first; this gateway is among them where it may read for others. */
+/** Reader candidates, the preferred one first. This gateway is among them where it may read for others. */
 export const readerCandidates = (state: GatewayState, at: number): readonly PeerRecord[] => {
-  const { ownZone, otherZones } = orderOf(state);
+  const { ownZone, otherZones } = readerOrderOf(state);
   const own = state.settings.node;
   const isTrusted = ({ name }: PeerRecord): boolean =>
     name === own || !state.peers.isSuspect(name, at);
@@ -58,7 +58,7 @@
   ];
 };
 
-/** The gateways that the settings name; asked while no list of gateways is to be had. */
+/** The seed gateways of the settings, which serve as candidates while no list of gateways is available. */
 export const seedCandidates = (state: GatewayState, at: number): readonly PeerRecord[] => {
   const { seeds, peers, zone } = state.settings;
   return seeds
--- a/src/gateway/readers/take-news.ts
+++ b/src/gateway/readers/handle-reader-update.ts
@@ -1,6 +1,6 @@
 /**
- * Takes what a reader tells of the store, and passes it on: a gateway that reads for others may itself follow a
- * reader. Its own watch does not return what it has been told, and its followers believe that it is current.
+ * Applies the updates of a reader and forwards them, since a gateway that reads for others may itself follow a reader.
+ * Its own watch does not return changes that an update has already brought, and its followers rely on it being current.
  */
 import type { GatewayEffect } from '../effect.js';
 import type { ReaderTold } from '../event.js';
@@ -11,13 +11,13 @@
   takeGatewaysList,
 } from '../peers/follow-gateways.js';
 import {
-  awaitGone,
-  awaitNames,
-  awaitUnlisted,
+  keepGone,
+  keepMissing,
+  keepUnlisted,
   isKnownOrDeparted,
   withholdOlder,
 } from '../returns/cross-era.js';
-import { noteEra, noteReturnRead } from '../returns/note-era.js';
+import { recordEra, completeRestore } from '../returns/record-era.js';
 import { collectionsOf, type GatewayState } from '../state.js';
 import { applyObjects, applyWholeList, forgetGoneReplicas } from '../store/apply-objects.js';
 import {
@@ -30,12 +30,12 @@
 import type { Stored, StoreObjects } from '../store/store-objects.js';
 import { comparePositions, type StorePosition } from '../store/store-position.js';
 import { compareVersions } from './compare-versions.js';
-import type { CollectionChanges, CollectionSnapshot, ReaderStatus } from './reader-news.js';
+import type { CollectionChanges, CollectionSnapshot, ReaderStatus } from './reader-update.js';
 import type { Source } from './reading-state.js';
-import { knownPositions, tellChanges, tellNamed } from './tell-followers.js';
+import { knownPositions, publishChanges, publishNamed } from './publish-to-followers.js';
 
-/** What is told twice is dropped without a word; what is older than what is known is worth a line. */
-const dropNews = (
+/** Discards an outdated update. An update older than the known position is logged; an exact duplicate is not. */
+const discardUpdate = (
   { collections }: GatewayState,
   source: Source,
   { collection, era, revision }: CollectionSnapshot | CollectionChanges,
@@ -57,8 +57,11 @@
   return [{ type: 'write-log', level: 'info', part: 'store', change }];
 };
 
-/** Versions of the configuration tell by themselves which is newer, wherever the store stood. */
-const takeVersion = (
+/**
+ * Applies the configuration of an outdated snapshot: configuration versions can be compared independently of store
+ * positions.
+ */
+const applyConfiguration = (
   state: GatewayState,
   { peer }: Source,
   snapshot: CollectionSnapshot,
@@ -66,14 +69,14 @@
 ): GatewayEffect[] =>
   snapshot.collection === 'configuration' ? applyObjects(state, snapshot, at, peer.name) : [];
 
-/** A watch that waits was made from an earlier position, maybe of another era: another one takes its place. */
-const watchAnew = (
+/** Replaces a waiting watch, which was started from an earlier position and possibly in another era. */
+const restartWatch = (
   { reading, store }: GatewayState,
   progress: CollectionProgress,
 ): GatewayEffect[] => (reading.isReading && store.reachable ? [callNow(progress)] : []);
 
-/** Takes the objects of a snapshot that the store does not list, where nothing is known of them here. */
-const takeAwaited = (
+/** Applies the objects of a snapshot that the store does not list, where this gateway does not know them. */
+const applyAwaited = (
   state: GatewayState,
   { peer }: Source,
   snapshot: CollectionSnapshot,
@@ -86,40 +89,43 @@
   const all: readonly Stored<unknown>[] = snapshot.objects;
   const isNew = ({ name }: Stored<unknown>): boolean =>
     awaited.includes(name) && !isKnownOrDeparted(state, collection, name);
-  // The objects are some of the snapshot's; the union of collections cannot say so.
-  const taken = { collection, objects: all.filter(isNew) } as StoreObjects;
-  const applied = applyObjects(state, taken, at, peer.name);
-  awaitNames(state, collection, awaited, at);
+  // The objects are a subset of the snapshot's, which the union type cannot express.
+  const unknownHere = { collection, objects: all.filter(isNew) } as StoreObjects;
+  const applied = applyObjects(state, unknownHere, at, peer.name);
+  keepMissing(state, collection, awaited, at);
   return applied;
 };
 
 /** The snapshot without the objects that the store does not list. */
-const listedPart = (snapshot: CollectionSnapshot): CollectionSnapshot => {
+const withoutAwaited = (snapshot: CollectionSnapshot): CollectionSnapshot => {
   const awaited = new Set(snapshot.awaited);
   const objects: readonly Stored<unknown>[] = snapshot.objects;
-  // The objects are some of the snapshot's; the union of collections cannot say so.
+  // The objects are a subset of the snapshot's, which the union type cannot express.
   return {
     ...snapshot,
     objects: objects.filter(({ name }) => !awaited.has(name)),
   } as CollectionSnapshot;
 };
 
-const takeSnapshot = (
+const applySnapshot = (
   state: GatewayState,
   source: Source,
-  told: CollectionSnapshot,
+  received: CollectionSnapshot,
   at: number,
 ): GatewayEffect[] => {
-  const { collection, revision, era } = told;
+  const { collection, revision, era } = received;
   const progress = state.collections[collection];
   const before = positionOf(progress);
   if (before !== undefined && comparePositions({ era, revision }, before) <= 0) {
-    return [...takeVersion(state, source, told, at), ...dropNews(state, source, told)];
+    return [
+      ...applyConfiguration(state, source, received, at),
+      ...discardUpdate(state, source, received),
+    ];
   }
-  const hasReturned = isOfEarlierEra(progress, era);
-  const snapshot = listedPart(told);
+  const isNewEra = isOfEarlierEra(progress, era);
+  const snapshot = withoutAwaited(received);
   const listed = new Set(snapshot.objects.map(({ name }) => name));
-  const present = hasReturned ? listed : withAwaited(state, collection, listed);
+  const present = isNewEra ? listed : withAwaited(state, collection, listed);
   const changed = new Set([
     ...changedNames(state, snapshot),
     ...unlistedNames(state, collection, present),
@@ -128,79 +134,82 @@
   progress.revision = revision;
   progress.era = era;
   progress.isListed = true;
-  const taken = withholdOlder(state, snapshot, at);
-  const applied = applyObjects(state, taken, at, source.peer.name);
-  if (hasReturned) {
-    awaitUnlisted(state, collection, listed, at);
+  const accepted = withholdOlder(state, snapshot, at);
+  const applied = applyObjects(state, accepted, at, source.peer.name);
+  if (isNewEra) {
+    keepUnlisted(state, collection, listed, at);
     spreadRegistration(state, collection, at);
   }
-  const awaited = takeAwaited(state, source, told, at);
+  const awaited = applyAwaited(state, source, received, at);
   return [
     ...applied,
     ...awaited,
     ...applyWholeList(state, collection, withAwaited(state, collection, listed), at),
-    ...tellNamed(state, collection, changed, before, at),
+    ...publishNamed(state, collection, changed, before, at),
     ...(collection === 'gateways' ? takeGatewaysList(state, at) : []),
-    ...(hasReturned ? watchAnew(state, progress) : []),
+    ...(isNewEra ? restartWatch(state, progress) : []),
   ];
 };
 
-/** Asks for a snapshot of what was missed. */
-const askAgain = (state: GatewayState, { peer }: Source): GatewayEffect => ({
+/** Requests a snapshot of everything newer than the known positions. */
+const requestSnapshot = (state: GatewayState, { peer }: Source): GatewayEffect => ({
   type: 'follow-reader',
   peer,
   positions: knownPositions(state),
 });
 
 /**
- * Whether changes go on from what is known. Those that a reader found when the store had returned from a copy do only for
- * a gateway that knows just what the reader knew.
+ * Whether changes continue from the known position. Changes that span a restore of the store do so only for a gateway
+ * at exactly the position from which the reader computed them.
  */
-const continues = ({ after, afterEra, era }: CollectionChanges, known: StorePosition): boolean =>
+const isContinuation = (
+  { after, afterEra, era }: CollectionChanges,
+  known: StorePosition,
+): boolean =>
   afterEra === era && known.era === era
     ? after <= known.revision
     : comparePositions({ era: afterEra, revision: after }, known) === 0;
 
 /**
- * Takes changes. Those that end where this gateway stands are a reader's decision about what the store has lost or brought
- * back; they are not passed on, since gateways may follow one another.
+ * Applies changes. Changes that end at the known position are a reader's decision about objects that a restored store
+ * has lost or brought back. They are not forwarded, since gateways may follow each other.
  */
-const takeReaderChanges = (
+const applyChanges = (
   state: GatewayState,
   source: Source,
-  told: CollectionChanges,
+  received: CollectionChanges,
   at: number,
 ): GatewayEffect[] => {
-  const { collection, revision, era } = told;
+  const { collection, revision, era } = received;
   const progress = state.collections[collection];
   const before = positionOf(progress);
   if (before !== undefined && comparePositions({ era, revision }, before) < 0) {
-    return dropNews(state, source, told);
+    return discardUpdate(state, source, received);
   }
-  if (before === undefined || !continues(told, before)) {
-    return [askAgain(state, source)];
+  if (before === undefined || !isContinuation(received, before)) {
+    return [requestSnapshot(state, source)];
   }
   if (comparePositions({ era, revision }, before) === 0) {
-    return applyObjects(state, told, at, source.peer.name);
+    return applyObjects(state, received, at, source.peer.name);
   }
-  const hasReturned = isOfEarlierEra(progress, era);
+  const isNewEra = isOfEarlierEra(progress, era);
   progress.revision = revision;
   progress.era = era;
-  const changes = hasReturned ? awaitGone(state, withholdOlder(state, told, at), at) : told;
-  if (hasReturned) {
+  const changes = isNewEra ? keepGone(state, withholdOlder(state, received, at), at) : received;
+  if (isNewEra) {
     spreadRegistration(state, collection, at);
   }
   return [
     ...applyObjects(state, changes, at, source.peer.name),
-    ...tellChanges(state, told, before, at),
+    ...publishChanges(state, received, before, at),
     ...forgetGoneReplicas(state, at),
     ...(collection === 'gateways' ? registerIfMissing(state, at) : []),
-    ...(hasReturned ? watchAnew(state, progress) : []),
+    ...(isNewEra ? restartWatch(state, progress) : []),
   ];
 };
 
-/** A reader that is current has told all that the store holds. */
-const takeStatus = (
+/** Applies a status. The status of a current reader confirms that its updates cover everything that the store holds. */
+const handleStatus = (
   state: GatewayState,
   source: Source,
   { isCurrent, confirmedMsAgo = 0, version }: ReaderStatus,
@@ -222,8 +231,8 @@
   return [...compared, { type: 'write-log', level: 'info', part: 'store', change }];
 };
 
-/** Handles `reader-told`; what comes from a gateway that is no longer followed is dropped. */
-export const takeReaderNews = (
+/** Handles `reader-told`. Updates of a gateway that is no longer followed are discarded. */
+export const handleReaderUpdate = (
   state: GatewayState,
   { reader, news, at }: ReaderTold,
 ): GatewayEffect[] => {
@@ -231,16 +240,16 @@
   if (source === undefined) {
     return [];
   }
-  source.heardAt = at;
+  source.lastUpdateAt = at;
   if (news.type === 'status') {
-    return takeStatus(state, source, news, at);
+    return handleStatus(state, source, news, at);
   }
   const { era, eraAgeMs = 0, collection } = news;
   return [
-    ...noteEra(state, era, { from: reader, collection, since: at - eraAgeMs }),
+    ...recordEra(state, era, { from: reader, collection, since: at - eraAgeMs }),
     ...(news.type === 'snapshot'
-      ? takeSnapshot(state, source, news, at)
-      : takeReaderChanges(state, source, news, at)),
-    ...noteReturnRead(state, at),
+      ? applySnapshot(state, source, news, at)
+      : applyChanges(state, source, news, at)),
+    ...completeRestore(state, at),
   ];
 };
--- a/src/gateway/readers/news-content.ts
+++ b/src/gateway/readers/update-content.ts
@@ -1,4 +1,4 @@
-/** What a reader tells of a collection: the objects as it knows them, and the era that they are of. */
+/** The content of the updates that a reader publishes: the objects of a collection as it knows them, and their era. */
 import type { PeerRecord } from '../model/peer-record.js';
 import type { ReplicaRecord } from '../model/replica-record.js';
 import type { Replica } from '../replicas/replica.js';
@@ -8,23 +8,26 @@
 import { awaitedNames } from '../store/list-changes.js';
 import type { Stored, StoreObjects } from '../store/store-objects.js';
 import type { StoreEra } from '../store/store-position.js';
-import type { CollectionSnapshot } from './reader-news.js';
+import type { CollectionSnapshot } from './reader-update.js';
 
-/** Name of the one object of the configuration where a reader tells it. */
+/** Name of the single object of the `configuration` collection in updates of readers. */
 export const CONFIGURATION_OBJECT = 'configuration';
 
-/** A gateway as the store has it, also where it returned with an older entry: only the gateway itself can write it again. */
+/**
+ * The entry of a gateway as the store has it, even where a restore brought back an older one: only the gateway itself
+ * can write it again.
+ */
 const gatewayObject = ({ peers, returns }: GatewayState, name: string): Stored<PeerRecord> => {
   const unconfirmed = returns.unconfirmed.gateways.get(name);
   if (unconfirmed?.type === 'older') {
-    // What is kept apart of the gateways are entries of gateways.
+    // Unconfirmed objects of the `gateways` collection are entries of gateways.
     return unconfirmed.stored as Stored<PeerRecord>;
   }
   const value = peers.find(name);
   return value === undefined ? { name, gone: false } : { name, gone: false, value };
 };
 
-/** A replica as followers may use it; one whose entry cannot be read is named without a value. */
+/** A replica as followers may use it. A replica whose entry cannot be read has a name but no value. */
 const replicaObject = (
   { record, coldUntil, isUnreadable }: Replica,
   at: number,
@@ -60,8 +63,8 @@
   }
 };
 
-/** What news of the era tell. */
-export const newsEra = (
+/** The fields of an update that describe its era. */
+export const eraFields = (
   { returns }: GatewayState,
   era: StoreEra,
   at: number,
@@ -73,7 +76,7 @@
   };
 };
 
-/** All of a collection; undefined where it is not known to any position. */
+/** A snapshot of a collection; undefined where the collection has no known position. */
 export const snapshotOf = (
   state: GatewayState,
   collection: CollectionName,
@@ -89,13 +92,13 @@
     type: 'snapshot',
     ...objectsOf(state, collection, at),
     revision,
-    ...newsEra(state, era, at),
+    ...eraFields(state, era, at),
     ...(awaited.length > 0 && { awaited }),
   };
 };
 
-/** The named objects as they are known now; those that are not known, or that the store does not list, are gone. */
-export const objectsNamed = (
+/** The named objects as they are known now. Objects that are unknown, or that the store does not list, are gone. */
+export const namedObjects = (
   state: GatewayState,
   collection: CollectionName,
   names: ReadonlySet<string>,
@@ -113,6 +116,6 @@
     ...present,
     ...gone.map((name) => ({ name, gone: true })),
   ];
-  // `present` is of the same collection; the union of collections cannot say so.
+  // `present` belongs to the same collection, which the union type cannot express.
   return { collection, objects } as StoreObjects;
 };
--- a/src/gateway/reducer.ts
+++ b/src/gateway/reducer.ts
@@ -3,20 +3,20 @@
  * the effects in the order in which the driver must carry them out.
  */
 import { match } from 'ts-pattern';
-import { takeCrashesTold, takeCrashNewsDue } from './crashes/tell-crashes.js';
+import { handleCrashUpdates, handleCrashUpdatesDue } from './crashes/publish-crashes.js';
 import type { GatewayEffect } from './effect.js';
 import type { GatewayEvent, Started } from './event.js';
 import { beginStop, continueStop, updateReadiness } from './lifecycle.js';
 import { takeRegistrationDue } from './peers/follow-gateways.js';
-import { takeReaderNews } from './readers/take-news.js';
-import { takeFollower, takeFollowerLeft } from './readers/tell-followers.js';
+import { handleReaderUpdate } from './readers/handle-reader-update.js';
+import { handleFollowerJoined, handleFollowerLeft } from './readers/publish-to-followers.js';
 import {
-  dropSource,
+  removeSource,
   FOLLOW_SPREAD_MS,
-  takeReadingDue,
+  handleReadingDue,
   updateReading,
 } from './readers/update-reading.js';
-import { noteEra } from './returns/note-era.js';
+import { recordEra } from './returns/record-era.js';
 import { preconnectReplicas } from './replicas/preconnect.js';
 import { routeHeldRequests, handleRequestReceived } from './requests/accept-request.js';
 import { handleSubqueryReceived, handleSubqueryCancelled } from './requests/accept-subquery.js';
@@ -51,7 +51,7 @@
 const start = (state: GatewayState, { at }: Started): GatewayEffect[] => {
   state.startedAt = at;
   state.reading.followFrom = at + state.random.next() * FOLLOW_SPREAD_MS;
-  return [...listCollections(state), ...takeReadingDue(state, at)];
+  return [...listCollections(state), ...handleReadingDue(state, at)];
 };
 
 /** Takes note of the era that an answer of the store names. */
@@ -60,7 +60,7 @@
   { era, at }: { readonly era?: StoreEra; readonly at: number },
   collection?: CollectionName,
 ): GatewayEffect[] =>
-  noteEra(state, era, {
+  recordEra(state, era, {
     from: 'store',
     since: at,
     ...(collection !== undefined && { collection }),
@@ -89,9 +89,9 @@
     .with({ type: 'caller-left' }, (left) => handleCallerLeft(state, left))
     .with({ type: 'attempt-ended' }, (ended) => handleAttemptEnded(state, ended))
     .with({ type: 'replica-checked' }, (checked) => handleReplicaChecked(state, checked))
-    .with({ type: 'crash-news-due' }, (due) => takeCrashNewsDue(state, due))
+    .with({ type: 'crash-news-due' }, (due) => handleCrashUpdatesDue(state, due))
     .with({ type: 'crashes-told' }, (told) => [
-      ...takeCrashesTold(state, told),
+      ...handleCrashUpdates(state, told),
       ...told.news.flatMap(({ fingerprint }) => progressHeldRequests(state, fingerprint, told.at)),
     ])
     .with({ type: 'request-due' }, (due) => handleRequestDue(state, due))
@@ -119,17 +119,17 @@
       ...updateReading(state, ended.at),
     ])
     .with({ type: 'registration-due' }, (due) => takeRegistrationDue(state, due))
-    .with({ type: 'reading-due' }, ({ at }) => takeReadingDue(state, at))
+    .with({ type: 'reading-due' }, ({ at }) => handleReadingDue(state, at))
     .with({ type: 'follower-joined' }, (joined) => [
-      ...takeFollower(state, joined),
+      ...handleFollowerJoined(state, joined),
       ...updateReading(state, joined.at),
     ])
     .with({ type: 'follower-left' }, (left) => {
-      takeFollowerLeft(state, left);
+      handleFollowerLeft(state, left);
       return updateReading(state, left.at);
     })
     .with({ type: 'reader-told' }, (told) => [
-      ...takeReaderNews(state, told),
+      ...handleReaderUpdate(state, told),
       ...useKnowledge(state, told.at),
     ])
     .with({ type: 'subquery-received' }, (received) => handleSubqueryReceived(state, received))
@@ -140,7 +140,7 @@
     .with({ type: 'subquery-answered' }, (answered) => handleSubqueryAnswered(state, answered))
     .with({ type: 'subquery-failed' }, (failed) => handleSubqueryFailed(state, failed))
     .with({ type: 'peer-lost' }, (lost) => {
-      dropSource(state, lost.peer);
+      removeSource(state, lost.peer);
       return [...handlePeerLost(state, lost), ...updateReading(state, lost.at)];
     })
     .with({ type: 'peer-alive' }, (alive) => [
--- a/src/gateway/requests/accept-request.ts
+++ b/src/gateway/requests/accept-request.ts
@@ -1,13 +1,13 @@
 /** Admits callers' requests: finds the route of each and sends its first attempts. */
-import { beginTrial, unblockedAt } from '../crashes/crash-record.js';
-import { updateKnowledge } from '../crashes/update-knowledge.js';
+import { markTrialStarted, nextTrialAt } from '../crashes/crash-history.js';
+import { updateHistory } from '../crashes/update-history.js';
 import type { GatewayEffect } from '../effect.js';
 import type { RequestReceived } from '../event.js';
 import { trace } from '../log/trace.js';
 import type { CallerRequest, Fingerprint, RefusalReason } from '../model/request.js';
 import type { Route } from '../model/route.js';
 import { SplitCursor, isSameSplit } from '../routing/split-cursor.js';
-import { isReturnRecent } from '../returns/return-state.js';
+import { isRestoreRecent } from '../returns/restore-state.js';
 import { type GatewayState, isInformed } from '../state.js';
 import { refuseCall } from './finish.js';
 import { pausedUntil } from './guard.js';
@@ -84,7 +84,7 @@
     fingerprint: request.request.fingerprint,
     version: state.inForce?.configuration.version ?? 0,
     versionAgeMs: Math.round(at - (state.inForce?.since ?? at)),
-    ...(isReturnRecent(state.returns, at) && {
+    ...(isRestoreRecent(state.returns, at) && {
       storeReturnedMsAgo: Math.round(at - state.returns.eraSince),
     }),
     legs: request.legs.length,
@@ -105,16 +105,16 @@
   event: RequestReceived,
   at: number,
 ): GatewayEffect[] => {
-  const known = state.crashes.memory.find(event.request.fingerprint, at);
-  const retryAfterMs = Math.ceil(unblockedAt(known) - at);
+  const known = state.crashes.histories.find(event.request.fingerprint, at);
+  const retryAfterMs = Math.ceil(nextTrialAt(known) - at);
   return refuseCall(state, event, 'crashes-replicas', retryAfterMs, at);
 };
 
 /** Starts the trial of a blocked request here; other gateways keep refusing it until the outcome is known. */
 const claimTrial = (state: GatewayState, fingerprint: Fingerprint, at: number): GatewayEffect[] => {
-  const known = beginTrial(state.crashes.memory.find(fingerprint, at), at);
+  const known = markTrialStarted(state.crashes.histories.find(fingerprint, at), at);
   const origin = { from: state.settings.node, isUrgent: true };
-  return updateKnowledge(state, fingerprint, known, origin, at);
+  return updateHistory(state, fingerprint, known, origin, at);
 };
 
 /** Routes and sends a request; `at` is later than its arrival when the request was held. */
@@ -125,7 +125,7 @@
     return refuseCall(state, event, 'no-route', undefined);
   }
   const { fingerprint } = request;
-  const verdict = state.crashes.memory.verdict(fingerprint, at);
+  const verdict = state.crashes.histories.verdict(fingerprint, at);
   if (verdict === 'blocked') {
     return refuseBlocked(state, event, at);
   }
--- a/src/gateway/requests/attempt-result.ts
+++ b/src/gateway/requests/attempt-result.ts
@@ -81,7 +81,7 @@
   const { fingerprint } = attempt;
   const noted = recordRunEnd(state, attempt, event);
   const taken = applyRequestResult(state, attempt, event);
-  const isSuspected = state.crashes.memory.verdict(fingerprint, event.at) !== 'unsuspected';
+  const isSuspected = state.crashes.histories.verdict(fingerprint, event.at) !== 'unsuspected';
   return [
     ...noted,
     ...taken,
--- a/src/gateway/requests/broken-attempts.ts
+++ b/src/gateway/requests/broken-attempts.ts
@@ -2,10 +2,14 @@
  * Attempts whose connection broke while a replica may have been running them. The replica is checked, since a connection
  * may also break for reasons that have nothing to do with the request.
  */
-import type { BrokenRun } from '../crashes/broken-run.js';
-import { addCrash, type Crash } from '../crashes/crash-record.js';
+import type { BrokenAttempt } from '../crashes/broken-attempt.js';
+import { recordCrash, type Crash } from '../crashes/crash-history.js';
 import type { UnawaitedRun } from '../crashes/unawaited-runs.js';
-import { noteServed, type SeenAnswer, updateKnowledge } from '../crashes/update-knowledge.js';
+import {
+  recordServedRequest,
+  type ObservedAnswer,
+  updateHistory,
+} from '../crashes/update-history.js';
 import type { GatewayEffect } from '../effect.js';
 import type { AttemptEnded, ReplicaChecked } from '../event.js';
 import type { BeliefChange } from '../log/log-event.js';
@@ -62,7 +66,7 @@
 const exoneratingAnswerOf = (
   { replica, owner }: ActiveAttempt,
   { result }: AttemptEnded,
-): SeenAnswer | undefined =>
+): ObservedAnswer | undefined =>
   result.type === 'answered' && provesReplicaCanRun(result.answer, isGather(owner))
     ? { replica, status: result.answer.status }
     : undefined;
@@ -103,7 +107,7 @@
   if (isBroken(event)) {
     return recordBrokenAttempt(state, attempt, at);
   }
-  const { memory } = state.crashes;
+  const { histories: memory } = state.crashes;
   const answer = exoneratingAnswerOf(attempt, event);
   if (answer === undefined) {
     return [
@@ -115,7 +119,7 @@
     return [];
   }
   return [
-    ...noteServed(state, fingerprint, answer, at),
+    ...recordServedRequest(state, fingerprint, answer, at),
     ...progressHeldRequests(state, fingerprint, at),
   ];
 };
@@ -123,7 +127,7 @@
 const logCrash = (
   state: GatewayState,
   replica: string,
-  broken: readonly BrokenRun[],
+  broken: readonly BrokenAttempt[],
   unawaited: readonly UnawaitedRun[],
 ): GatewayEffect => {
   const service = state.replicas.find(replica)?.record.service ?? '';
@@ -142,7 +146,7 @@
 };
 
 /** Counts a crash for the request of a broken run; returns whether other gateways must be informed at once. */
-const countCrash = (state: GatewayState, { attempt }: BrokenRun, at: number): boolean => {
+const countCrash = (state: GatewayState, { attempt }: BrokenAttempt, at: number): boolean => {
   const request = state.requests.get(attempt.owner.call);
   if (request === undefined) {
     return false;
@@ -162,13 +166,13 @@
   isStriking: boolean,
   at: number,
 ): GatewayEffect[] => {
-  const after = addCrash(state.crashes.memory.find(fingerprint, at), crash);
+  const after = recordCrash(state.crashes.histories.find(fingerprint, at), crash);
   const isUrgent = isStriking || after.rounds > 1;
   const { node: from } = state.settings;
-  return updateKnowledge(state, fingerprint, after, { from, isUrgent }, at);
+  return updateHistory(state, fingerprint, after, { from, isUrgent }, at);
 };
 
-const applyBrokenRunCrash = (state: GatewayState, run: BrokenRun, at: number): GatewayEffect[] => {
+const applyBrokenRunCrash = (state: GatewayState, run: BrokenAttempt, at: number): GatewayEffect[] => {
   const isStriking = countCrash(state, run, at);
   const { fingerprint, knownRounds, sentAt } = run.attempt;
   const crash = { knownRounds, sentAt, crashedAt: run.brokenAt };
@@ -189,7 +193,7 @@
   at: number,
 ): readonly UnawaitedRun[] => {
   const isDraining = state.replicas.find(replica)?.record.draining === true;
-  const runs = state.unawaitedRuns.take(replica, at);
+  const runs = state.unawaitedRuns.removeRuns(replica, at);
   return isDraining ? [] : runs;
 };
 
@@ -197,7 +201,7 @@
 const applyCrashToRuns = (
   state: GatewayState,
   replica: string,
-  broken: readonly BrokenRun[],
+  broken: readonly BrokenAttempt[],
   unawaited: readonly UnawaitedRun[],
   at: number,
 ): GatewayEffect[] =>
@@ -212,7 +216,7 @@
 /** The distinct requests in progress among these runs; their breaks no longer count as unchecked. */
 const resolveBreaks = (
   state: GatewayState,
-  broken: readonly BrokenRun[],
+  broken: readonly BrokenAttempt[],
 ): ReadonlySet<ActiveRequest> => {
   const requests = broken.flatMap(({ attempt }) => state.requests.get(attempt.owner.call) ?? []);
   requests.forEach((request) => {
@@ -251,6 +255,6 @@
   replica: string,
   at: number,
 ): GatewayEffect[] =>
-  state.unawaitedRuns.has(replica, at)
+  state.unawaitedRuns.hasRuns(replica, at)
     ? handleReplicaChecked(state, { type: 'replica-checked', replica, isDown: true, at })
     : [];
--- a/src/gateway/requests/claim-probe.ts
+++ b/src/gateway/requests/claim-probe.ts
@@ -1,6 +1,6 @@
 /** Claims the probe of a suspected request, so that the other gateways wait for its outcome. */
-import { beginTrial, type CrashKnowledge } from '../crashes/crash-record.js';
-import { SERIOUS_ROUNDS, updateKnowledge } from '../crashes/update-knowledge.js';
+import { markTrialStarted, type CrashHistory } from '../crashes/crash-history.js';
+import { SERIOUS_ROUNDS, updateHistory } from '../crashes/update-history.js';
 import type { GatewayEffect } from '../effect.js';
 import type { GatewayState } from '../state.js';
 import type { ActiveRequest } from './request-state.js';
@@ -10,7 +10,7 @@
  * inconclusive: every request that was running on a crashed replica has one round, and the messages would be sent when
  * the load is highest.
  */
-const isClaimable = ({ level, rounds, trialUntil }: CrashKnowledge): boolean =>
+const isClaimable = ({ level, rounds, trialUntil }: CrashHistory): boolean =>
   level === 0 && rounds > 0 && (rounds >= SERIOUS_ROUNDS || Number.isFinite(trialUntil));
 
 /** Publishes that this gateway sends a request that has crashed replicas to one more. */
@@ -20,7 +20,7 @@
   at: number,
 ): GatewayEffect[] => {
   const { fingerprint } = request.request;
-  const known = state.crashes.memory.find(fingerprint, at);
+  const known = state.crashes.histories.find(fingerprint, at);
   if (
     !isClaimable(known) ||
     request.origin === 'coordinator' ||
@@ -31,5 +31,5 @@
   }
   request.hasClaimed = true;
   const origin = { from: state.settings.node, isUrgent: true };
-  return updateKnowledge(state, fingerprint, beginTrial(known, at), origin, at);
+  return updateHistory(state, fingerprint, markTrialStarted(known, at), origin, at);
 };
--- a/src/gateway/requests/guard.ts
+++ b/src/gateway/requests/guard.ts
@@ -26,7 +26,7 @@
   if (request.answeredLegs > 0) {
     return 'free';
   }
-  const verdict = state.crashes.memory.verdict(request.request.fingerprint, at);
+  const verdict = state.crashes.histories.verdict(request.request.fingerprint, at);
   const isBlocked = verdict === 'blocked' || verdict === 'trial-due';
   if ((isBlocked && !request.isTrial) || hasCrashedProbe(request)) {
     return 'stopped';
@@ -73,7 +73,7 @@
   { crashes, settings }: GatewayState,
   { origin, request, isTrial, hasClaimed }: ActiveRequest,
 ): number => {
-  const known = crashes.memory.all().get(request.fingerprint);
+  const known = crashes.histories.all().get(request.fingerprint);
   if (known === undefined || origin === 'coordinator' || isTrial || hasClaimed) {
     return Number.NEGATIVE_INFINITY;
   }
@@ -87,7 +87,8 @@
  * had begun to run it would crash too.
  */
 export const maySendNext = (state: GatewayState, request: ActiveRequest, at: number): boolean => {
-  const isSuspected = state.crashes.memory.verdict(request.request.fingerprint, at) === 'suspected';
+  const isSuspected =
+    state.crashes.histories.verdict(request.request.fingerprint, at) === 'suspected';
   if (!isIdle(request) || !isSuspected) {
     return isIdle(request);
   }
--- a/src/gateway/requests/inconclusive-attempts.ts
+++ b/src/gateway/requests/inconclusive-attempts.ts
@@ -1,6 +1,6 @@
 /** Calls of suspected requests that end without showing whether the request crashes replicas. */
-import { addInconclusive } from '../crashes/crash-record.js';
-import { updateKnowledge } from '../crashes/update-knowledge.js';
+import { recordInconclusiveTrial } from '../crashes/crash-history.js';
+import { updateHistory } from '../crashes/update-history.js';
 import type { GatewayEffect } from '../effect.js';
 import type { GatewayState } from '../state.js';
 import type { ActiveRequest } from './request-state.js';
@@ -24,7 +24,7 @@
   at: number,
 ): GatewayEffect[] => {
   const { fingerprint } = request.request;
-  const { memory } = state.crashes;
+  const { histories: memory } = state.crashes;
   const hasEvidence = request.answeredLegs + request.crashes + request.uncheckedBreaks > 0;
   if (
     hasEvidence ||
@@ -34,7 +34,7 @@
   ) {
     return [];
   }
-  const paused = addInconclusive(memory.find(fingerprint, at), at, mayStillRun(request));
+  const paused = recordInconclusiveTrial(memory.find(fingerprint, at), at, mayStillRun(request));
   const origin = { from: state.settings.node, isUrgent: true };
-  return updateKnowledge(state, fingerprint, paused, origin, at);
+  return updateHistory(state, fingerprint, paused, origin, at);
 };
--- a/src/gateway/requests/unawaited-attempts.ts
+++ b/src/gateway/requests/unawaited-attempts.ts
@@ -4,7 +4,7 @@
  * connection. The replica is watched for a while instead: a poison request crashes it even when nobody waits for the
  * answer.
  */
-import { WATCH_MS } from '../crashes/crash-record.js';
+import { UNAWAITED_RUN_WATCH_MS } from '../crashes/crash-history.js';
 import type { GatewayEffect } from '../effect.js';
 import type { AttemptEnded } from '../event.js';
 import type { GatewayState } from '../state.js';
@@ -23,7 +23,7 @@
   if (replica === undefined || owner.answeredLegs > 0) {
     return [];
   }
-  const watchedUntil = at + WATCH_MS;
+  const watchedUntil = at + UNAWAITED_RUN_WATCH_MS;
   state.unawaitedRuns.add(id, { fingerprint, knownRounds, sentAt, watchedUntil }, at);
   return [{ type: 'watch-replica', replica: replica.record, untilAt: watchedUntil }];
 };
--- a/src/gateway/returns/cross-era.ts
+++ b/src/gateway/returns/cross-era.ts
@@ -1,6 +1,6 @@
 /**
- * Reads collections when the store has returned from a copy: what the copy lacks or brings back is kept apart until it is
- * confirmed, or its time is over.
+ * Reads collections after the store was restored from a backup. Objects that the backup lacks or brings back stay
+ * unconfirmed until the store confirms them or their time is over.
  */
 import { isSamePeerRecord, type PeerRecord } from '../model/peer-record.js';
 import type { ReplicaRecord } from '../model/replica-record.js';
@@ -11,17 +11,17 @@
 import {
   awaitedUntil,
   type UnconfirmedObject,
-  withheldSpread,
+  withheldSpreadMs,
   withheldUntil,
-} from './return-state.js';
+} from './restore-state.js';
 
-const startedAgain = (listed: number | undefined, known: number | undefined): boolean =>
+const isLaterStart = (listed: number | undefined, known: number | undefined): boolean =>
   listed !== undefined && known !== undefined && listed > known;
 
-const startedBefore = (listed: number | undefined, known: number | undefined): boolean =>
+const isEarlierStart = (listed: number | undefined, known: number | undefined): boolean =>
   listed !== undefined && known !== undefined && listed < known;
 
-/** Whether the entry brings a replica back that has left, or that drains, or an earlier start of it. */
+/** Whether the entry brings back a replica that has left, a draining replica as active, or an earlier start of one. */
 const isOlderReplica = (
   { replicas, returns }: GatewayState,
   { id, bornAt, draining }: ReplicaRecord,
@@ -29,10 +29,10 @@
   const known = replicas.find(id);
   const departed = returns.departedReplicas.get(id);
   const knownBornAt = known?.record.bornAt ?? departed?.bornAt;
-  if (startedAgain(bornAt, knownBornAt)) {
+  if (isLaterStart(bornAt, knownBornAt)) {
     return false;
   }
-  if (startedBefore(bornAt, knownBornAt)) {
+  if (isEarlierStart(bornAt, knownBornAt)) {
     return true;
   }
   if (known === undefined) {
@@ -72,7 +72,8 @@
   }
 };
 
-const note = (
+/** Records an unconfirmed object, and counts it for the ongoing restore. */
+const recordUnconfirmed = (
   { returns }: GatewayState,
   collection: CollectionName,
   name: string,
@@ -84,8 +85,9 @@
 };
 
 /**
- * The listed objects without those that the copy brings back; these are kept apart. Not only the first list since the
- * return may hold them: a gateway that learnt of it from a reader may list for itself later.
+ * Returns the listed objects without those that the backup brings back, which are recorded as unconfirmed. Any list may
+ * contain such objects, not only the first one since the restore: a gateway that learnt of the restore from a reader
+ * may list the store itself later.
  */
 export const withholdOlder = <Read extends StoreObjects>(
   state: GatewayState,
@@ -99,17 +101,21 @@
     return read;
   }
   const all: readonly Stored<unknown>[] = read.objects;
-  const spreadMs = withheldSpread(collection) * state.random.next();
+  const spreadMs = withheldSpreadMs(collection) * state.random.next();
   all
     .filter(({ name }) => older.has(name))
     .forEach((stored) =>
-      note(state, collection, stored.name, { type: 'older', until: until + spreadMs, stored }),
+      recordUnconfirmed(state, collection, stored.name, {
+        type: 'older',
+        until: until + spreadMs,
+        stored,
+      }),
     );
   return { ...read, objects: all.filter(({ name }) => !older.has(name)) };
 };
 
-/** Keeps the named objects, which the copy lacks, as they are known. */
-export const awaitNames = (
+/** Keeps the named objects, which the backup lacks, in use and records them as unconfirmed. */
+export const keepMissing = (
   state: GatewayState,
   collection: CollectionName,
   names: readonly string[],
@@ -117,17 +123,17 @@
 ): void => {
   const until = awaitedUntil(state.returns, collection);
   if (at < until) {
-    names.forEach((name) => note(state, collection, name, { type: 'missing', until }));
+    names.forEach((name) => recordUnconfirmed(state, collection, name, { type: 'missing', until }));
   }
 };
 
-/** Keeps what is known and the list lacks. */
-export const awaitUnlisted = (
+/** Keeps the known objects that the list lacks. */
+export const keepUnlisted = (
   state: GatewayState,
   collection: CollectionName,
   listed: ReadonlySet<string>,
   at: number,
-): void => awaitNames(state, collection, unlistedNames(state, collection, listed), at);
+): void => keepMissing(state, collection, unlistedNames(state, collection, listed), at);
 
 const isKnown = (state: GatewayState, collection: CollectionName, name: string): boolean => {
   switch (collection) {
@@ -144,7 +150,10 @@
   }
 };
 
-/** Whether this gateway knows more of an object that the copy lacks than a reader can tell it. */
+/**
+ * Whether this gateway knows an object, or that it has gone: a reader's copy of an object that the backup lacks adds
+ * nothing.
+ */
 export const isKnownOrDeparted = (
   state: GatewayState,
   collection: CollectionName,
@@ -159,10 +168,10 @@
 };
 
 /**
- * News of the first list of an era say `gone` of what it lacked. What is known of these objects is kept; the result are
- * the other objects.
+ * Updates from the first list of an era mark the objects that it lacked as `gone`. Keeps those of them that this
+ * gateway knows, and returns the other objects.
  */
-export const awaitGone = <Read extends StoreObjects>(
+export const keepGone = <Read extends StoreObjects>(
   state: GatewayState,
   read: Read,
   at: number,
@@ -172,7 +181,7 @@
   const isKept = ({ name, gone }: Stored<unknown>): boolean =>
     gone && isKnown(state, collection, name);
   const kept = at < awaitedUntil(state.returns, collection) ? all.filter(isKept) : [];
-  awaitNames(
+  keepMissing(
     state,
     collection,
     kept.map(({ name }) => name),
--- a/src/gateway/returns/unconfirmed.ts
+++ b/src/gateway/returns/unconfirmed.ts
@@ -1,15 +1,15 @@
-/** What is kept apart after a return of the store, until it is confirmed or its time is over. */
+/** Expires the unconfirmed objects that remain after a restore of the store. */
 import type { GatewayEffect } from '../effect.js';
-import { knownPositions, tellNamed } from '../readers/tell-followers.js';
+import { knownPositions, publishNamed } from '../readers/publish-to-followers.js';
 import { collectionsOf, type GatewayState } from '../state.js';
 import { applyObjects } from '../store/apply-objects.js';
 import type { CollectionName } from '../store/collection.js';
 import { beginList, callNow, positionOf } from '../store/follow-collection.js';
 import type { StoreObjects } from '../store/store-objects.js';
-import { forgetDeparted, type UnconfirmedObject } from './return-state.js';
+import { removeExpiredDepartures, type UnconfirmedObject } from './restore-state.js';
 
-/** What the copy lacked and has not come back is gone; followers are told. */
-const dropMissing = (
+/** Removes objects that the backup lacked and that were not written again, and publishes this to followers. */
+const removeMissing = (
   state: GatewayState,
   collection: CollectionName,
   names: readonly string[],
@@ -19,20 +19,20 @@
     return [];
   }
   const objects = names.map((name) => ({ name, gone: true }));
-  // What is gone has no value of any collection; the union of collections cannot say so.
+  // Objects that are gone have no value in any collection, which the union type cannot express.
   const read = { collection, objects } as StoreObjects;
   const position = positionOf(state.collections[collection]);
   return [
     ...applyObjects(state, read, at, 'store'),
-    ...tellNamed(state, collection, new Set(names), position, at),
+    ...publishNamed(state, collection, new Set(names), position, at),
   ];
 };
 
 /**
- * What the copy brought back and still stands may live. It may also have changed since, where this gateway has left the
- * reading to another: all is read again, from the store or from who reads it.
+ * Reads a collection again, from the store or from its readers, where objects that the backup brought back are still
+ * there. These may be alive, and may have changed since if this gateway has handed reading over to another one.
  */
-const readAgain = (
+const rereadOlder = (
   state: GatewayState,
   collection: CollectionName,
   names: readonly string[],
@@ -56,7 +56,7 @@
   }));
 };
 
-const settleCollection = (
+const expireInCollection = (
   state: GatewayState,
   collection: CollectionName,
   at: number,
@@ -65,15 +65,15 @@
   const namesOf = (type: UnconfirmedObject['type']): readonly string[] =>
     due.filter(([, object]) => object.type === type).map(([name]) => name);
   return [
-    ...dropMissing(state, collection, namesOf('missing'), at),
-    ...readAgain(state, collection, namesOf('older')),
+    ...removeMissing(state, collection, namesOf('missing'), at),
+    ...rereadOlder(state, collection, namesOf('older')),
   ];
 };
 
-/** Ends what has been kept apart for long enough. */
-export const settleUnconfirmed = (state: GatewayState, at: number): GatewayEffect[] => {
+/** Expires unconfirmed objects whose time is over, and old departures while the store is reachable. */
+export const expireUnconfirmed = (state: GatewayState, at: number): GatewayEffect[] => {
   if (state.store.reachable) {
-    forgetDeparted(state.returns, at);
+    removeExpiredDepartures(state.returns, at);
   }
-  return collectionsOf(state).flatMap((collection) => settleCollection(state, collection, at));
+  return collectionsOf(state).flatMap((collection) => expireInCollection(state, collection, at));
 };
--- a/src/gateway/runtime/peers/peer-message.ts
+++ b/src/gateway/runtime/peers/peer-message.ts
@@ -1,8 +1,8 @@
 /** Messages between gateways. Their encoding is in `peer-codec.ts`. */
-import type { CrashNews } from '../../crashes/crash-news.js';
+import type { CrashUpdate } from '../../crashes/crash-update.js';
 import type { CollectionName } from '../../store/collection.js';
 import type { GatewayConfiguration } from '../../model/route.js';
-import type { ReaderNews } from '../../readers/reader-news.js';
+import type { ReaderUpdate } from '../../readers/reader-update.js';
 import type { Subquery, SubqueryId, SubqueryPart } from '../../model/subquery.js';
 
 /** Asks for the parts of some shards; the request's bytes go with it. */
@@ -78,7 +78,7 @@
 /** What a reader of the store tells. */
 export interface NewsMessage {
   readonly type: 'news';
-  readonly news: ReaderNews;
+  readonly news: ReaderUpdate;
 }
 
 /** Tells of requests under which replicas have ended. */
@@ -86,7 +86,7 @@
   readonly type: 'crashes';
   /** Name of the sender. */
   readonly from: string;
-  readonly news: readonly CrashNews[];
+  readonly news: readonly CrashUpdate[];
 }
 
 /** Every message between gateways. */
--- a/src/gateway/state.ts
+++ b/src/gateway/state.ts
@@ -1,7 +1,7 @@
 /** The state of a gateway; the reducer owns it and updates it in place. */
 import { createRandom, type Random } from '../core/random.js';
 import { RetryBudget } from './budget/retry-budget.js';
-import type { BrokenRun } from './crashes/broken-run.js';
+import type { BrokenAttempt } from './crashes/broken-attempt.js';
 import { type CrashState, createCrashState } from './crashes/crash-state.js';
 import { UnawaitedRuns } from './crashes/unawaited-runs.js';
 import type { RequestReceived } from './event.js';
@@ -13,7 +13,7 @@
 import type { FeederPlan } from './peers/feeder-plan.js';
 import { PeerDirectory } from './peers/peer-directory.js';
 import { createReadingState, type ReadingState } from './readers/reading-state.js';
-import { createReturnState, type ReturnState } from './returns/return-state.js';
+import { createRestoreState, type RestoreState } from './returns/restore-state.js';
 import { ReplicaDirectory } from './replicas/directory.js';
 import type { ActiveAttempt, ActiveRequest } from './requests/request-state.js';
 import { createPauseOutcomes, type PauseOutcomes } from './requests/pause-outcomes.js';
@@ -104,7 +104,7 @@
   nextSubquery: SubqueryId;
   readonly store: StoreReachability;
   /** What is remembered for returns of the store from a copy. */
-  readonly returns: ReturnState;
+  readonly returns: RestoreState;
   phase: LifecyclePhase;
   /** When the request to stop came. */
   stoppingSince: number;
@@ -125,7 +125,7 @@
   readonly attempts: Map<AttemptId, ActiveAttempt>;
   nextAttempt: AttemptId;
   /** Runs that broke off, by the replica that is being looked at. */
-  readonly brokenRuns: Map<string, BrokenRun[]>;
+  readonly brokenRuns: Map<string, BrokenAttempt[]>;
   /** Runs that nobody waits for any more, and under which replicas may still end. */
   readonly unawaitedRuns: UnawaitedRuns;
   /** Requests under which replicas have ended. */
@@ -166,7 +166,7 @@
     regainedAt: Number.NEGATIVE_INFINITY,
     era: undefined,
   },
-  returns: createReturnState(),
+  returns: createRestoreState(),
   phase: 'starting',
   stoppingSince: Number.POSITIVE_INFINITY,
   ready: false,
--- a/src/gateway/store/apply-collections.ts
+++ b/src/gateway/store/apply-collections.ts
@@ -7,9 +7,9 @@
   spreadRegistration,
   takeGatewaysList,
 } from '../peers/follow-gateways.js';
-import { tellChanges, tellNamed } from '../readers/tell-followers.js';
-import { awaitUnlisted, withholdOlder } from '../returns/cross-era.js';
-import { noteReturnRead } from '../returns/note-era.js';
+import { publishChanges, publishNamed } from '../readers/publish-to-followers.js';
+import { keepUnlisted, withholdOlder } from '../returns/cross-era.js';
+import { completeRestore } from '../returns/record-era.js';
 import { collectionsOf, type GatewayState } from '../state.js';
 import { applyObjects, applyWholeList, forgetGoneReplicas } from './apply-objects.js';
 import type { CollectionName } from './collection.js';
@@ -116,16 +116,16 @@
   );
   const changed = takeUntold(progress, unlisted);
   if (hasReturned) {
-    awaitUnlisted(state, collection, listed, at);
+    keepUnlisted(state, collection, listed, at);
     spreadRegistration(state, collection, at);
   }
   const removed = applyWholeList(state, collection, withAwaited(state, collection, listed), at);
   const settled = collection === 'gateways' ? takeGatewaysList(state, at) : [];
   return [
     ...removed,
-    ...tellNamed(state, collection, changed, before, at),
+    ...publishNamed(state, collection, changed, before, at),
     ...settled,
-    ...noteReturnRead(state, at),
+    ...completeRestore(state, at),
     ...continueAfterList(state, progress),
   ];
 };
@@ -150,7 +150,7 @@
   const effects = isNews
     ? [
         ...applyObjects(state, changes, at, 'store'),
-        ...tellChanges(state, changes, { era, revision: known }, at),
+        ...publishChanges(state, changes, { era, revision: known }, at),
       ]
     : [];
   progress.confirmedAt = at;
