--- a/src/gateway/readers/news-content.ts
+++ b/src/gateway/readers/news-content.ts
@@ -5,7 +5,7 @@
 import type { GatewayState } from '../state.js';
 import type { CollectionName } from '../store/collection.js';
 import { positionOf } from '../store/follow-collection.js';
-import { awaitedNames } from '../store/list-changes.js';
+import { missingNames } from '../store/list-changes.js';
 import type { Stored, StoreObjects } from '../store/store-objects.js';
 import type { StoreEra } from '../store/store-position.js';
 import type { CollectionSnapshot } from './reader-news.js';
@@ -84,7 +84,7 @@
     return undefined;
   }
   const { era, revision } = position;
-  const awaited = awaitedNames(state, collection);
+  const awaited = missingNames(state, collection);
   return {
     type: 'snapshot',
     ...objectsOf(state, collection, at),
@@ -105,7 +105,7 @@
   if (known.collection === 'configuration') {
     return names.size === 0 ? { collection: known.collection, objects: [] } : known;
   }
-  const awaited = new Set(awaitedNames(state, collection));
+  const awaited = new Set(missingNames(state, collection));
   const present = known.objects.filter(({ name }) => names.has(name) && !awaited.has(name));
   const presentNames = new Set(present.map(({ name }) => name));
   const gone = [...names].filter((name) => !presentNames.has(name));
--- a/src/gateway/readers/take-news.ts
+++ b/src/gateway/readers/take-news.ts
@@ -19,14 +19,14 @@
 } from '../returns/cross-era.js';
 import { noteEra, noteReturnRead } from '../returns/note-era.js';
 import { collectionsOf, type GatewayState } from '../state.js';
-import { applyObjects, applyWholeList, forgetGoneReplicas } from '../store/apply-objects.js';
+import { applyObjects, removeUnlistedObjects, forgetGoneReplicas } from '../store/apply-objects.js';
 import {
   callNow,
   type CollectionProgress,
   isOfEarlierEra,
   positionOf,
 } from '../store/follow-collection.js';
-import { changedNames, unlistedNames, withAwaited } from '../store/list-changes.js';
+import { changedNames, unlistedNames, withMissing } from '../store/list-changes.js';
 import type { Stored, StoreObjects } from '../store/store-objects.js';
 import { comparePositions, type StorePosition } from '../store/store-position.js';
 import { compareVersions } from './compare-versions.js';
@@ -119,11 +119,11 @@
   const hasReturned = isOfEarlierEra(progress, era);
   const snapshot = listedPart(told);
   const listed = new Set(snapshot.objects.map(({ name }) => name));
-  const present = hasReturned ? listed : withAwaited(state, collection, listed);
+  const present = hasReturned ? listed : withMissing(state, collection, listed);
   const changed = new Set([
     ...changedNames(state, snapshot),
     ...unlistedNames(state, collection, present),
-    ...progress.untold,
+    ...progress.pendingNames,
   ]);
   progress.revision = revision;
   progress.era = era;
@@ -138,7 +138,7 @@
   return [
     ...applied,
     ...awaited,
-    ...applyWholeList(state, collection, withAwaited(state, collection, listed), at),
+    ...removeUnlistedObjects(state, collection, withMissing(state, collection, listed), at),
     ...tellNamed(state, collection, changed, before, at),
     ...(collection === 'gateways' ? takeGatewaysList(state, at) : []),
     ...(hasReturned ? watchAnew(state, progress) : []),
--- a/src/gateway/readers/tell-followers.ts
+++ b/src/gateway/readers/tell-followers.ts
@@ -7,7 +7,7 @@
 import type { CollectionName } from '../store/collection.js';
 import { confirmedAt } from '../store/confirmation.js';
 import { positionOf } from '../store/follow-collection.js';
-import { isDeaf } from '../store/note-failure.js';
+import { hasRepeatedFailures } from '../store/record-failure.js';
 import type { StoreChanges, StoreObjects } from '../store/store-objects.js';
 import { comparePositions, type StorePosition } from '../store/store-position.js';
 import type { FollowerId, KnownPositions, ReaderNews, ReaderStatus } from './reader-news.js';
@@ -22,7 +22,8 @@
  * and serve those that are open.
  */
 export const canRead = (state: GatewayState): boolean =>
-  state.store.reachable && !collectionsOf(state).some((name) => isDeaf(state.collections[name]));
+  state.store.reachable &&
+  !collectionsOf(state).some((name) => hasRepeatedFailures(state.collections[name]));
 
 /** Whether what this gateway tells is all that the store holds. */
 const isCurrent = (state: GatewayState): boolean =>
--- a/src/gateway/readers/update-reading.ts
+++ b/src/gateway/readers/update-reading.ts
@@ -11,7 +11,7 @@
 import { collectionsOf, type GatewayState, isInformed } from '../state.js';
 import { resumeCollections } from '../store/apply-collections.js';
 import { stopFollowing } from '../store/follow-collection.js';
-import { probeIfWanted } from '../store/probe-store.js';
+import { probeIfNeeded } from '../store/probe-store.js';
 import { askAnew } from './ask-anew.js';
 import { readerCandidates, seedCandidates } from './candidates.js';
 import { followTiming, type Source } from './reading-state.js';
@@ -167,13 +167,13 @@
   const isEnding = state.phase === 'stopping' || state.phase === 'ended';
   const choice = isEnding ? undefined : choose(state, at);
   if (choice === undefined) {
-    return [...probeIfWanted(state), ...tellStatus(state, at)];
+    return [...probeIfNeeded(state), ...tellStatus(state, at)];
   }
   const reads = choice.reads || state.reading.followers.size > 0;
   return [
     ...followThese(state, choice.follow, at),
     ...setReading(state, reads),
-    ...probeIfWanted(state),
+    ...probeIfNeeded(state),
     ...tellStatus(state, at),
   ];
 };
--- a/src/gateway/reducer.ts
+++ b/src/gateway/reducer.ts
@@ -35,13 +35,13 @@
 import type { GatewayState } from './state.js';
 import {
   listCollections,
-  takeChanges,
-  takeCollectionDue,
-  takePage,
-  takeStoreFailure,
+  handleChangesRead,
+  handleCollectionDue,
+  handlePageRead,
+  handleStoreCallFailed,
 } from './store/apply-collections.js';
 import type { CollectionName } from './store/collection.js';
-import { takeProbe, takeProbeDue } from './store/probe-store.js';
+import { handleProbeEnded, handleProbeDue } from './store/probe-store.js';
 import type { StoreEra } from './store/store-position.js';
 
 const start = (state: GatewayState, { at }: Started): GatewayEffect[] => {
@@ -93,24 +93,24 @@
     .with({ type: 'request-due' }, (due) => takeRequestDue(state, due))
     .with({ type: 'page-read' }, (read) => [
       ...noteStoreEra(state, read, read.page.collection),
-      ...takePage(state, read),
+      ...handlePageRead(state, read),
       ...useKnowledge(state, read.at),
     ])
     .with({ type: 'changes-read' }, (read) => [
       ...noteStoreEra(state, read, read.changes.collection),
-      ...takeChanges(state, read),
+      ...handleChangesRead(state, read),
       ...useKnowledge(state, read.at),
     ])
     .with({ type: 'store-call-failed' }, (failed) => [
       ...noteStoreEra(state, failed, failed.collection),
-      ...takeStoreFailure(state, failed),
+      ...handleStoreCallFailed(state, failed),
       ...refuseAllHeld(state, failed.at),
     ])
-    .with({ type: 'collection-due' }, (due) => takeCollectionDue(state, due))
-    .with({ type: 'probe-due' }, () => takeProbeDue(state))
+    .with({ type: 'collection-due' }, (due) => handleCollectionDue(state, due))
+    .with({ type: 'probe-due' }, () => handleProbeDue(state))
     .with({ type: 'probe-ended' }, (ended) => [
       ...noteStoreEra(state, ended),
-      ...takeProbe(state, ended.answered, ended.at),
+      ...handleProbeEnded(state, ended.answered, ended.at),
       ...refuseAllHeld(state, ended.at),
       ...updateReading(state, ended.at),
     ])
--- a/src/gateway/store/apply-collections.ts
+++ b/src/gateway/store/apply-collections.ts
@@ -11,7 +11,7 @@
 import { awaitUnlisted, withholdOlder } from '../returns/cross-era.js';
 import { noteReturnRead } from '../returns/note-era.js';
 import { collectionsOf, type GatewayState } from '../state.js';
-import { applyObjects, applyWholeList, forgetGoneReplicas } from './apply-objects.js';
+import { applyObjects, removeUnlistedObjects, forgetGoneReplicas } from './apply-objects.js';
 import type { CollectionName } from './collection.js';
 import {
   beginList,
@@ -20,18 +20,18 @@
   endSupersededList,
   followNow,
   isListSuperseded,
-  isListTorn,
+  hasListMixedEras,
   isOfEarlierEra,
   isSuperseded,
-  listAgain,
+  restartList,
   listStale,
-  notePage,
+  recordPage,
   positionOf,
-  takeUntold,
-  watchAgain,
+  takePendingNames,
+  scheduleNextWatch,
 } from './follow-collection.js';
-import { type CallFailure, isWatched, noteFailure } from './note-failure.js';
-import { changedNames, unlistedNames, withAwaited } from './list-changes.js';
+import { type CallFailure, isWatched, recordFailure } from './record-failure.js';
+import { changedNames, unlistedNames, withMissing } from './list-changes.js';
 import { compareEras, type StorePosition } from './store-position.js';
 
 /** Lists all collections once, from a copy that may be old. */
@@ -48,7 +48,7 @@
  * A list that a reader's news have superseded ends: what it lacks may be new, and what it holds may be old. Followers have
  * been told by then all that it changed.
  */
-const dropList = (
+const discardList = (
   state: GatewayState,
   progress: CollectionProgress,
   { page: { revision }, era }: PageRead,
@@ -69,57 +69,62 @@
 };
 
 /** Handles `page-read`. */
-export const takePage = (state: GatewayState, read: PageRead): GatewayEffect[] => {
+export const handlePageRead = (state: GatewayState, read: PageRead): GatewayEffect[] => {
   const { page, at, era = state.store.era } = read;
   const { revision } = page;
   const progress = state.collections[page.collection];
-  if (isListTorn(progress, era)) {
-    return [listAgain(progress)];
+  if (hasListMixedEras(progress, era)) {
+    return [restartList(progress)];
   }
   if (isSuperseded(progress, { era, revision })) {
-    return dropList(state, progress, read);
+    return discardList(state, progress, read);
   }
-  changedNames(state, page).forEach((name) => progress.untold.add(name));
-  const hasReturned = isOfEarlierEra(progress, era);
+  changedNames(state, page).forEach((name) => progress.pendingNames.add(name));
+  const isNewEra = isOfEarlierEra(progress, era);
   const applied = applyObjects(state, withholdOlder(state, page, at), at, 'store');
   if (isListSuperseded(progress, era)) {
-    return [...applied, ...dropList(state, progress, read)];
+    return [...applied, ...discardList(state, progress, read)];
   }
   const before = positionOf(progress);
   const names = page.objects.map(({ name }) => name);
-  const listed = notePage(progress, names, { ...page, era }, at);
+  const listed = recordPage(progress, names, { ...page, era }, at);
   return listed === undefined
     ? [...applied, callNow(progress)]
-    : [...applied, ...takeList(state, progress, { listed, hasReturned, before }, at)];
+    : [...applied, ...handleListComplete(state, progress, { listed, isNewEra, before }, at)];
 };
 
 /** A list that has been read to its end. */
-interface ReadList {
+interface CompleteList {
   readonly listed: ReadonlySet<string>;
   /** It is the first one since the store has returned from a copy. */
-  readonly hasReturned: boolean;
+  readonly isNewEra: boolean;
   /** Up to where the collection was known before. */
   readonly before: StorePosition | undefined;
 }
 
-const takeList = (
+const handleListComplete = (
   state: GatewayState,
   progress: CollectionProgress,
-  { listed, hasReturned, before }: ReadList,
+  { listed, isNewEra, before }: CompleteList,
   at: number,
 ): GatewayEffect[] => {
   const { collection } = progress;
   const unlisted = unlistedNames(
     state,
     collection,
-    hasReturned ? listed : withAwaited(state, collection, listed),
+    isNewEra ? listed : withMissing(state, collection, listed),
   );
-  const changed = takeUntold(progress, unlisted);
-  if (hasReturned) {
+  const changed = takePendingNames(progress, unlisted);
+  if (isNewEra) {
     awaitUnlisted(state, collection, listed, at);
     spreadRegistration(state, collection, at);
   }
-  const removed = applyWholeList(state, collection, withAwaited(state, collection, listed), at);
+  const removed = removeUnlistedObjects(
+    state,
+    collection,
+    withMissing(state, collection, listed),
+    at,
+  );
   const settled = collection === 'gateways' ? takeGatewaysList(state, at) : [];
   return [
     ...removed,
@@ -135,19 +140,19 @@
  * unless it goes further. A watch from an earlier era does not tell what the store has written under revisions that it
  * gave out before: the collection is listed.
  */
-export const takeChanges = (state: GatewayState, read: ChangesRead): GatewayEffect[] => {
+export const handleChangesRead = (state: GatewayState, read: ChangesRead): GatewayEffect[] => {
   const { changes, at, era = state.store.era } = read;
   const progress = state.collections[changes.collection];
   if (compareEras(era, progress.era) !== 0) {
     return [followNow(progress, state.store.era)];
   }
   const { revision: known = Number.NEGATIVE_INFINITY } = progress;
-  const isNews = changes.revision > known;
+  const isNewer = changes.revision > known;
   progress.failures = 0;
-  if (isNews) {
+  if (isNewer) {
     progress.revision = changes.revision;
   }
-  const effects = isNews
+  const effects = isNewer
     ? [
         ...applyObjects(state, changes, at, 'store'),
         ...tellChanges(state, changes, { era, revision: known }, at),
@@ -159,7 +164,7 @@
     ...effects,
     ...forgetGoneReplicas(state, at),
     ...(changes.collection === 'gateways' ? registerIfMissing(state, at) : []),
-    watchAgain(progress, hasChanges, state.settings.bounds, at),
+    scheduleNextWatch(progress, hasChanges, state.settings.bounds, at),
   ];
 };
 
@@ -167,7 +172,7 @@
  * Handles `store-call-failed`. While the store is out of reach it is only probed: each call costs, and
  * the collections are followed again with the first probe that is answered.
  */
-export const takeStoreFailure = (
+export const handleStoreCallFailed = (
   state: GatewayState,
   { collection, problem, detail, at }: StoreCallFailed,
 ): GatewayEffect[] => {
@@ -176,13 +181,13 @@
   const change: BeliefChange = { event: 'store-call-failed', collection, problem, detail };
   const log: GatewayEffect = { type: 'write-log', level: 'warn', part: 'store', change };
   const failure = failureOf(state, problem);
-  const next = noteFailure(progress, failure, state.random, at);
-  if (failure === 'away') {
+  const next = recordFailure(progress, failure, state.random, at);
+  if (failure === 'unreachable') {
     return [log];
   }
-  const again = next.at <= at ? [callNow(progress)] : callAt([collection], next.at);
+  const again = next.at <= at ? [callNow(progress)] : setCollectionTimers([collection], next.at);
   const relisted = next.relistsOthers ? relistOthers(state, collection) : [];
-  return [log, ...again, ...callAt(relisted, next.at)];
+  return [log, ...again, ...setCollectionTimers(relisted, next.at)];
 };
 
 const failureOf = ({ store }: GatewayState, problem: StoreCallFailed['problem']): CallFailure => {
@@ -190,12 +195,12 @@
     return 'history-gone';
   }
   if (!store.reachable) {
-    return 'away';
+    return 'unreachable';
   }
-  return problem === 'no-answer' ? 'cut' : 'refused';
+  return problem === 'no-answer' ? 'no-answer' : 'refused';
 };
 
-const callAt = (collections: readonly CollectionName[], at: number): GatewayEffect[] =>
+const setCollectionTimers = (collections: readonly CollectionName[], at: number): GatewayEffect[] =>
   collections.map((collection) => ({ type: 'set-collection-timer', collection, at }));
 
 /**
@@ -212,11 +217,11 @@
 };
 
 /** Whether this gateway calls the store for a collection: it reads, or has not listed it yet. */
-const isWanted = ({ reading }: GatewayState, { isListed }: CollectionProgress): boolean =>
+const isCallNeeded = ({ reading }: GatewayState, { isListed }: CollectionProgress): boolean =>
   reading.isReading || !isListed;
 
 /** Handles `collection-due`. */
-export const takeCollectionDue = (
+export const handleCollectionDue = (
   state: GatewayState,
   { collection }: CollectionDue,
 ): GatewayEffect[] => {
@@ -227,14 +232,14 @@
   if (collection === 'gateways' && !state.gatewaysSettled) {
     return [listStale(progress)];
   }
-  return isWanted(state, progress) ? [callNow(progress)] : [];
+  return isCallNeeded(state, progress) ? [callNow(progress)] : [];
 };
 
 /** Makes the calls again that were lost while the store was out of reach. */
 export const resumeCollections = (state: GatewayState): GatewayEffect[] =>
   collectionsOf(state)
     .map((name) => state.collections[name])
-    .filter((progress) => isWanted(state, progress))
+    .filter((progress) => isCallNeeded(state, progress))
     .map((progress) =>
       state.reading.isReading ? followNow(progress, state.store.era) : callNow(progress),
     );
--- a/src/gateway/store/apply-objects.ts
+++ b/src/gateway/store/apply-objects.ts
@@ -16,9 +16,9 @@
 import type { Stored, StoreObjects } from './store-objects.js';
 
 /** Gone replicas are forgotten after this part of the time for which they still serve. */
-const FORGET_SHARE = 0.5;
+const GONE_RETENTION_SHARE = 0.5;
 
-const forgetOldRoutes = (state: GatewayState, configuration: GatewayConfiguration): void => {
+const removeUnusedRouteState = (state: GatewayState, configuration: GatewayConfiguration): void => {
   for (const service of state.pauseOutcomes.keys()) {
     if (!configuration.services.has(service)) {
       state.pauseOutcomes.delete(service);
@@ -56,7 +56,7 @@
   };
   const shards = shardsOf(configuration.routes);
   state.inForce = { configuration, table: new RouteTable(configuration.routes), shards, since: at };
-  forgetOldRoutes(state, configuration);
+  removeUnusedRouteState(state, configuration);
   return [
     { type: 'apply-limits', limits: configuration.limits },
     { type: 'write-log', level: 'info', part: 'configuration', change },
@@ -74,7 +74,7 @@
 };
 
 /** Notes what has gone, or is there again, for a copy of the store that brings it back. */
-const noteDeparture = (
+const recordDeparture = (
   departures: Map<string, Departed>,
   name: string,
   hasGone: boolean,
@@ -104,14 +104,14 @@
   }
   const replica = replicas.find(name);
   const after = stateOf(replica);
-  noteDeparture(returns.departedReplicas, name, gone, at, replica?.record.bornAt);
+  recordDeparture(returns.departedReplicas, name, gone, at, replica?.record.bornAt);
   return replica === undefined || after === undefined || after === before
     ? []
     : [{ replica: name, service: replica.record.service, state: after }];
 };
 
 /** A replica has started again: what the one before was at has ended, and so have the connections to it. */
-const endEarlierStart = (
+const endEarlierIncarnation = (
   state: GatewayState,
   { name, value }: Stored<ReplicaRecord>,
   at: number,
@@ -129,7 +129,7 @@
   objects: readonly Stored<ReplicaRecord>[],
   at: number,
 ): GatewayEffect[] => {
-  const ended = objects.flatMap((object) => endEarlierStart(state, object, at));
+  const ended = objects.flatMap((object) => endEarlierIncarnation(state, object, at));
   const changes = objects.flatMap((object) => applyReplica(state, object, at));
   return [...ended, ...(state.replicasListed ? logReplicaChanges(changes) : [])];
 };
@@ -153,7 +153,7 @@
   if (gone !== evacuatedZones.has(zone)) {
     return [];
   }
-  noteDeparture(returns.reopenedZones, zone, gone, at);
+  recordDeparture(returns.reopenedZones, zone, gone, at);
   if (gone) {
     evacuatedZones.delete(zone);
   } else {
@@ -231,7 +231,7 @@
 };
 
 /** What was not taken as older than what is known, and is not in the store any more, has gone for good. */
-const forgetUnlisted = (
+const discardUnlistedUnconfirmed = (
   { returns }: GatewayState,
   collection: CollectionName,
   listed: ReadonlySet<string>,
@@ -243,13 +243,13 @@
 };
 
 /** Objects that a complete list does not hold are gone. */
-export const applyWholeList = (
+export const removeUnlistedObjects = (
   state: GatewayState,
   collection: CollectionName,
   listed: ReadonlySet<string>,
   at: number,
 ): GatewayEffect[] => {
-  forgetUnlisted(state, collection, listed);
+  discardUnlistedUnconfirmed(state, collection, listed);
   switch (collection) {
     case 'configuration':
       return [];
@@ -270,7 +270,7 @@
 
 /** Forgets replicas that have been gone for long, and closes the connections to them. */
 export const forgetGoneReplicas = (state: GatewayState, at: number): GatewayEffect[] => {
-  const before = at - state.settings.bounds.drainMs * FORGET_SHARE;
+  const before = at - state.settings.bounds.drainMs * GONE_RETENTION_SHARE;
   return state.replicas.forgetGone(before).map((replica): GatewayEffect => {
     state.unawaitedRuns.take(replica, at);
     return { type: 'close-replica', replica };
--- a/src/gateway/store/follow-collection.ts
+++ b/src/gateway/store/follow-collection.ts
@@ -18,7 +18,7 @@
  * How long a watch waits at the store where nothing depends on hearing of a change in time, in
  * milliseconds; probes find out earlier if the store is lost.
  */
-const LONGEST_WAIT_MS = 25_000;
+const MAX_WATCH_WAIT_MS = 25_000;
 
 /**
  * A watch waits for no longer than this part of the time within which a change must be acted on. A
@@ -26,7 +26,7 @@
  * only the end of the wait tells. With bounds of 5 s a change behind a silent connection is read after 3.6 s
  * at most; the rest is for telling it to the other gateways.
  */
-const WAIT_SHARE = 0.5;
+const WATCH_WAIT_SHARE = 0.5;
 
 /**
  * Pause between two watches of a collection, as a part of the time within which a change must be in
@@ -37,7 +37,7 @@
 const WATCH_GAP_SHARE = 0.25;
 
 /** Time for an answer beyond what the store was asked to wait, in milliseconds. */
-const ANSWER_MS = 1_000;
+const RESPONSE_TIMEOUT_MS = 1_000;
 
 /** How far one collection has been read. */
 export interface CollectionProgress {
@@ -63,7 +63,7 @@
   /** The list that is being read comes from a copy that may be old. */
   isStaleList: boolean;
   /** Names of what the pages of the list have changed so far; followers are told when it is complete. */
-  untold: Set<string>;
+  pendingNames: Set<string>;
   /** A list has been read to its end, if only an old one. */
   isListed: boolean;
   /** Calls that failed in a row. */
@@ -78,7 +78,7 @@
 }
 
 /** Time within which all gateways must act on a change of a collection, in milliseconds. */
-const knownWithin = (collection: CollectionName, bounds: GatewayBounds): number => {
+const propagationBoundMs = (collection: CollectionName, bounds: GatewayBounds): number => {
   const { drainMs, configurationMs, evacuationMs = configurationMs } = bounds;
   switch (collection) {
     case 'replicas':
@@ -91,10 +91,13 @@
 };
 
 /** Nothing has to be done in time when a gateway comes or goes. */
-const waitOf = (collection: CollectionName, bounds: GatewayBounds): number =>
+const watchWaitMs = (collection: CollectionName, bounds: GatewayBounds): number =>
   collection === 'gateways'
-    ? LONGEST_WAIT_MS
-    : Math.min(LONGEST_WAIT_MS, Math.floor(knownWithin(collection, bounds) * WAIT_SHARE));
+    ? MAX_WATCH_WAIT_MS
+    : Math.min(
+        MAX_WATCH_WAIT_MS,
+        Math.floor(propagationBoundMs(collection, bounds) * WATCH_WAIT_SHARE),
+      );
 
 /** Creates the progress of a collection that has not been read. */
 export const createCollectionProgress = (
@@ -102,8 +105,8 @@
   bounds: GatewayBounds,
 ): CollectionProgress => ({
   collection,
-  waitMs: waitOf(collection, bounds),
-  nextWaitMs: waitOf(collection, bounds),
+  waitMs: watchWaitMs(collection, bounds),
+  nextWaitMs: watchWaitMs(collection, bounds),
   revision: undefined,
   era: undefined,
   mustList: false,
@@ -112,7 +115,7 @@
   listRevision: Number.POSITIVE_INFINITY,
   listEra: undefined,
   isStaleList: true,
-  untold: new Set(),
+  pendingNames: new Set(),
   isListed: false,
   failures: 0,
   brokenWatches: 0,
@@ -131,10 +134,10 @@
   const { collection, revision, mustList, listAfter, isStaleList: stale } = progress;
   if (revision === undefined || mustList) {
     const after = listAfter === undefined ? {} : { after: listAfter };
-    return { type: 'list', collection, ...after, stale, timeoutMs: ANSWER_MS };
+    return { type: 'list', collection, ...after, stale, timeoutMs: RESPONSE_TIMEOUT_MS };
   }
   const { nextWaitMs: waitMs } = progress;
-  return { type: 'watch', collection, revision, waitMs, timeoutMs: waitMs + ANSWER_MS };
+  return { type: 'watch', collection, revision, waitMs, timeoutMs: waitMs + RESPONSE_TIMEOUT_MS };
 };
 
 /** Makes the next call for the collection at once. */
@@ -144,7 +147,7 @@
 });
 
 /** Forgets a list that was begun. */
-const endList = (progress: CollectionProgress): void => {
+const resetList = (progress: CollectionProgress): void => {
   progress.mustList = false;
   progress.isStaleList = false;
   progress.listAfter = undefined;
@@ -155,13 +158,13 @@
 
 /** The next call begins a list; what is known stays known until it is complete. */
 export const beginList = (progress: CollectionProgress): void => {
-  endList(progress);
+  resetList(progress);
   progress.mustList = true;
 };
 
 /** Reads a new list from a copy that may be old. */
 export const listStale = (progress: CollectionProgress): GatewayEffect => {
-  endList(progress);
+  resetList(progress);
   progress.revision = undefined;
   progress.isStaleList = true;
   return callNow(progress);
@@ -176,7 +179,7 @@
 };
 
 /** Begins again a list whose pages are of different eras: they do not fit together. */
-export const listAgain = (progress: CollectionProgress): GatewayEffect => {
+export const restartList = (progress: CollectionProgress): GatewayEffect => {
   if (progress.isStaleList) {
     return listStale(progress);
   }
@@ -185,8 +188,10 @@
 };
 
 /** Whether the list goes on with a page of another era than it began with. */
-export const isListTorn = ({ listAfter, listEra }: CollectionProgress, era: StoreEra): boolean =>
-  listAfter !== undefined && listEra !== era;
+export const hasListMixedEras = (
+  { listAfter, listEra }: CollectionProgress,
+  era: StoreEra,
+): boolean => listAfter !== undefined && listEra !== era;
 
 /** Whether a page is older than what a reader has told since the list began: it must bring nothing back. */
 export const isSuperseded = (progress: CollectionProgress, page: StorePosition): boolean => {
@@ -203,18 +208,18 @@
 
 /** Gives up a list that was superseded: what was told holds all that it could. */
 export const endSupersededList = (progress: CollectionProgress): void => {
-  endList(progress);
+  resetList(progress);
   progress.failures = 0;
-  progress.untold.clear();
+  progress.pendingNames.clear();
 };
 
 /** The names that followers have not been told, which are told now. */
-export const takeUntold = (
+export const takePendingNames = (
   progress: CollectionProgress,
   names: readonly string[],
 ): ReadonlySet<string> => {
-  const untold = new Set([...progress.untold, ...names]);
-  progress.untold.clear();
+  const untold = new Set([...progress.pendingNames, ...names]);
+  progress.pendingNames.clear();
   return untold;
 };
 
@@ -225,10 +230,10 @@
 export const stopFollowing = (progress: CollectionProgress): void => {
   if (progress.listAfter !== undefined) {
     progress.revision = undefined;
-    progress.untold.clear();
+    progress.pendingNames.clear();
   }
   const { mustList } = progress;
-  endList(progress);
+  resetList(progress);
   progress.mustList = mustList;
 };
 
@@ -244,7 +249,7 @@
  * Notes a page of the list; returns the names that the list holds when it is complete. The pages stand at
  * different revisions, and the collection is known up to that of the first one only.
  */
-export const notePage = (
+export const recordPage = (
   progress: CollectionProgress,
   names: readonly string[],
   page: ListPage,
@@ -259,7 +264,7 @@
     return undefined;
   }
   const { listed, listRevision, isStaleList } = progress;
-  endList(progress);
+  resetList(progress);
   progress.isListed = true;
   progress.era = page.era;
   if (isStaleList) {
@@ -272,7 +277,7 @@
 };
 
 /** Pauses before the next watch after one that returned changes. */
-export const watchAgain = (
+export const scheduleNextWatch = (
   progress: CollectionProgress,
   hasChanges: boolean,
   bounds: GatewayBounds,
@@ -284,7 +289,7 @@
   if (!hasChanges || progress.mustList) {
     return callNow(progress);
   }
-  const gapMs = knownWithin(collection, bounds) * WATCH_GAP_SHARE;
+  const gapMs = propagationBoundMs(collection, bounds) * WATCH_GAP_SHARE;
   progress.nextWaitMs = Math.floor(waitMs - gapMs);
   return { type: 'set-collection-timer', collection, at: at + gapMs };
 };
--- a/src/gateway/store/list-changes.ts
+++ b/src/gateway/store/list-changes.ts
@@ -8,7 +8,10 @@
 import type { CollectionName } from './collection.js';
 import type { Stored, StoreObjects } from './store-objects.js';
 
-const changesReplica = ({ replicas }: GatewayState, { value }: Stored<ReplicaRecord>): boolean => {
+const isReplicaChanged = (
+  { replicas }: GatewayState,
+  { value }: Stored<ReplicaRecord>,
+): boolean => {
   const known = value && replicas.find(value.id);
   return (
     value !== undefined &&
@@ -18,7 +21,10 @@
   );
 };
 
-const changesGateway = ({ peers }: GatewayState, { name, value }: Stored<PeerRecord>): boolean => {
+const isGatewayChanged = (
+  { peers }: GatewayState,
+  { name, value }: Stored<PeerRecord>,
+): boolean => {
   const known = peers.find(name);
   return value === undefined || known === undefined || !isSamePeerRecord(known, value);
 };
@@ -32,8 +38,8 @@
  */
 export const changedNames = (state: GatewayState, read: StoreObjects): readonly string[] => {
   const unconfirmed = state.returns.unconfirmed[read.collection];
-  const isAwaited = ({ name }: Stored<unknown>): boolean => unconfirmed.has(name);
-  return [...differingNames(state, read), ...namesOf(read.objects.filter(isAwaited))];
+  const isUnconfirmed = ({ name }: Stored<unknown>): boolean => unconfirmed.has(name);
+  return [...differingNames(state, read), ...namesOf(read.objects.filter(isUnconfirmed))];
 };
 
 const differingNames = (state: GatewayState, read: StoreObjects): readonly string[] => {
@@ -44,10 +50,10 @@
     }
     case 'replicas':
       return read.objects
-        .filter((object) => changesReplica(state, object))
+        .filter((object) => isReplicaChanged(state, object))
         .map(({ name, value }) => value?.id ?? name);
     case 'gateways':
-      return namesOf(read.objects.filter((object) => changesGateway(state, object)));
+      return namesOf(read.objects.filter((object) => isGatewayChanged(state, object)));
     case 'evacuations':
       return namesOf(read.objects.filter(({ name }) => !state.evacuatedZones.has(name)));
   }
@@ -69,7 +75,7 @@
 };
 
 /** Names of what is known on though the store, since it has returned from a copy, does not list it. */
-export const awaitedNames = (
+export const missingNames = (
   { returns }: GatewayState,
   collection: CollectionName,
 ): readonly string[] =>
@@ -78,11 +84,11 @@
     .map(([name]) => name);
 
 /** The listed names and those that are awaited. */
-export const withAwaited = (
+export const withMissing = (
   state: GatewayState,
   collection: CollectionName,
   listed: ReadonlySet<string>,
-): ReadonlySet<string> => new Set([...listed, ...awaitedNames(state, collection)]);
+): ReadonlySet<string> => new Set([...listed, ...missingNames(state, collection)]);
 
 /** Names that are known and that a complete list does not hold: these objects are gone. */
 export const unlistedNames = (
--- a/src/gateway/store/probe-store.ts
+++ b/src/gateway/store/probe-store.ts
@@ -13,14 +13,14 @@
 const READER_INTERVAL_MS = 750;
 
 /** Time between two probes while the store does not answer, and where others are asked as well. */
-const LOST_INTERVAL_MS = 400;
-const LOST_FOLLOWER_INTERVAL_MS = 1_500;
+const UNREACHABLE_INTERVAL_MS = 400;
+const UNREACHABLE_FOLLOWER_INTERVAL_MS = 1_500;
 
 /** Time for the answer to a probe, in milliseconds. */
 const PROBE_TIMEOUT_MS = 700;
 
 /** Makes a probe at once. */
-const probeNow = (state: GatewayState): GatewayEffect => {
+const startProbe = (state: GatewayState): GatewayEffect => {
   state.store.isProbed = true;
   return { type: 'call-store', call: { type: 'probe', timeoutMs: PROBE_TIMEOUT_MS } };
 };
@@ -28,33 +28,37 @@
 const hasCurrentSource = ({ reading }: GatewayState): boolean =>
   [...reading.sources.values()].some(({ isCurrent }) => isCurrent === true);
 
-const isProbeWanted = (state: GatewayState): boolean =>
+const isProbeNeeded = (state: GatewayState): boolean =>
   state.reading.isReading || !state.store.reachable || !hasCurrentSource(state);
 
 /** Begins to probe where that is wanted and has not begun. */
-export const probeIfWanted = (state: GatewayState): GatewayEffect[] =>
-  state.store.isProbed || !isProbeWanted(state) ? [] : [probeNow(state)];
+export const probeIfNeeded = (state: GatewayState): GatewayEffect[] =>
+  state.store.isProbed || !isProbeNeeded(state) ? [] : [startProbe(state)];
 
 /** Handles `probe-due`. */
-export const takeProbeDue = (state: GatewayState): GatewayEffect[] => {
+export const handleProbeDue = (state: GatewayState): GatewayEffect[] => {
   state.store.isProbed = false;
-  return probeIfWanted(state);
+  return probeIfNeeded(state);
 };
 
-const intervalOf = ({ store, reading }: GatewayState): number => {
+const probeIntervalMs = ({ store, reading }: GatewayState): number => {
   if (store.reachable) {
     return reading.followers.size > 0 ? READER_INTERVAL_MS : PROBE_INTERVAL_MS;
   }
   const isReader = reading.sources.size === 0 || reading.followers.size > 0;
-  return isReader ? LOST_INTERVAL_MS : LOST_FOLLOWER_INTERVAL_MS;
+  return isReader ? UNREACHABLE_INTERVAL_MS : UNREACHABLE_FOLLOWER_INTERVAL_MS;
 };
 
 /** Handles the end of a probe. */
-export const takeProbe = (state: GatewayState, answered: boolean, at: number): GatewayEffect[] => {
+export const handleProbeEnded = (
+  state: GatewayState,
+  answered: boolean,
+  at: number,
+): GatewayEffect[] => {
   const { store } = state;
   const wasReachable = store.reachable;
   store.reachable = answered;
-  const next: GatewayEffect = { type: 'set-probe-timer', at: at + intervalOf(state) };
+  const next: GatewayEffect = { type: 'set-probe-timer', at: at + probeIntervalMs(state) };
   if (answered === wasReachable) {
     return [next];
   }
--- a/src/gateway/store/note-failure.ts
+++ b/src/gateway/store/record-failure.ts
@@ -4,13 +4,14 @@
 
 /** Pauses after failed calls, in milliseconds: doubled each time up to the longest. */
 const FIRST_BACKOFF_MS = 100;
-const LONGEST_BACKOFF_MS = 800;
+const MAX_BACKOFF_MS = 800;
 
 /** So many calls in a row fail before the store counts as deaf to them: a watch may be cut now and then. */
-const DEAF_FAILURES = 2;
+const REPEATED_FAILURES = 2;
 
 /** Whether calls for a collection fail again and again, though the store may answer others. */
-export const isDeaf = ({ failures }: CollectionProgress): boolean => failures >= DEAF_FAILURES;
+export const hasRepeatedFailures = ({ failures }: CollectionProgress): boolean =>
+  failures >= REPEATED_FAILURES;
 
 /** Whether the collection is watched: what it has missed would not be noticed. */
 export const isWatched = ({ revision, mustList }: CollectionProgress): boolean =>
@@ -20,7 +21,7 @@
  * How a call failed; `cut`: its answer did not come, from a store that is in reach, `refused`: the store
  * answered, but not what was asked, `away`: the store is known to be out of reach.
  */
-export type CallFailure = 'cut' | 'refused' | 'away' | 'history-gone';
+export type CallFailure = 'no-answer' | 'refused' | 'unreachable' | 'history-gone';
 
 /** When the collection is called for again, and whether the others are listed with it. */
 export interface NextCall {
@@ -35,7 +36,7 @@
  * interruptions, measured over 132 of them. After an outage the collection is watched on: all readers would list at
  * once.
  */
-export const noteFailure = (
+export const recordFailure = (
   progress: CollectionProgress,
   failure: CallFailure,
   random: Random,
@@ -43,17 +44,17 @@
 ): NextCall => {
   const isWatch = isWatched(progress);
   const isHistoryGone = failure === 'history-gone';
-  const isBroken = isWatch && (isHistoryGone || failure === 'cut');
+  const isBroken = isWatch && (isHistoryGone || failure === 'no-answer');
   const relistsOthers = isBroken && progress.brokenWatches === 0;
-  const inRow = Math.max(progress.failures, progress.brokenWatches);
+  const failuresInRow = Math.max(progress.failures, progress.brokenWatches);
   if (isBroken || isHistoryGone) {
     beginList(progress);
   }
   progress.brokenWatches += Number(isBroken);
   progress.failures = isHistoryGone ? 0 : progress.failures + 1;
-  if (isHistoryGone && inRow === 0) {
+  if (isHistoryGone && failuresInRow === 0) {
     return { at, relistsOthers };
   }
-  const backoff = Math.min(LONGEST_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** inRow);
+  const backoff = Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** failuresInRow);
   return { at: at + backoff * (0.5 + random.next()), relistsOthers };
 };
