--- a/src/gateway/store/apply-collections.ts
+++ b/src/gateway/store/apply-collections.ts
@@ -1,4 +1,4 @@
-/** Takes what calls to the store returned, and makes the next ones. */
+/** Handles the results of calls to the store and issues the next calls. */
 import type { GatewayEffect } from '../effect.js';
 import type { ChangesRead, CollectionDue, PageRead, StoreCallFailed } from '../event.js';
 import type { BeliefChange } from '../log/log-event.js';
@@ -34,19 +34,19 @@
 import { changedNames, unlistedNames, withMissing } from './list-changes.js';
 import { compareEras, type StorePosition } from './store-position.js';
 
-/** Lists all collections once, from a copy that may be old. */
+/** Lists all collections once, with reads that may be stale. */
 export const listCollections = (state: GatewayState): GatewayEffect[] =>
   collectionsOf(state).map((name) => listStale(state.collections[name]));
 
-/** A collection that was listed is followed at the store only by gateways that read it. */
+/** Starts watching a listed collection, on gateways that read the store. */
 const continueAfterList = (
   { reading, store }: GatewayState,
   progress: CollectionProgress,
 ): GatewayEffect[] => (reading.isReading ? [followNow(progress, store.era)] : []);
 
 /**
- * A list that a reader's news have superseded ends: what it lacks may be new, and what it holds may be old. Followers have
- * been told by then all that it changed.
+ * Discards a list that a reader's updates have superseded: objects that it lacks may be new, and objects that it holds may
+ * be outdated. Followers have already received everything that the list changed.
  */
 const discardList = (
   state: GatewayState,
@@ -93,12 +93,12 @@
     : [...applied, ...handleListComplete(state, progress, { listed, isNewEra, before }, at)];
 };
 
-/** A list that has been read to its end. */
+/** A list whose last page has been read. */
 interface CompleteList {
   readonly listed: ReadonlySet<string>;
-  /** It is the first one since the store has returned from a copy. */
+  /** It is the first complete list since the store was restored from a backup. */
   readonly isNewEra: boolean;
-  /** Up to where the collection was known before. */
+  /** Position up to which the collection was known before the list. */
   readonly before: StorePosition | undefined;
 }
 
@@ -136,9 +136,9 @@
 };
 
 /**
- * Handles `changes-read`. A reader may have told later changes meanwhile: what a watch returns is dropped
- * unless it goes further. A watch from an earlier era does not tell what the store has written under revisions that it
- * gave out before: the collection is listed.
+ * Handles `changes-read`. A reader may have sent later changes in the meantime, so the result of a watch is discarded
+ * unless its revision is higher. After an era change the collection is listed instead: the restored store assigns revisions
+ * again that it had assigned before, and a watch that began in the earlier era misses what was written under them.
  */
 export const handleChangesRead = (state: GatewayState, read: ChangesRead): GatewayEffect[] => {
   const { changes, at, era = state.store.era } = read;
@@ -169,8 +169,8 @@
 };
 
 /**
- * Handles `store-call-failed`. While the store is out of reach it is only probed: each call costs, and
- * the collections are followed again with the first probe that is answered.
+ * Handles `store-call-failed`. While the store is unreachable it is only probed, since each call is paid for. Calls for the
+ * collections resume after the first successful probe.
  */
 export const handleStoreCallFailed = (
   state: GatewayState,
@@ -204,8 +204,8 @@
   collections.map((collection) => ({ type: 'set-collection-timer', collection, at }));
 
 /**
- * What cut a watch, or dropped the history, has mostly done so to the watches of all collections: one that was
- * made meanwhile waits as if nothing had happened.
+ * Lists the other watched collections as well. The fault that broke one watch, or discarded the store's history, mostly
+ * affects the watches of all collections, and a watch that was opened during the fault waits without reporting an error.
  */
 const relistOthers = (state: GatewayState, failed: CollectionName): readonly CollectionName[] => {
   const { collections, reading } = state;
@@ -216,7 +216,7 @@
   return others;
 };
 
-/** Whether this gateway calls the store for a collection: it reads, or has not listed it yet. */
+/** Whether this gateway calls the store for a collection: it reads the store, or has not listed the collection yet. */
 const isCallNeeded = ({ reading }: GatewayState, { isListed }: CollectionProgress): boolean =>
   reading.isReading || !isListed;
 
@@ -235,7 +235,7 @@
   return isCallNeeded(state, progress) ? [callNow(progress)] : [];
 };
 
-/** Makes the calls again that were lost while the store was out of reach. */
+/** Repeats the calls that were lost while the store was unreachable. */
 export const resumeCollections = (state: GatewayState): GatewayEffect[] =>
   collectionsOf(state)
     .map((name) => state.collections[name])
--- a/src/gateway/store/apply-objects.ts
+++ b/src/gateway/store/apply-objects.ts
@@ -1,4 +1,4 @@
-/** Takes objects of the store, however they came: configurations, replicas and gateways. */
+/** Applies objects of the store to the state, whether they come from the store itself or from a reader. */
 import type { GatewayEffect } from '../effect.js';
 import type { BeliefChange, ReplicaState } from '../log/log-event.js';
 import type { Evacuation } from '../model/evacuation.js';
@@ -15,7 +15,7 @@
 import { logUnreadable } from './log-unreadable.js';
 import type { Stored, StoreObjects } from './store-objects.js';
 
-/** Gone replicas are forgotten after this part of the time for which they still serve. */
+/** Gone replicas are removed after this fraction of the drain time, in which they still serve. */
 const GONE_RETENTION_SHARE = 0.5;
 
 const removeUnusedRouteState = (state: GatewayState, configuration: GatewayConfiguration): void => {
@@ -34,7 +34,7 @@
   }
 };
 
-/** Puts a configuration in force unless it is older than the one that is. */
+/** Puts a configuration into force if its version is higher than that of the current one. */
 const applyConfiguration = (
   state: GatewayState,
   configuration: GatewayConfiguration,
@@ -73,7 +73,10 @@
   return replica.record.draining ? 'draining' : 'listed';
 };
 
-/** Notes what has gone, or is there again, for a copy of the store that brings it back. */
+/**
+ * Records when an object was removed, and deletes the record when it is listed again. A store that is restored from a backup
+ * may list removed objects again.
+ */
 const recordDeparture = (
   departures: Map<string, Departed>,
   name: string,
@@ -88,7 +91,7 @@
   }
 };
 
-/** Takes what the store says of one replica; returns what that changes. */
+/** Applies the store's entry of one replica; returns the change of its state, if any. */
 const applyReplica = (
   { replicas, returns }: GatewayState,
   { name, gone, value }: Stored<ReplicaRecord>,
@@ -110,7 +113,7 @@
     : [{ replica: name, service: replica.record.service, state: after }];
 };
 
-/** A replica has started again: what the one before was at has ended, and so have the connections to it. */
+/** Ends the attempts at the previous incarnation of a replica that has restarted, and closes the connections to it. */
 const endEarlierIncarnation = (
   state: GatewayState,
   { name, value }: Stored<ReplicaRecord>,
@@ -123,7 +126,7 @@
   return [...takeReplicaEnded(state, name, at), { type: 'close-replica', replica: name }];
 };
 
-/** Takes what the store says of replicas. The first list is not logged as changes. */
+/** Applies replica entries. The first list is not logged as changes. */
 const applyReplicas = (
   state: GatewayState,
   objects: readonly Stored<ReplicaRecord>[],
@@ -144,7 +147,7 @@
   return value === undefined ? peers.putUnreadable(name) : peers.put(value);
 };
 
-/** Takes an order about a zone; its replicas get requests again once the order is gone. */
+/** Applies an evacuation order. The zone's replicas receive requests again once the order is gone. */
 const applyEvacuation = (
   { evacuatedZones, returns }: GatewayState,
   { name: zone, gone }: Stored<Evacuation>,
@@ -163,7 +166,7 @@
   return [{ type: 'write-log', level: 'info', part: 'replica', change }];
 };
 
-/** Counts the gateways; before all are listed, no fewer than were assumed. */
+/** Updates the number of gateways. It does not fall below the assumed number before all gateways are listed. */
 export const countGateways = (state: GatewayState): GatewayEffect[] => {
   const previous = state.gateways;
   const least = state.gatewaysSettled ? 1 : previous;
@@ -176,9 +179,10 @@
 };
 
 /**
- * Takes objects of a collection.
+ * Applies objects of a collection to the state.
  *
- * @param from - who told them: `store`, or the name of a reader
+ * @param at - time on the gateway's clock, in milliseconds
+ * @param from - source of the objects: `store`, or the name of a reader
  */
 export const applyObjects = (
   state: GatewayState,
@@ -230,7 +234,7 @@
   return [{ type: 'write-log', level: 'info', part: 'replica', change }];
 };
 
-/** What was not taken as older than what is known, and is not in the store any more, has gone for good. */
+/** Discards unconfirmed objects that were kept apart as older than the known ones and that the store no longer lists. */
 const discardUnlistedUnconfirmed = (
   { returns }: GatewayState,
   collection: CollectionName,
@@ -242,7 +246,7 @@
     .forEach(([name]) => unconfirmed.delete(name));
 };
 
-/** Objects that a complete list does not hold are gone. */
+/** Marks all known objects as gone that a complete list does not contain. */
 export const removeUnlistedObjects = (
   state: GatewayState,
   collection: CollectionName,
@@ -268,7 +272,7 @@
   }
 };
 
-/** Forgets replicas that have been gone for long, and closes the connections to them. */
+/** Removes replicas whose retention time after leaving the store has passed, and closes the connections to them. */
 export const forgetGoneReplicas = (state: GatewayState, at: number): GatewayEffect[] => {
   const before = at - state.settings.bounds.drainMs * GONE_RETENTION_SHARE;
   return state.replicas.forgetGone(before).map((replica): GatewayEffect => {
--- a/src/gateway/store/collection.ts
+++ b/src/gateway/store/collection.ts
@@ -1,31 +1,31 @@
-/** The collections of the store that a gateway follows, and the calls by which it does. */
+/** The collections of the store that a gateway follows, and the calls that it makes to the store. */
 
 import type { PeerRecord } from '../model/peer-record.js';
 import type { GatewayBounds } from '../settings.js';
 
 /**
  * `configuration` has one object; `replicas` has one for each live incarnation; `gateways` has one for
- * each gateway, written by itself; `evacuations` has one for each zone whose replicas get no requests.
+ * each gateway, written by that gateway; `evacuations` has one for each zone whose replicas get no requests.
  */
 export type CollectionName = 'configuration' | 'replicas' | 'gateways' | 'evacuations';
 
 const ALWAYS_FOLLOWED: readonly CollectionName[] = ['configuration', 'replicas', 'gateways'];
 
-/** The collections that are followed: zones are evacuated only where the settings give a bound for it. */
+/** The collections to follow. Evacuations are followed only if the settings give a bound for them. */
 export const followedCollections = ({ evacuationMs }: GatewayBounds): readonly CollectionName[] =>
   evacuationMs === undefined ? ALWAYS_FOLLOWED : [...ALWAYS_FOLLOWED, 'evacuations'];
 
-/** Reads a page of all objects, those after the name `after`. */
+/** Reads one page of the list of all objects, beginning after the name `after`. */
 export interface ListCall {
   readonly type: 'list';
   readonly collection: CollectionName;
   readonly after?: string;
-  /** From a copy that may be seconds old, at a tenth of the price. */
+  /** Allows a copy of the store that may be seconds old, at a tenth of the price. */
   readonly stale: boolean;
   readonly timeoutMs: number;
 }
 
-/** Waits for changes after `revision`, for `waitMs` at most. */
+/** Waits for changes after `revision`, for at most `waitMs` milliseconds. */
 export interface WatchCall {
   readonly type: 'watch';
   readonly collection: CollectionName;
@@ -35,24 +35,24 @@
 }
 
 /**
- * Asks for next to nothing, from a copy that may be old: at a tenth of the price, it tells whether
- * the store can be reached.
+ * Checks whether the store is reachable. It requests an almost empty page and allows a stale copy, which costs a tenth of
+ * the price.
  */
 export interface ProbeCall {
   readonly type: 'probe';
   readonly timeoutMs: number;
 }
 
-/** Writes this gateway's own entry among the gateways. */
+/** Writes this gateway's entry in the collection `gateways`. */
 export interface RegisterCall {
   readonly type: 'register';
   readonly record: PeerRecord;
-  /** The store has an entry of that name. */
+  /** The store already has an entry of that name. */
   readonly replace: boolean;
   readonly timeoutMs: number;
 }
 
-/** A call by which a collection is followed. */
+/** A call that lists or watches a collection. */
 export type CollectionCall = ListCall | WatchCall;
 
 /** A call to the store. */
--- a/src/gateway/store/confirmation.ts
+++ b/src/gateway/store/confirmation.ts
@@ -1,9 +1,9 @@
-/** Since when nothing has shown that this gateway still knows all that the store holds. */
+/** How recently the gateway's view of the store was confirmed to be current. */
 import { collectionsOf, type GatewayState } from '../state.js';
 
 /**
- * When it was last known that the store holds nothing newer of any collection whose changes must be acted on
- * in time, in milliseconds on the gateway's clock; negative infinity before all have been read.
+ * The last time at which every collection with a time bound on its changes was confirmed to be current, in milliseconds on
+ * the gateway's clock; negative infinity before all of them have been read.
  */
 export const confirmedAt = (state: GatewayState): number => {
   const timely = collectionsOf(state).filter((name) => name !== 'gateways');
--- a/src/gateway/store/follow-collection.ts
+++ b/src/gateway/store/follow-collection.ts
@@ -1,8 +1,7 @@
 /**
- * Follows one collection of the store: lists it, then watches it from the revision of the list, and
- * lists it again when a watch was cut or the store has forgotten the history since. The first list of a
- * process comes from a copy that may be old: it is cheap and serves until a reader, or the store itself, tells
- * what is new.
+ * Follows one collection of the store: lists it, then watches it from the revision of the list, and lists it again when a
+ * watch breaks or the store has discarded the history since that revision. The first list of a process may be a stale
+ * read: it is cheap and serves until a reader or the store itself provides newer objects.
  */
 import type { GatewayEffect } from '../effect.js';
 import type { GatewayBounds } from '../settings.js';
@@ -15,64 +14,63 @@
 } from './store-position.js';
 
 /**
- * How long a watch waits at the store where nothing depends on hearing of a change in time, in
- * milliseconds; probes find out earlier if the store is lost.
+ * How long a watch waits at the store if no time bound applies to the changes of its collection, in milliseconds; probes
+ * detect the loss of the store earlier.
  */
 const MAX_WATCH_WAIT_MS = 25_000;
 
 /**
- * A watch waits for no longer than this part of the time within which a change must be acted on. A
- * connection that has gone silent looks like a watch that waits, and probes over another one are answered:
- * only the end of the wait tells. With bounds of 5 s a change behind a silent connection is read after 3.6 s
- * at most; the rest is for telling it to the other gateways.
+ * Longest wait of a watch, as a fraction of the time within which a change must be acted on. A silent connection looks the
+ * same as a watch that waits, and probes over another connection still succeed, so only the end of the wait reveals the
+ * loss. With bounds of 5 s a change behind a silent connection is read after at most 3.6 s; the rest of the time is for
+ * sending it to the other gateways.
  */
 const WATCH_WAIT_SHARE = 0.5;
 
 /**
- * Pause between two watches of a collection, as a part of the time within which a change must be in
- * force: changes that come together are read together, and each call to the store is paid for. The rest
- * of the time is for a store that is found out of reach (see `probe-store.ts`) and answers late. What a
- * quarter saves of the calls stands in docs/policy.md.
+ * Pause between two watches of a collection, as a fraction of the time within which a change must be in force. Changes in
+ * quick succession are read with one call, and each call to the store is paid for. The rest of the time covers detection
+ * of an unreachable store (see `probe-store.ts`) and late answers. docs/policy.md gives the savings in calls at a quarter.
  */
 const WATCH_GAP_SHARE = 0.25;
 
-/** Time for an answer beyond what the store was asked to wait, in milliseconds. */
+/** Time allowed for an answer in addition to the requested wait, in milliseconds. */
 const RESPONSE_TIMEOUT_MS = 1_000;
 
-/** How far one collection has been read. */
+/** State of following one collection. */
 export interface CollectionProgress {
   readonly collection: CollectionName;
   /** How long its watches wait at the store, in milliseconds. */
   readonly waitMs: number;
-  /** How long the next one waits: a pause before it counts as waiting too. */
+  /** How long the next watch waits, in milliseconds; a pause before it is subtracted. */
   nextWaitMs: number;
-  /** All changes up to this revision are held; undefined before the first list from the store or a reader. */
+  /** All changes up to this revision are known; undefined before the first list from the store or a reader. */
   revision: number | undefined;
-  /** The era of the revision, or of what was known last. */
+  /** Era of the revision, or of the objects that were applied last. */
   era: StoreEra;
   /** Changes after the revision may have been missed: the next call lists the collection. */
   mustList: boolean;
-  /** The list goes on after this name. */
+  /** The next page of the list begins after this name; undefined between lists. */
   listAfter: string | undefined;
   /** Names seen in the list so far. */
   listed: Set<string>;
-  /** Revision at which the list began: what has changed while its pages were read is watched for. */
+  /** Revision of the first page of the list; later changes are read by the watch that follows. */
   listRevision: number;
-  /** Era in which its first page was read. */
+  /** Era of the first page of the list. */
   listEra: StoreEra;
-  /** The list that is being read comes from a copy that may be old. */
+  /** The current list is read with stale reads. */
   isStaleList: boolean;
-  /** Names of what the pages of the list have changed so far; followers are told when it is complete. */
+  /** Names of objects that the pages of the list have changed so far; sent to followers when the list is complete. */
   pendingNames: Set<string>;
-  /** A list has been read to its end, if only an old one. */
+  /** A list has been read completely, possibly a stale one. */
   isListed: boolean;
-  /** Calls that failed in a row. */
+  /** Number of consecutive failed calls. */
   failures: number;
-  /** Watches that ended without an answer in a row, whatever lists between them came to. */
+  /** Number of consecutive watches that ended without an answer; lists in between do not reset it. */
   brokenWatches: number;
   /**
-   * When an answer of the store, or a reader that is current, last showed that nothing newer is known there.
-   * A watch that waits shows nothing.
+   * When an answer of the store, or a reader that is current, last confirmed that the collection is up to date. A watch
+   * that is still waiting confirms nothing.
    */
   confirmedAt: number;
 }
@@ -90,7 +88,7 @@
   }
 };
 
-/** Nothing has to be done in time when a gateway comes or goes. */
+/** Wait of the watches of a collection, in milliseconds. No time bound applies to changes of the gateways. */
 const watchWaitMs = (collection: CollectionName, bounds: GatewayBounds): number =>
   collection === 'gateways'
     ? MAX_WATCH_WAIT_MS
@@ -122,11 +120,14 @@
   confirmedAt: Number.NEGATIVE_INFINITY,
 });
 
-/** Up to where the collection is known; undefined where that cannot be said. */
+/** Position up to which the collection is known; undefined if no revision is known. */
 export const positionOf = ({ revision, era }: CollectionProgress): StorePosition | undefined =>
   revision === undefined ? undefined : { era, revision };
 
-/** Whether what is known of the collection is of an earlier era: what has been written since cannot be watched for. */
+/**
+ * Whether the known objects of the collection are of an earlier era than `now`. A watch cannot return what was written since
+ * the era changed.
+ */
 export const isOfEarlierEra = ({ isListed, era }: CollectionProgress, now: StoreEra): boolean =>
   isListed && compareEras(era, now) < 0;
 
@@ -140,13 +141,13 @@
   return { type: 'watch', collection, revision, waitMs, timeoutMs: waitMs + RESPONSE_TIMEOUT_MS };
 };
 
-/** Makes the next call for the collection at once. */
+/** Issues the next call for the collection immediately. */
 export const callNow = (progress: CollectionProgress): GatewayEffect => ({
   type: 'call-store',
   call: nextCall(progress),
 });
 
-/** Forgets a list that was begun. */
+/** Resets the state of the current list. */
 const resetList = (progress: CollectionProgress): void => {
   progress.mustList = false;
   progress.isStaleList = false;
@@ -156,13 +157,13 @@
   progress.nextWaitMs = progress.waitMs;
 };
 
-/** The next call begins a list; what is known stays known until it is complete. */
+/** Makes the next call begin a list. Known objects stay in use until the list is complete. */
 export const beginList = (progress: CollectionProgress): void => {
   resetList(progress);
   progress.mustList = true;
 };
 
-/** Reads a new list from a copy that may be old. */
+/** Begins a new list with stale reads. */
 export const listStale = (progress: CollectionProgress): GatewayEffect => {
   resetList(progress);
   progress.revision = undefined;
@@ -170,7 +171,7 @@
   return callNow(progress);
 };
 
-/** Follows the collection at the store from what is known of it; an old list, or one of an earlier era, is read anew. */
+/** Follows the collection from its known position. A collection from a stale list or an earlier era is listed again. */
 export const followNow = (progress: CollectionProgress, era: StoreEra): GatewayEffect => {
   if (progress.revision === undefined || isOfEarlierEra(progress, era)) {
     beginList(progress);
@@ -178,7 +179,7 @@
   return callNow(progress);
 };
 
-/** Begins again a list whose pages are of different eras: they do not fit together. */
+/** Restarts a list whose pages are of different eras, since these are not consistent with each other. */
 export const restartList = (progress: CollectionProgress): GatewayEffect => {
   if (progress.isStaleList) {
     return listStale(progress);
@@ -187,45 +188,45 @@
   return callNow(progress);
 };
 
-/** Whether the list goes on with a page of another era than it began with. */
+/** Whether the list continues with a page of another era than its first page. */
 export const hasListMixedEras = (
   { listAfter, listEra }: CollectionProgress,
   era: StoreEra,
 ): boolean => listAfter !== undefined && listEra !== era;
 
-/** Whether a page is older than what a reader has told since the list began: it must bring nothing back. */
+/** Whether a page is older than a reader's updates since the list began; applying it would restore outdated objects. */
 export const isSuperseded = (progress: CollectionProgress, page: StorePosition): boolean => {
   const known = positionOf(progress);
   return known !== undefined && (progress.isStaleList || comparePositions(page, known) < 0);
 };
 
-/** Whether a reader has told more than the first page of the list held: what the list lacks may be new. */
+/** Whether a reader's updates are newer than the first page of the list; objects that the list lacks may be new. */
 export const isListSuperseded = (progress: CollectionProgress, era: StoreEra): boolean => {
   const known = positionOf(progress);
   const { listRevision: revision } = progress;
   return known !== undefined && comparePositions({ era, revision }, known) < 0;
 };
 
-/** Gives up a list that was superseded: what was told holds all that it could. */
+/** Discards a superseded list; the reader's updates already contain all of its changes. */
 export const endSupersededList = (progress: CollectionProgress): void => {
   resetList(progress);
   progress.failures = 0;
   progress.pendingNames.clear();
 };
 
-/** The names that followers have not been told, which are told now. */
+/** Returns the pending names together with `names`, and clears the pending ones. */
 export const takePendingNames = (
   progress: CollectionProgress,
   names: readonly string[],
 ): ReadonlySet<string> => {
-  const untold = new Set([...progress.pendingNames, ...names]);
+  const allNames = new Set([...progress.pendingNames, ...names]);
   progress.pendingNames.clear();
-  return untold;
+  return allNames;
 };
 
 /**
- * The collection is no longer followed. One whose list was half read is known from two revisions at once: it
- * counts as unread, so that a reader tells all of it.
+ * Stops following the collection. If its list was only partly read, its objects are of two revisions: the revision is
+ * cleared, so that a reader sends the whole collection.
  */
 export const stopFollowing = (progress: CollectionProgress): void => {
   if (progress.listAfter !== undefined) {
@@ -237,7 +238,7 @@
   progress.mustList = mustList;
 };
 
-/** A page of a list, as far as following it is concerned. */
+/** The parts of a page that determine how the list continues. */
 interface ListPage {
   readonly more: boolean;
   readonly last: string;
@@ -246,8 +247,8 @@
 }
 
 /**
- * Notes a page of the list; returns the names that the list holds when it is complete. The pages stand at
- * different revisions, and the collection is known up to that of the first one only.
+ * Records a page of the list. Returns the names of all listed objects when the list is complete, otherwise undefined. The
+ * pages are of different revisions, and the collection is known only up to the revision of the first one.
  */
 export const recordPage = (
   progress: CollectionProgress,
@@ -276,7 +277,7 @@
   return listed;
 };
 
-/** Pauses before the next watch after one that returned changes. */
+/** Schedules the next watch: after a pause if the last one returned changes, otherwise immediately. */
 export const scheduleNextWatch = (
   progress: CollectionProgress,
   hasChanges: boolean,
--- a/src/gateway/store/list-changes.ts
+++ b/src/gateway/store/list-changes.ts
@@ -1,6 +1,6 @@
 /**
- * What a list of a collection changes in what this gateway knows, by name. Gateways that follow it are told that
- * and no more: a list of a large fleet has hundreds of kilobytes.
+ * Determines by name which objects a list of a collection changes. Only these are sent to the followers of this gateway: a
+ * list of a large fleet has hundreds of kilobytes.
  */
 import { isSamePeerRecord, type PeerRecord } from '../model/peer-record.js';
 import { isSameReplicaRecord, type ReplicaRecord } from '../model/replica-record.js';
@@ -33,8 +33,8 @@
   objects.map(({ name }) => name);
 
 /**
- * Names of the listed objects that are not known as they were read, or that have been kept apart since the store returned
- * from a copy: followers wait for these as well.
+ * Names of the listed objects that differ from the known ones, or that are unconfirmed since the store was restored from a
+ * backup: followers wait for the confirmation of these as well.
  */
 export const changedNames = (state: GatewayState, read: StoreObjects): readonly string[] => {
   const unconfirmed = state.returns.unconfirmed[read.collection];
@@ -74,7 +74,7 @@
   }
 };
 
-/** Names of what is known on though the store, since it has returned from a copy, does not list it. */
+/** Names of objects that stay known although the store, restored from a backup, does not list them. */
 export const missingNames = (
   { returns }: GatewayState,
   collection: CollectionName,
@@ -83,14 +83,14 @@
     .filter(([, { type }]) => type === 'missing')
     .map(([name]) => name);
 
-/** The listed names and those that are awaited. */
+/** The listed names and the missing ones. */
 export const withMissing = (
   state: GatewayState,
   collection: CollectionName,
   listed: ReadonlySet<string>,
 ): ReadonlySet<string> => new Set([...listed, ...missingNames(state, collection)]);
 
-/** Names that are known and that a complete list does not hold: these objects are gone. */
+/** Names of known objects that a complete list does not contain; these objects are gone. */
 export const unlistedNames = (
   state: GatewayState,
   collection: CollectionName,
--- a/src/gateway/store/log-replica-changes.ts
+++ b/src/gateway/store/log-replica-changes.ts
@@ -1,17 +1,17 @@
-/** Logs what the store says anew about replicas, in a bounded number of lines of bounded length. */
+/** Logs changes of replica entries, in a bounded number of lines of bounded length. */
 import type { WriteLog } from '../effect.js';
 import type { BeliefChange, ReplicaState } from '../log/log-event.js';
 
-/** Up to so many changes of one page or watch answer get a line each; a service seldom has more replicas. */
+/** Largest number of changes of one page or watch answer that are logged one per line; a service seldom has more replicas. */
 const MAX_LINES = 4;
 
-/** Characters of the services that one line names: the line stays below the 4,096 bytes of one write. */
+/** Most characters of service names in one line, which keeps the line below the 4,096 bytes of one write. */
 const MAX_NAMES_LENGTH = 3_000;
 
-/** Characters of a service's entry beside its name: quotes, colon, comma and a count of four digits. */
+/** Characters of a service's entry in addition to its name: quotes, colon, comma and a count of four digits. */
 const ENTRY_LENGTH = 8;
 
-/** What the store says anew about one replica. */
+/** A change of one replica's state in the store. */
 export interface ReplicaChange {
   readonly replica: string;
   readonly service: string;
@@ -20,7 +20,7 @@
 
 type ServiceCounts = Map<string, number>;
 
-/** Counts changes by state and service; those of services that no longer fit in the line are counted together. */
+/** Counts changes by state and service. Changes of services that do not fit in the line are counted in `unnamed`. */
 const summarize = (changes: readonly ReplicaChange[]): BeliefChange => {
   const counted: Record<ReplicaState, ServiceCounts> = {
     listed: new Map(),
@@ -55,7 +55,7 @@
   change,
 });
 
-/** Lines for what one page, watch answer or reader's news changes: one for each replica, or one for all. */
+/** Log lines for the changes of one page, watch answer or reader's update: one for each replica, or one summary. */
 export const logReplicaChanges = (changes: readonly ReplicaChange[]): WriteLog[] =>
   changes.length > MAX_LINES
     ? [writeLog(summarize(changes))]
--- a/src/gateway/store/log-unreadable.ts
+++ b/src/gateway/store/log-unreadable.ts
@@ -4,10 +4,10 @@
 import type { GatewayState } from '../state.js';
 import type { StoreObjects } from './store-objects.js';
 
-/** Objects of one page, watch answer or reader's news that get a line each; the last line counts the others. */
+/** Most lines for the objects of one page, watch answer or reader's update; the last line counts the objects left out. */
 const MAX_LINES = 8;
 
-/** Says which objects have content that this gateway cannot read, so that they were left out. */
+/** Counts and logs the objects that were skipped because this gateway cannot read their content. */
 export const logUnreadable = (
   { counters }: GatewayState,
   { collection, objects }: StoreObjects,
--- a/src/gateway/store/probe-store.ts
+++ b/src/gateway/store/probe-store.ts
@@ -1,25 +1,25 @@
 /**
- * Probes the store. A watch that hears nothing may be waiting or cut off; a probe tells them apart
- * within a second, and starts the watches again once the store answers after a loss. A gateway that
- * learns from a reader and has not lost the store itself makes no probes.
+ * Probes the store. A watch without an answer may be waiting or have lost its connection; a probe distinguishes the two
+ * within a second, and the first successful probe after an outage restarts the watches. A gateway that follows a current
+ * reader and can reach the store sends no probes.
  */
 import type { GatewayEffect } from '../effect.js';
 import type { BeliefChange } from '../log/log-event.js';
 import type { GatewayState } from '../state.js';
 import { resumeCollections } from './apply-collections.js';
 
-/** Time between two probes while the store answers: of a gateway that nobody follows, and of one that tells others. */
+/** Time between two probes while the store answers, in milliseconds: without followers, and with followers. */
 const PROBE_INTERVAL_MS = 1_500;
 const READER_INTERVAL_MS = 750;
 
-/** Time between two probes while the store does not answer, and where others are asked as well. */
+/** Time between two probes while the store is unreachable, in milliseconds: of a reader, and of a mere follower. */
 const UNREACHABLE_INTERVAL_MS = 400;
 const UNREACHABLE_FOLLOWER_INTERVAL_MS = 1_500;
 
-/** Time for the answer to a probe, in milliseconds. */
+/** Timeout of a probe, in milliseconds. */
 const PROBE_TIMEOUT_MS = 700;
 
-/** Makes a probe at once. */
+/** Sends a probe immediately. */
 const startProbe = (state: GatewayState): GatewayEffect => {
   state.store.isProbed = true;
   return { type: 'call-store', call: { type: 'probe', timeoutMs: PROBE_TIMEOUT_MS } };
@@ -31,7 +31,7 @@
 const isProbeNeeded = (state: GatewayState): boolean =>
   state.reading.isReading || !state.store.reachable || !hasCurrentSource(state);
 
-/** Begins to probe where that is wanted and has not begun. */
+/** Starts probing if it is needed and no probe is pending or scheduled. */
 export const probeIfNeeded = (state: GatewayState): GatewayEffect[] =>
   state.store.isProbed || !isProbeNeeded(state) ? [] : [startProbe(state)];
 
@@ -49,7 +49,7 @@
   return isReader ? UNREACHABLE_INTERVAL_MS : UNREACHABLE_FOLLOWER_INTERVAL_MS;
 };
 
-/** Handles the end of a probe. */
+/** Handles `probe-ended`: updates the reachability of the store and schedules the next probe. */
 export const handleProbeEnded = (
   state: GatewayState,
   answered: boolean,
--- a/src/gateway/store/record-failure.ts
+++ b/src/gateway/store/record-failure.ts
@@ -1,40 +1,39 @@
-/** What a failed call says of a collection, and when and how it is called for again. */
+/** Records failed calls for a collection and determines when and how the next call is made. */
 import type { Random } from '../../core/random.js';
 import { beginList, type CollectionProgress } from './follow-collection.js';
 
-/** Pauses after failed calls, in milliseconds: doubled each time up to the longest. */
+/** Pauses after failed calls, in milliseconds; doubled after each failure up to the maximum. */
 const FIRST_BACKOFF_MS = 100;
 const MAX_BACKOFF_MS = 800;
 
-/** So many calls in a row fail before the store counts as deaf to them: a watch may be cut now and then. */
+/** Consecutive failures that count as repeated; a single watch may break without a lasting fault. */
 const REPEATED_FAILURES = 2;
 
-/** Whether calls for a collection fail again and again, though the store may answer others. */
+/** Whether calls for a collection fail repeatedly, although the store may answer other calls. */
 export const hasRepeatedFailures = ({ failures }: CollectionProgress): boolean =>
   failures >= REPEATED_FAILURES;
 
-/** Whether the collection is watched: what it has missed would not be noticed. */
+/** Whether the collection is watched; changes that a watch misses would go unnoticed. */
 export const isWatched = ({ revision, mustList }: CollectionProgress): boolean =>
   revision !== undefined && !mustList;
 
 /**
- * How a call failed; `cut`: its answer did not come, from a store that is in reach, `refused`: the store
- * answered, but not what was asked, `away`: the store is known to be out of reach.
+ * How a call failed. `no-answer`: a reachable store did not answer it; `refused`: the store answered with an error or
+ * a malformed body; `unreachable`: the store is known to be unreachable.
  */
 export type CallFailure = 'no-answer' | 'refused' | 'unreachable' | 'history-gone';
 
-/** When the collection is called for again, and whether the others are listed with it. */
+/** When the next call for the collection is made, and whether the other collections are listed as well. */
 export interface NextCall {
   readonly at: number;
   readonly relistsOthers: boolean;
 }
 
 /**
- * Notes a failed call. A watch that was cut says nothing of what it should have delivered, and one that is made
- * from the same revision may be accepted and fed nothing, by a store that is about to drop its history: only a list
- * shows what is current. Watching on instead kept a zone behind for the whole wait of a watch in one of thirty
- * interruptions, measured over 132 of them. After an outage the collection is watched on: all readers would list at
- * once.
+ * Records a failed call. A watch that breaks may have missed changes, and a store that is about to discard its history may
+ * accept a new watch from the same revision and send nothing: only a list shows the current objects. Resuming the watch
+ * instead kept a zone outdated for the whole wait of a watch in one of thirty interruptions, measured over 132 of them.
+ * After an outage of the store the watch is resumed, since otherwise all readers would list at the same time.
  */
 export const recordFailure = (
   progress: CollectionProgress,
--- a/src/gateway/store/store-position.ts
+++ b/src/gateway/store/store-position.ts
@@ -1,24 +1,24 @@
 /**
- * Where the store stands. Its revisions rise with each change, but a store that returns from a copy gives out again
- * those that it has lost: revisions can be compared within one era only, and eras rise with each such return.
+ * Positions in the history of the store. Revisions rise with each change, but a store that is restored from a backup assigns
+ * lost revisions again. Revisions are comparable only within one era, and each restoration raises the era.
  */
 
-/** The era that an answer of the store names; undefined for a store, or a gateway of an earlier build, that names none. */
+/** Era given in an answer of the store; undefined if the store, or a gateway of an earlier build, gives none. */
 export type StoreEra = number | undefined;
 
-/** A moment in the life of the store: all that it held then is known. */
+/** A revision of the store within an era. */
 export interface StorePosition {
   readonly era: StoreEra;
   readonly revision: number;
 }
 
-/** Before every era that is named. */
+/** Orders an absent era before all others. */
 const UNNAMED_ERA = -1;
 
-/** Below, at or above 0 as `left` is an earlier, the same or a later era than `right`. */
+/** Returns a value below, equal to or above 0 if `left` is an earlier, the same or a later era than `right`. */
 export const compareEras = (left: StoreEra, right: StoreEra): number =>
   (left ?? UNNAMED_ERA) - (right ?? UNNAMED_ERA);
 
-/** Below, at or above 0 as `left` is older than, the same as or newer than `right`. */
+/** Returns a value below, equal to or above 0 if `left` is older than, the same as or newer than `right`. */
 export const comparePositions = (left: StorePosition, right: StorePosition): number =>
   compareEras(left.era, right.era) || left.revision - right.revision;
