--- a/src/gateway/delay-estimate.ts
+++ b/src/gateway/delay-estimate.ts
@@ -21,12 +21,12 @@
 export const createDelayEstimate = (): DelayEstimate => ({ mean: 0, deviation: 0 });
 
 /** Notes how long it took once. */
-export const noteDelay = (delay: DelayEstimate, elapsedMs: number): void => {
+export const recordDelay = (delay: DelayEstimate, elapsedMs: number): void => {
   const error = Math.abs(elapsedMs - delay.mean);
   delay.deviation += DEVIATION_WEIGHT * (error - delay.deviation);
   delay.mean += MEAN_WEIGHT * (elapsedMs - delay.mean);
 };
 
 /** Time after which it is overdue, in milliseconds. */
-export const usualPatience = ({ mean, deviation }: DelayEstimate): number =>
+export const overdueAfterMs = ({ mean, deviation }: DelayEstimate): number =>
   mean + DEVIATIONS * deviation;
--- a/src/gateway/event.ts
+++ b/src/gateway/event.ts
@@ -26,7 +26,7 @@
 }
 
 /** The process did nothing for a while: it was stopped, or its machine suspended. Emitted when it goes on. */
-export interface StoodStill {
+export interface ProcessPaused {
   readonly type: 'stood-still';
   readonly at: number;
   /** In milliseconds. */
@@ -273,7 +273,7 @@
 /** All events of the gateway. */
 export type GatewayEvent =
   | Started
-  | StoodStill
+  | ProcessPaused
   | StopRequested
   | SettingsReloaded
   | RequestReceived
--- a/src/gateway/field-reader.ts
+++ b/src/gateway/field-reader.ts
@@ -107,13 +107,13 @@
     value: unknown,
     allowed: string,
     fallback: Value | undefined,
-    standIn: Value,
+    placeholder: Value,
   ): Value {
     if (value === undefined && fallback !== undefined) {
       return fallback;
     }
     this.report(name, value === undefined ? 'is missing' : 'has the wrong type or size', allowed);
-    return standIn;
+    return placeholder;
   }
 
   private placeOf(name: string): string {
--- a/src/gateway/lifecycle.ts
+++ b/src/gateway/lifecycle.ts
@@ -2,23 +2,23 @@
 import type { GatewayEffect } from './effect.js';
 import type { StopDue, StopRequested } from './event.js';
 import type { BeliefChange } from './log/log-event.js';
-import { type GatewayState, isInformed } from './state.js';
+import { type GatewayState, canServe } from './state.js';
 
 /**
  * Time after the request to stop in which callers are still taken: the load balancer asks each
  * second and takes a gateway out after two questions without success.
  */
-const TAKE_CALLERS_MS = 3_200;
+const ACCEPT_WHILE_STOPPING_MS = 3_200;
 
 /** Time kept back of the grace period for the end of the process, in milliseconds. */
 const END_MARGIN_MS = 500;
 
 /** How often a stop looks whether all requests are finished, in milliseconds. */
-const STOP_CHECK_MS = 100;
+const STOP_CHECK_INTERVAL_MS = 100;
 
 /** Tells the load balancer when the readiness has changed. */
 export const updateReadiness = (state: GatewayState): GatewayEffect[] => {
-  const ready = isInformed(state) && (state.phase === 'starting' || state.phase === 'serving');
+  const ready = canServe(state) && (state.phase === 'starting' || state.phase === 'serving');
   if (ready === state.ready) {
     return [];
   }
@@ -34,7 +34,10 @@
 };
 
 /** Handles `stop-requested`. */
-export const beginStop = (state: GatewayState, { at }: StopRequested): GatewayEffect[] => {
+export const handleStopRequested = (
+  state: GatewayState,
+  { at }: StopRequested,
+): GatewayEffect[] => {
   if (state.phase === 'stopping' || state.phase === 'ended') {
     return [];
   }
@@ -48,15 +51,16 @@
     { type: 'write-log', level: 'info', part: 'lifecycle', change },
     ...updateReadiness(state),
     { type: 'announce-stop' },
-    { type: 'set-stop-timer', at: at + STOP_CHECK_MS },
+    { type: 'set-stop-timer', at: at + STOP_CHECK_INTERVAL_MS },
   ];
 };
 
 /** Handles `stop-due`: ends the process once nothing is in progress, or when the grace is over. */
-export const continueStop = (state: GatewayState, { at }: StopDue): GatewayEffect[] => {
+export const handleStopDue = (state: GatewayState, { at }: StopDue): GatewayEffect[] => {
   const elapsed = at - state.stoppingSince;
   const isGraceOver = elapsed >= state.settings.bounds.graceMs - END_MARGIN_MS;
-  const isIdle = elapsed >= TAKE_CALLERS_MS && state.requests.size === 0 && state.held.size === 0;
+  const isIdle =
+    elapsed >= ACCEPT_WHILE_STOPPING_MS && state.requests.size === 0 && state.held.size === 0;
   if (isGraceOver || isIdle) {
     state.phase = 'ended';
     const change: BeliefChange = {
@@ -67,6 +71,7 @@
     const log: GatewayEffect = { type: 'write-log', level: 'info', part: 'lifecycle', change };
     return [log, { type: 'end-process' }];
   }
-  const close: GatewayEffect[] = elapsed >= TAKE_CALLERS_MS ? [{ type: 'close-caller-port' }] : [];
-  return [...close, { type: 'set-stop-timer', at: at + STOP_CHECK_MS }];
+  const close: GatewayEffect[] =
+    elapsed >= ACCEPT_WHILE_STOPPING_MS ? [{ type: 'close-caller-port' }] : [];
+  return [...close, { type: 'set-stop-timer', at: at + STOP_CHECK_INTERVAL_MS }];
 };
--- a/src/gateway/model/replica-record.ts
+++ b/src/gateway/model/replica-record.ts
@@ -35,5 +35,5 @@
  * Whether two records are of different starts of the replica; false where one does not tell its start. Which is later is
  * for the store's order to say: a machine's time of day may have stepped back between them.
  */
-export const isOtherStart = (record: ReplicaRecord, other: ReplicaRecord): boolean =>
+export const isOtherIncarnation = (record: ReplicaRecord, other: ReplicaRecord): boolean =>
   record.bornAt !== undefined && other.bornAt !== undefined && record.bornAt !== other.bornAt;
--- a/src/gateway/peers/feeder-plan.ts
+++ b/src/gateway/peers/feeder-plan.ts
@@ -7,16 +7,16 @@
  * feeders of each shard, so that a change of members moves few shards.
  */
 import type { PeerRecord } from '../model/peer-record.js';
-import { drawFrom, rankByRendezvous } from './rendezvous.js';
+import { uniformHash, rankByRendezvous } from './rendezvous.js';
 
 /** Shards that one feeder carries on average. */
 const SHARDS_PER_FEEDER = 8;
 
 /** Weaker gateways feed as well where a feeder would carry more shards than this. */
-const MOST_SHARDS_PER_FEEDER = 24;
+const MAX_SHARDS_PER_FEEDER = 24;
 
 /** A gateway with less than this part of the strongest one's processor is weak. */
-const WEAK_PART = 0.5;
+const WEAK_CAPACITY_SHARE = 0.5;
 
 /** Least number of feeders in a region that has as many gateways. */
 const MIN_FEEDERS = 3;
@@ -25,15 +25,15 @@
 const RANKED_FEEDERS = 4;
 
 /** A zone with less than this part of the replicas that the fullest zone has holds the index only in part. */
-const FULL_ZONE_PART = 0.5;
+const FULL_ZONE_SHARE = 0.5;
 
 const byCapacity = (left: PeerRecord, right: PeerRecord): number =>
-  right.capacity - left.capacity || drawFrom(left.name) - drawFrom(right.name);
+  right.capacity - left.capacity || uniformHash(left.name) - uniformHash(right.name);
 
 /** Zones that hold about as many replicas as any other. */
 const fullZones = (replicasByZone: ReadonlyMap<string, number>): ReadonlySet<string> => {
   const most = Math.max(0, ...replicasByZone.values());
-  const full = [...replicasByZone].filter(([, count]) => count >= most * FULL_ZONE_PART);
+  const full = [...replicasByZone].filter(([, count]) => count >= most * FULL_ZONE_SHARE);
   return new Set(full.map(([zone]) => zone));
 };
 
@@ -41,14 +41,14 @@
  * Gateways beside the replicas, where there are enough of them: the parts of replicas are by far the most
  * bytes of a gather, and a feeder sends on only the greatest records.
  */
-const besideReplicas = (
+const gatewaysNearReplicas = (
   gatewaysOfRegion: readonly PeerRecord[],
   replicasByZone: ReadonlyMap<string, number>,
   enough: number,
 ): readonly PeerRecord[] => {
   const zones = fullZones(replicasByZone);
-  const beside = gatewaysOfRegion.filter(({ zone }) => zones.has(zone));
-  return beside.length >= enough ? beside : gatewaysOfRegion;
+  const near = gatewaysOfRegion.filter(({ zone }) => zones.has(zone));
+  return near.length >= enough ? near : gatewaysOfRegion;
 };
 
 /**
@@ -61,10 +61,10 @@
   replicasByZone: ReadonlyMap<string, number>,
 ): readonly PeerRecord[] => {
   const wanted = Math.max(MIN_FEEDERS, Math.ceil(shards / SHARDS_PER_FEEDER));
-  const enough = Math.max(MIN_FEEDERS, Math.ceil(shards / MOST_SHARDS_PER_FEEDER));
-  const candidates = besideReplicas(gatewaysOfRegion, replicasByZone, enough);
+  const enough = Math.max(MIN_FEEDERS, Math.ceil(shards / MAX_SHARDS_PER_FEEDER));
+  const candidates = gatewaysNearReplicas(gatewaysOfRegion, replicasByZone, enough);
   const strongest = [...candidates].sort(byCapacity).slice(0, wanted);
-  const least = (strongest[0]?.capacity ?? 0) * WEAK_PART;
+  const least = (strongest[0]?.capacity ?? 0) * WEAK_CAPACITY_SHARE;
   return strongest.filter(({ capacity }, index) => capacity >= least || index < enough);
 };
 
--- a/src/gateway/peers/follow-gateways.ts
+++ b/src/gateway/peers/follow-gateways.ts
@@ -10,21 +10,21 @@
 import type { CollectionName } from '../store/collection.js';
 
 /** Time for an answer, in milliseconds. */
-const ANSWER_MS = 1_500;
+const RESPONSE_TIMEOUT_MS = 1_500;
 
 /**
  * Time between two lists while entries still come, in milliseconds; an entry that was written is expected
  * in the list within the same time, and written again if it is not there.
  */
-const CHANGING_INTERVAL_MS = 1_500;
+const UNSETTLED_INTERVAL_MS = 1_500;
 
 /** Suspected requests of one entry, the newest. */
-const MOST_SUSPECTS = 32;
+const MAX_SUSPECTS = 32;
 
 /** What this gateway tells of itself. */
 export const ownRecord = ({ settings, crashes }: GatewayState): PeerRecord => {
   const { node, zone, peers, capacity } = settings;
-  const suspects = [...crashes.kept].slice(-MOST_SUSPECTS).map((fingerprint) => ({
+  const suspects = [...crashes.kept].slice(-MAX_SUSPECTS).map((fingerprint) => ({
     fingerprint,
     rounds: crashes.memory.all().get(fingerprint)?.rounds ?? 0,
   }));
@@ -38,7 +38,7 @@
 };
 
 /** Whether the store holds this gateway's entry as it is now. */
-const holdsOwn = (state: GatewayState): boolean => {
+const isOwnEntryCurrent = (state: GatewayState): boolean => {
   const { peers, returns } = state;
   const own = ownRecord(state);
   const listed = peers.find(own.name);
@@ -47,7 +47,7 @@
 };
 
 /** Whether the store has an entry of this gateway, whatever it tells. */
-const hasOwn = ({ peers, settings, returns }: GatewayState): boolean => {
+const hasOwnEntry = ({ peers, settings, returns }: GatewayState): boolean => {
   const unconfirmed = returns.unconfirmed.gateways.get(settings.node);
   return unconfirmed === undefined
     ? peers.find(settings.node) !== undefined
@@ -61,7 +61,7 @@
 const SPREAD_MS_PER_GATEWAY = 5;
 
 /** Chooses when this gateway writes its entry, if the store has lost it. */
-export const spreadRegistration = (
+export const delayRegistration = (
   { registration, random, gateways }: GatewayState,
   collection: CollectionName,
   at: number,
@@ -74,9 +74,9 @@
 /** Writes this gateway's entry where the list lacks it or has another. */
 export const registerIfMissing = (state: GatewayState, at: number): GatewayEffect[] => {
   const { registration } = state;
-  const isExpected = at - registration.writtenAt < CHANGING_INTERVAL_MS;
+  const isAwaitingList = at - registration.writtenAt < UNSETTLED_INTERVAL_MS;
   const isStopping = state.phase === 'stopping' || state.phase === 'ended';
-  if (holdsOwn(state) || isExpected || isStopping) {
+  if (isOwnEntryCurrent(state) || isAwaitingList || isStopping) {
     return [];
   }
   if (at < registration.notBefore) {
@@ -84,15 +84,18 @@
   }
   registration.writtenAt = at;
   const record = ownRecord(state);
-  const replace = hasOwn(state);
+  const replace = hasOwnEntry(state);
   return [
-    { type: 'call-store', call: { type: 'register', record, replace, timeoutMs: ANSWER_MS } },
-    { type: 'set-registration-timer', at: at + CHANGING_INTERVAL_MS },
+    {
+      type: 'call-store',
+      call: { type: 'register', record, replace, timeoutMs: RESPONSE_TIMEOUT_MS },
+    },
+    { type: 'set-registration-timer', at: at + UNSETTLED_INTERVAL_MS },
   ];
 };
 
 /** Handles `registration-due`. */
-export const takeRegistrationDue = (
+export const handleRegistrationDue = (
   state: GatewayState,
   { at }: RegistrationDue,
 ): GatewayEffect[] => registerIfMissing(state, at);
@@ -102,17 +105,17 @@
  * gateway and does not change any more: gateways that start together come into it one by one, and the
  * first ones would take themselves for the only ones. Until then it is listed again and again.
  */
-export const takeGatewaysList = (state: GatewayState, at: number): GatewayEffect[] => {
+export const handleGatewaysListed = (state: GatewayState, at: number): GatewayEffect[] => {
   const { registration, peers } = state;
   const { listedGeneration } = registration;
   registration.listedGeneration = peers.generation;
   const isUnchanged = listedGeneration === undefined || listedGeneration === peers.generation;
   const recalled = recallSuspects(state, at);
-  state.gatewaysSettled ||= holdsOwn(state) && isUnchanged;
+  state.gatewaysSettled ||= isOwnEntryCurrent(state) && isUnchanged;
   const own = [...recalled, ...registerIfMissing(state, at)];
   if (state.gatewaysSettled) {
     return own;
   }
-  const dueAt = at + CHANGING_INTERVAL_MS;
+  const dueAt = at + UNSETTLED_INTERVAL_MS;
   return [...own, { type: 'set-collection-timer', collection: 'gateways', at: dueAt }];
 };
--- a/src/gateway/peers/peer-directory.ts
+++ b/src/gateway/peers/peer-directory.ts
@@ -2,7 +2,7 @@
 import { isSamePeerRecord, type PeerRecord } from '../model/peer-record.js';
 
 /** A peer that failed is passed over until it answers again, and no longer than this, in milliseconds. */
-const LONGEST_SUSPICION_MS = 10_000;
+const MAX_SUSPICION_MS = 10_000;
 
 /** Peers by name. */
 export class PeerDirectory {
@@ -69,7 +69,7 @@
 
   /** A peer did not answer, or is leaving. */
   suspect(name: string, at: number): void {
-    this.suspects.set(name, at + LONGEST_SUSPICION_MS);
+    this.suspects.set(name, at + MAX_SUSPICION_MS);
   }
 
   /** A peer has answered. */
--- a/src/gateway/peers/rendezvous.ts
+++ b/src/gateway/peers/rendezvous.ts
@@ -8,10 +8,10 @@
 const UINT32_RANGE = 0x1_0000_0000;
 
 /** Uniform in (0, 1), from the text alone. */
-export const drawFrom = (text: string): number => (hash32(text) + 0.5) / UINT32_RANGE;
+export const uniformHash = (text: string): number => (hash32(text) + 0.5) / UINT32_RANGE;
 
 const scoreOf = (subject: string, { name, capacity }: PeerRecord): number =>
-  -Math.max(capacity, Number.EPSILON) / Math.log(drawFrom(`${subject}/${name}`));
+  -Math.max(capacity, Number.EPSILON) / Math.log(uniformHash(`${subject}/${name}`));
 
 /** Orders `candidates` for `subject`, the first choice first. */
 export const rankByRendezvous = (
--- a/src/gateway/peers/service-share.ts
+++ b/src/gateway/peers/service-share.ts
@@ -11,7 +11,7 @@
 const DEFAULT_MAX_CONNECTIONS = 32;
 
 /** Part of a replica's connections that all gateways together use. */
-export const CONNECTIONS_USE = 0.9;
+export const USABLE_CONNECTIONS_SHARE = 0.9;
 
 /** Every gateway speaks to the replicas itself while so many connections fall to each. */
 const MIN_DIRECT_CONNECTIONS = 1.5;
@@ -24,8 +24,8 @@
  * fourth step in when a zone with the first two is lost: without slack of their own they could repeat
  * nothing that those had sent.
  */
-const FEEDER_PARTS: readonly number[] = [0.4, 0.25, 0.15, 0.1];
-const REST_PART = 1 - FEEDER_PARTS.reduce((sum, part) => sum + part, 0);
+const FEEDER_SHARES: readonly number[] = [0.4, 0.25, 0.15, 0.1];
+const REMAINING_SHARE = 1 - FEEDER_SHARES.reduce((sum, part) => sum + part, 0);
 
 /** Connections that one replica of `service` accepts from all callers together. */
 export const maxConnectionsOf = (state: GatewayState, service: string): number =>
@@ -33,7 +33,8 @@
 
 /** Whether gathers reach the replicas of a shard through feeders. */
 export const isFed = (state: GatewayState, service: string): boolean => {
-  const connections = (maxConnectionsOf(state, service) * CONNECTIONS_USE) / state.gateways;
+  const connections =
+    (maxConnectionsOf(state, service) * USABLE_CONNECTIONS_SHARE) / state.gateways;
   return connections < MIN_DIRECT_CONNECTIONS || state.gateways > MAX_DIRECT_GATEWAYS;
 };
 
@@ -76,9 +77,9 @@
   }
   const region = regionOf(state, state.settings.zone);
   const gateways = [...peers.all()].filter(({ zone }) => regionOf(state, zone) === region);
-  const made = new FeederPlan(gateways, inForce?.shards.size ?? 0, replicasByZone(state));
-  const isSame = known !== undefined && isSameList(known.plan.feeders, made.feeders);
-  const plan = isSame ? known.plan : made;
+  const newPlan = new FeederPlan(gateways, inForce?.shards.size ?? 0, replicasByZone(state));
+  const isSame = known !== undefined && isSameList(known.plan.feeders, newPlan.feeders);
+  const plan = isSame ? known.plan : newPlan;
   state.feeders = {
     plan,
     peersGeneration: peers.generation,
@@ -88,7 +89,7 @@
   return plan;
 };
 
-const partOfRank = (rank: number): number => FEEDER_PARTS[rank] ?? 0;
+const shareOfRank = (rank: number): number => FEEDER_SHARES[rank] ?? 0;
 
 const isShard = (state: GatewayState, service: string): boolean =>
   state.inForce?.shards.has(service) ?? false;
@@ -105,5 +106,5 @@
   }
   const rank = feederPlan(state).rankOf(service, settings.node);
   const regions = Math.max(1, new Set(Object.values(settings.zoneRegions)).size);
-  return Math.max(partOfRank(rank) / regions, REST_PART / gateways);
+  return Math.max(shareOfRank(rank) / regions, REMAINING_SHARE / gateways);
 };
--- a/src/gateway/standstill.ts
+++ b/src/gateway/process-pause.ts
@@ -3,7 +3,7 @@
  * callers until the store, or a gateway that reads it, has confirmed it. Requests that come meanwhile are held.
  */
 import type { GatewayEffect } from './effect.js';
-import type { StoodStill } from './event.js';
+import type { ProcessPaused } from './event.js';
 import { updateReadiness } from './lifecycle.js';
 import type { BeliefChange } from './log/log-event.js';
 import { acceptHeldRequests } from './requests/accept-request.js';
@@ -14,42 +14,42 @@
  * A gateway that nothing confirms goes on after this time with what it knows, in milliseconds, as all do while the store is
  * away: it would be of no use to anybody otherwise.
  */
-const LONGEST_CONFIRM_MS = 1_000;
+const MAX_CONFIRM_MS = 1_000;
 
 /**
  * Handles `stood-still`. What had come before the process went on is read first: it may hold what a reader told long ago.
  */
-export const takeStoodStill = (
+export const handleProcessPaused = (
   state: GatewayState,
-  { at, forMs, suspendedMs }: StoodStill,
+  { at, forMs, suspendedMs }: ProcessPaused,
 ): GatewayEffect[] => {
   const change: BeliefChange = { event: 'stood-still', forMs: Math.round(forMs), suspendedMs };
   const log: GatewayEffect = { type: 'write-log', level: 'warn', part: 'lifecycle', change };
   if (state.phase !== 'serving') {
     return [log];
   }
-  state.outdated = { since: at, askedAt: undefined };
+  state.pauseRecovery = { since: at, requestedAt: undefined };
   return [log, ...updateReadiness(state), { type: 'set-reading-timer', at }];
 };
 
 /** Whether a reader, asked anew, has said that it tells all that the store holds, or the store itself has been read. */
-const isConfirmed = (state: GatewayState, askedAt: number): boolean =>
-  confirmedAt(state) > askedAt ||
+const isConfirmed = (state: GatewayState, requestedAt: number): boolean =>
+  confirmedAt(state) > requestedAt ||
   [...state.reading.sources.values()].some(({ isCurrent }) => isCurrent === true);
 
 /** Goes on once what is known has been confirmed, or nothing can confirm it. */
-export const endStandstill = (state: GatewayState, at: number): GatewayEffect[] => {
-  const { outdated, reading, store } = state;
-  if (outdated?.askedAt === undefined) {
+export const finishPauseRecovery = (state: GatewayState, at: number): GatewayEffect[] => {
+  const { pauseRecovery, reading, store } = state;
+  if (pauseRecovery?.requestedAt === undefined) {
     return [];
   }
   const isLost = reading.isReading && !store.reachable;
-  const wasConfirmed = isConfirmed(state, outdated.askedAt);
-  const afterMs = at - outdated.since;
-  if (!wasConfirmed && !isLost && afterMs < LONGEST_CONFIRM_MS) {
+  const wasConfirmed = isConfirmed(state, pauseRecovery.requestedAt);
+  const afterMs = at - pauseRecovery.since;
+  if (!wasConfirmed && !isLost && afterMs < MAX_CONFIRM_MS) {
     return [];
   }
-  state.outdated = undefined;
+  state.pauseRecovery = undefined;
   const change: BeliefChange = {
     event: 'went-on',
     afterMs: Math.round(afterMs),
--- a/src/gateway/readers/ask-anew.ts
+++ b/src/gateway/readers/ask-anew.ts
@@ -16,11 +16,11 @@
  * so that they are asked again and count by what they say from now on.
  */
 export const askAnew = (state: GatewayState, at: number): GatewayEffect[] => {
-  const { outdated, reading, store } = state;
-  if (outdated === undefined || outdated.askedAt !== undefined) {
+  const { pauseRecovery: outdated, reading, store } = state;
+  if (outdated === undefined || outdated.requestedAt !== undefined) {
     return [];
   }
-  outdated.askedAt = at;
+  outdated.requestedAt = at;
   reading.sources.clear();
   return reading.isReading && store.reachable ? listAll(state) : [];
 };
--- a/src/gateway/readers/take-news.ts
+++ b/src/gateway/readers/take-news.ts
@@ -7,8 +7,8 @@
 import type { BeliefChange } from '../log/log-event.js';
 import {
   registerIfMissing,
-  spreadRegistration,
-  takeGatewaysList,
+  delayRegistration,
+  handleGatewaysListed,
 } from '../peers/follow-gateways.js';
 import {
   awaitGone,
@@ -132,7 +132,7 @@
   const applied = applyObjects(state, taken, at, source.peer.name);
   if (hasReturned) {
     awaitUnlisted(state, collection, listed, at);
-    spreadRegistration(state, collection, at);
+    delayRegistration(state, collection, at);
   }
   const awaited = takeAwaited(state, source, told, at);
   return [
@@ -140,7 +140,7 @@
     ...awaited,
     ...removeUnlistedObjects(state, collection, withMissing(state, collection, listed), at),
     ...tellNamed(state, collection, changed, before, at),
-    ...(collection === 'gateways' ? takeGatewaysList(state, at) : []),
+    ...(collection === 'gateways' ? handleGatewaysListed(state, at) : []),
     ...(hasReturned ? watchAnew(state, progress) : []),
   ];
 };
@@ -188,7 +188,7 @@
   progress.era = era;
   const changes = hasReturned ? awaitGone(state, withholdOlder(state, told, at), at) : told;
   if (hasReturned) {
-    spreadRegistration(state, collection, at);
+    delayRegistration(state, collection, at);
   }
   return [
     ...applyObjects(state, changes, at, source.peer.name),
--- a/src/gateway/readers/update-reading.ts
+++ b/src/gateway/readers/update-reading.ts
@@ -8,7 +8,7 @@
 import type { BeliefChange } from '../log/log-event.js';
 import type { PeerRecord } from '../model/peer-record.js';
 import { settleUnconfirmed } from '../returns/unconfirmed.js';
-import { collectionsOf, type GatewayState, isInformed } from '../state.js';
+import { collectionsOf, type GatewayState, canServe } from '../state.js';
 import { resumeCollections } from '../store/apply-collections.js';
 import { stopFollowing } from '../store/follow-collection.js';
 import { probeIfNeeded } from '../store/probe-store.js';
@@ -98,7 +98,7 @@
   const isRosterKnown = gatewaysSettled || !isAlone(state);
   if (isRosterKnown) {
     const candidates = readerCandidates(state, at);
-    const isEarly = at < reading.followFrom && isInformed(state);
+    const isEarly = at < reading.followFrom && canServe(state);
     return isEarly && candidates[0]?.name !== state.settings.node
       ? undefined
       : chooseAmong(state, candidates, at);
--- a/src/gateway/reducer.ts
+++ b/src/gateway/reducer.ts
@@ -6,8 +6,8 @@
 import { takeCrashesTold, takeCrashNewsDue } from './crashes/tell-crashes.js';
 import type { GatewayEffect } from './effect.js';
 import type { GatewayEvent, Started } from './event.js';
-import { beginStop, continueStop, updateReadiness } from './lifecycle.js';
-import { takeRegistrationDue } from './peers/follow-gateways.js';
+import { handleStopRequested, handleStopDue, updateReadiness } from './lifecycle.js';
+import { handleRegistrationDue } from './peers/follow-gateways.js';
 import { takeReaderNews } from './readers/take-news.js';
 import { takeFollower, takeFollowerLeft } from './readers/tell-followers.js';
 import {
@@ -31,7 +31,7 @@
 import { takeUnreadable } from './requests/take-unreadable.js';
 import { refuseAllHeld } from './requests/hold-request.js';
 import { takeCallerLeft, takeRequestDue, takeResult } from './requests/take-result.js';
-import { endStandstill, takeStoodStill } from './standstill.js';
+import { finishPauseRecovery, handleProcessPaused } from './process-pause.js';
 import type { GatewayState } from './state.js';
 import {
   listCollections,
@@ -44,14 +44,14 @@
 import { handleProbeEnded, handleProbeDue } from './store/probe-store.js';
 import type { StoreEra } from './store/store-position.js';
 
-const start = (state: GatewayState, { at }: Started): GatewayEffect[] => {
+const handleStarted = (state: GatewayState, { at }: Started): GatewayEffect[] => {
   state.startedAt = at;
   state.reading.followFrom = at + state.random.next() * FOLLOW_SPREAD_MS;
   return [...listCollections(state), ...takeReadingDue(state, at)];
 };
 
 /** Takes note of the era that an answer of the store names. */
-const noteStoreEra = (
+const recordStoreEra = (
   state: GatewayState,
   { era, at }: { readonly era?: StoreEra; readonly at: number },
   collection?: CollectionName,
@@ -63,7 +63,7 @@
   });
 
 /** What follows when more of the store is known, wherever it came from. */
-const useKnowledge = (state: GatewayState, at: number): GatewayEffect[] => [
+const resumeAfterStoreUpdate = (state: GatewayState, at: number): GatewayEffect[] => [
   ...acceptHeldRequests(state, at),
   ...preconnectReplicas(state),
   ...updateReadiness(state),
@@ -72,10 +72,10 @@
 
 const dispatch = (state: GatewayState, event: GatewayEvent): GatewayEffect[] =>
   match(event)
-    .with({ type: 'started' }, (started) => start(state, started))
-    .with({ type: 'stood-still' }, (stood) => takeStoodStill(state, stood))
-    .with({ type: 'stop-requested' }, (stop) => beginStop(state, stop))
-    .with({ type: 'stop-due' }, (due) => continueStop(state, due))
+    .with({ type: 'started' }, (started) => handleStarted(state, started))
+    .with({ type: 'stood-still' }, (stood) => handleProcessPaused(state, stood))
+    .with({ type: 'stop-requested' }, (stop) => handleStopRequested(state, stop))
+    .with({ type: 'stop-due' }, (due) => handleStopDue(state, due))
     .with({ type: 'settings-reloaded' }, ({ settings }) => {
       state.settings = settings;
       return [];
@@ -92,29 +92,29 @@
     ])
     .with({ type: 'request-due' }, (due) => takeRequestDue(state, due))
     .with({ type: 'page-read' }, (read) => [
-      ...noteStoreEra(state, read, read.page.collection),
+      ...recordStoreEra(state, read, read.page.collection),
       ...handlePageRead(state, read),
-      ...useKnowledge(state, read.at),
+      ...resumeAfterStoreUpdate(state, read.at),
     ])
     .with({ type: 'changes-read' }, (read) => [
-      ...noteStoreEra(state, read, read.changes.collection),
+      ...recordStoreEra(state, read, read.changes.collection),
       ...handleChangesRead(state, read),
-      ...useKnowledge(state, read.at),
+      ...resumeAfterStoreUpdate(state, read.at),
     ])
     .with({ type: 'store-call-failed' }, (failed) => [
-      ...noteStoreEra(state, failed, failed.collection),
+      ...recordStoreEra(state, failed, failed.collection),
       ...handleStoreCallFailed(state, failed),
       ...refuseAllHeld(state, failed.at),
     ])
     .with({ type: 'collection-due' }, (due) => handleCollectionDue(state, due))
     .with({ type: 'probe-due' }, () => handleProbeDue(state))
     .with({ type: 'probe-ended' }, (ended) => [
-      ...noteStoreEra(state, ended),
+      ...recordStoreEra(state, ended),
       ...handleProbeEnded(state, ended.answered, ended.at),
       ...refuseAllHeld(state, ended.at),
       ...updateReading(state, ended.at),
     ])
-    .with({ type: 'registration-due' }, (due) => takeRegistrationDue(state, due))
+    .with({ type: 'registration-due' }, (due) => handleRegistrationDue(state, due))
     .with({ type: 'reading-due' }, ({ at }) => takeReadingDue(state, at))
     .with({ type: 'follower-joined' }, (joined) => [
       ...takeFollower(state, joined),
@@ -126,7 +126,7 @@
     })
     .with({ type: 'reader-told' }, (told) => [
       ...takeReaderNews(state, told),
-      ...useKnowledge(state, told.at),
+      ...resumeAfterStoreUpdate(state, told.at),
     ])
     .with({ type: 'subquery-received' }, (received) => acceptSubquery(state, received))
     .with({ type: 'subquery-cancelled' }, (cancelled) => takeSubqueryCancelled(state, cancelled))
@@ -151,5 +151,7 @@
     return takeResult(state, event);
   }
   const effects = dispatch(state, event);
-  return state.outdated === undefined ? effects : [...effects, ...endStandstill(state, event.at)];
+  return state.pauseRecovery === undefined
+    ? effects
+    : [...effects, ...finishPauseRecovery(state, event.at)];
 };
--- a/src/gateway/replicas/cold-rate.ts
+++ b/src/gateway/replicas/cold-rate.ts
@@ -21,41 +21,41 @@
 const LIST_VIEWS = 2;
 
 /** Requests a second to one cold replica that all gateways of one view may send. */
-const rateOfAll = (state: GatewayState, ratePerSecond: number): number => {
+const combinedRate = (state: GatewayState, ratePerSecond: number): number => {
   const { coldOvershoot = 1, coldSlack = 0 } = state.settings.bounds;
   const boundPerView = (ratePerSecond * coldOvershoot + coldSlack) / LIST_VIEWS;
   return Math.max(1, Math.floor(Math.min(ratePerSecond, boundPerView)));
 };
 
 /** The part of `total` for the one at `index` of `count`; the first ones get what is left over. */
-const partOf = (total: number, index: number, count: number): number =>
+const evenShare = (total: number, index: number, count: number): number =>
   Math.floor(total / count) + Number(index < total % count);
 
-const partOfFeeder = (state: GatewayState, service: string, total: number): number => {
+const feederRate = (state: GatewayState, service: string, total: number): number => {
   const { node, zone, zoneRegions } = state.settings;
   if (feederPlan(state).rankOf(service, node) !== 0) {
     return 0;
   }
   const regions = [...new Set(Object.values(zoneRegions))].sort();
-  return partOf(total, regions.indexOf(zoneRegions[zone] ?? ''), regions.length);
+  return evenShare(total, regions.indexOf(zoneRegions[zone] ?? ''), regions.length);
 };
 
-const partOfGateway = ({ peers, settings }: GatewayState, id: string, total: number): number => {
+const directRate = ({ peers, settings }: GatewayState, id: string, total: number): number => {
   const ranked = rankByRendezvous(`cold/${id}`, [...peers.all()]);
   const index = ranked.findIndex(({ name }) => name === settings.node);
-  return index < 0 ? 0 : partOf(total, index, ranked.length);
+  return index < 0 ? 0 : evenShare(total, index, ranked.length);
 };
 
 /** Requests a second that this gateway may send to a replica while it is cold. */
 const ownRate = (state: GatewayState, { record }: Replica, ratePerSecond: number): number => {
-  const total = rateOfAll(state, ratePerSecond);
+  const total = combinedRate(state, ratePerSecond);
   return isFedShard(state, record.service)
-    ? partOfFeeder(state, record.service, total)
-    : partOfGateway(state, record.id, total);
+    ? feederRate(state, record.service, total)
+    : directRate(state, record.id, total);
 };
 
 /** What a process before this one has sent in the last second is not known here. */
-const mayHaveSentBefore = ({ settings, startedAt }: GatewayState, at: number): boolean =>
+const mayFollowPreviousProcess = ({ settings, startedAt }: GatewayState, at: number): boolean =>
   !settings.firstStart && at - startedAt < RATE_WINDOW_MS;
 
 const coldRateOf = (state: GatewayState, { record, coldUntil }: Replica, at: number) =>
@@ -64,21 +64,21 @@
     : undefined;
 
 /** Whether a replica may get one more request from this gateway now; one that is warm always may. */
-export const bearsOneMore = (state: GatewayState, replica: Replica, at: number): boolean => {
+export const hasColdRateLeft = (state: GatewayState, replica: Replica, at: number): boolean => {
   const ratePerSecond = coldRateOf(state, replica, at);
   if (ratePerSecond === undefined) {
     return true;
   }
-  if (mayHaveSentBefore(state, at)) {
+  if (mayFollowPreviousProcess(state, at)) {
     return false;
   }
-  const sentLately = replica.sentWhileCold.filter((sentAt) => at - sentAt < RATE_WINDOW_MS);
-  replica.sentWhileCold = sentLately;
-  return sentLately.length < ownRate(state, replica, ratePerSecond);
+  const recentSends = replica.sentWhileCold.filter((sentAt) => at - sentAt < RATE_WINDOW_MS);
+  replica.sentWhileCold = recentSends;
+  return recentSends.length < ownRate(state, replica, ratePerSecond);
 };
 
 /** Notes that a request is sent to a replica. */
-export const noteColdSend = (state: GatewayState, replica: Replica, at: number): void => {
+export const recordColdSend = (state: GatewayState, replica: Replica, at: number): void => {
   if (coldRateOf(state, replica, at) !== undefined) {
     replica.sentWhileCold = [...replica.sentWhileCold, at];
   }
--- a/src/gateway/replicas/directory.ts
+++ b/src/gateway/replicas/directory.ts
@@ -1,5 +1,5 @@
 /** All replicas that the store lists, and those that have just left, by service. */
-import { isOtherStart, type ReplicaRecord } from '../model/replica-record.js';
+import { isOtherIncarnation, type ReplicaRecord } from '../model/replica-record.js';
 import { createReplica, type Replica } from './replica.js';
 
 /** Replicas by their identifiers and by service. */
@@ -38,7 +38,7 @@
       this.addSibling(replica);
       return;
     }
-    if (isOtherStart(record, known.record)) {
+    if (isOtherIncarnation(record, known.record)) {
       this.replace(known, createReplica(record, at));
       return;
     }
--- a/src/gateway/replicas/preconnect.ts
+++ b/src/gateway/replicas/preconnect.ts
@@ -16,11 +16,11 @@
   return new Set(singles.flatMap(({ target }) => servicesOf(target)));
 };
 
-const isWanted = ({ preconnected, goneAt, record }: Replica): boolean =>
+const needsPreconnect = ({ preconnected, goneAt, record }: Replica): boolean =>
   !preconnected && goneAt === undefined && !record.draining;
 
 /** Whether this gateway speaks to the replicas of a shard itself. */
-const speaksTo = (state: GatewayState, service: string): boolean =>
+const connectsDirectly = (state: GatewayState, service: string): boolean =>
   !isFed(state, service) || feederPlan(state).rankOf(service, state.settings.node) === 0;
 
 /** Opens a connection to each feeder, once for each plan. */
@@ -45,17 +45,17 @@
 };
 
 const preconnectShards = (state: GatewayState): GatewayEffect[] => {
-  const fresh = [...state.replicas.all()].filter(
-    (replica) => isWanted(replica) && isZoneOpen(state, replica.record.zone),
+  const unconnected = [...state.replicas.all()].filter(
+    (replica) => needsPreconnect(replica) && isZoneOpen(state, replica.record.zone),
   );
-  if (fresh.length === 0) {
+  if (unconnected.length === 0) {
     return [];
   }
   const singles = singleServices(state);
-  return fresh.flatMap((replica): GatewayEffect[] => {
+  return unconnected.flatMap((replica): GatewayEffect[] => {
     replica.preconnected = true;
     const { service } = replica.record;
-    const isShard = !singles.has(service) && speaksTo(state, service);
+    const isShard = !singles.has(service) && connectsDirectly(state, service);
     return isShard ? [{ type: 'open-connection', replica: replica.record }] : [];
   });
 };
--- a/src/gateway/replicas/replica.ts
+++ b/src/gateway/replicas/replica.ts
@@ -9,11 +9,11 @@
 const MAX_SAMPLE_RATIO = 20;
 
 /** Time in which what is known of a slowdown fades to a third, in milliseconds. */
-const SLOWDOWN_MEMORY_MS = 2_500;
+const SLOWDOWN_DECAY_MS = 2_500;
 
 /** Pauses after failures in a row before a replica is tried again, in milliseconds. */
 const FIRST_EJECTION_MS = 250;
-const LONGEST_EJECTION_MS = 4_000;
+const MAX_EJECTION_MS = 4_000;
 
 /** An attempt that runs at a replica. */
 export interface PendingAttempt {
@@ -72,25 +72,25 @@
 });
 
 /** A slowdown that was known at one time, as it counts later: it fades towards 1. */
-const fadedSlowdown = (slowdown: number, knownAt: number, at: number): number => {
+const decayedSlowdown = (slowdown: number, knownAt: number, at: number): number => {
   const age = Math.max(0, at - knownAt);
-  return 1 + (slowdown - 1) * Math.exp(-age / SLOWDOWN_MEMORY_MS);
+  return 1 + (slowdown - 1) * Math.exp(-age / SLOWDOWN_DECAY_MS);
 };
 
 const observedSlowdown = ({ slowdown, slowdownAt }: Replica, at: number): number =>
-  fadedSlowdown(slowdown, slowdownAt, at);
+  decayedSlowdown(slowdown, slowdownAt, at);
 
 /** What the replica says itself; one that claims to be quicker than usual is not believed. */
 const reportedSlowdown = ({ load, loadAt }: Replica, at: number): number => {
   const slowdown = Math.min(MAX_SAMPLE_RATIO, Math.max(1, load?.slowdown ?? 1));
-  return fadedSlowdown(slowdown, loadAt, at);
+  return decayedSlowdown(slowdown, loadAt, at);
 };
 
 /**
  * How much longer than usual an attempt is expected to take: what the replica says or what attempts have
  * shown, whichever is worse, so that no report outweighs what was seen.
  */
-export const slowdownNow = (replica: Replica, at: number): number =>
+export const currentSlowdown = (replica: Replica, at: number): number =>
   Math.max(observedSlowdown(replica, at), reportedSlowdown(replica, at));
 
 const addSlowdownSample = (replica: Replica, ratio: number, at: number): void => {
@@ -104,14 +104,14 @@
  * Notes that an attempt was given up before its answer: it would have taken at least so long, relative
  * to what is usual. One that was given up early says nothing.
  */
-export const noteUnfinished = (replica: Replica, leastRatio: number, at: number): void => {
+export const recordUnfinished = (replica: Replica, leastRatio: number, at: number): void => {
   if (leastRatio > observedSlowdown(replica, at)) {
     addSlowdownSample(replica, leastRatio, at);
   }
 };
 
 /** Notes how long an attempt took, relative to what is usual. */
-export const noteLatency = (replica: Replica, ratio: number, at: number): void => {
+export const recordLatency = (replica: Replica, ratio: number, at: number): void => {
   addSlowdownSample(replica, ratio, at);
   replica.failures = 0;
   replica.ejectedUntil = Number.NEGATIVE_INFINITY;
@@ -119,14 +119,14 @@
 };
 
 /** Notes that an attempt failed in a way that speaks against the replica. */
-export const noteReplicaFailure = (replica: Replica, at: number): void => {
-  const pause = Math.min(LONGEST_EJECTION_MS, FIRST_EJECTION_MS * 2 ** replica.failures);
+export const recordReplicaFailure = (replica: Replica, at: number): void => {
+  const pause = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** replica.failures);
   replica.failures += 1;
   replica.ejectedUntil = at + pause;
 };
 
 /** Notes what the replica says of its load. */
-export const noteLoad = (replica: Replica, load: LoadReport | undefined, at: number): void => {
+export const recordLoad = (replica: Replica, load: LoadReport | undefined, at: number): void => {
   if (load !== undefined) {
     replica.load = load;
     replica.loadAt = at;
--- a/src/gateway/replicas/select-replica.ts
+++ b/src/gateway/replicas/select-replica.ts
@@ -1,6 +1,6 @@
 /** Chooses the replica that is expected to answer first, at the least cost. */
 import type { Random } from '../../core/random.js';
-import { type Replica, slowdownNow } from './replica.js';
+import { type Replica, currentSlowdown } from './replica.js';
 
 /** Added to the cost of a replica in another zone of the same region, in usual latencies. */
 const OTHER_ZONE_COST = 0.35;
@@ -28,10 +28,10 @@
 const NOT_PREFERRED_COST = 100;
 
 /** Costs that differ by less are taken as equal, and one is drawn. */
-const DRAW_WIDTH = 0.1;
+const TIE_BREAK_WIDTH = 0.1;
 
 /** From where the choice is made. */
-export interface SelectionPlace {
+export interface SelectionContext {
   readonly zone: string;
   readonly zoneRegions: Readonly<Record<string, string>>;
   /** A replica that leaves may be sent work for so long, in milliseconds. */
@@ -42,7 +42,7 @@
   readonly preferred: ReadonlySet<string> | undefined;
 }
 
-const distanceCost = (replica: Replica, { zone, zoneRegions }: SelectionPlace): number => {
+const distanceCost = (replica: Replica, { zone, zoneRegions }: SelectionContext): number => {
   const other = replica.record.zone;
   if (other === zone) {
     return 0;
@@ -75,39 +75,39 @@
 /** How long one more attempt at a replica is expected to take, in usual latencies. */
 export const expectedRatio = (replica: Replica, maxConnections: number, at: number): number => {
   const cold = replica.coldUntil > at ? COLD_FACTOR : 1;
-  return slowdownNow(replica, at) * cold * (1 + loadCost(replica, maxConnections, at));
+  return currentSlowdown(replica, at) * cold * (1 + loadCost(replica, maxConnections, at));
 };
 
 /** The cost of one more attempt at a replica, in usual latencies. */
-const costOf = (replica: Replica, place: SelectionPlace, at: number): number => {
-  const base = expectedRatio(replica, place.maxConnections, at);
+const costOf = (replica: Replica, context: SelectionContext, at: number): number => {
+  const base = expectedRatio(replica, context.maxConnections, at);
   const ejected = replica.ejectedUntil > at ? EJECTED_COST : 0;
   const isLeaving = replica.record.draining || replica.goneAt !== undefined;
   const leaving = isLeaving ? LEAVING_COST : 0;
-  const isPreferred = place.preferred?.has(replica.record.id) ?? true;
+  const isPreferred = context.preferred?.has(replica.record.id) ?? true;
   const excluded = ejected + leaving + (isPreferred ? 0 : NOT_PREFERRED_COST);
-  return base + stallCost(replica, at) + distanceCost(replica, place) + excluded;
+  return base + stallCost(replica, at) + distanceCost(replica, context) + excluded;
 };
 
 /**
  * The replica to send the next attempt to; undefined when none is left.
  *
- * @param tried - identifiers of replicas that the request has been sent to
+ * @param attemptedReplicas - identifiers of replicas that the request has been sent to
  */
 export const selectReplica = (
   replicas: readonly Replica[],
-  tried: ReadonlySet<string>,
-  place: SelectionPlace,
+  attemptedReplicas: ReadonlySet<string>,
+  context: SelectionContext,
   random: Random,
   at: number,
 ): Replica | undefined => {
   let best: Replica | undefined;
   let bestCost = Number.POSITIVE_INFINITY;
   for (const replica of replicas) {
-    if (tried.has(replica.record.id) || isPastDrain(replica, place, at)) {
+    if (attemptedReplicas.has(replica.record.id) || isPastDrain(replica, context, at)) {
       continue;
     }
-    const cost = costOf(replica, place, at) + random.next() * DRAW_WIDTH;
+    const cost = costOf(replica, context, at) + random.next() * TIE_BREAK_WIDTH;
     if (cost < bestCost) {
       best = replica;
       bestCost = cost;
@@ -116,7 +116,7 @@
   return best;
 };
 
-const isPastDrain = (replica: Replica, { leavingMs }: SelectionPlace, at: number): boolean => {
+const isPastDrain = (replica: Replica, { leavingMs }: SelectionContext, at: number): boolean => {
   const since = replica.record.draining ? replica.drainingSince : replica.goneAt;
   return since !== undefined && at - since > leavingMs;
 };
--- a/src/gateway/requests/accept-request.ts
+++ b/src/gateway/requests/accept-request.ts
@@ -8,7 +8,7 @@
 import type { Route } from '../model/route.js';
 import { SplitCursor, isSameSplit } from '../routing/split-cursor.js';
 import { isReturnRecent } from '../returns/return-state.js';
-import { type GatewayState, isInformed } from '../state.js';
+import { type GatewayState, canServe } from '../state.js';
 import { refuseCall } from './finish.js';
 import { pausedUntil } from './guard.js';
 import { holdRequest } from './hold-request.js';
@@ -164,12 +164,12 @@
     const isUnread = problem === 'no-configuration';
     return refuseCall(state, event, problem, isUnread ? retryAfterUnread(state) : undefined);
   }
-  return isInformed(state) ? routeRequest(state, event, event.at) : holdRequest(state, event);
+  return canServe(state) ? routeRequest(state, event, event.at) : holdRequest(state, event);
 };
 
 /** Sends the requests that were held for the first configuration, once it is in force. */
 export const acceptHeldRequests = (state: GatewayState, at: number): GatewayEffect[] => {
-  if (!isInformed(state) || state.held.size === 0) {
+  if (!canServe(state) || state.held.size === 0) {
     return [];
   }
   const events = [...state.held.values()];
--- a/src/gateway/requests/accept-subquery.ts
+++ b/src/gateway/requests/accept-subquery.ts
@@ -77,7 +77,7 @@
 export const acceptSubquery = (state: GatewayState, event: SubqueryReceived): GatewayEffect[] => {
   const { call, fingerprint, subquery, at } = event;
   const isServing = state.phase === 'starting' || state.phase === 'serving';
-  if (!isServing || !state.replicasListed || state.outdated !== undefined) {
+  if (!isServing || !state.replicasListed || state.pauseRecovery !== undefined) {
     return [{ type: 'refuse-subquery', call }];
   }
   if (isBlockedHere(state, event)) {
--- a/src/gateway/requests/attempts.ts
+++ b/src/gateway/requests/attempts.ts
@@ -3,13 +3,13 @@
 import type { AttemptId } from '../model/request.js';
 import type { AttemptReason } from '../log/log-event.js';
 import { trace } from '../log/trace.js';
-import { type Replica, slowdownNow } from '../replicas/replica.js';
+import { type Replica, currentSlowdown } from '../replicas/replica.js';
 import { isFed, shareOf } from '../peers/service-share.js';
-import { bearsOneMore, noteColdSend } from '../replicas/cold-rate.js';
+import { hasColdRateLeft, recordColdSend } from '../replicas/cold-rate.js';
 import { eligibleReplicas } from '../replicas/eligible-replicas.js';
 import { drawReplicas, listedReplicas } from '../replicas/shared-replicas.js';
 import { connectionShare } from '../replicas/connection-share.js';
-import { expectedRatio, selectReplica, type SelectionPlace } from '../replicas/select-replica.js';
+import { expectedRatio, selectReplica, type SelectionContext } from '../replicas/select-replica.js';
 import { budgetOf, type GatewayState } from '../state.js';
 import { guardOf } from './guard.js';
 import type { ActiveRequest, Leg } from './request-state.js';
@@ -73,7 +73,7 @@
   leg: Leg,
   shared: ReadonlySet<string> | undefined,
   at: number,
-): SelectionPlace => ({
+): SelectionContext => ({
   zone: state.settings.zone,
   zoneRegions: state.settings.zoneRegions,
   leavingMs: state.settings.bounds.drainMs * LEAVING_SHARE,
@@ -115,7 +115,7 @@
     service,
     replica: id,
     zone,
-    slowdown: Math.round(slowdownNow(replica, at) * 10) / 10,
+    slowdown: Math.round(currentSlowdown(replica, at) * 10) / 10,
     pending: replica.pending.size,
     ...loadAge,
   });
@@ -148,7 +148,7 @@
     return undefined;
   }
   const replicas = eligibleReplicas(state, leg.service, request.route.allowedRegions).filter(
-    (replica) => bearsOneMore(state, replica, at),
+    (replica) => hasColdRateLeft(state, replica, at),
   );
   const shared = sharedReplicas(state, request, leg);
   const place = placeOf(state, leg, shared, at);
@@ -179,7 +179,7 @@
   state.nextAttempt += 1;
   const { record } = replica;
   const { call, route, deadlineAt } = request;
-  noteColdSend(state, replica, at);
+  recordColdSend(state, replica, at);
   leg.tried.add(record.id);
   leg.wasSent = true;
   leg.running.add(attempt);
--- a/src/gateway/requests/check-subqueries.ts
+++ b/src/gateway/requests/check-subqueries.ts
@@ -3,7 +3,7 @@
 import type { BeliefChange } from '../log/log-event.js';
 import { trace } from '../log/trace.js';
 import type { PeerProblem } from '../model/subquery.js';
-import { noteDelay, usualPatience } from '../delay-estimate.js';
+import { recordDelay, overdueAfterMs } from '../delay-estimate.js';
 import type { GatewayState } from '../state.js';
 import { type ActiveRequest, type ActiveSubquery, openLegsOf } from './request-state.js';
 import { sendLegs } from './send-legs.js';
@@ -32,7 +32,7 @@
     ({ acknowledgeBy }) => acknowledgeBy !== undefined,
   ).length;
   const { receivedAt, route, heardSubqueries } = request;
-  const patience = Math.max(route.objectiveMs * JUDGE_ALL_SHARE, usualPatience(state.feederDelay));
+  const patience = Math.max(route.objectiveMs * JUDGE_ALL_SHARE, overdueAfterMs(state.feederDelay));
   return heardSubqueries >= silent || at >= receivedAt + patience;
 };
 
@@ -99,7 +99,7 @@
     subquery.acknowledgeBy = at + SECOND_LOOK_MS;
     return [];
   }
-  noteDelay(state.feederDelay, at - subquery.sentAt);
+  recordDelay(state.feederDelay, at - subquery.sentAt);
   return [
     ...suspectPeer(state, subquery.peer, 'unacknowledged', at),
     ...moveLegs(state, request, subquery, true, at),
--- a/src/gateway/requests/hedge-legs.ts
+++ b/src/gateway/requests/hedge-legs.ts
@@ -1,6 +1,6 @@
 /** Sends second attempts for the legs of a request that take long. */
 import type { GatewayEffect } from '../effect.js';
-import { slowdownNow } from '../replicas/replica.js';
+import { currentSlowdown } from '../replicas/replica.js';
 import type { GatewayState } from '../state.js';
 import { latencyOf, sendAttempt } from './attempts.js';
 import { guardOf } from './guard.js';
@@ -29,7 +29,7 @@
   at: number,
 ): number => {
   const known = state.replicas.find(replica);
-  const pace = known === undefined ? 1 : slowdownNow(known, at);
+  const pace = known === undefined ? 1 : currentSlowdown(known, at);
   return Math.max(pace, (at - sentAt) / usualMs);
 };
 
--- a/src/gateway/requests/hold-request.ts
+++ b/src/gateway/requests/hold-request.ts
@@ -7,7 +7,7 @@
 import type { GatewayEffect } from '../effect.js';
 import type { RequestReceived } from '../event.js';
 import type { CallId } from '../model/request.js';
-import { collectionsOf, type GatewayState, isInformed } from '../state.js';
+import { collectionsOf, type GatewayState, canServe } from '../state.js';
 import type { CollectionName } from '../store/collection.js';
 import { refuseCall } from './finish.js';
 import { retryAfterUnread } from './retry-after.js';
@@ -33,7 +33,7 @@
  * goes on with what it knows once it finds that.
  */
 const isStoreFailing = (state: GatewayState): boolean =>
-  state.outdated === undefined &&
+  state.pauseRecovery === undefined &&
   (!state.store.reachable ||
     collectionsOf(state)
       .filter(isNeeded)
@@ -73,6 +73,6 @@
 
 /** Refuses all requests that are held, once the store has failed. */
 export const refuseAllHeld = (state: GatewayState, at: number): GatewayEffect[] =>
-  isInformed(state) || !isStoreFailing(state)
+  canServe(state) || !isStoreFailing(state)
     ? []
     : [...state.held.keys()].flatMap((call) => refuseHeldRequest(state, call, at));
--- a/src/gateway/requests/send-legs.ts
+++ b/src/gateway/requests/send-legs.ts
@@ -8,7 +8,7 @@
 import type { PeerRecord } from '../model/peer-record.js';
 import type { GatherTarget, Route } from '../model/route.js';
 import type { Subquery } from '../model/subquery.js';
-import { usualPatience } from '../delay-estimate.js';
+import { overdueAfterMs } from '../delay-estimate.js';
 import { feederPlan, isFed } from '../peers/service-share.js';
 import { budgetOf, type GatewayState } from '../state.js';
 import { claimProbe } from './claim-probe.js';
@@ -71,7 +71,7 @@
 };
 
 const acknowledgeWithin = ({ feederDelay }: GatewayState, { objectiveMs }: Route): number =>
-  Math.max(LEAST_ACKNOWLEDGE_MS, objectiveMs * ACKNOWLEDGE_SHARE, usualPatience(feederDelay));
+  Math.max(LEAST_ACKNOWLEDGE_MS, objectiveMs * ACKNOWLEDGE_SHARE, overdueAfterMs(feederDelay));
 
 const createSubquery = (
   { route, objectiveAt, deadlineAt, isTrial }: ActiveRequest,
--- a/src/gateway/requests/settle-attempt.ts
+++ b/src/gateway/requests/settle-attempt.ts
@@ -3,10 +3,10 @@
 import type { AttemptProblem } from '../model/request.js';
 import {
   type Replica,
-  noteLatency,
-  noteLoad,
-  noteReplicaFailure,
-  noteUnfinished,
+  recordLatency,
+  recordLoad,
+  recordReplicaFailure,
+  recordUnfinished,
 } from '../replicas/replica.js';
 import type { GatewayState } from '../state.js';
 import { FIRST_FAILURE_STATUS } from './good-answer.js';
@@ -28,20 +28,20 @@
 ): void => {
   switch (result.type) {
     case 'answered': {
-      noteLoad(replica, result.load, at);
+      recordLoad(replica, result.load, at);
       noteAnswer(state, attempt, replica, result.answer.status, at);
       return;
     }
     case 'refused':
-      noteLoad(replica, result.load, at);
-      noteReplicaFailure(replica, at);
+      recordLoad(replica, result.load, at);
+      recordReplicaFailure(replica, at);
       return;
     case 'failed':
       if (result.problem === 'aborted' && result.mayHaveRun) {
         noteGivenUp(state, attempt, replica, at);
       }
       if (!HARMLESS_PROBLEMS.has(result.problem)) {
-        noteReplicaFailure(replica, at);
+        recordReplicaFailure(replica, at);
       }
   }
 };
@@ -55,7 +55,7 @@
 ): void => {
   const latency = state.latencies.get(attempt.route);
   if (latency !== undefined) {
-    noteUnfinished(replica, (at - attempt.sentAt) / latency.median, at);
+    recordUnfinished(replica, (at - attempt.sentAt) / latency.median, at);
   }
 };
 
@@ -67,13 +67,13 @@
   at: number,
 ): void => {
   if (status >= FIRST_FAILURE_STATUS) {
-    noteReplicaFailure(replica, at);
+    recordReplicaFailure(replica, at);
     return;
   }
   const latency = state.latencies.get(attempt.route);
   if (latency !== undefined) {
     const elapsedMs = at - attempt.sentAt;
-    noteLatency(replica, elapsedMs / latency.median, at);
+    recordLatency(replica, elapsedMs / latency.median, at);
     addLatency(latency, elapsedMs);
   }
 };
--- a/src/gateway/requests/take-subquery-result.ts
+++ b/src/gateway/requests/take-subquery-result.ts
@@ -10,7 +10,7 @@
 import type { BeliefChange } from '../log/log-event.js';
 import { trace } from '../log/trace.js';
 import type { SubqueryId, SubqueryPart } from '../model/subquery.js';
-import { noteDelay } from '../delay-estimate.js';
+import { recordDelay } from '../delay-estimate.js';
 import { noteServed } from '../crashes/update-knowledge.js';
 import type { GatewayState } from '../state.js';
 import { wakeRequests } from './broken-attempts.js';
@@ -39,7 +39,7 @@
   if (subquery.acknowledgeBy !== undefined) {
     subquery.acknowledgeBy = undefined;
     request.heardSubqueries += 1;
-    noteDelay(state.feederDelay, at - subquery.sentAt);
+    recordDelay(state.feederDelay, at - subquery.sentAt);
   }
 };
 
--- a/src/gateway/runtime/connect-patience.ts
+++ b/src/gateway/runtime/connect-patience.ts
@@ -3,7 +3,7 @@
  * dark answers nothing; an attempt that waits for a connection to it keeps its part of a gather open and
  * may use up the replicas that the request may be sent to, though it was never sent.
  */
-import { createDelayEstimate, noteDelay, usualPatience } from '../delay-estimate.js';
+import { createDelayEstimate, recordDelay, overdueAfterMs } from '../delay-estimate.js';
 
 /**
  * Bounds of the wait, in milliseconds. A replica that is ten times slower than usual, and works on two
@@ -24,12 +24,12 @@
   /** A connection has opened after `elapsedMs`. */
   note(elapsedMs: number): void {
     this.samples += 1;
-    noteDelay(this.delay, elapsedMs);
+    recordDelay(this.delay, elapsedMs);
   }
 
   /** Time after which a connection is given up, in milliseconds. */
   get timeoutMs(): number {
-    const usual = this.samples < MIN_SAMPLES ? LONGEST_MS : usualPatience(this.delay);
+    const usual = this.samples < MIN_SAMPLES ? LONGEST_MS : overdueAfterMs(this.delay);
     return Math.min(LONGEST_MS, Math.max(SHORTEST_MS, usual));
   }
 }
--- a/src/gateway/state.ts
+++ b/src/gateway/state.ts
@@ -64,11 +64,11 @@
 }
 
 /** The process stood still: what it knows may be out of date until that has been confirmed. */
-export interface Outdated {
+export interface PauseRecovery {
   /** When it went on. */
   readonly since: number;
   /** When it asked for what confirms it; undefined before. */
-  askedAt: number | undefined;
+  requestedAt: number | undefined;
 }
 
 /** This gateway's own entry among the gateways. */
@@ -111,7 +111,7 @@
   /** What the load balancer was told last. */
   ready: boolean;
   /** Undefined unless the process stood still, and what it knows has not been confirmed since. */
-  outdated: Outdated | undefined;
+  pauseRecovery: PauseRecovery | undefined;
   inForce: ConfigurationInForce | undefined;
   readonly collections: Readonly<Record<CollectionName, CollectionProgress>>;
   /** All replicas have been listed once. */
@@ -170,7 +170,7 @@
   phase: 'starting',
   stoppingSince: Number.POSITIVE_INFINITY,
   ready: false,
-  outdated: undefined,
+  pauseRecovery: undefined,
   inForce: undefined,
   collections: {
     configuration: createCollectionProgress('configuration', settings.bounds),
@@ -200,18 +200,18 @@
 export const collectionsOf = ({ settings }: GatewayState): readonly CollectionName[] =>
   followedCollections(settings.bounds);
 
-const knowsEvacuations = ({ settings, collections }: GatewayState): boolean =>
+const hasEvacuationList = ({ settings, collections }: GatewayState): boolean =>
   settings.bounds.evacuationMs === undefined || collections.evacuations.isListed;
 
 /**
  * Whether this gateway knows a configuration, the replicas and which of them may get requests, so that it
  * can serve.
  */
-export const isInformed = (state: GatewayState): boolean =>
+export const canServe = (state: GatewayState): boolean =>
   state.inForce !== undefined &&
   state.replicasListed &&
-  knowsEvacuations(state) &&
-  state.outdated === undefined;
+  hasEvacuationList(state) &&
+  state.pauseRecovery === undefined;
 
 /** The retry budget of a service. */
 export const budgetOf = (state: GatewayState, service: string): RetryBudget => {
--- a/src/gateway/store/apply-collections.ts
+++ b/src/gateway/store/apply-collections.ts
@@ -4,8 +4,8 @@
 import type { BeliefChange } from '../log/log-event.js';
 import {
   registerIfMissing,
-  spreadRegistration,
-  takeGatewaysList,
+  delayRegistration,
+  handleGatewaysListed,
 } from '../peers/follow-gateways.js';
 import { tellChanges, tellNamed } from '../readers/tell-followers.js';
 import { awaitUnlisted, withholdOlder } from '../returns/cross-era.js';
@@ -117,7 +117,7 @@
   const changed = takePendingNames(progress, unlisted);
   if (isNewEra) {
     awaitUnlisted(state, collection, listed, at);
-    spreadRegistration(state, collection, at);
+    delayRegistration(state, collection, at);
   }
   const removed = removeUnlistedObjects(
     state,
@@ -125,7 +125,7 @@
     withMissing(state, collection, listed),
     at,
   );
-  const settled = collection === 'gateways' ? takeGatewaysList(state, at) : [];
+  const settled = collection === 'gateways' ? handleGatewaysListed(state, at) : [];
   return [
     ...removed,
     ...tellNamed(state, collection, changed, before, at),
--- a/src/gateway/store/apply-objects.ts
+++ b/src/gateway/store/apply-objects.ts
@@ -4,7 +4,7 @@
 import type { Evacuation } from '../model/evacuation.js';
 import type { PeerRecord } from '../model/peer-record.js';
 import { type GatewayConfiguration, shardsOf } from '../model/route.js';
-import { isOtherStart, type ReplicaRecord } from '../model/replica-record.js';
+import { isOtherIncarnation, type ReplicaRecord } from '../model/replica-record.js';
 import type { Replica } from '../replicas/replica.js';
 import { RouteTable } from '../routing/route-table.js';
 import type { Departed } from '../returns/return-state.js';
@@ -120,7 +120,7 @@
   at: number,
 ): GatewayEffect[] => {
   const known = state.replicas.find(name);
-  if (known === undefined || value === undefined || !isOtherStart(value, known.record)) {
+  if (known === undefined || value === undefined || !isOtherIncarnation(value, known.record)) {
     return [];
   }
   return [...takeReplicaEnded(state, name, at), { type: 'close-replica', replica: name }];
