--- a/src/gateway/replicas/cold-rate.ts
+++ b/src/gateway/replicas/cold-rate.ts
@@ -1,33 +1,33 @@
 /**
- * Keeps the requests that a cold replica gets from all gateways together within what it bears.
+ * Limits the rate of requests that a cold replica receives from all gateways together.
  *
- * The rate is divided without a message: every gateway works out from the listed gateways which of them
- * may send how much. Replicas of a shard that feeders reach belong to the first feeder of each region;
- * others to as many gateways as there are requests a second, drawn for each replica. So the sum holds
- * however many gateways have just started.
+ * The gateways divide the rate without messages: each computes every gateway's share from the listed gateways. For a
+ * replica of a shard that is reached through feeders, the first feeder of each region shares the rate; for other replicas,
+ * as many gateways as there are requests a second, selected per replica by rendezvous hashing. So the sum is bounded however
+ * many gateways have just started.
  *
- * Invariant: in any second, the sum over all gateways is at most the operators' bound, as long as the
- * gateways hold no more than two views of who is listed.
+ * Invariant: in any second, the sum over all gateways is at most the operators' bound, as long as the gateways hold at most
+ * two different lists of gateways.
  */
 import { rankByRendezvous } from '../peers/rendezvous.js';
 import { feederPlan, isFedShard } from '../peers/service-share.js';
 import type { GatewayState } from '../state.js';
 import type { Replica } from './replica.js';
 
-/** The rates are counted over any second, in milliseconds. */
+/** Sliding window over which rates are counted, in milliseconds. */
 const RATE_WINDOW_MS = 1_000;
 
-/** While a change of the listed gateways spreads, some hold the list before it and some the one after. */
+/** Number of gateway lists in use while a change propagates: some gateways have the old list and some the new one. */
 const LIST_VIEWS = 2;
 
-/** Requests a second to one cold replica that all gateways of one view may send. */
+/** Requests a second that all gateways with the same list may send to one cold replica together. */
 const combinedRate = (state: GatewayState, ratePerSecond: number): number => {
   const { coldOvershoot = 1, coldSlack = 0 } = state.settings.bounds;
   const boundPerView = (ratePerSecond * coldOvershoot + coldSlack) / LIST_VIEWS;
   return Math.max(1, Math.floor(Math.min(ratePerSecond, boundPerView)));
 };
 
-/** The part of `total` for the one at `index` of `count`; the first ones get what is left over. */
+/** The share of `total` of the member at `index` of `count`; the first members get the remainder. */
 const evenShare = (total: number, index: number, count: number): number =>
   Math.floor(total / count) + Number(index < total % count);
 
@@ -54,7 +54,7 @@
     : directRate(state, record.id, total);
 };
 
-/** What a process before this one has sent in the last second is not known here. */
+/** Whether a previous process of this gateway may have sent requests within the window, which this process cannot count. */
 const mayFollowPreviousProcess = ({ settings, startedAt }: GatewayState, at: number): boolean =>
   !settings.firstStart && at - startedAt < RATE_WINDOW_MS;
 
@@ -63,7 +63,7 @@
     ? state.inForce?.configuration.services.get(record.service)?.coldRequestsPerSecond
     : undefined;
 
-/** Whether a replica may get one more request from this gateway now; one that is warm always may. */
+/** Whether this gateway may send one more request to a replica now; always true for a warm replica. */
 export const hasColdRateLeft = (state: GatewayState, replica: Replica, at: number): boolean => {
   const ratePerSecond = coldRateOf(state, replica, at);
   if (ratePerSecond === undefined) {
@@ -77,7 +77,7 @@
   return recentSends.length < ownRate(state, replica, ratePerSecond);
 };
 
-/** Notes that a request is sent to a replica. */
+/** Records a request to a replica, if the replica is cold. */
 export const recordColdSend = (state: GatewayState, replica: Replica, at: number): void => {
   if (coldRateOf(state, replica, at) !== undefined) {
     replica.sentWhileCold = [...replica.sentWhileCold, at];
--- a/src/gateway/replicas/connection-share.ts
+++ b/src/gateway/replicas/connection-share.ts
@@ -1,19 +1,19 @@
 /**
  * This gateway's share of the connections that a replica accepts from all callers together.
  *
- * After all machines lose power at once, replicas still hold the connections of the processes before
- * for a while and reset those that are too many. A smaller share at first leaves room for both.
+ * After all machines lose power at once, replicas hold the connections of the previous processes for a while and reset
+ * connections beyond their limit. A smaller share during startup leaves room for old and new connections.
  */
 import { USABLE_CONNECTIONS_SHARE, maxConnectionsOf, shareOf } from '../peers/service-share.js';
 import type { GatewayState } from '../state.js';
 
-/** Part of the steady share in the first time of a process, unless the whole tier starts. */
+/** Fraction of the steady share that a process uses during startup, unless the whole tier starts for the first time. */
 const STARTUP_SHARE = 0.5;
 
-/** How long the processes before may still be held to have connections, in milliseconds. */
+/** How long replicas may still hold connections of the previous processes, in milliseconds. */
 const STARTUP_MS = 15_000;
 
-/** Connections that this gateway may hold to one replica of `service`. */
+/** Number of connections that this gateway may hold to one replica of `service`, at least 1. */
 export const connectionShare = (state: GatewayState, service: string, at: number): number => {
   const isStarting = !state.settings.firstStart && at - state.startedAt < STARTUP_MS;
   const usedShare = isStarting
--- a/src/gateway/replicas/directory.ts
+++ b/src/gateway/replicas/directory.ts
@@ -1,13 +1,13 @@
-/** All replicas that the store lists, and those that have just left, by service. */
+/** The replicas that the store lists and those that have recently left it. */
 import { isOtherIncarnation, type ReplicaRecord } from '../model/replica-record.js';
 import { createReplica, type Replica } from './replica.js';
 
-/** Replicas by their identifiers and by service. */
+/** Replicas, indexed by identifier and by service. */
 export class ReplicaDirectory {
   private readonly byId = new Map<string, Replica>();
   private readonly byService = new Map<string, Replica[]>();
   private unreadable = 0;
-  /** Rises whenever a replica is listed or is gone. */
+  /** Rises whenever the set of listed, readable replicas changes. */
   generation = 0;
 
   get size(): number {
@@ -18,7 +18,7 @@
     return this.byId.get(id);
   }
 
-  /** Replicas of a service, those that leave among them, but none whose entry cannot be read. */
+  /** The replicas of a service, including those that are leaving, except those with an unreadable entry. */
   of(service: string): readonly Replica[] {
     const replicas = this.siblingsOf(service);
     return this.unreadable === 0 ? replicas : replicas.filter(({ isUnreadable }) => !isUnreadable);
@@ -28,7 +28,7 @@
     return this.byId.values();
   }
 
-  /** Takes what the store says of a replica. */
+  /** Adds or updates a replica from its entry in the store. */
   put(record: ReplicaRecord, at: number): void {
     const known = this.byId.get(record.id);
     if (known === undefined) {
@@ -52,7 +52,7 @@
     known.drainingSince = record.draining ? (known.drainingSince ?? at) : undefined;
   }
 
-  /** Another writer has overwritten the entry of the replica. */
+  /** Marks a replica whose entry can no longer be decoded. */
   markUnreadable(id: string): void {
     const known = this.byId.get(id);
     if (known !== undefined) {
@@ -60,7 +60,7 @@
     }
   }
 
-  /** The store no longer lists the replica. */
+  /** Marks a replica that the store no longer lists. */
   markGone(id: string, at: number): void {
     const known = this.byId.get(id);
     if (known !== undefined && known.goneAt === undefined) {
@@ -69,7 +69,7 @@
     }
   }
 
-  /** Forgets replicas that are gone since before `before`; returns their identifiers. */
+  /** Removes replicas that were marked gone before the time `before`, in milliseconds; returns their identifiers. */
   forgetGone(before: number): readonly string[] {
     const gone = [...this.byId.values()].filter(
       (replica) => replica.goneAt !== undefined && replica.goneAt < before,
@@ -78,7 +78,7 @@
     return gone.map((replica) => replica.record.id);
   }
 
-  /** Another start of the same replica: nothing that was learnt of the one before holds. */
+  /** Replaces a replica by its new incarnation, without the measurements of the previous one. */
   private replace(known: Replica, started: Replica): void {
     this.remove(known);
     this.byId.set(started.record.id, started);
--- a/src/gateway/replicas/eligible-replicas.ts
+++ b/src/gateway/replicas/eligible-replicas.ts
@@ -1,11 +1,11 @@
 /**
- * The replicas of a service that a request may be sent to at all: none in a zone that is evacuated, and
- * none outside the regions that its route allows.
+ * Selects the replicas of a service that may receive a request: those in zones that are not evacuated and in regions that
+ * the route allows.
  */
 import type { GatewayState } from '../state.js';
 import type { Replica } from './replica.js';
 
-/** Whether requests of a route that allows `allowedRegions` may go to a zone now. */
+/** Whether a zone is not evacuated and lies in one of the `allowedRegions`; absent regions allow all zones. */
 export const isZoneOpen = (
   { evacuatedZones, settings }: GatewayState,
   zone: string,
@@ -15,7 +15,7 @@
   return !evacuatedZones.has(zone) && (allowedRegions?.includes(region) ?? true);
 };
 
-/** The replicas of `service` in zones that are open to a route. */
+/** The replicas of `service` in zones that are open to a route with `allowedRegions`. */
 export const eligibleReplicas = (
   state: GatewayState,
   service: string,
--- a/src/gateway/replicas/preconnect.ts
+++ b/src/gateway/replicas/preconnect.ts
@@ -1,6 +1,6 @@
 /**
- * Opens connections to replicas before they are needed: at the start, and when the shards of another
- * index appear before the configuration names them.
+ * Opens connections to feeders and replicas before they are needed: at startup, and when the replicas of a new index are
+ * listed before the configuration names its shards.
  */
 import type { GatewayEffect } from '../effect.js';
 import { servicesOf } from '../model/route.js';
@@ -9,7 +9,7 @@
 import { isZoneOpen } from './eligible-replicas.js';
 import type { Replica } from './replica.js';
 
-/** Services that routes send single requests to: a new connection matters little there. */
+/** Services outside gathers, which get no early connections: a new connection costs a single request little time. */
 const singleServices = (state: GatewayState): ReadonlySet<string> => {
   const routes = state.inForce?.configuration.routes ?? [];
   const singles = routes.filter(({ target }) => target.type !== 'gather');
@@ -19,11 +19,11 @@
 const needsPreconnect = ({ preconnected, goneAt, record }: Replica): boolean =>
   !preconnected && goneAt === undefined && !record.draining;
 
-/** Whether this gateway speaks to the replicas of a shard itself. */
+/** Whether this gateway connects to the replicas of a shard itself. */
 const connectsDirectly = (state: GatewayState, service: string): boolean =>
   !isFed(state, service) || feederPlan(state).rankOf(service, state.settings.node) === 0;
 
-/** Opens a connection to each feeder, once for each plan. */
+/** Opens a connection to each feeder, once per plan. */
 const preconnectFeeders = (state: GatewayState): GatewayEffect[] => {
   const isUsed = [...(state.inForce?.shards ?? [])].some((service) => isFed(state, service));
   const plan = feederPlan(state);
@@ -36,7 +36,7 @@
     .map((peer) => ({ type: 'open-peer', peer }));
 };
 
-/** Opens a connection to each feeder, and to each replica of a shard that was not known before. */
+/** Opens a connection to each feeder and to each new replica of a shard. */
 export const preconnectReplicas = (state: GatewayState): GatewayEffect[] => {
   if (state.inForce === undefined || !state.replicasListed || !state.gatewaysSettled) {
     return [];
--- a/src/gateway/replicas/replica.ts
+++ b/src/gateway/replicas/replica.ts
@@ -1,58 +1,58 @@
-/** What this gateway knows of one incarnation of a replica. */
+/** One incarnation of a replica, with this gateway's measurements of it. */
 import type { ReplicaRecord } from '../model/replica-record.js';
 import type { AttemptId, LoadReport } from '../model/request.js';
 
-/** Weight of a new sample in the moving average of the slowdown. */
+/** Weight of a new sample in the exponential moving average of the slowdown. */
 const SLOWDOWN_WEIGHT = 0.25;
 
-/** Largest ratio that one sample counts for. */
+/** Upper limit of the ratio of one sample. */
 const MAX_SAMPLE_RATIO = 20;
 
-/** Time in which what is known of a slowdown fades to a third, in milliseconds. */
+/** Time constant of the decay of a slowdown, in milliseconds: its excess over 1 falls to about a third. */
 const SLOWDOWN_DECAY_MS = 2_500;
 
-/** Pauses after failures in a row before a replica is tried again, in milliseconds. */
+/** Ejection time after the first of consecutive failures, doubled after each up to the maximum, in milliseconds. */
 const FIRST_EJECTION_MS = 250;
 const MAX_EJECTION_MS = 4_000;
 
-/** An attempt that runs at a replica. */
+/** An attempt that is in progress at a replica. */
 export interface PendingAttempt {
   readonly sentAt: number;
-  /** How long such an attempt usually takes, in milliseconds. */
+  /** Usual duration of such an attempt, in milliseconds. */
   readonly expectedMs: number;
 }
 
-/** A replica with what was observed of it. */
+/** A replica with its measurements. Times are on the gateway's clock, in milliseconds. */
 export interface Replica {
   record: ReplicaRecord;
-  /** When it stops being slow after its start. */
+  /** When the replica is no longer cold after its start. */
   coldUntil: number;
-  /** When requests were sent to it while it was cold, over the last second. */
+  /** Times of the requests sent to it while it was cold, in the last second. */
   sentWhileCold: readonly number[];
-  /** When this gateway learnt that it is gone from the store; undefined while it is listed. */
+  /** When this gateway read that the store no longer lists the replica; undefined while it is listed. */
   goneAt: number | undefined;
-  /** Its entry cannot be read: it gets no requests until it has written it again. */
+  /** The entry cannot be decoded; the replica gets no requests until it has written a valid one. */
   isUnreadable: boolean;
-  /** When this gateway learnt that it drains; long ago when it was first seen draining. */
+  /** When this gateway read that the replica drains; negative infinity if its first entry was already draining. */
   drainingSince: number | undefined;
-  /** Attempts that run, in the order in which they were sent. */
+  /** Attempts in progress, in the order in which they were sent. */
   readonly pending: Map<AttemptId, PendingAttempt>;
-  /** Moving average of how much longer attempts take than usual. */
+  /** Moving average of the duration of attempts relative to the usual duration. */
   slowdown: number;
   slowdownAt: number;
   load: LoadReport | undefined;
   loadAt: number;
-  /** Attempts that failed in a row. */
+  /** Number of consecutive failed attempts. */
   failures: number;
-  /** It is tried only when nothing else is left, until then. */
+  /** Until then the replica is selected only if no other is left. */
   ejectedUntil: number;
-  /** A connection was opened ahead, or was decided against. */
+  /** Whether to open a connection early has been decided, in either way. */
   preconnected: boolean;
-  /** When the last answer of any kind came. */
+  /** When the last answer of any kind arrived. */
   answeredAt: number;
 }
 
-/** Creates what is known of a replica that has just been listed. */
+/** Creates the state of a replica that has just been listed. */
 export const createReplica = (record: ReplicaRecord, at: number): Replica => ({
   record,
   coldUntil: at + (record.coldLeftMs ?? record.coldMs),
@@ -71,7 +71,7 @@
   answeredAt: at,
 });
 
-/** A slowdown that was known at one time, as it counts later: it fades towards 1. */
+/** A slowdown measured at `knownAt`, decayed towards 1 by the time `at`. */
 const decayedSlowdown = (slowdown: number, knownAt: number, at: number): number => {
   const age = Math.max(0, at - knownAt);
   return 1 + (slowdown - 1) * Math.exp(-age / SLOWDOWN_DECAY_MS);
@@ -80,15 +80,15 @@
 const observedSlowdown = ({ slowdown, slowdownAt }: Replica, at: number): number =>
   decayedSlowdown(slowdown, slowdownAt, at);
 
-/** What the replica says itself; one that claims to be quicker than usual is not believed. */
+/** The slowdown that the replica reports, at least 1: reports below the usual time are ignored. */
 const reportedSlowdown = ({ load, loadAt }: Replica, at: number): number => {
   const slowdown = Math.min(MAX_SAMPLE_RATIO, Math.max(1, load?.slowdown ?? 1));
   return decayedSlowdown(slowdown, loadAt, at);
 };
 
 /**
- * How much longer than usual an attempt is expected to take: what the replica says or what attempts have
- * shown, whichever is worse, so that no report outweighs what was seen.
+ * Expected duration of an attempt relative to the usual one: the larger of the reported and the observed slowdown, so that
+ * a report cannot hide a slowdown that attempts have shown.
  */
 export const currentSlowdown = (replica: Replica, at: number): number =>
   Math.max(observedSlowdown(replica, at), reportedSlowdown(replica, at));
@@ -101,8 +101,8 @@
 };
 
 /**
- * Notes that an attempt was given up before its answer: it would have taken at least so long, relative
- * to what is usual. One that was given up early says nothing.
+ * Records an attempt that was aborted before its answer. Its duration, relative to the usual one, would have been at least
+ * `leastRatio`; a ratio below the known slowdown gives no information.
  */
 export const recordUnfinished = (replica: Replica, leastRatio: number, at: number): void => {
   if (leastRatio > observedSlowdown(replica, at)) {
@@ -110,7 +110,7 @@
   }
 };
 
-/** Notes how long an attempt took, relative to what is usual. */
+/** Records the duration of an answered attempt relative to the usual one, and ends an ejection. */
 export const recordLatency = (replica: Replica, ratio: number, at: number): void => {
   addSlowdownSample(replica, ratio, at);
   replica.failures = 0;
@@ -118,14 +118,14 @@
   replica.answeredAt = at;
 };
 
-/** Notes that an attempt failed in a way that speaks against the replica. */
+/** Records a failure that is attributed to the replica, and ejects it for a while. */
 export const recordReplicaFailure = (replica: Replica, at: number): void => {
   const pause = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** replica.failures);
   replica.failures += 1;
   replica.ejectedUntil = at + pause;
 };
 
-/** Notes what the replica says of its load. */
+/** Records the load that the replica reports. */
 export const recordLoad = (replica: Replica, load: LoadReport | undefined, at: number): void => {
   if (load !== undefined) {
     replica.load = load;
--- a/src/gateway/replicas/select-replica.ts
+++ b/src/gateway/replicas/select-replica.ts
@@ -1,44 +1,44 @@
-/** Chooses the replica that is expected to answer first, at the least cost. */
+/** Selects the replica with the lowest expected cost of one more attempt. */
 import type { Random } from '../../core/random.js';
 import { type Replica, currentSlowdown } from './replica.js';
 
-/** Added to the cost of a replica in another zone of the same region, in usual latencies. */
+/** Additional cost of a replica in another zone of the same region, in usual latencies. */
 const OTHER_ZONE_COST = 0.35;
 
-/** Added to the cost of a replica in another region. */
+/** Additional cost of a replica in another region, in usual latencies. */
 const OTHER_REGION_COST = 1;
 
-/** A replica is as much slower while it is cold. */
+/** Factor by which a cold replica is slower. */
 const COLD_FACTOR = 1.6;
 
-/** Part of the load below the number of slots that counts: some replicas slow down when near full. */
+/** Weight of load below the number of slots: some replicas slow down when nearly full. */
 const PARTIAL_LOAD_COST = 0.25;
 
-/** How long a load report counts, in milliseconds. */
+/** How long a load report is used, in milliseconds. */
 const LOAD_REPORT_AGE_MS = 150;
 
-/** An attempt that has run for so many usual latencies speaks against its replica. */
+/** A replica is considered stalled if its oldest attempt has run for more than this many usual latencies. */
 const STALL_RATIO = 2.5;
 
-/** Added for a replica that failed lately; for one that leaves; for one that the store lost. */
+/** Additional costs of an ejected replica, and of one that is draining or no longer listed. */
 const EJECTED_COST = 200;
 const LEAVING_COST = 1_000;
 
-/** Added for a replica that the request should not go to while others answer. */
+/** Additional cost of a replica outside the preferred ones. */
 const NOT_PREFERRED_COST = 100;
 
-/** Costs that differ by less are taken as equal, and one is drawn. */
+/** Range of a random term in the cost, which spreads requests among replicas of nearly equal cost. */
 const TIE_BREAK_WIDTH = 0.1;
 
-/** From where the choice is made. */
+/** The gateway and the request for which a replica is selected. */
 export interface SelectionContext {
   readonly zone: string;
   readonly zoneRegions: Readonly<Record<string, string>>;
-  /** A replica that leaves may be sent work for so long, in milliseconds. */
+  /** How long a leaving replica may still receive attempts, in milliseconds. */
   readonly leavingMs: number;
-  /** Connections that this gateway may hold to one replica; attempts beyond wait for one. */
+  /** Connections that this gateway may hold to one replica; further attempts wait for a free one. */
   readonly maxConnections: number;
-  /** Replicas that the request should keep to; undefined where all will do. */
+  /** Identifiers of the replicas that the request should use; undefined if it may use any. */
   readonly preferred: ReadonlySet<string> | undefined;
 }
 
@@ -72,13 +72,13 @@
   return partial + Math.max(waiting / slots, waitingHere / maxConnections);
 };
 
-/** How long one more attempt at a replica is expected to take, in usual latencies. */
+/** Expected duration of one more attempt at a replica, in usual latencies. */
 export const expectedRatio = (replica: Replica, maxConnections: number, at: number): number => {
   const cold = replica.coldUntil > at ? COLD_FACTOR : 1;
   return currentSlowdown(replica, at) * cold * (1 + loadCost(replica, maxConnections, at));
 };
 
-/** The cost of one more attempt at a replica, in usual latencies. */
+/** Cost of one more attempt at a replica, in usual latencies. */
 const costOf = (replica: Replica, context: SelectionContext, at: number): number => {
   const base = expectedRatio(replica, context.maxConnections, at);
   const ejected = replica.ejectedUntil > at ? EJECTED_COST : 0;
@@ -90,7 +90,7 @@
 };
 
 /**
- * The replica to send the next attempt to; undefined when none is left.
+ * Returns the replica for the next attempt; undefined if none is left.
  *
  * @param attemptedReplicas - identifiers of replicas that the request has been sent to
  */
--- a/src/gateway/replicas/shared-replicas.ts
+++ b/src/gateway/replicas/shared-replicas.ts
@@ -1,14 +1,13 @@
 /**
- * The replicas of a shard that one request keeps to. A request that is sent by one feeder, and again by
- * another after the first has failed, must not run on more replicas than its route allows, and neither
- * feeder knows what the other has done.
+ * Selects the replicas of a shard that one request may use. When a feeder fails and another one sends the request again, the
+ * request must not run on more replicas than its route allows, although neither feeder knows the other's attempts.
  *
- * All feeders draw the same replicas from the request's identifier, one fewer than the route allows. The
- * first feeder may choose one replica besides, whichever is best; those that come after it keep to the
- * drawn ones. So its first attempt goes round all slow replicas that it knows of, and the sum holds.
+ * All feeders derive the same replicas from the request's identifier, one fewer than the route allows. The first feeder may
+ * use one additional replica of its choice, so that its first attempt can avoid replicas that it knows to be slow; later
+ * feeders use only the derived ones. So the total stays within the limit.
  *
- * Replicas of the gateway's own region are drawn first: all feeders of a request are in one region, and
- * bytes between regions are dear and slow.
+ * Replicas of the gateway's own region come first: all feeders of a request are in one region, and traffic between regions
+ * is expensive and slow.
  */
 import { hash32 } from '../../core/hash.js';
 import type { Replica } from './replica.js';
@@ -24,14 +23,15 @@
 const byPreference = (left: ScoredReplica, right: ScoredReplica): number =>
   Number(right.isNear) - Number(left.isNear) || right.score - left.score;
 
-/** Replicas that may be sent a request at all. */
+/** Replicas that are listed and not draining. */
 export const listedReplicas = (replicas: readonly Replica[]): readonly Replica[] =>
   replicas.filter(isListed);
 
 /**
- * The first `count` of `listed`, those of the same region before the others and in rendezvous order.
+ * Returns the identifiers of the first `count` of the `listed` replicas in rendezvous order, with those of this gateway's
+ * region before the others.
  *
- * @param requestId - the identifier that the caller chose
+ * @param requestId - identifier that the caller gave the request
  * @param isNear - whether a zone is in the region of this gateway
  */
 export const drawReplicas = (
