--- a/src/gateway/peers/feeder-plan.ts
+++ b/src/gateway/peers/feeder-plan.ts
@@ -1,36 +1,36 @@
 /**
- * Which gateways feed each shard: they speak to its replicas for all gateways of their region, so that
- * connections are few and warm, and what one of them knows of a replica is fresh.
+ * Assigns feeders to shards. A feeder connects to a shard's replicas on behalf of all gateways of its region, which keeps
+ * connections few and warm and its measurements of the replicas recent.
  *
- * Every gateway works the plan out by itself from the listed gateways. Feeders are the gateways with
- * the most processor in the zones that hold the replicas, as many as the shards ask for; among them weighted rendezvous hashing orders the
- * feeders of each shard, so that a change of members moves few shards.
+ * Every gateway computes the plan from the listed gateways without messages. Feeders are the gateways with the highest
+ * processor capacity in the zones that hold the replicas; their number depends on the number of shards. Weighted rendezvous
+ * hashing orders the feeders of each shard, so that a change of the listed gateways moves few shards.
  */
 import type { PeerRecord } from '../model/peer-record.js';
 import { uniformHash, rankByRendezvous } from './rendezvous.js';
 
-/** Shards that one feeder carries on average. */
+/** Average number of shards per feeder. */
 const SHARDS_PER_FEEDER = 8;
 
-/** Weaker gateways feed as well where a feeder would carry more shards than this. */
+/** Weak gateways also become feeders if a feeder would otherwise have more shards than this. */
 const MAX_SHARDS_PER_FEEDER = 24;
 
-/** A gateway with less than this part of the strongest one's processor is weak. */
+/** A gateway with less than this fraction of the strongest one's capacity is weak. */
 const WEAK_CAPACITY_SHARE = 0.5;
 
-/** Least number of feeders in a region that has as many gateways. */
+/** Minimum number of feeders in a region, if it has as many gateways. */
 const MIN_FEEDERS = 3;
 
-/** Feeders of a shard that are kept in order of preference. */
+/** Length of the ordered list of feeders of a shard. */
 const RANKED_FEEDERS = 4;
 
-/** A zone with less than this part of the replicas that the fullest zone has holds the index only in part. */
+/** A zone with less than this fraction of the replicas of the fullest zone is taken to hold only a part of the index. */
 const FULL_ZONE_SHARE = 0.5;
 
 const byCapacity = (left: PeerRecord, right: PeerRecord): number =>
   right.capacity - left.capacity || uniformHash(left.name) - uniformHash(right.name);
 
-/** Zones that hold about as many replicas as any other. */
+/** Zones that hold at least `FULL_ZONE_SHARE` of the replicas of the fullest zone. */
 const fullZones = (replicasByZone: ReadonlyMap<string, number>): ReadonlySet<string> => {
   const most = Math.max(0, ...replicasByZone.values());
   const full = [...replicasByZone].filter(([, count]) => count >= most * FULL_ZONE_SHARE);
@@ -38,8 +38,8 @@
 };
 
 /**
- * Gateways beside the replicas, where there are enough of them: the parts of replicas are by far the most
- * bytes of a gather, and a feeder sends on only the greatest records.
+ * Gateways in the zones of the replicas, or all gateways of the region if those are too few. The answers of replicas are by
+ * far the most bytes of a gather, and a feeder forwards only the greatest records.
  */
 const gatewaysNearReplicas = (
   gatewaysOfRegion: readonly PeerRecord[],
@@ -52,8 +52,8 @@
 };
 
 /**
- * The gateways with the most processor. Much weaker ones are left out where enough others remain: a
- * message to one costs the gateway that asks as much as a message to a strong one.
+ * Selects the gateways with the highest capacity. Weak ones are left out if enough others remain, since a message to a weak
+ * feeder costs the coordinator as much as a message to a strong one.
  */
 const selectFeeders = (
   gatewaysOfRegion: readonly PeerRecord[],
@@ -68,13 +68,13 @@
   return strongest.filter(({ capacity }, index) => capacity >= least || index < enough);
 };
 
-/** The plan for the gateways of one region and a number of shards. */
+/** The feeders of one region for a number of shards. */
 export class FeederPlan {
   readonly feeders: readonly PeerRecord[];
   private readonly ranked = new Map<string, readonly PeerRecord[]>();
 
   /**
-   * @param replicasByZone - replicas of these shards in each zone of the region
+   * @param replicasByZone - number of replicas of these shards in each zone of the region
    */
   constructor(
     gatewaysOfRegion: readonly PeerRecord[],
@@ -84,7 +84,7 @@
     this.feeders = selectFeeders(gatewaysOfRegion, shards, replicasByZone);
   }
 
-  /** The feeders of a shard, the preferred one first. */
+  /** The feeders of a shard in order of preference. */
   feedersOf(service: string): readonly PeerRecord[] {
     const known = this.ranked.get(service);
     if (known !== undefined) {
@@ -95,7 +95,7 @@
     return ranked;
   }
 
-  /** Where a gateway stands among the feeders of a shard; -1 when it is none. */
+  /** Zero-based rank of a gateway among the feeders of a shard; -1 if it is not one of them. */
   rankOf(service: string, name: string): number {
     return this.feedersOf(service).findIndex((peer) => peer.name === name);
   }
--- a/src/gateway/peers/follow-gateways.ts
+++ b/src/gateway/peers/follow-gateways.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the list of gateways that share replicas and budgets. Each has an entry in the store under its
- * own name, which a restart keeps; it is written when it is missing or tells something else.
+ * Maintains the list of gateways that share replicas and budgets. Each gateway has an entry in the store under its own name,
+ * which survives a restart; a gateway writes its entry if it is missing or differs.
  */
 import { recallSuspects } from '../crashes/recall-suspects.js';
 import type { GatewayEffect } from '../effect.js';
@@ -9,19 +9,19 @@
 import type { GatewayState } from '../state.js';
 import type { CollectionName } from '../store/collection.js';
 
-/** Time for an answer, in milliseconds. */
+/** Timeout of a write, in milliseconds. */
 const RESPONSE_TIMEOUT_MS = 1_500;
 
 /**
- * Time between two lists while entries still come, in milliseconds; an entry that was written is expected
- * in the list within the same time, and written again if it is not there.
+ * Time between two lists until the list of gateways is settled, in milliseconds. A written entry is expected in the list
+ * within the same time, and is written again otherwise.
  */
 const UNSETTLED_INTERVAL_MS = 1_500;
 
-/** Suspected requests of one entry, the newest. */
+/** Maximum number of suspected requests in an entry; the newest are kept. */
 const MAX_SUSPECTS = 32;
 
-/** What this gateway tells of itself. */
+/** This gateway's entry in its current content. */
 export const ownRecord = ({ settings, crashes }: GatewayState): PeerRecord => {
   const { node, zone, peers, capacity } = settings;
   const suspects = [...crashes.kept].slice(-MAX_SUSPECTS).map((fingerprint) => ({
@@ -37,7 +37,7 @@
   };
 };
 
-/** Whether the store holds this gateway's entry as it is now. */
+/** Whether the store holds this gateway's entry with its current content. */
 const isOwnEntryCurrent = (state: GatewayState): boolean => {
   const { peers, returns } = state;
   const own = ownRecord(state);
@@ -46,7 +46,7 @@
   return listed !== undefined && !isUnconfirmed && isSamePeerRecord(listed, own);
 };
 
-/** Whether the store has an entry of this gateway, whatever it tells. */
+/** Whether the store has an entry of this gateway, with any content. */
 const hasOwnEntry = ({ peers, settings, returns }: GatewayState): boolean => {
   const unconfirmed = returns.unconfirmed.gateways.get(settings.node);
   return unconfirmed === undefined
@@ -55,12 +55,12 @@
 };
 
 /**
- * After a return of the store all gateways may have to write their entries. Each does at a time of its own, so that some
- * 200 are written a second: platforms take 400 writes a second of all gateways together.
+ * After the store is restored from a backup, all gateways may have to write their entries. Each waits for a random time, so
+ * that about 200 entries are written per second: platforms accept 400 writes per second from all gateways together.
  */
 const SPREAD_MS_PER_GATEWAY = 5;
 
-/** Chooses when this gateway writes its entry, if the store has lost it. */
+/** Sets a random earliest time at which this gateway writes its entry, if the store has lost it. */
 export const delayRegistration = (
   { registration, random, gateways }: GatewayState,
   collection: CollectionName,
@@ -71,7 +71,7 @@
   }
 };
 
-/** Writes this gateway's entry where the list lacks it or has another. */
+/** Writes this gateway's entry if the list lacks it or has other content. */
 export const registerIfMissing = (state: GatewayState, at: number): GatewayEffect[] => {
   const { registration } = state;
   const isAwaitingList = at - registration.writtenAt < UNSETTLED_INTERVAL_MS;
@@ -101,9 +101,9 @@
 ): GatewayEffect[] => registerIfMissing(state, at);
 
 /**
- * Takes note that the list is complete, as the store or a reader has it. It is settled when it holds this
- * gateway and does not change any more: gateways that start together come into it one by one, and the
- * first ones would take themselves for the only ones. Until then it is listed again and again.
+ * Handles a complete list of gateways from the store or a reader. The list is settled when it contains this gateway's
+ * current entry and has not changed since the previous list. Gateways that start together appear in it one after another,
+ * and without this rule the first ones would assume that there are no others. Until it is settled, it is listed repeatedly.
  */
 export const handleGatewaysListed = (state: GatewayState, at: number): GatewayEffect[] => {
   const { registration, peers } = state;
--- a/src/gateway/peers/peer-directory.ts
+++ b/src/gateway/peers/peer-directory.ts
@@ -1,15 +1,15 @@
-/** The gateways that the store lists, and which of them failed to answer this one lately. */
+/** The gateways that the store lists, and which of them are suspected of having failed. */
 import { isSamePeerRecord, type PeerRecord } from '../model/peer-record.js';
 
-/** A peer that failed is passed over until it answers again, and no longer than this, in milliseconds. */
+/** Longest time that a failed peer is avoided, in milliseconds; an answer ends it earlier. */
 const MAX_SUSPICION_MS = 10_000;
 
-/** Peers by name. */
+/** Peers, indexed by name. */
 export class PeerDirectory {
   private readonly records = new Map<string, PeerRecord>();
-  /** Entries that another version has written: they count, but nothing is sent to them. */
+  /** Names of entries that cannot be decoded, for example of another version: they are counted, but receive no messages. */
   private readonly unreadable = new Set<string>();
-  /** Until when each suspect is passed over. */
+  /** When the suspicion of each peer expires, in milliseconds. */
   private readonly suspects = new Map<string, number>();
   /** Rises whenever the records change. */
   generation = 0;
@@ -18,7 +18,7 @@
     return this.records.size;
   }
 
-  /** All entries, the unreadable ones among them. */
+  /** Number of entries, including unreadable ones. */
   get listedCount(): number {
     return this.records.size + this.unreadable.size;
   }
@@ -31,12 +31,12 @@
     return this.records.values();
   }
 
-  /** Names of all entries. */
+  /** Names of all entries, including unreadable ones. */
   names(): readonly string[] {
     return [...this.records.keys(), ...this.unreadable];
   }
 
-  /** Takes an entry; returns whether that changes anything. */
+  /** Adds or updates an entry; returns whether anything changed. */
   put(record: PeerRecord): boolean {
     const known = this.records.get(record.name);
     const wasUnreadable = this.unreadable.delete(record.name);
@@ -48,7 +48,7 @@
     return true;
   }
 
-  /** Takes an entry that could not be read; returns whether that changes anything. */
+  /** Records an entry that could not be decoded; returns whether anything changed. */
   putUnreadable(name: string): boolean {
     if (this.unreadable.has(name)) {
       return false;
@@ -58,7 +58,7 @@
     return true;
   }
 
-  /** An entry is gone; returns whether it was there. */
+  /** Removes an entry; returns whether it existed. */
   remove(name: string): boolean {
     if (this.records.delete(name)) {
       this.generation += 1;
@@ -67,12 +67,12 @@
     return this.unreadable.delete(name);
   }
 
-  /** A peer did not answer, or is leaving. */
+  /** Marks a peer as suspect that did not answer or is stopping. */
   suspect(name: string, at: number): void {
     this.suspects.set(name, at + MAX_SUSPICION_MS);
   }
 
-  /** A peer has answered. */
+  /** Ends the suspicion of a peer that has answered. */
   trust(name: string): void {
     this.suspects.delete(name);
   }
--- a/src/gateway/peers/service-share.ts
+++ b/src/gateway/peers/service-share.ts
@@ -1,37 +1,35 @@
 /**
- * Whether replicas of a service are spoken to through feeders, and this gateway's share of what all
- * gateways together may use of a service: the connections of each replica and the slack of the retry
- * budget.
+ * Determines whether the replicas of a service are reached through feeders, and this gateway's share of the limits that all
+ * gateways have in common: the connections of each replica and the slack of the retry budget.
  */
 import type { PeerRecord } from '../model/peer-record.js';
 import type { GatewayState, KnownFeederPlan } from '../state.js';
 import { FeederPlan } from './feeder-plan.js';
 
-/** Connections of one replica where its service says nothing. */
+/** Connection limit of a replica if the configuration of its service gives none. */
 const DEFAULT_MAX_CONNECTIONS = 32;
 
-/** Part of a replica's connections that all gateways together use. */
+/** Fraction of a replica's connection limit that all gateways together use. */
 export const USABLE_CONNECTIONS_SHARE = 0.9;
 
-/** Every gateway speaks to the replicas itself while so many connections fall to each. */
+/** Gateways connect to the replicas directly if each of them may hold at least this many connections to a replica. */
 const MIN_DIRECT_CONNECTIONS = 1.5;
 
-/** A replica hears too seldom from each of more gateways to keep connections warm. */
+/** With more gateways than this, each sends to a replica too rarely to keep a direct connection warm. */
 const MAX_DIRECT_GATEWAYS = 16;
 
 /**
- * Parts of the feeders of a shard in their order; all other gateways share the rest. The third and the
- * fourth step in when a zone with the first two is lost: without slack of their own they could repeat
- * nothing that those had sent.
+ * Shares of the feeders of a shard by rank; all other gateways divide the rest. The third and the fourth feeder take over
+ * when the zone of the first two is lost: without retry slack of their own they could not repeat the requests of those.
  */
 const FEEDER_SHARES: readonly number[] = [0.4, 0.25, 0.15, 0.1];
 const REMAINING_SHARE = 1 - FEEDER_SHARES.reduce((sum, part) => sum + part, 0);
 
-/** Connections that one replica of `service` accepts from all callers together. */
+/** Number of connections that one replica of `service` accepts from all callers together. */
 export const maxConnectionsOf = (state: GatewayState, service: string): number =>
   state.inForce?.configuration.services.get(service)?.maxConnections ?? DEFAULT_MAX_CONNECTIONS;
 
-/** Whether gathers reach the replicas of a shard through feeders. */
+/** Whether gathers reach the replicas of `service` through feeders. */
 export const isFed = (state: GatewayState, service: string): boolean => {
   const connections =
     (maxConnectionsOf(state, service) * USABLE_CONNECTIONS_SHARE) / state.gateways;
@@ -41,7 +39,7 @@
 const regionOf = (state: GatewayState, zone: string): string =>
   state.settings.zoneRegions[zone] ?? '';
 
-/** Listed replicas of the shards in each zone of this gateway's region. */
+/** Number of listed replicas of the shards in each zone of this gateway's region. */
 const replicasByZone = (state: GatewayState): ReadonlyMap<string, number> => {
   const region = regionOf(state, state.settings.zone);
   const counts = new Map<string, number>();
@@ -67,8 +65,8 @@
   left.length === right.length && left.every((peer, index) => peer === right[index]);
 
 /**
- * The plan for this gateway's region; made anew when the gateways, the replicas or the shards have
- * changed. A plan with the same feeders stays the same object.
+ * The feeder plan of this gateway's region. It is recomputed when the gateways, the replicas or the shards have changed; if
+ * the feeders are the same, the previous plan object is returned.
  */
 export const feederPlan = (state: GatewayState): FeederPlan => {
   const { peers, replicas, inForce, feeders: known } = state;
@@ -94,11 +92,11 @@
 const isShard = (state: GatewayState, service: string): boolean =>
   state.inForce?.shards.has(service) ?? false;
 
-/** Whether a service is a shard whose replicas only feeders speak to. */
+/** Whether a service is a shard whose replicas are reached only through feeders. */
 export const isFedShard = (state: GatewayState, service: string): boolean =>
   isShard(state, service) && isFed(state, service);
 
-/** This gateway's share of a service, 0 to 1; the shares of all gateways together are at most 1. */
+/** This gateway's share of the limits of a service, 0 to 1; the shares of all gateways add up to at most 1. */
 export const shareOf = (state: GatewayState, service: string): number => {
   const { gateways, settings } = state;
   if (!isFedShard(state, service)) {
