--- a/src/gateway/routing/route-table.ts
+++ b/src/gateway/routing/route-table.ts
@@ -1,7 +1,7 @@
 /** Finds the route of a request by host and longest path prefix. */
 import type { Route } from '../model/route.js';
 
-/** The routes of one version of the configuration, arranged for look-up. */
+/** The routes of one configuration version, indexed by host and path prefix. */
 export class RouteTable {
   private readonly byHost = new Map<string, Map<string, Route>>();
 
@@ -14,7 +14,7 @@
     }
   }
 
-  /** The route of `host` whose prefix begins `path` and is longest. */
+  /** Returns the route of `host` with the longest prefix of `path`; undefined if none matches. */
   find(host: string, path: string): Route | undefined {
     const prefixes = this.byHost.get(hostWithoutPort(host));
     if (prefixes === undefined) {
--- a/src/gateway/routing/split-cursor.ts
+++ b/src/gateway/routing/split-cursor.ts
@@ -1,37 +1,37 @@
 /**
- * Divides requests among the parts of a split by smooth weighted round robin: in any run of requests each
- * part's count stays within one of its weight's share.
+ * Divides requests among the parts of a split by smooth weighted round robin: in any sequence of requests the count of each
+ * part stays within one of its weighted share.
  *
- * A gateway enters the rotation at a drawn place. So the first request of each already goes to a part with
- * the probability of its weight, and shares hold over many gateways with a request each, over gateways that
- * have just started, and right after the weights have changed.
+ * Each gateway enters the rotation at a random position, so that its first request already goes to each part with the
+ * probability of its weight. The shares therefore hold over many gateways with one request each, over gateways that have
+ * just started, and immediately after a change of weights.
  */
 import type { SplitPart } from '../model/route.js';
 
 /**
- * Places at which a rotation may be entered: many turns of the rotation, so that each part is entered at in
- * proportion to its weight. Going to the last one takes some 50 microseconds, once for each split.
+ * Number of positions at which the rotation may be entered. They cover many rounds, so that the entry falls on each part in
+ * proportion to its weight. Advancing to the last one takes about 50 microseconds, once for each split.
  */
-const ENTRIES = 1_000;
+const ENTRY_POSITIONS = 1_000;
 
-/** The position in the rotation of one split. */
+/** Position in the rotation of one split. */
 export class SplitCursor {
   private readonly credits: number[];
   private readonly total: number;
 
-  /** @param entry - where the rotation is entered, 0 to 1 */
+  /** @param entry - position at which the rotation is entered, 0 to 1 */
   constructor(
     readonly parts: readonly SplitPart[],
     entry: number,
   ) {
     this.total = parts.reduce((sum, part) => sum + part.weight, 0);
     this.credits = parts.map(() => 0);
-    for (let skipped = Math.floor(entry * ENTRIES); skipped > 0; skipped -= 1) {
+    for (let skipped = Math.floor(entry * ENTRY_POSITIONS); skipped > 0; skipped -= 1) {
       this.next();
     }
   }
 
-  /** The service of the next request; undefined when no part has a weight. */
+  /** Advances the rotation and returns the service of the next request; undefined if no part has a positive weight. */
   next(): string | undefined {
     if (this.total <= 0) {
       return undefined;
@@ -49,7 +49,7 @@
   }
 }
 
-/** Whether two splits divide alike, so that the rotation may go on. */
+/** Whether two splits have the same parts and weights, so that the rotation can continue. */
 export const isSameSplit = (left: readonly SplitPart[], right: readonly SplitPart[]): boolean =>
   left.length === right.length &&
   left.every((part, index) => {
