--- a/src/gateway/model/evacuation.ts
+++ b/src/gateway/model/evacuation.ts
@@ -1,6 +1,6 @@
-/** Orders of the operator that the replicas of a zone get no requests. */
+/** Evacuation orders: the operator's orders to send no requests to the replicas of a zone. */
 
-/** One order; it stands until its object is gone from the store. */
+/** One evacuation order; it applies until its object is removed from the store. */
 export interface Evacuation {
   readonly zone: string;
 }
--- a/src/gateway/model/peer-record.ts
+++ b/src/gateway/model/peer-record.ts
@@ -1,26 +1,26 @@
-/** What a gateway tells the other gateways of itself through the store. */
+/** The entry by which a gateway describes itself to the other gateways through the store. */
 import type { HostPort } from '../../settings/node-settings.js';
 import type { Fingerprint } from './request.js';
 
-/** One gateway; a restart keeps the name. */
+/** One gateway; its name survives a restart. */
 export interface PeerRecord {
   readonly name: string;
   readonly zone: string;
-  /** Where it takes subqueries, over TCP. */
+  /** TCP address at which it accepts subqueries. */
   readonly address: HostPort;
-  /** Processor that it has, in cores of the usual speed. */
+  /** Processor capacity, in cores of the usual speed. */
   readonly capacity: number;
   /**
-   * Requests under which replicas have ended again and again, those that it learnt first-hand: it knows them again
-   * when it has started anew, also where all gateways have ended. Absent where there are none.
+   * Requests that have repeatedly crashed replicas, as far as this gateway has observed the crashes itself. It reads them
+   * back after a restart, even if all gateways have restarted. Absent if there are none.
    */
   readonly suspects?: readonly SuspectedRequest[];
 }
 
-/** A request that is suspected to end replicas, or blocked for that. */
+/** A request that is suspected of crashing replicas, or blocked for it. */
 export interface SuspectedRequest {
   readonly fingerprint: Fingerprint;
-  /** Rounds of replicas that have ended under it. */
+  /** Number of rounds in which the request has crashed replicas. */
   readonly rounds: number;
 }
 
@@ -34,7 +34,7 @@
     return fingerprint === other?.fingerprint && rounds === other.rounds;
   });
 
-/** Whether two records tell the same. */
+/** Whether two records have the same content. */
 export const isSamePeerRecord = (left: PeerRecord, right: PeerRecord): boolean =>
   left.name === right.name &&
   left.zone === right.zone &&
--- a/src/gateway/model/replica-record.ts
+++ b/src/gateway/model/replica-record.ts
@@ -1,25 +1,25 @@
-/** What a replica tells of itself through the store. */
+/** The entry by which a replica describes itself through the store. */
 
-/** One incarnation of a replica: a restart has another `id`, or the same and another `bornAt`. */
+/** One incarnation of a replica. A restart changes `id`, or keeps it and changes `bornAt`. */
 export interface ReplicaRecord {
   readonly id: string;
   readonly service: string;
   readonly host: string;
   readonly port: number;
   readonly zone: string;
-  /** Requests it works on at once. */
+  /** Number of requests that it runs concurrently. */
   readonly slots: number;
-  /** It takes no new work and will end. */
+  /** It accepts no new requests and will stop. */
   readonly draining: boolean;
-  /** How much longer it is slow after its start, in milliseconds, when it wrote this. */
+  /** Time for which it is still cold after its start, in milliseconds, as of the writing of the entry. */
   readonly coldMs: number;
-  /** When it started, in milliseconds since 1970; absent where its entry does not tell it. */
+  /** Start time, in milliseconds since 1970; absent if the entry does not give it. */
   readonly bornAt?: number;
-  /** How much longer it is slow as a reader tells it, in milliseconds; absent in what the store holds. */
+  /** Remaining time for which it is cold, in milliseconds, as sent by a reader; absent in entries of the store. */
   readonly coldLeftMs?: number;
 }
 
-/** Whether the store holds the same in two records. */
+/** Whether two records have the same content in the store. */
 export const isSameReplicaRecord = (left: ReplicaRecord, right: ReplicaRecord): boolean =>
   left.id === right.id &&
   left.service === right.service &&
@@ -32,8 +32,8 @@
   left.bornAt === right.bornAt;
 
 /**
- * Whether two records are of different starts of the replica; false where one does not tell its start. Which is later is
- * for the store's order to say: a machine's time of day may have stepped back between them.
+ * Whether two records are of different incarnations of the replica; false if one of them gives no start time. The order of
+ * the store determines which is later, since the machine's clock may have been set back between the starts.
  */
 export const isOtherIncarnation = (record: ReplicaRecord, other: ReplicaRecord): boolean =>
   record.bornAt !== undefined && other.bornAt !== undefined && record.bornAt !== other.bornAt;
--- a/src/gateway/model/request.ts
+++ b/src/gateway/model/request.ts
@@ -1,37 +1,36 @@
-/** Requests of callers, and what they are answered, in the gateway's own terms. */
+/** Requests of callers, attempts and their results, independent of the protocol. */
 
-/** Names a request inside this process. */
+/** Identifies a caller's request or a received subquery within this process. */
 export type CallId = number;
 
-/** Names one attempt at a replica inside this process. */
+/** Identifies one attempt at a replica within this process. */
 export type AttemptId = number;
 
-/** Names what a replica is asked to do: the same for each try of the same request, at every gateway. */
+/** Identifies the content of a request: the same for each attempt of the same request, at every gateway. */
 export type Fingerprint = string;
 
-/** What decides about a request; its bytes stay at the edge. */
+/** The parts of a request that decisions depend on; the driver keeps its bytes. */
 export interface CallerRequest {
-  /** The identifier that the caller chose; it goes to replicas and into logs. */
+  /** Identifier that the caller gave the request; it is sent to replicas and written to logs. */
   readonly requestId: string;
   readonly fingerprint: Fingerprint;
   readonly host: string;
   readonly path: string;
-  /** How long the caller waits, in milliseconds; absent where it did not say. */
+  /** How long the caller waits, in milliseconds; absent if it does not say. */
   readonly budgetMs?: number;
-  /** It is the first one on its connection: its caller has waited for the connection before. */
+  /** It is the first request on its connection, so that the caller has also waited for the connection to open. */
   readonly isFirstOnConnection?: boolean;
-  /** What of it is larger than the limits allow, and was not kept; absent where nothing is. */
+  /** The part that exceeds the limits and was discarded; absent if none does. */
   readonly excess?: 'headers' | 'body';
 }
 
-/** Why what a caller sent cannot be read as a request. `headers-late`: they did not come in time. */
+/** Why bytes from a caller cannot be parsed as a request. `headers-late`: the headers did not arrive in time. */
 export type UnreadableProblem =
   'malformed' | 'cut-off' | 'headers-late' | 'headers-too-large' | 'chunk-extensions-too-large';
 
 /**
- * Why a request ends without the answer of a replica. `replicas-crashed`: they ended while they ran it, or
- * have before and it is too soon to try it again.
- * `crashes-replicas`: it is blocked, and was sent to none.
+ * Why a request ends without the answer of a replica. `replicas-crashed`: replicas crashed while they ran it, now or
+ * earlier, and it is too soon for another attempt. `crashes-replicas`: the request is blocked and was sent to no replica.
  */
 export type RefusalReason =
   | 'no-configuration'
@@ -50,7 +49,7 @@
   | 'too-few-shards'
   | 'deadline';
 
-/** A replica's answer, handed on unchanged. */
+/** A replica's answer, forwarded unchanged. */
 export interface PassThrough {
   readonly type: 'pass-through';
   readonly answer: ReplicaAnswer;
@@ -68,59 +67,59 @@
 export interface Refusal {
   readonly type: 'refusal';
   readonly reason: RefusalReason;
-  /** Whether a replica may have run the request; if not, it never will. */
+  /** Whether a replica may have run the request; if false, no replica will run it later either. */
   readonly mayHaveRun: boolean;
-  /** When to come back, in milliseconds; absent where coming back does not help. */
+  /** Time after which to retry, in milliseconds; absent if a retry does not help. */
   readonly retryAfterMs?: number;
 }
 
 /** The final answer to a caller. */
 export type CallerResponse = PassThrough | MergedAnswer | Refusal;
 
-/** A header as it stood on the wire. */
+/** A header as received. */
 export interface Header {
   readonly name: string;
   readonly value: string;
 }
 
-/** What a replica says of its load. */
+/** Load that a replica reports. */
 export interface LoadReport {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
-  /** How much longer than usual work takes there now, 1 for as usual; absent where it does not say. */
+  /** Current duration of work relative to the usual one, 1 for as usual; absent if not reported. */
   readonly slowdown?: number;
 }
 
-/** A whole answer of a replica that belongs to the request. */
+/** A complete answer of a replica that belongs to the request. */
 export interface ReplicaAnswer {
   readonly status: number;
   readonly headers: readonly Header[];
   readonly body: Uint8Array;
-  /** The replica's signature of this answer; absent where it gave none. */
+  /** The replica's signature of this answer; absent if it gave none. */
   readonly signature?: string;
 }
 
-/** A whole answer. */
+/** The attempt ended with a complete answer. */
 export interface AttemptAnswered {
   readonly type: 'answered';
   readonly answer: ReplicaAnswer;
   readonly load?: LoadReport;
-  /** The replica closes this connection after the answer. */
+  /** The replica closes the connection after the answer. */
   readonly closing: boolean;
 }
 
-/** The replica says that it did not run the request. */
+/** The replica reports that it did not run the request. */
 export interface AttemptRefused {
   readonly type: 'refused';
-  /** `wrong-instance`: another incarnation has the address. */
+  /** `wrong-instance`: another incarnation now has the address. */
   readonly reason: 'full' | 'wrong-instance';
   readonly load?: LoadReport;
 }
 
 /**
  * How an attempt failed without an answer. `refused-connection`: a new connection was accepted and
- * reset before any byte came over it. `unsigned-answer`: a redirection or a client error without the
+ * reset before any byte arrived over it. `unsigned-answer`: a redirection or a client error without the
  * replica's signature.
  */
 export type AttemptProblem =
@@ -135,13 +134,13 @@
   | 'cut-off'
   | 'aborted';
 
-/** No usable answer came. */
+/** The attempt ended without a usable answer. */
 export interface AttemptFailed {
   readonly type: 'failed';
   readonly problem: AttemptProblem;
-  /** Whether bytes of the request were sent, so that it may have run. */
+  /** Whether bytes of the request were sent, so that the replica may have run it. */
   readonly mayHaveRun: boolean;
 }
 
-/** How an attempt ended. */
+/** Result of an attempt. */
 export type AttemptResult = AttemptAnswered | AttemptRefused | AttemptFailed;
--- a/src/gateway/model/route.ts
+++ b/src/gateway/model/route.ts
@@ -1,9 +1,9 @@
-/** Routes of a gateway and the configuration that holds them. */
+/** The configuration of a gateway: routes, services and limits. */
 
 /** One service of a split, with its share of the requests. */
 export interface SplitPart {
   readonly service: string;
-  /** Relative to the other parts; not negative. */
+  /** Weight relative to the other parts; not negative. */
   readonly weight: number;
 }
 
@@ -19,14 +19,14 @@
   readonly parts: readonly SplitPart[];
 }
 
-/** One replica of each shard answers; the parts are merged. */
+/** One replica of each shard answers; the answers are merged. */
 export interface GatherTarget {
   readonly type: 'gather';
   /** Services that are the shards; each answers for its part of the index. */
   readonly shards: readonly string[];
-  /** Most records of a merged answer. */
+  /** Maximum number of records of a merged answer. */
   readonly maxRecords: number;
-  /** Least share of the shards for a success, 0 to 1. */
+  /** Minimum fraction of the shards for a success, 0 to 1. */
   readonly minCoverage: number;
 }
 
@@ -41,51 +41,51 @@
   readonly pathPrefix: string;
   /** Whether a request may run more than once. */
   readonly repeatable: boolean;
-  /** Longest time that a request is held, in milliseconds. */
+  /** Longest time from the arrival of a request to its answer, in milliseconds. */
   readonly timeoutMs: number;
-  /** Time within which an answer has its full worth, in milliseconds, seen by the caller. */
+  /** Latency up to which an answer has its full value to the caller, in milliseconds. */
   readonly objectiveMs: number;
-  /** Most replicas of a service (of each shard) that may run one request. */
+  /** Maximum number of replicas of a service, or of each shard, that may run one request. */
   readonly maxAttempts: number;
-  /** Rank under load; 0 is the most urgent. */
+  /** Priority under load; 0 is the highest. */
   readonly priority: number;
-  /** Regions in which requests may be served; absent where all will do. */
+  /** Regions in which requests may be served; absent if all are allowed. */
   readonly allowedRegions?: readonly string[];
   readonly target: RouteTarget;
 }
 
-/** What all callers of a service share. */
+/** Limits of a service that all of its callers share. */
 export interface ServicePolicy {
   readonly name: string;
-  /** Connections that one replica accepts from all callers together. */
+  /** Number of connections that one replica accepts from all callers together. */
   readonly maxConnections: number;
-  /** Requests a second that a cold replica bears from all callers; absent where that is not limited. */
+  /** Requests per second that a cold replica accepts from all callers together; absent for no limit. */
   readonly coldRequestsPerSecond?: number;
 }
 
-/** Bounds on what callers may send. */
+/** Limits on requests and connections of callers. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
   readonly headerTimeoutMs: number;
-  /** Time after which an idle connection of a caller is closed. */
+  /** Time after which an idle connection of a caller is closed, in milliseconds. */
   readonly idleTimeoutMs: number;
 }
 
-/** One version of the configuration, whole. */
+/** One complete version of the configuration. */
 export interface GatewayConfiguration {
-  /** Rises with each change, in uneven steps. */
+  /** Rises with each change, not necessarily by 1. */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: ReadonlyMap<string, ServicePolicy>;
   readonly limits: CallerLimits;
 }
 
-/** Services that gathers name as shards. */
+/** Services that are shards of a gather. */
 export const shardsOf = (routes: readonly Route[]): ReadonlySet<string> =>
   new Set(routes.flatMap(({ target }) => (target.type === 'gather' ? target.shards : [])));
 
-/** Services to which a route may send. */
+/** Services to which a route may send requests. */
 export const servicesOf = (target: RouteTarget): readonly string[] => {
   switch (target.type) {
     case 'service':
--- a/src/gateway/model/subquery.ts
+++ b/src/gateway/model/subquery.ts
@@ -1,53 +1,53 @@
-/** Subqueries: a gateway asks a feeder for the parts of some shards of a gather. */
+/** Subqueries, by which a gateway requests the parts of some shards of a gather from a feeder. */
 
-/** Names a subquery inside the process that asks. */
+/** Identifies a subquery within the process that sends it. */
 export type SubqueryId = number;
 
-/** What a feeder is asked for; the request's bytes stay at the edge. */
+/** The parameters of a subquery; the driver keeps the request's bytes. */
 export interface Subquery {
-  /** The route, by which the feeder keeps its latencies. */
+  /** Name of the route; the feeder keeps its latencies per route. */
   readonly route: string;
-  /** The shards that are asked for, as one version of the configuration names them. */
+  /** The requested shards, by their names in one version of the configuration. */
   readonly shards: readonly string[];
   readonly maxRecords: number;
   readonly maxAttempts: number;
   /** The route's objective, in milliseconds. */
   readonly objectiveMs: number;
-  /** Time after which parts are sent as they come, in milliseconds from the arrival. */
+  /** Time after which parts are sent as they arrive, in milliseconds since the arrival of the subquery. */
   readonly partsWithinMs: number;
-  /** Time after which nothing is wanted any more, in milliseconds from the arrival. */
+  /** Time after which no more parts are needed, in milliseconds since the arrival of the subquery. */
   readonly deadlineMs: number;
-  /** Another feeder may have sent the request to replicas before. */
+  /** Another feeder may already have sent the request to replicas. */
   readonly isRepeat: boolean;
-  /** Regions in which the request may be served; absent where all will do. */
+  /** Regions in which the request may be served; absent if all are allowed. */
   readonly allowedRegions?: readonly string[];
-  /** The request is blocked because replicas ended under it, and is tried now; absent where it is not. */
+  /** The request is blocked because it crashed replicas, and this is a trial of it; absent otherwise. */
   readonly isTrial?: boolean;
 }
 
-/** The part of one shard; its records are merged with those of the others. */
+/** The answer of one shard; its records are merged with those of the other shards. */
 export interface ShardPart {
   readonly service: string;
   /** The replica's signature. */
   readonly signature: string;
 }
 
-/** Parts that a feeder sends together. */
+/** Parts of one or more shards that a feeder sends in one message. */
 export interface SubqueryPart {
   readonly shards: readonly ShardPart[];
-  /** The greatest records of these parts, greatest first. */
+  /** The greatest records of these parts, in descending order. */
   readonly records: Uint8Array;
   /**
-   * Shards that the feeder sent to no replica: it knows none, or may send to none. Feeders of
-   * older builds leave it out.
+   * Shards for which the feeder sent the request to no replica, because it knows none or may use none. Feeders of older
+   * builds omit it.
    */
   readonly unsent?: readonly string[];
-  /** Replicas have ended under the request here, or it is blocked for that; absent where neither is so. */
+  /** The request has crashed replicas at this feeder, or is blocked there for that; absent if neither applies. */
   readonly hasCrashed?: boolean;
-  /** Nothing follows: shards that were not in any part have no answer. */
+  /** The last message: shards that were not in any part have no answer. */
   readonly isFinal: boolean;
 }
 
-/** Why a peer is passed over for a while. */
+/** Why a peer is avoided for a while. */
 export type PeerProblem =
   'unreachable' | 'silent' | 'disconnected' | 'stopping' | 'refusing' | 'unacknowledged';
