--- a/src/gateway/peers/follow-gateways.ts
+++ b/src/gateway/peers/follow-gateways.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the list of gateways that share replicas and budgets. Each has an entry in the store under its
- * own name, which a restart keeps; it is written when it is missing or tells something else.
+ * Maintains the list of gateways that share replicas and budgets. Each gateway has an entry in the store under its own name,
+ * which survives a restart; a gateway writes its entry if it is missing or differs.
  */
 import { restoreSuspects } from '../crashes/restore-suspects.js';
 import type { GatewayEffect } from '../effect.js';
@@ -9,22 +9,22 @@
 import type { GatewayState } from '../state.js';
 import type { CollectionName } from '../store/collection.js';
 
-/** Time for an answer, in milliseconds. */
-const ANSWER_MS = 1_500;
+/** Timeout of a write, in milliseconds. */
+const RESPONSE_TIMEOUT_MS = 1_500;
 
 /**
- * Time between two lists while entries still come, in milliseconds; an entry that was written is expected
- * in the list within the same time, and written again if it is not there.
+ * Time between two lists until the list of gateways is settled, in milliseconds. A written entry is expected in the list
+ * within the same time, and is written again otherwise.
  */
-const CHANGING_INTERVAL_MS = 1_500;
+const UNSETTLED_INTERVAL_MS = 1_500;
 
-/** Suspected requests of one entry, the newest. */
-const MOST_SUSPECTS = 32;
+/** Maximum number of suspected requests in an entry; the newest are kept. */
+const MAX_SUSPECTS = 32;
 
-/** What this gateway tells of itself. */
+/** This gateway's entry in its current content. */
 export const ownRecord = ({ settings, crashes }: GatewayState): PeerRecord => {
   const { node, zone, peers, capacity } = settings;
-  const suspects = [...crashes.kept].slice(-MOST_SUSPECTS).map((fingerprint) => ({
+  const suspects = [...crashes.kept].slice(-MAX_SUSPECTS).map((fingerprint) => ({
     fingerprint,
     rounds: crashes.histories.all().get(fingerprint)?.rounds ?? 0,
   }));
@@ -37,8 +37,8 @@
   };
 };
 
-/** Whether the store holds this gateway's entry as it is now. */
-const holdsOwn = (state: GatewayState): boolean => {
+/** Whether the store holds this gateway's entry with its current content. */
+const isOwnEntryCurrent = (state: GatewayState): boolean => {
   const { peers, returns } = state;
   const own = ownRecord(state);
   const listed = peers.find(own.name);
@@ -46,8 +46,8 @@
   return listed !== undefined && !isUnconfirmed && isSamePeerRecord(listed, own);
 };
 
-/** Whether the store has an entry of this gateway, whatever it tells. */
-const hasOwn = ({ peers, settings, returns }: GatewayState): boolean => {
+/** Whether the store has an entry of this gateway, with any content. */
+const hasOwnEntry = ({ peers, settings, returns }: GatewayState): boolean => {
   const unconfirmed = returns.unconfirmed.gateways.get(settings.node);
   return unconfirmed === undefined
     ? peers.find(settings.node) !== undefined
@@ -55,13 +55,13 @@
 };
 
 /**
- * After a return of the store all gateways may have to write their entries. Each does at a time of its own, so that some
- * 200 are written a second: platforms take 400 writes a second of all gateways together.
+ * After the store is restored from a backup, all gateways may have to write their entries. Each waits for a random time, so
+ * that about 200 entries are written per second: platforms accept 400 writes per second from all gateways together.
  */
 const SPREAD_MS_PER_GATEWAY = 5;
 
-/** Chooses when this gateway writes its entry, if the store has lost it. */
-export const spreadRegistration = (
+/** Sets a random earliest time at which this gateway writes its entry, if the store has lost it. */
+export const delayRegistration = (
   { registration, random, gateways }: GatewayState,
   collection: CollectionName,
   at: number,
@@ -71,12 +71,12 @@
   }
 };
 
-/** Writes this gateway's entry where the list lacks it or has another. */
+/** Writes this gateway's entry if the list lacks it or has other content. */
 export const registerIfMissing = (state: GatewayState, at: number): GatewayEffect[] => {
   const { registration } = state;
-  const isExpected = at - registration.writtenAt < CHANGING_INTERVAL_MS;
+  const isAwaitingList = at - registration.writtenAt < UNSETTLED_INTERVAL_MS;
   const isStopping = state.phase === 'stopping' || state.phase === 'ended';
-  if (holdsOwn(state) || isExpected || isStopping) {
+  if (isOwnEntryCurrent(state) || isAwaitingList || isStopping) {
     return [];
   }
   if (at < registration.notBefore) {
@@ -84,35 +84,38 @@
   }
   registration.writtenAt = at;
   const record = ownRecord(state);
-  const replace = hasOwn(state);
+  const replace = hasOwnEntry(state);
   return [
-    { type: 'call-store', call: { type: 'register', record, replace, timeoutMs: ANSWER_MS } },
-    { type: 'set-registration-timer', at: at + CHANGING_INTERVAL_MS },
+    {
+      type: 'call-store',
+      call: { type: 'register', record, replace, timeoutMs: RESPONSE_TIMEOUT_MS },
+    },
+    { type: 'set-registration-timer', at: at + UNSETTLED_INTERVAL_MS },
   ];
 };
 
 /** Handles `registration-due`. */
-export const takeRegistrationDue = (
+export const handleRegistrationDue = (
   state: GatewayState,
   { at }: RegistrationDue,
 ): GatewayEffect[] => registerIfMissing(state, at);
 
 /**
- * Takes note that the list is complete, as the store or a reader has it. It is settled when it holds this
- * gateway and does not change any more: gateways that start together come into it one by one, and the
- * first ones would take themselves for the only ones. Until then it is listed again and again.
+ * Handles a complete list of gateways from the store or a reader. The list is settled when it contains this gateway's
+ * current entry and has not changed since the previous list. Gateways that start together appear in it one after another,
+ * and without this rule the first ones would assume that there are no others. Until it is settled, it is listed repeatedly.
  */
-export const takeGatewaysList = (state: GatewayState, at: number): GatewayEffect[] => {
+export const handleGatewaysListed = (state: GatewayState, at: number): GatewayEffect[] => {
   const { registration, peers } = state;
   const { listedGeneration } = registration;
   registration.listedGeneration = peers.generation;
   const isUnchanged = listedGeneration === undefined || listedGeneration === peers.generation;
   const recalled = restoreSuspects(state, at);
-  state.gatewaysSettled ||= holdsOwn(state) && isUnchanged;
+  state.gatewaysSettled ||= isOwnEntryCurrent(state) && isUnchanged;
   const own = [...recalled, ...registerIfMissing(state, at)];
   if (state.gatewaysSettled) {
     return own;
   }
-  const dueAt = at + CHANGING_INTERVAL_MS;
+  const dueAt = at + UNSETTLED_INTERVAL_MS;
   return [...own, { type: 'set-collection-timer', collection: 'gateways', at: dueAt }];
 };
--- a/src/gateway/readers/handle-reader-update.ts
+++ b/src/gateway/readers/handle-reader-update.ts
@@ -7,8 +7,8 @@
 import type { BeliefChange } from '../log/log-event.js';
 import {
   registerIfMissing,
-  spreadRegistration,
-  takeGatewaysList,
+  delayRegistration,
+  handleGatewaysListed,
 } from '../peers/follow-gateways.js';
 import {
   keepGone,
@@ -19,14 +19,14 @@
 } from '../returns/cross-era.js';
 import { recordEra, completeRestore } from '../returns/record-era.js';
 import { collectionsOf, type GatewayState } from '../state.js';
-import { applyObjects, applyWholeList, forgetGoneReplicas } from '../store/apply-objects.js';
+import { applyObjects, removeUnlistedObjects, forgetGoneReplicas } from '../store/apply-objects.js';
 import {
   callNow,
   type CollectionProgress,
   isOfEarlierEra,
   positionOf,
 } from '../store/follow-collection.js';
-import { changedNames, unlistedNames, withAwaited } from '../store/list-changes.js';
+import { changedNames, unlistedNames, withMissing } from '../store/list-changes.js';
 import type { Stored, StoreObjects } from '../store/store-objects.js';
 import { comparePositions, type StorePosition } from '../store/store-position.js';
 import { compareVersions } from './compare-versions.js';
@@ -125,11 +125,11 @@
   const isNewEra = isOfEarlierEra(progress, era);
   const snapshot = withoutAwaited(received);
   const listed = new Set(snapshot.objects.map(({ name }) => name));
-  const present = isNewEra ? listed : withAwaited(state, collection, listed);
+  const present = isNewEra ? listed : withMissing(state, collection, listed);
   const changed = new Set([
     ...changedNames(state, snapshot),
     ...unlistedNames(state, collection, present),
-    ...progress.untold,
+    ...progress.pendingNames,
   ]);
   progress.revision = revision;
   progress.era = era;
@@ -138,15 +138,15 @@
   const applied = applyObjects(state, accepted, at, source.peer.name);
   if (isNewEra) {
     keepUnlisted(state, collection, listed, at);
-    spreadRegistration(state, collection, at);
+    delayRegistration(state, collection, at);
   }
   const awaited = applyAwaited(state, source, received, at);
   return [
     ...applied,
     ...awaited,
-    ...applyWholeList(state, collection, withAwaited(state, collection, listed), at),
+    ...removeUnlistedObjects(state, collection, withMissing(state, collection, listed), at),
     ...publishNamed(state, collection, changed, before, at),
-    ...(collection === 'gateways' ? takeGatewaysList(state, at) : []),
+    ...(collection === 'gateways' ? handleGatewaysListed(state, at) : []),
     ...(isNewEra ? restartWatch(state, progress) : []),
   ];
 };
@@ -197,7 +197,7 @@
   progress.era = era;
   const changes = isNewEra ? keepGone(state, withholdOlder(state, received, at), at) : received;
   if (isNewEra) {
-    spreadRegistration(state, collection, at);
+    delayRegistration(state, collection, at);
   }
   return [
     ...applyObjects(state, changes, at, source.peer.name),
--- a/src/gateway/readers/refresh-outdated.ts
+++ b/src/gateway/readers/refresh-outdated.ts
@@ -16,11 +16,11 @@
  * that it follows are removed, so that it follows them again and judges them only by updates after the pause.
  */
 export const refreshOutdated = (state: GatewayState, at: number): GatewayEffect[] => {
-  const { outdated, reading, store } = state;
-  if (outdated === undefined || outdated.askedAt !== undefined) {
+  const { pauseRecovery: outdated, reading, store } = state;
+  if (outdated === undefined || outdated.requestedAt !== undefined) {
     return [];
   }
-  outdated.askedAt = at;
+  outdated.requestedAt = at;
   reading.sources.clear();
   return reading.isReading && store.reachable ? relistAll(state) : [];
 };
--- a/src/gateway/readers/update-reading.ts
+++ b/src/gateway/readers/update-reading.ts
@@ -8,10 +8,10 @@
 import type { BeliefChange } from '../log/log-event.js';
 import type { PeerRecord } from '../model/peer-record.js';
 import { expireUnconfirmed } from '../returns/unconfirmed.js';
-import { collectionsOf, type GatewayState, isInformed } from '../state.js';
+import { collectionsOf, type GatewayState, canServe } from '../state.js';
 import { resumeCollections } from '../store/apply-collections.js';
 import { stopFollowing } from '../store/follow-collection.js';
-import { probeIfWanted } from '../store/probe-store.js';
+import { probeIfNeeded } from '../store/probe-store.js';
 import { refreshOutdated } from './refresh-outdated.js';
 import { readerCandidates, seedCandidates } from './candidates.js';
 import { followTiming, type Source } from './reading-state.js';
@@ -98,7 +98,7 @@
   const isRosterKnown = gatewaysSettled || !isAlone(state);
   if (isRosterKnown) {
     const candidates = readerCandidates(state, at);
-    const isEarly = at < reading.followFrom && isInformed(state);
+    const isEarly = at < reading.followFrom && canServe(state);
     return isEarly && candidates[0]?.name !== state.settings.node
       ? undefined
       : chooseFromCandidates(state, candidates, at);
@@ -167,13 +167,13 @@
   const isEnding = state.phase === 'stopping' || state.phase === 'ended';
   const choice = isEnding ? undefined : chooseReaders(state, at);
   if (choice === undefined) {
-    return [...probeIfWanted(state), ...publishStatus(state, at)];
+    return [...probeIfNeeded(state), ...publishStatus(state, at)];
   }
   const shouldRead = choice.shouldRead || state.reading.followers.size > 0;
   return [
     ...updateSources(state, choice.follow, at),
     ...setReading(state, shouldRead),
-    ...probeIfWanted(state),
+    ...probeIfNeeded(state),
     ...publishStatus(state, at),
   ];
 };
--- a/src/gateway/reducer.ts
+++ b/src/gateway/reducer.ts
@@ -6,8 +6,8 @@
 import { handleCrashUpdates, handleCrashUpdatesDue } from './crashes/publish-crashes.js';
 import type { GatewayEffect } from './effect.js';
 import type { GatewayEvent, Started } from './event.js';
-import { beginStop, continueStop, updateReadiness } from './lifecycle.js';
-import { takeRegistrationDue } from './peers/follow-gateways.js';
+import { handleStopRequested, handleStopDue, updateReadiness } from './lifecycle.js';
+import { handleRegistrationDue } from './peers/follow-gateways.js';
 import { handleReaderUpdate } from './readers/handle-reader-update.js';
 import { handleFollowerJoined, handleFollowerLeft } from './readers/publish-to-followers.js';
 import {
@@ -35,27 +35,27 @@
   handleRequestDue,
   handleAttemptEnded,
 } from './requests/attempt-result.js';
-import { endStandstill, takeStoodStill } from './standstill.js';
+import { finishPauseRecovery, handleProcessPaused } from './process-pause.js';
 import type { GatewayState } from './state.js';
 import {
   listCollections,
-  takeChanges,
-  takeCollectionDue,
-  takePage,
-  takeStoreFailure,
+  handleChangesRead,
+  handleCollectionDue,
+  handlePageRead,
+  handleStoreCallFailed,
 } from './store/apply-collections.js';
 import type { CollectionName } from './store/collection.js';
-import { takeProbe, takeProbeDue } from './store/probe-store.js';
+import { handleProbeEnded, handleProbeDue } from './store/probe-store.js';
 import type { StoreEra } from './store/store-position.js';
 
-const start = (state: GatewayState, { at }: Started): GatewayEffect[] => {
+const handleStarted = (state: GatewayState, { at }: Started): GatewayEffect[] => {
   state.startedAt = at;
   state.reading.followFrom = at + state.random.next() * FOLLOW_SPREAD_MS;
   return [...listCollections(state), ...handleReadingDue(state, at)];
 };
 
 /** Takes note of the era that an answer of the store names. */
-const noteStoreEra = (
+const recordStoreEra = (
   state: GatewayState,
   { era, at }: { readonly era?: StoreEra; readonly at: number },
   collection?: CollectionName,
@@ -67,7 +67,7 @@
   });
 
 /** What follows when more of the store is known, wherever it came from. */
-const useKnowledge = (state: GatewayState, at: number): GatewayEffect[] => [
+const resumeAfterStoreUpdate = (state: GatewayState, at: number): GatewayEffect[] => [
   ...routeHeldRequests(state, at),
   ...preconnectReplicas(state),
   ...updateReadiness(state),
@@ -76,10 +76,10 @@
 
 const dispatch = (state: GatewayState, event: GatewayEvent): GatewayEffect[] =>
   match(event)
-    .with({ type: 'started' }, (started) => start(state, started))
-    .with({ type: 'stood-still' }, (stood) => takeStoodStill(state, stood))
-    .with({ type: 'stop-requested' }, (stop) => beginStop(state, stop))
-    .with({ type: 'stop-due' }, (due) => continueStop(state, due))
+    .with({ type: 'started' }, (started) => handleStarted(state, started))
+    .with({ type: 'stood-still' }, (stood) => handleProcessPaused(state, stood))
+    .with({ type: 'stop-requested' }, (stop) => handleStopRequested(state, stop))
+    .with({ type: 'stop-due' }, (due) => handleStopDue(state, due))
     .with({ type: 'settings-reloaded' }, ({ settings }) => {
       state.settings = settings;
       return [];
@@ -96,29 +96,29 @@
     ])
     .with({ type: 'request-due' }, (due) => handleRequestDue(state, due))
     .with({ type: 'page-read' }, (read) => [
-      ...noteStoreEra(state, read, read.page.collection),
-      ...takePage(state, read),
-      ...useKnowledge(state, read.at),
+      ...recordStoreEra(state, read, read.page.collection),
+      ...handlePageRead(state, read),
+      ...resumeAfterStoreUpdate(state, read.at),
     ])
     .with({ type: 'changes-read' }, (read) => [
-      ...noteStoreEra(state, read, read.changes.collection),
-      ...takeChanges(state, read),
-      ...useKnowledge(state, read.at),
+      ...recordStoreEra(state, read, read.changes.collection),
+      ...handleChangesRead(state, read),
+      ...resumeAfterStoreUpdate(state, read.at),
     ])
     .with({ type: 'store-call-failed' }, (failed) => [
-      ...noteStoreEra(state, failed, failed.collection),
-      ...takeStoreFailure(state, failed),
+      ...recordStoreEra(state, failed, failed.collection),
+      ...handleStoreCallFailed(state, failed),
       ...refuseAllHeldRequests(state, failed.at),
     ])
-    .with({ type: 'collection-due' }, (due) => takeCollectionDue(state, due))
-    .with({ type: 'probe-due' }, () => takeProbeDue(state))
+    .with({ type: 'collection-due' }, (due) => handleCollectionDue(state, due))
+    .with({ type: 'probe-due' }, () => handleProbeDue(state))
     .with({ type: 'probe-ended' }, (ended) => [
-      ...noteStoreEra(state, ended),
-      ...takeProbe(state, ended.answered, ended.at),
+      ...recordStoreEra(state, ended),
+      ...handleProbeEnded(state, ended.answered, ended.at),
       ...refuseAllHeldRequests(state, ended.at),
       ...updateReading(state, ended.at),
     ])
-    .with({ type: 'registration-due' }, (due) => takeRegistrationDue(state, due))
+    .with({ type: 'registration-due' }, (due) => handleRegistrationDue(state, due))
     .with({ type: 'reading-due' }, ({ at }) => handleReadingDue(state, at))
     .with({ type: 'follower-joined' }, (joined) => [
       ...handleFollowerJoined(state, joined),
@@ -130,7 +130,7 @@
     })
     .with({ type: 'reader-told' }, (told) => [
       ...handleReaderUpdate(state, told),
-      ...useKnowledge(state, told.at),
+      ...resumeAfterStoreUpdate(state, told.at),
     ])
     .with({ type: 'subquery-received' }, (received) => handleSubqueryReceived(state, received))
     .with({ type: 'subquery-cancelled' }, (cancelled) => handleSubqueryCancelled(state, cancelled))
@@ -155,5 +155,7 @@
     return handleAttemptEnded(state, event);
   }
   const effects = dispatch(state, event);
-  return state.outdated === undefined ? effects : [...effects, ...endStandstill(state, event.at)];
+  return state.pauseRecovery === undefined
+    ? effects
+    : [...effects, ...finishPauseRecovery(state, event.at)];
 };
--- a/src/gateway/requests/accept-subquery.ts
+++ b/src/gateway/requests/accept-subquery.ts
@@ -81,7 +81,7 @@
 ): GatewayEffect[] => {
   const { call, fingerprint, subquery, at } = event;
   const isServing = state.phase === 'starting' || state.phase === 'serving';
-  if (!isServing || !state.replicasListed || state.outdated !== undefined) {
+  if (!isServing || !state.replicasListed || state.pauseRecovery !== undefined) {
     return [{ type: 'refuse-subquery', call }];
   }
   if (isBlockedHere(state, event)) {
--- a/src/gateway/requests/check-subqueries.ts
+++ b/src/gateway/requests/check-subqueries.ts
@@ -3,7 +3,7 @@
 import type { BeliefChange } from '../log/log-event.js';
 import { trace } from '../log/trace.js';
 import type { PeerProblem } from '../model/subquery.js';
-import { noteDelay, usualPatience } from '../delay-estimate.js';
+import { recordDelay, overdueAfterMs } from '../delay-estimate.js';
 import type { GatewayState } from '../state.js';
 import { type ActiveRequest, type ActiveSubquery, openLegsOf } from './request-state.js';
 import { sendLegs } from './send-legs.js';
@@ -35,8 +35,7 @@
   ).length;
   const { receivedAt, route, acknowledgedSubqueries } = request;
   const waitMs = Math.max(
-    route.objectiveMs * MOSTLY_SILENT_WAIT_SHARE,
-    usualPatience(state.feederDelay),
+    route.objectiveMs * MOSTLY_SILENT_WAIT_SHARE, overdueAfterMs(state.feederDelay),
   );
   return acknowledgedSubqueries >= silent || at >= receivedAt + waitMs;
 };
@@ -104,7 +103,7 @@
     subquery.acknowledgeBy = at + RECHECK_DELAY_MS;
     return [];
   }
-  noteDelay(state.feederDelay, at - subquery.sentAt);
+  recordDelay(state.feederDelay, at - subquery.sentAt);
   return [
     ...suspectPeer(state, subquery.peer, 'unacknowledged', at),
     ...moveLegs(state, request, subquery, true, at),
--- a/src/gateway/requests/hedge-legs.ts
+++ b/src/gateway/requests/hedge-legs.ts
@@ -1,6 +1,6 @@
 /** Hedges slow legs of a request with second attempts. */
 import type { GatewayEffect } from '../effect.js';
-import { slowdownNow } from '../replicas/replica.js';
+import { currentSlowdown } from '../replicas/replica.js';
 import type { GatewayState } from '../state.js';
 import { latencyOf, sendAttempt } from './attempts.js';
 import { guardOf } from './guard.js';
@@ -32,7 +32,7 @@
   at: number,
 ): number => {
   const known = state.replicas.find(replica);
-  const slowdown = known === undefined ? 1 : slowdownNow(known, at);
+  const slowdown = known === undefined ? 1 : currentSlowdown(known, at);
   return Math.max(slowdown, (at - sentAt) / usualMs);
 };
 
--- a/src/gateway/requests/hold-request.ts
+++ b/src/gateway/requests/hold-request.ts
@@ -7,7 +7,7 @@
 import type { GatewayEffect } from '../effect.js';
 import type { RequestReceived } from '../event.js';
 import type { CallId } from '../model/request.js';
-import { collectionsOf, type GatewayState, isInformed } from '../state.js';
+import { collectionsOf, type GatewayState, canServe } from '../state.js';
 import type { CollectionName } from '../store/collection.js';
 import { refuseCall } from './finish.js';
 import { retryAfterUnrouted } from './retry-after.js';
@@ -29,7 +29,7 @@
  * unconfirmed after a process pause: a gateway that finds the store failing then resumes with the knowledge that it has.
  */
 const isStoreFailing = (state: GatewayState): boolean =>
-  state.outdated === undefined &&
+  state.pauseRecovery === undefined &&
   (!state.store.reachable ||
     collectionsOf(state)
       .filter(isRequired)
@@ -66,6 +66,6 @@
 
 /** Refuses all held requests once the store has failed. */
 export const refuseAllHeldRequests = (state: GatewayState, at: number): GatewayEffect[] =>
-  isInformed(state) || !isStoreFailing(state)
+  canServe(state) || !isStoreFailing(state)
     ? []
     : [...state.held.keys()].flatMap((call) => refuseHeldRequest(state, call, at));
--- a/src/gateway/requests/subquery-result.ts
+++ b/src/gateway/requests/subquery-result.ts
@@ -10,7 +10,7 @@
 import type { BeliefChange } from '../log/log-event.js';
 import { trace } from '../log/trace.js';
 import type { SubqueryId, SubqueryPart } from '../model/subquery.js';
-import { noteDelay } from '../delay-estimate.js';
+import { recordDelay } from '../delay-estimate.js';
 import { recordServedRequest } from '../crashes/update-history.js';
 import type { GatewayState } from '../state.js';
 import { progressHeldRequests } from './broken-attempts.js';
@@ -39,7 +39,7 @@
   if (subquery.acknowledgeBy !== undefined) {
     subquery.acknowledgeBy = undefined;
     request.acknowledgedSubqueries += 1;
-    noteDelay(state.feederDelay, at - subquery.sentAt);
+    recordDelay(state.feederDelay, at - subquery.sentAt);
   }
 };
 
--- a/src/gateway/store/apply-collections.ts
+++ b/src/gateway/store/apply-collections.ts
@@ -1,17 +1,17 @@
-/** Takes what calls to the store returned, and makes the next ones. */
+/** Handles the results of calls to the store and issues the next calls. */
 import type { GatewayEffect } from '../effect.js';
 import type { ChangesRead, CollectionDue, PageRead, StoreCallFailed } from '../event.js';
 import type { BeliefChange } from '../log/log-event.js';
 import {
   registerIfMissing,
-  spreadRegistration,
-  takeGatewaysList,
+  delayRegistration,
+  handleGatewaysListed,
 } from '../peers/follow-gateways.js';
 import { publishChanges, publishNamed } from '../readers/publish-to-followers.js';
 import { keepUnlisted, withholdOlder } from '../returns/cross-era.js';
 import { completeRestore } from '../returns/record-era.js';
 import { collectionsOf, type GatewayState } from '../state.js';
-import { applyObjects, applyWholeList, forgetGoneReplicas } from './apply-objects.js';
+import { applyObjects, removeUnlistedObjects, forgetGoneReplicas } from './apply-objects.js';
 import type { CollectionName } from './collection.js';
 import {
   beginList,
@@ -20,35 +20,35 @@
   endSupersededList,
   followNow,
   isListSuperseded,
-  isListTorn,
+  hasListMixedEras,
   isOfEarlierEra,
   isSuperseded,
-  listAgain,
+  restartList,
   listStale,
-  notePage,
+  recordPage,
   positionOf,
-  takeUntold,
-  watchAgain,
+  takePendingNames,
+  scheduleNextWatch,
 } from './follow-collection.js';
-import { type CallFailure, isWatched, noteFailure } from './note-failure.js';
-import { changedNames, unlistedNames, withAwaited } from './list-changes.js';
+import { type CallFailure, isWatched, recordFailure } from './record-failure.js';
+import { changedNames, unlistedNames, withMissing } from './list-changes.js';
 import { compareEras, type StorePosition } from './store-position.js';
 
-/** Lists all collections once, from a copy that may be old. */
+/** Lists all collections once, with reads that may be stale. */
 export const listCollections = (state: GatewayState): GatewayEffect[] =>
   collectionsOf(state).map((name) => listStale(state.collections[name]));
 
-/** A collection that was listed is followed at the store only by gateways that read it. */
+/** Starts watching a listed collection, on gateways that read the store. */
 const continueAfterList = (
   { reading, store }: GatewayState,
   progress: CollectionProgress,
 ): GatewayEffect[] => (reading.isReading ? [followNow(progress, store.era)] : []);
 
 /**
- * A list that a reader's news have superseded ends: what it lacks may be new, and what it holds may be old. Followers have
- * been told by then all that it changed.
+ * Discards a list that a reader's updates have superseded: objects that it lacks may be new, and objects that it holds may
+ * be outdated. Followers have already received everything that the list changed.
  */
-const dropList = (
+const discardList = (
   state: GatewayState,
   progress: CollectionProgress,
   { page: { revision }, era }: PageRead,
@@ -69,58 +69,63 @@
 };
 
 /** Handles `page-read`. */
-export const takePage = (state: GatewayState, read: PageRead): GatewayEffect[] => {
+export const handlePageRead = (state: GatewayState, read: PageRead): GatewayEffect[] => {
   const { page, at, era = state.store.era } = read;
   const { revision } = page;
   const progress = state.collections[page.collection];
-  if (isListTorn(progress, era)) {
-    return [listAgain(progress)];
+  if (hasListMixedEras(progress, era)) {
+    return [restartList(progress)];
   }
   if (isSuperseded(progress, { era, revision })) {
-    return dropList(state, progress, read);
+    return discardList(state, progress, read);
   }
-  changedNames(state, page).forEach((name) => progress.untold.add(name));
-  const hasReturned = isOfEarlierEra(progress, era);
+  changedNames(state, page).forEach((name) => progress.pendingNames.add(name));
+  const isNewEra = isOfEarlierEra(progress, era);
   const applied = applyObjects(state, withholdOlder(state, page, at), at, 'store');
   if (isListSuperseded(progress, era)) {
-    return [...applied, ...dropList(state, progress, read)];
+    return [...applied, ...discardList(state, progress, read)];
   }
   const before = positionOf(progress);
   const names = page.objects.map(({ name }) => name);
-  const listed = notePage(progress, names, { ...page, era }, at);
+  const listed = recordPage(progress, names, { ...page, era }, at);
   return listed === undefined
     ? [...applied, callNow(progress)]
-    : [...applied, ...takeList(state, progress, { listed, hasReturned, before }, at)];
+    : [...applied, ...handleListComplete(state, progress, { listed, isNewEra, before }, at)];
 };
 
-/** A list that has been read to its end. */
-interface ReadList {
+/** A list whose last page has been read. */
+interface CompleteList {
   readonly listed: ReadonlySet<string>;
-  /** It is the first one since the store has returned from a copy. */
-  readonly hasReturned: boolean;
-  /** Up to where the collection was known before. */
+  /** It is the first complete list since the store was restored from a backup. */
+  readonly isNewEra: boolean;
+  /** Position up to which the collection was known before the list. */
   readonly before: StorePosition | undefined;
 }
 
-const takeList = (
+const handleListComplete = (
   state: GatewayState,
   progress: CollectionProgress,
-  { listed, hasReturned, before }: ReadList,
+  { listed, isNewEra, before }: CompleteList,
   at: number,
 ): GatewayEffect[] => {
   const { collection } = progress;
   const unlisted = unlistedNames(
     state,
     collection,
-    hasReturned ? listed : withAwaited(state, collection, listed),
+    isNewEra ? listed : withMissing(state, collection, listed),
   );
-  const changed = takeUntold(progress, unlisted);
-  if (hasReturned) {
+  const changed = takePendingNames(progress, unlisted);
+  if (isNewEra) {
     keepUnlisted(state, collection, listed, at);
-    spreadRegistration(state, collection, at);
+    delayRegistration(state, collection, at);
   }
-  const removed = applyWholeList(state, collection, withAwaited(state, collection, listed), at);
-  const settled = collection === 'gateways' ? takeGatewaysList(state, at) : [];
+  const removed = removeUnlistedObjects(
+    state,
+    collection,
+    withMissing(state, collection, listed),
+    at,
+  );
+  const settled = collection === 'gateways' ? handleGatewaysListed(state, at) : [];
   return [
     ...removed,
     ...publishNamed(state, collection, changed, before, at),
@@ -131,23 +136,23 @@
 };
 
 /**
- * Handles `changes-read`. A reader may have told later changes meanwhile: what a watch returns is dropped
- * unless it goes further. A watch from an earlier era does not tell what the store has written under revisions that it
- * gave out before: the collection is listed.
+ * Handles `changes-read`. A reader may have sent later changes in the meantime, so the result of a watch is discarded
+ * unless its revision is higher. After an era change the collection is listed instead: the restored store assigns revisions
+ * again that it had assigned before, and a watch that began in the earlier era misses what was written under them.
  */
-export const takeChanges = (state: GatewayState, read: ChangesRead): GatewayEffect[] => {
+export const handleChangesRead = (state: GatewayState, read: ChangesRead): GatewayEffect[] => {
   const { changes, at, era = state.store.era } = read;
   const progress = state.collections[changes.collection];
   if (compareEras(era, progress.era) !== 0) {
     return [followNow(progress, state.store.era)];
   }
   const { revision: known = Number.NEGATIVE_INFINITY } = progress;
-  const isNews = changes.revision > known;
+  const isNewer = changes.revision > known;
   progress.failures = 0;
-  if (isNews) {
+  if (isNewer) {
     progress.revision = changes.revision;
   }
-  const effects = isNews
+  const effects = isNewer
     ? [
         ...applyObjects(state, changes, at, 'store'),
         ...publishChanges(state, changes, { era, revision: known }, at),
@@ -159,15 +164,15 @@
     ...effects,
     ...forgetGoneReplicas(state, at),
     ...(changes.collection === 'gateways' ? registerIfMissing(state, at) : []),
-    watchAgain(progress, hasChanges, state.settings.bounds, at),
+    scheduleNextWatch(progress, hasChanges, state.settings.bounds, at),
   ];
 };
 
 /**
- * Handles `store-call-failed`. While the store is out of reach it is only probed: each call costs, and
- * the collections are followed again with the first probe that is answered.
+ * Handles `store-call-failed`. While the store is unreachable it is only probed, since each call is paid for. Calls for the
+ * collections resume after the first successful probe.
  */
-export const takeStoreFailure = (
+export const handleStoreCallFailed = (
   state: GatewayState,
   { collection, problem, detail, at }: StoreCallFailed,
 ): GatewayEffect[] => {
@@ -176,13 +181,13 @@
   const change: BeliefChange = { event: 'store-call-failed', collection, problem, detail };
   const log: GatewayEffect = { type: 'write-log', level: 'warn', part: 'store', change };
   const failure = failureOf(state, problem);
-  const next = noteFailure(progress, failure, state.random, at);
-  if (failure === 'away') {
+  const next = recordFailure(progress, failure, state.random, at);
+  if (failure === 'unreachable') {
     return [log];
   }
-  const again = next.at <= at ? [callNow(progress)] : callAt([collection], next.at);
+  const again = next.at <= at ? [callNow(progress)] : setCollectionTimers([collection], next.at);
   const relisted = next.relistsOthers ? relistOthers(state, collection) : [];
-  return [log, ...again, ...callAt(relisted, next.at)];
+  return [log, ...again, ...setCollectionTimers(relisted, next.at)];
 };
 
 const failureOf = ({ store }: GatewayState, problem: StoreCallFailed['problem']): CallFailure => {
@@ -190,17 +195,17 @@
     return 'history-gone';
   }
   if (!store.reachable) {
-    return 'away';
+    return 'unreachable';
   }
-  return problem === 'no-answer' ? 'cut' : 'refused';
+  return problem === 'no-answer' ? 'no-answer' : 'refused';
 };
 
-const callAt = (collections: readonly CollectionName[], at: number): GatewayEffect[] =>
+const setCollectionTimers = (collections: readonly CollectionName[], at: number): GatewayEffect[] =>
   collections.map((collection) => ({ type: 'set-collection-timer', collection, at }));
 
 /**
- * What cut a watch, or dropped the history, has mostly done so to the watches of all collections: one that was
- * made meanwhile waits as if nothing had happened.
+ * Lists the other watched collections as well. The fault that broke one watch, or discarded the store's history, mostly
+ * affects the watches of all collections, and a watch that was opened during the fault waits without reporting an error.
  */
 const relistOthers = (state: GatewayState, failed: CollectionName): readonly CollectionName[] => {
   const { collections, reading } = state;
@@ -211,12 +216,12 @@
   return others;
 };
 
-/** Whether this gateway calls the store for a collection: it reads, or has not listed it yet. */
-const isWanted = ({ reading }: GatewayState, { isListed }: CollectionProgress): boolean =>
+/** Whether this gateway calls the store for a collection: it reads the store, or has not listed the collection yet. */
+const isCallNeeded = ({ reading }: GatewayState, { isListed }: CollectionProgress): boolean =>
   reading.isReading || !isListed;
 
 /** Handles `collection-due`. */
-export const takeCollectionDue = (
+export const handleCollectionDue = (
   state: GatewayState,
   { collection }: CollectionDue,
 ): GatewayEffect[] => {
@@ -227,14 +232,14 @@
   if (collection === 'gateways' && !state.gatewaysSettled) {
     return [listStale(progress)];
   }
-  return isWanted(state, progress) ? [callNow(progress)] : [];
+  return isCallNeeded(state, progress) ? [callNow(progress)] : [];
 };
 
-/** Makes the calls again that were lost while the store was out of reach. */
+/** Repeats the calls that were lost while the store was unreachable. */
 export const resumeCollections = (state: GatewayState): GatewayEffect[] =>
   collectionsOf(state)
     .map((name) => state.collections[name])
-    .filter((progress) => isWanted(state, progress))
+    .filter((progress) => isCallNeeded(state, progress))
     .map((progress) =>
       state.reading.isReading ? followNow(progress, state.store.era) : callNow(progress),
     );
--- a/src/gateway/store/apply-objects.ts
+++ b/src/gateway/store/apply-objects.ts
@@ -1,10 +1,10 @@
-/** Takes objects of the store, however they came: configurations, replicas and gateways. */
+/** Applies objects of the store to the state, whether they come from the store itself or from a reader. */
 import type { GatewayEffect } from '../effect.js';
 import type { BeliefChange, ReplicaState } from '../log/log-event.js';
 import type { Evacuation } from '../model/evacuation.js';
 import type { PeerRecord } from '../model/peer-record.js';
 import { type GatewayConfiguration, shardsOf } from '../model/route.js';
-import { isOtherStart, type ReplicaRecord } from '../model/replica-record.js';
+import { isOtherIncarnation, type ReplicaRecord } from '../model/replica-record.js';
 import type { Replica } from '../replicas/replica.js';
 import { RouteTable } from '../routing/route-table.js';
 import type { Departure } from '../returns/restore-state.js';
@@ -15,10 +15,10 @@
 import { logUnreadable } from './log-unreadable.js';
 import type { Stored, StoreObjects } from './store-objects.js';
 
-/** Gone replicas are forgotten after this part of the time for which they still serve. */
-const FORGET_SHARE = 0.5;
+/** Gone replicas are removed after this fraction of the drain time, in which they still serve. */
+const GONE_RETENTION_SHARE = 0.5;
 
-const forgetOldRoutes = (state: GatewayState, configuration: GatewayConfiguration): void => {
+const removeUnusedRouteState = (state: GatewayState, configuration: GatewayConfiguration): void => {
   for (const service of state.pauseOutcomes.keys()) {
     if (!configuration.services.has(service)) {
       state.pauseOutcomes.delete(service);
@@ -34,7 +34,7 @@
   }
 };
 
-/** Puts a configuration in force unless it is older than the one that is. */
+/** Puts a configuration into force if its version is higher than that of the current one. */
 const applyConfiguration = (
   state: GatewayState,
   configuration: GatewayConfiguration,
@@ -56,7 +56,7 @@
   };
   const shards = shardsOf(configuration.routes);
   state.inForce = { configuration, table: new RouteTable(configuration.routes), shards, since: at };
-  forgetOldRoutes(state, configuration);
+  removeUnusedRouteState(state, configuration);
   return [
     { type: 'apply-limits', limits: configuration.limits },
     { type: 'write-log', level: 'info', part: 'configuration', change },
@@ -73,8 +73,11 @@
   return replica.record.draining ? 'draining' : 'listed';
 };
 
-/** Notes what has gone, or is there again, for a copy of the store that brings it back. */
-const noteDeparture = (
+/**
+ * Records when an object was removed, and deletes the record when it is listed again. A store that is restored from a backup
+ * may list removed objects again.
+ */
+const recordDeparture = (
   departures: Map<string, Departure>,
   name: string,
   hasGone: boolean,
@@ -88,7 +91,7 @@
   }
 };
 
-/** Takes what the store says of one replica; returns what that changes. */
+/** Applies the store's entry of one replica; returns the change of its state, if any. */
 const applyReplica = (
   { replicas, returns }: GatewayState,
   { name, gone, value }: Stored<ReplicaRecord>,
@@ -104,32 +107,32 @@
   }
   const replica = replicas.find(name);
   const after = stateOf(replica);
-  noteDeparture(returns.departedReplicas, name, gone, at, replica?.record.bornAt);
+  recordDeparture(returns.departedReplicas, name, gone, at, replica?.record.bornAt);
   return replica === undefined || after === undefined || after === before
     ? []
     : [{ replica: name, service: replica.record.service, state: after }];
 };
 
-/** A replica has started again: what the one before was at has ended, and so have the connections to it. */
-const endEarlierStart = (
+/** Ends the attempts at the previous incarnation of a replica that has restarted, and closes the connections to it. */
+const endEarlierIncarnation = (
   state: GatewayState,
   { name, value }: Stored<ReplicaRecord>,
   at: number,
 ): GatewayEffect[] => {
   const known = state.replicas.find(name);
-  if (known === undefined || value === undefined || !isOtherStart(value, known.record)) {
+  if (known === undefined || value === undefined || !isOtherIncarnation(value, known.record)) {
     return [];
   }
   return [...applyReplicaCrash(state, name, at), { type: 'close-replica', replica: name }];
 };
 
-/** Takes what the store says of replicas. The first list is not logged as changes. */
+/** Applies replica entries. The first list is not logged as changes. */
 const applyReplicas = (
   state: GatewayState,
   objects: readonly Stored<ReplicaRecord>[],
   at: number,
 ): GatewayEffect[] => {
-  const ended = objects.flatMap((object) => endEarlierStart(state, object, at));
+  const ended = objects.flatMap((object) => endEarlierIncarnation(state, object, at));
   const changes = objects.flatMap((object) => applyReplica(state, object, at));
   return [...ended, ...(state.replicasListed ? logReplicaChanges(changes) : [])];
 };
@@ -144,7 +147,7 @@
   return value === undefined ? peers.putUnreadable(name) : peers.put(value);
 };
 
-/** Takes an order about a zone; its replicas get requests again once the order is gone. */
+/** Applies an evacuation order. The zone's replicas receive requests again once the order is gone. */
 const applyEvacuation = (
   { evacuatedZones, returns }: GatewayState,
   { name: zone, gone }: Stored<Evacuation>,
@@ -153,7 +156,7 @@
   if (gone !== evacuatedZones.has(zone)) {
     return [];
   }
-  noteDeparture(returns.reopenedZones, zone, gone, at);
+  recordDeparture(returns.reopenedZones, zone, gone, at);
   if (gone) {
     evacuatedZones.delete(zone);
   } else {
@@ -163,7 +166,7 @@
   return [{ type: 'write-log', level: 'info', part: 'replica', change }];
 };
 
-/** Counts the gateways; before all are listed, no fewer than were assumed. */
+/** Updates the number of gateways. It does not fall below the assumed number before all gateways are listed. */
 export const countGateways = (state: GatewayState): GatewayEffect[] => {
   const previous = state.gateways;
   const least = state.gatewaysSettled ? 1 : previous;
@@ -176,9 +179,10 @@
 };
 
 /**
- * Takes objects of a collection.
+ * Applies objects of a collection to the state.
  *
- * @param from - who told them: `store`, or the name of a reader
+ * @param at - time on the gateway's clock, in milliseconds
+ * @param from - source of the objects: `store`, or the name of a reader
  */
 export const applyObjects = (
   state: GatewayState,
@@ -230,8 +234,8 @@
   return [{ type: 'write-log', level: 'info', part: 'replica', change }];
 };
 
-/** What was not taken as older than what is known, and is not in the store any more, has gone for good. */
-const forgetUnlisted = (
+/** Discards unconfirmed objects that were kept apart as older than the known ones and that the store no longer lists. */
+const discardUnlistedUnconfirmed = (
   { returns }: GatewayState,
   collection: CollectionName,
   listed: ReadonlySet<string>,
@@ -242,14 +246,14 @@
     .forEach(([name]) => unconfirmed.delete(name));
 };
 
-/** Objects that a complete list does not hold are gone. */
-export const applyWholeList = (
+/** Marks all known objects as gone that a complete list does not contain. */
+export const removeUnlistedObjects = (
   state: GatewayState,
   collection: CollectionName,
   listed: ReadonlySet<string>,
   at: number,
 ): GatewayEffect[] => {
-  forgetUnlisted(state, collection, listed);
+  discardUnlistedUnconfirmed(state, collection, listed);
   switch (collection) {
     case 'configuration':
       return [];
@@ -268,9 +272,9 @@
   }
 };
 
-/** Forgets replicas that have been gone for long, and closes the connections to them. */
+/** Removes replicas whose retention time after leaving the store has passed, and closes the connections to them. */
 export const forgetGoneReplicas = (state: GatewayState, at: number): GatewayEffect[] => {
-  const before = at - state.settings.bounds.drainMs * FORGET_SHARE;
+  const before = at - state.settings.bounds.drainMs * GONE_RETENTION_SHARE;
   return state.replicas.forgetGone(before).map((replica): GatewayEffect => {
     state.unawaitedRuns.removeRuns(replica, at);
     return { type: 'close-replica', replica };
--- a/src/gateway/store/list-changes.ts
+++ b/src/gateway/store/list-changes.ts
@@ -1,6 +1,6 @@
 /**
- * What a list of a collection changes in what this gateway knows, by name. Gateways that follow it are told that
- * and no more: a list of a large fleet has hundreds of kilobytes.
+ * Determines by name which objects a list of a collection changes. Only these are sent to the followers of this gateway: a
+ * list of a large fleet has hundreds of kilobytes.
  */
 import { isSamePeerRecord, type PeerRecord } from '../model/peer-record.js';
 import { isSameReplicaRecord, type ReplicaRecord } from '../model/replica-record.js';
@@ -8,7 +8,10 @@
 import type { CollectionName } from './collection.js';
 import type { Stored, StoreObjects } from './store-objects.js';
 
-const changesReplica = ({ replicas }: GatewayState, { value }: Stored<ReplicaRecord>): boolean => {
+const isReplicaChanged = (
+  { replicas }: GatewayState,
+  { value }: Stored<ReplicaRecord>,
+): boolean => {
   const known = value && replicas.find(value.id);
   return (
     value !== undefined &&
@@ -18,7 +21,10 @@
   );
 };
 
-const changesGateway = ({ peers }: GatewayState, { name, value }: Stored<PeerRecord>): boolean => {
+const isGatewayChanged = (
+  { peers }: GatewayState,
+  { name, value }: Stored<PeerRecord>,
+): boolean => {
   const known = peers.find(name);
   return value === undefined || known === undefined || !isSamePeerRecord(known, value);
 };
@@ -27,13 +33,13 @@
   objects.map(({ name }) => name);
 
 /**
- * Names of the listed objects that are not known as they were read, or that have been kept apart since the store returned
- * from a copy: followers wait for these as well.
+ * Names of the listed objects that differ from the known ones, or that are unconfirmed since the store was restored from a
+ * backup: followers wait for the confirmation of these as well.
  */
 export const changedNames = (state: GatewayState, read: StoreObjects): readonly string[] => {
   const unconfirmed = state.returns.unconfirmed[read.collection];
-  const isAwaited = ({ name }: Stored<unknown>): boolean => unconfirmed.has(name);
-  return [...differingNames(state, read), ...namesOf(read.objects.filter(isAwaited))];
+  const isUnconfirmed = ({ name }: Stored<unknown>): boolean => unconfirmed.has(name);
+  return [...differingNames(state, read), ...namesOf(read.objects.filter(isUnconfirmed))];
 };
 
 const differingNames = (state: GatewayState, read: StoreObjects): readonly string[] => {
@@ -44,10 +50,10 @@
     }
     case 'replicas':
       return read.objects
-        .filter((object) => changesReplica(state, object))
+        .filter((object) => isReplicaChanged(state, object))
         .map(({ name, value }) => value?.id ?? name);
     case 'gateways':
-      return namesOf(read.objects.filter((object) => changesGateway(state, object)));
+      return namesOf(read.objects.filter((object) => isGatewayChanged(state, object)));
     case 'evacuations':
       return namesOf(read.objects.filter(({ name }) => !state.evacuatedZones.has(name)));
   }
@@ -68,8 +74,8 @@
   }
 };
 
-/** Names of what is known on though the store, since it has returned from a copy, does not list it. */
-export const awaitedNames = (
+/** Names of objects that stay known although the store, restored from a backup, does not list them. */
+export const missingNames = (
   { returns }: GatewayState,
   collection: CollectionName,
 ): readonly string[] =>
@@ -77,14 +83,14 @@
     .filter(([, { type }]) => type === 'missing')
     .map(([name]) => name);
 
-/** The listed names and those that are awaited. */
-export const withAwaited = (
+/** The listed names and the missing ones. */
+export const withMissing = (
   state: GatewayState,
   collection: CollectionName,
   listed: ReadonlySet<string>,
-): ReadonlySet<string> => new Set([...listed, ...awaitedNames(state, collection)]);
+): ReadonlySet<string> => new Set([...listed, ...missingNames(state, collection)]);
 
-/** Names that are known and that a complete list does not hold: these objects are gone. */
+/** Names of known objects that a complete list does not contain; these objects are gone. */
 export const unlistedNames = (
   state: GatewayState,
   collection: CollectionName,
