--- a/src/core/once/claim.ts
+++ b/src/core/once/claim.ts
@@ -10,7 +10,7 @@
 import type { NodeId, PartnerId, RequestId } from '../identifiers.js';
 import { chooseKeepers } from '../keepers/choose-keepers.js';
 import { findRoster, periodOf, wallTimeAt } from '../keepers/find-roster.js';
-import { continueClaimed } from '../query/continue-claimed.js';
+import { handleClaimVerdict } from '../query/handle-claim-verdict.js';
 import type { CoreState } from '../state.js';
 import { CLAIM_RESEND_MS, CLAIM_RESENDS, KEY_LEAD_MS, KEY_LIFETIME_MS } from './claim-timing.js';
 import { claimSubject, keepClaim, releaseKeptClaim } from './keep-claim.js';
@@ -76,7 +76,7 @@
   return [
     { type: 'cancel-timer', key: resendTimer(claim.request) },
     ...releaseClaim(state, claim, at),
-    ...continueClaimed(state, claim.request, verdict, at),
+    ...handleClaimVerdict(state, claim.request, verdict, at),
   ];
 };
 
@@ -85,7 +85,7 @@
   state.counters.claims_granted += 1;
   return [
     { type: 'cancel-timer', key: resendTimer(claim.request) },
-    ...continueClaimed(state, claim.request, 'granted', at),
+    ...handleClaimVerdict(state, claim.request, 'granted', at),
   ];
 };
 
@@ -121,7 +121,7 @@
 ): Effect[] => {
   const roster = findRoster(state, periodOf(key.createdAt));
   if (roster === undefined) {
-    return continueClaimed(state, request, 'owner-not-ready', at);
+    return handleClaimVerdict(state, request, 'owner-not-ready', at);
   }
   const claim: OwnClaim = {
     request,
@@ -148,7 +148,7 @@
 ): Effect[] => {
   const key = parseIdempotencyKey(idempotencyKey).toMaybe().extract();
   return key === undefined || !isTimely(state, key, at)
-    ? continueClaimed(state, request, 'key-invalid', at)
+    ? handleClaimVerdict(state, request, 'key-invalid', at)
     : beginClaim(state, request, partner, key, at);
 };
 
--- a/src/core/query/accept-query.ts
+++ b/src/core/query/accept-query.ts
@@ -11,9 +11,9 @@
 import type { ActiveQuery } from './active-query.js';
 import { buildQueryPlan } from './build-query-plan.js';
 import { createAnswerMerge } from './merge-answers.js';
-import { nextLookAt } from './hopeless-legs.js';
-import { observeRow } from './observations.js';
-import { hasRoom, noteStarted, retryAfter } from './overload-limit.js';
+import { nextCheckAt } from './unanswerable-legs.js';
+import { getRowObservation } from './observations.js';
+import { isBelowLimit, recordQueryStarted, chooseRetryDelay } from './overload-limit.js';
 import type { QueryPlan } from './query-plan.js';
 import type { QueryRequest, RefusalReason } from './query-request.js';
 import { createLeg, scatterQuery } from './scatter-query.js';
@@ -29,7 +29,7 @@
   return identifier<RequestId>(`${state.query.identifierPrefix}${number}`);
 };
 
-const refuseArrival = (
+const refuseRequest = (
   state: CoreState,
   event: QueryArrived,
   reason: RefusalReason,
@@ -63,7 +63,7 @@
 };
 
 /** Why the request cannot be taken, from the phase of the node and the form of the request alone. */
-const findRefusal = (
+const findRefusalReason = (
   state: CoreState,
   row: RouteRow | undefined,
   query: QueryRequest,
@@ -108,7 +108,7 @@
     request,
     call: event.call,
     row,
-    observed: observeRow(state.query.observations, row),
+    observed: getRowObservation(state.query.observations, row),
     query,
     startedAt: event.at,
     deadlineAt: event.at + Math.min(row.deadlineMs, query.deadlineMs ?? row.deadlineMs),
@@ -117,7 +117,7 @@
     context,
     legs: plan.shards.map(createLeg),
     merge: createAnswerMerge(row.merge, context.maxItems),
-    paused: [],
+    legsAwaitingRetry: [],
     contributed: 0,
     open: plan.shards.length,
     nearlyComplete: false,
@@ -134,11 +134,11 @@
 const startQuery = (state: CoreState, active: ActiveQuery, at: number, effects: Effect[]): void => {
   state.counters.queries_accepted += 1;
   state.query.inProgress += 1;
-  noteStarted(active.observed.overload);
+  recordQueryStarted(active.observed.overload);
   state.query.queries.set(active.request, active);
   state.query.requestOfCall.set(active.call, active.request);
   const key = { purpose: 'query-deadline', subject: active.request } as const;
-  effects.push({ type: 'set-timer', key, at: nextLookAt(active, at) });
+  effects.push({ type: 'set-timer', key, at: nextCheckAt(active, at) });
   if (active.phase === 'running') {
     scatterQuery(state, active, at, effects);
     return;
@@ -152,22 +152,22 @@
   const { query, at } = event;
   const { rows } = state.configuration.inForce;
   const row = rows.get(routeRowKey(query.partner, query.route, query.kind));
-  const refusal = findRefusal(state, row, query);
+  const refusal = findRefusalReason(state, row, query);
   if (refusal !== undefined || row === undefined) {
     const reason = refusal ?? 'unknown-route';
-    return refuseArrival(state, event, reason, retryAfterOf(reason));
+    return refuseRequest(state, event, reason, retryAfterOf(reason));
   }
   const plan = buildQueryPlan(state, row, query, at);
   if (plan.type === 'refuse') {
-    return refuseArrival(state, event, plan.reason);
+    return refuseRequest(state, event, plan.reason);
   }
-  const { overload } = observeRow(state.query.observations, row);
-  if (!hasRoom(overload)) {
-    return refuseArrival(state, event, 'overloaded', retryAfter(state.random));
+  const { overload } = getRowObservation(state.query.observations, row);
+  if (!isBelowLimit(overload)) {
+    return refuseRequest(state, event, 'overloaded', chooseRetryDelay(state.random));
   }
   const { admitted, retryAfterMs, effects } = admitQuery(state, row, at);
   if (!admitted) {
-    return [...effects, ...refuseArrival(state, event, 'over-limit', retryAfterMs)];
+    return [...effects, ...refuseRequest(state, event, 'over-limit', retryAfterMs)];
   }
   startQuery(state, createActiveQuery(state, event, row, plan), at, effects);
   return effects;
--- a/src/core/query/active-query.ts
+++ b/src/core/query/active-query.ts
@@ -59,7 +59,7 @@
   legs: LegState[];
   merge: AnswerMerge;
   /** Legs that wait for a pause before their next attempt. */
-  paused: LegState[];
+  legsAwaitingRetry: LegState[];
   contributed: number;
   /** Legs neither answered nor missing. */
   open: number;
--- a/src/core/query/build-query-plan.ts
+++ b/src/core/query/build-query-plan.ts
@@ -3,24 +3,24 @@
 import { type ConfigurationInForce, routeRowKey } from '../configuration/state.js';
 import { hash32 } from '../hash.js';
 import type { CoreState } from '../state.js';
-import { endpointOf, forgetReplicas, replicaKey } from './observations.js';
+import { endpointOf, removeUnpublishedReplicas, replicaKey } from './observations.js';
 import type { QueryPlan, SnapshotTargets } from './query-plan.js';
 import type { QueryRequest } from './query-request.js';
-import { LACKING_MS } from './replica-observation.js';
+import { SNAPSHOT_REFUSAL_VALID_MS } from './replica-observation.js';
 import { selectSnapshot } from './snapshot-targets.js';
 
 /** Seeds the hash that places keys on shards; apart from the one that ranks nodes. */
 const KEY_HASH_SEED = 7;
 
 /** Plans are derived again after this time: what replicas have refused is believed for a while. */
-const PLAN_VALID_MS = LACKING_MS / 2;
+const PLAN_VALID_MS = SNAPSHOT_REFUSAL_VALID_MS / 2;
 
 /** Has the plans derived again, because a replica has refused a snapshot. */
 export const invalidatePlans = (state: CoreState): void => {
   state.query.planCache.validUntil = 0;
 };
 
-const listPublished = (inForce: ConfigurationInForce): ReadonlySet<string> => {
+const listPublishedReplicas = (inForce: ConfigurationInForce): ReadonlySet<string> => {
   const published = new Set<string>();
   for (const [partner, services] of inForce.services) {
     for (const service of services.values()) {
@@ -37,7 +37,7 @@
   if (planCache.inForce !== inForce) {
     planCache.inForce = inForce;
     planCache.validUntil = 0;
-    forgetReplicas(observations, listPublished(inForce));
+    removeUnpublishedReplicas(observations, listPublishedReplicas(inForce));
   }
   if (planCache.validUntil <= at) {
     planCache.targets.clear();
--- a/src/core/query/finish-query.ts
+++ b/src/core/query/finish-query.ts
@@ -8,8 +8,8 @@
 import { cancelLegs } from '../replica/cancel-legs.js';
 import type { CoreState } from '../state.js';
 import type { ActiveQuery, AttemptRecord, LegState } from './active-query.js';
-import { noteEnded } from './overload-limit.js';
-import { recordHandedEnded } from './peer-observation.js';
+import { recordQueryEnded } from './overload-limit.js';
+import { recordAttemptAtPeerEnded } from './peer-observation.js';
 import { recordCancelled } from './record-outcome.js';
 import type {
   MissingReason,
@@ -56,7 +56,7 @@
 ): void => {
   const batches = new Map<NodeId, CancelBatch>();
   for (const record of records) {
-    endAttempt(state, record);
+    markAttemptEnded(state, record);
     recordCancelled(state, record, at);
     state.counters.attempts_cancelled += 1;
     const batch = batches.get(record.feeder.node);
@@ -77,11 +77,11 @@
 };
 
 /** Marks an attempt as ended; its record stays until its query ends, to tell doubled answers. */
-export const endAttempt = (state: CoreState, record: AttemptRecord): void => {
+export const markAttemptEnded = (state: CoreState, record: AttemptRecord): void => {
   record.ended = true;
   if (record.purpose !== 'probe') {
     record.leg.outstanding -= 1;
-    recordHandedEnded(state.query.peers, record.feeder.node);
+    recordAttemptAtPeerEnded(state.query.peers, record.feeder.node);
   }
 };
 
@@ -129,7 +129,7 @@
   state.query.queries.delete(request);
   state.query.requestOfCall.delete(call);
   state.query.inProgress -= 1;
-  noteEnded(query.observed.overload, at);
+  recordQueryEnded(query.observed.overload, at);
   effects.push(...releaseQuery(state, query.row, at));
   effects.push(...endClaim(state, request, outcome.type !== 'not-run', at));
   effects.push({ type: 'cancel-timer', key: { purpose: 'query-deadline', subject: request } });
@@ -202,8 +202,8 @@
   if (!query.legs.some(mayHaveRun)) {
     return describeNotRun(query, 'legs-refused');
   }
-  const doubtful = query.legs.some((leg) => leg.status !== 'answered' && mayHaveRun(leg));
-  return doubtful && !query.row.safeToRepeat
+  const hasUnknownLeg = query.legs.some((leg) => leg.status !== 'answered' && mayHaveRun(leg));
+  return hasUnknownLeg && !query.row.safeToRepeat
     ? describeUnknown(query)
     : describeAnswer(query, fallback);
 };
--- a/src/core/query/gather-answers.ts
+++ b/src/core/query/gather-answers.ts
@@ -4,7 +4,7 @@
 import type { NodeId } from '../identifiers.js';
 import type { CoreState } from '../state.js';
 import type { ActiveQuery, AttemptRecord, LegState } from './active-query.js';
-import { cancelAttempts, endAttempt, finishIfDone } from './finish-query.js';
+import { cancelAttempts, markAttemptEnded, finishIfDone } from './finish-query.js';
 import { hedgeWhenNearlyComplete } from './hedge-legs.js';
 import { recordAnswered, recordFailed } from './record-outcome.js';
 import { retryLegs } from './retry-legs.js';
@@ -15,7 +15,7 @@
 /** Legs of one query that need another attempt. */
 type FailedLegs = Map<ActiveQuery, LegState[]>;
 
-const countStray = (state: CoreState, result: LegResult): void => {
+const countUnmatched = (state: CoreState, result: LegResult): void => {
   if (result.attempt.startsWith(state.query.identifierPrefix)) {
     state.counters.answers_late += 1;
   } else {
@@ -31,7 +31,7 @@
 ): AttemptRecord | undefined => {
   const record = state.query.attempts.get(result.attempt);
   if (record === undefined) {
-    countStray(state, result);
+    countUnmatched(state, result);
     return undefined;
   }
   if (record.feeder.node !== from) {
@@ -46,7 +46,7 @@
 };
 
 /** Whether an answer is for this attempt's request, shard and snapshot; counts it if not. */
-const isOwnAnswer = (state: CoreState, record: AttemptRecord, answer: Answered): boolean => {
+const matchesAttempt = (state: CoreState, record: AttemptRecord, answer: Answered): boolean => {
   const { query, leg } = record;
   if (answer.request !== query.request || answer.shard !== leg.shard.shard) {
     state.counters.answers_foreign += 1;
@@ -60,10 +60,10 @@
 };
 
 /** Attempts to be called off once a leg is answered; probes are left to show what they find. */
-const listCallable = (leg: LegState): AttemptRecord[] =>
+const listCancellable = (leg: LegState): AttemptRecord[] =>
   leg.attempts.filter((record) => !record.ended && record.purpose !== 'probe');
 
-const takeAnswer = (
+const applyAnswer = (
   state: CoreState,
   record: AttemptRecord,
   answer: Answered,
@@ -80,7 +80,7 @@
   query.contributed += 1;
   query.merge.add(leg.index, answer.items);
   if (leg.attempts.length > 1) {
-    cancelAttempts(state, listCallable(leg), at, effects);
+    cancelAttempts(state, listCancellable(leg), at, effects);
   }
 };
 
@@ -97,7 +97,7 @@
   }
 };
 
-const takeFailure = (record: AttemptRecord, outcome: Failed, failed: FailedLegs): void => {
+const applyFailure = (record: AttemptRecord, outcome: Failed, failed: FailedLegs): void => {
   const { query, leg } = record;
   leg.reason = outcome.reason;
   if (outcome.type === 'unknown') {
@@ -115,7 +115,7 @@
 };
 
 /** Takes the end of a probe whose query has ended: it only tells of the replica. */
-const endLateProbe = (
+const handleLateProbeResult = (
   state: CoreState,
   record: AttemptRecord,
   result: LegResult,
@@ -126,7 +126,7 @@
   state.query.attempts.delete(record.attempt);
   if (outcome.type !== 'answered') {
     recordFailed(state, record, outcome, at, effects);
-  } else if (isOwnAnswer(state, record, outcome)) {
+  } else if (matchesAttempt(state, record, outcome)) {
     recordAnswered(state, record, result, outcome, at, effects);
   } else {
     recordFailed(state, record, BAD_ANSWER, at, effects);
@@ -145,36 +145,36 @@
   at: number,
   effects: Effect[],
 ): void => {
-  const touched = new Set<ActiveQuery>();
+  const updatedQueries = new Set<ActiveQuery>();
   const failed: FailedLegs = new Map();
   for (const result of results) {
     const record = findAwaited(state, from, result);
     if (record === undefined) {
       continue;
     }
-    endAttempt(state, record);
+    markAttemptEnded(state, record);
     const { outcome } = result;
     if (record.purpose === 'probe' && !state.query.queries.has(record.query.request)) {
-      endLateProbe(state, record, result, at, effects);
+      handleLateProbeResult(state, record, result, at, effects);
       continue;
     }
-    touched.add(record.query);
+    updatedQueries.add(record.query);
     if (outcome.type !== 'answered') {
       countFailure(state, outcome);
       recordFailed(state, record, outcome, at, effects);
-      takeFailure(record, outcome, failed);
-    } else if (isOwnAnswer(state, record, outcome)) {
+      applyFailure(record, outcome, failed);
+    } else if (matchesAttempt(state, record, outcome)) {
       recordAnswered(state, record, result, outcome, at, effects);
-      takeAnswer(state, record, outcome, at, effects);
+      applyAnswer(state, record, outcome, at, effects);
     } else {
       recordFailed(state, record, BAD_ANSWER, at, effects);
-      takeFailure(record, BAD_ANSWER, failed);
+      applyFailure(record, BAD_ANSWER, failed);
     }
   }
   for (const [query, legs] of failed) {
     retryLegs(state, query, legs, at, effects);
   }
-  for (const query of touched) {
+  for (const query of updatedQueries) {
     if (!finishIfDone(state, query, at, effects)) {
       hedgeWhenNearlyComplete(state, query, at, effects);
     }
--- a/src/core/query/continue-claimed.ts
+++ b/src/core/query/handle-claim-verdict.ts
@@ -7,14 +7,14 @@
 import type { RefusalReason } from './query-request.js';
 import { scatterQuery } from './scatter-query.js';
 
-const REASONS: Readonly<Record<Exclude<ClaimVerdict, 'granted'>, RefusalReason>> = {
+const REFUSAL_OF_VERDICT: Readonly<Record<Exclude<ClaimVerdict, 'granted'>, RefusalReason>> = {
   'already-claimed': 'already-claimed',
   'owner-not-ready': 'not-ready',
   'key-invalid': 'key-invalid',
 };
 
 /** Runs `request` if its claim was granted and refuses it otherwise; ignores one that has ended. */
-export const continueClaimed = (
+export const handleClaimVerdict = (
   state: CoreState,
   request: RequestId,
   verdict: ClaimVerdict,
@@ -29,7 +29,7 @@
     active.phase = 'running';
     scatterQuery(state, active, at, effects);
   } else {
-    refuseActiveQuery(state, active, REASONS[verdict], at, effects);
+    refuseActiveQuery(state, active, REFUSAL_OF_VERDICT[verdict], at, effects);
   }
   return effects;
 };
--- a/src/core/query/hedge-legs.ts
+++ b/src/core/query/hedge-legs.ts
@@ -7,8 +7,8 @@
 import type { CoreState } from '../state.js';
 import type { ActiveQuery, AttemptRecord, LegState } from './active-query.js';
 import { borrowExtraLoad, budgetLevel, spendExtraLoad } from './extra-load-budget.js';
-import { worthwhileRatio } from './latency-histogram.js';
-import { isSilent, silenceAfterMs } from './replica-observation.js';
+import { hedgeThreshold } from './latency-histogram.js';
+import { isSilent, silenceThresholdMs } from './replica-observation.js';
 import { MAX_ATTEMPTS_PER_LEG } from './retry-legs.js';
 import { selectHedgeReplica } from './select-replica.js';
 import { type ChosenLeg, sendChosen } from './send-legs.js';
@@ -16,40 +16,42 @@
 /** A query is nearly complete when at most this share of its legs is open. */
 const LAST_LEGS_SHARE = 0.1;
 /** Legs that may be open at least for a query to be nearly complete. */
-const LEAST_LAST_LEGS = 2;
+const MIN_LAST_LEGS = 2;
 /** Shortest delay before a hedge, in milliseconds. */
-const SHORTEST_DELAY_MS = 1;
+const MIN_DELAY_MS = 1;
 /** Samples before the observed quantile is trusted; until then the ratio is `INITIAL_RATIO`. */
 const TRUSTED_SAMPLES = 200;
 const INITIAL_RATIO = 3;
 /** The quantile leaves this multiple of the budget's share beyond it when the bucket is empty. */
-const LEAST_TAIL_FACTOR = 0.3;
+const EMPTY_BUDGET_TAIL_FACTOR = 0.3;
 /** And this much more when the bucket is full. */
-const FULL_TAIL_FACTOR = 1.4;
+const FULL_BUDGET_EXTRA_TAIL_FACTOR = 1.4;
 /** Largest share of legs that may lie beyond the delay. */
-const LARGEST_TAIL = 0.5;
+const MAX_TAIL = 0.5;
 /** Expected latencies that must be left for a hedge to pay, when the bucket is full and empty. */
-const LEAST_REST = 0.5;
-const MOST_REST = 1.5;
+const FULL_BUDGET_MIN_SAVING = 0.5;
+const EMPTY_BUDGET_MIN_SAVING = 1.5;
 /** Steps in which the level of the bucket moves the quantile. */
-const LEVEL_STEPS = 4;
+const BUDGET_LEVEL_STEPS = 4;
 
 const hedgeRatio = (query: ActiveQuery): number => {
   const { ratios, budget } = query.observed;
   if (ratios.total < TRUSTED_SAMPLES) {
     return INITIAL_RATIO;
   }
-  const level = Math.ceil(budgetLevel(budget) * LEVEL_STEPS) / LEVEL_STEPS;
-  const tail = query.row.extraLoadLimit * (LEAST_TAIL_FACTOR + FULL_TAIL_FACTOR * level);
-  const rest = LEAST_REST + (1 - level) * (MOST_REST - LEAST_REST);
-  return worthwhileRatio(ratios, Math.min(LARGEST_TAIL, tail), rest);
+  const level = Math.ceil(budgetLevel(budget) * BUDGET_LEVEL_STEPS) / BUDGET_LEVEL_STEPS;
+  const maxTail =
+    query.row.extraLoadLimit * (EMPTY_BUDGET_TAIL_FACTOR + FULL_BUDGET_EXTRA_TAIL_FACTOR * level);
+  const minSaving =
+    FULL_BUDGET_MIN_SAVING + (1 - level) * (EMPTY_BUDGET_MIN_SAVING - FULL_BUDGET_MIN_SAVING);
+  return hedgeThreshold(ratios, Math.min(MAX_TAIL, maxTail), minSaving);
 };
 
 const mayHedge = (state: CoreState, query: ActiveQuery): boolean =>
   state.query.policy.hedging !== 'none' && query.row.hedging && query.row.safeToRepeat;
 
-const lastLegs = (query: ActiveQuery): number =>
-  Math.max(LEAST_LAST_LEGS, Math.floor(query.legs.length * LAST_LEGS_SHARE)) +
+const lastLegCount = (query: ActiveQuery): number =>
+  Math.max(MIN_LAST_LEGS, Math.floor(query.legs.length * LAST_LEGS_SHARE)) +
   query.legs.length -
   query.wantedShards;
 
@@ -57,18 +59,23 @@
   ({ purpose: 'query-hedge', subject: query.request }) as const;
 
 /** When the leg's only attempt is late enough for a hedge. */
-const dueAt = (state: CoreState, leg: LegState, record: AttemptRecord, ratio: number): number => {
+const hedgeDueAt = (
+  state: CoreState,
+  leg: LegState,
+  record: AttemptRecord,
+  ratio: number,
+): number => {
   const { policy } = state.query;
   if (policy.hedging === 'fixed') {
     return record.sentAt + policy.fixedHedgeDelayMs;
   }
   const { latencyMs } = leg.shard.observed;
-  const lateMs = Math.max(SHORTEST_DELAY_MS, ratio * latencyMs);
-  return record.sentAt + Math.min(lateMs, silenceAfterMs(record.target.observed));
+  const lateMs = Math.max(MIN_DELAY_MS, ratio * latencyMs);
+  return record.sentAt + Math.min(lateMs, silenceThresholdMs(record.target.observed));
 };
 
 /** The only outstanding attempt of an open leg that can still be hedged. */
-const hedgeable = (leg: LegState): AttemptRecord | undefined => {
+const findHedgeableAttempt = (leg: LegState): AttemptRecord | undefined => {
   const possible =
     leg.status === 'open' &&
     leg.outstanding === 1 &&
@@ -79,13 +86,13 @@
 };
 
 /** The earliest time at which a leg may be hedged; undefined when none can be. */
-const nextDueAt = (state: CoreState, query: ActiveQuery): number | undefined => {
+const nextHedgeAt = (state: CoreState, query: ActiveQuery): number | undefined => {
   const ratio = hedgeRatio(query);
   let next: number | undefined;
   for (const leg of query.legs) {
-    const record = hedgeable(leg);
+    const record = findHedgeableAttempt(leg);
     if (record !== undefined) {
-      const due = dueAt(state, leg, record, ratio);
+      const due = hedgeDueAt(state, leg, record, ratio);
       next = next === undefined ? due : Math.min(next, due);
     }
   }
@@ -93,13 +100,13 @@
 };
 
 /** Sets the timer for the next hedge of `query`, no earlier than `earliest`. */
-const armHedge = (
+const setHedgeTimer = (
   state: CoreState,
   query: ActiveQuery,
   earliest: number,
   effects: Effect[],
 ): void => {
-  const due = nextDueAt(state, query);
+  const due = nextHedgeAt(state, query);
   if (due !== undefined && due < query.deadlineAt) {
     query.hedgeArmed = true;
     effects.push({ type: 'set-timer', key: timerKey(query), at: Math.max(due, earliest) });
@@ -114,8 +121,8 @@
   effects: Effect[],
 ): void => {
   if (mayHedge(state, query) && query.open > 0) {
-    query.nearlyComplete = query.open <= lastLegs(query);
-    armHedge(state, query, at, effects);
+    query.nearlyComplete = query.open <= lastLegCount(query);
+    setHedgeTimer(state, query, at, effects);
   }
 };
 
@@ -147,8 +154,8 @@
   const chosen: ChosenLeg[] = [];
   const ratio = hedgeRatio(query);
   for (const leg of query.legs) {
-    const record = hedgeable(leg);
-    if (record === undefined || dueAt(state, leg, record, ratio) > at) {
+    const record = findHedgeableAttempt(leg);
+    if (record === undefined || hedgeDueAt(state, leg, record, ratio) > at) {
       continue;
     }
     const target = isWorthHedging(state, query, record, at)
@@ -166,7 +173,7 @@
 };
 
 /** Shortest time between two looks at the late legs of a query, in milliseconds. */
-const LOOK_AGAIN_MS = 2;
+const MIN_CHECK_INTERVAL_MS = 2;
 
 /** Hedges the legs that are late, and looks again later. */
 export const hedgeLegs = (
@@ -177,8 +184,8 @@
 ): void => {
   query.hedgeArmed = false;
   sendChosen(state, query, chooseHedges(state, query, at), at, effects);
-  const pause = Math.max(LOOK_AGAIN_MS, (at - query.startedAt) / 4);
-  armHedge(state, query, at + pause, effects);
+  const pause = Math.max(MIN_CHECK_INTERVAL_MS, (at - query.startedAt) / 4);
+  setHedgeTimer(state, query, at + pause, effects);
 };
 
 /** Looks at the late legs at once when the answer that came made the query nearly complete. */
@@ -188,7 +195,7 @@
   at: number,
   effects: Effect[],
 ): void => {
-  if (query.nearlyComplete || query.open > lastLegs(query) || !mayHedge(state, query)) {
+  if (query.nearlyComplete || query.open > lastLegCount(query) || !mayHedge(state, query)) {
     return;
   }
   query.nearlyComplete = true;
--- a/src/core/query/latency-histogram.ts
+++ b/src/core/query/latency-histogram.ts
@@ -22,7 +22,7 @@
   readonly counts: Float64Array;
   total: number;
   /** Samples since `cachedRatio` was worked out. */
-  fresh: number;
+  samplesSinceScan: number;
   cachedTail: number;
   cachedRatio: number;
 }
@@ -31,7 +31,7 @@
 export const createLatencyHistogram = (): LatencyHistogram => ({
   counts: new Float64Array(BUCKETS),
   total: 0,
-  fresh: 0,
+  samplesSinceScan: 0,
   cachedTail: Number.NaN,
   cachedRatio: Number.POSITIVE_INFINITY,
 });
@@ -57,7 +57,7 @@
   const bucket = bucketOf(ratio);
   histogram.counts[bucket] = (histogram.counts[bucket] ?? 0) + 1;
   histogram.total += 1;
-  histogram.fresh += 1;
+  histogram.samplesSinceScan += 1;
   if (histogram.total >= HALVE_AT) {
     halve(histogram);
   }
@@ -67,8 +67,8 @@
  * Scans from the slowest samples down, for the smallest ratio beyond which at most `tail` of the
  * samples lie and from which on the mean of what is left is at least `rest`.
  */
-const scan = (histogram: LatencyHistogram, tail: number, rest: number): number => {
-  const most = histogram.total * tail;
+const scanForThreshold = (histogram: LatencyHistogram, tail: number, rest: number): number => {
+  const maxBeyond = histogram.total * tail;
   let beyond = 0;
   let sum = 0;
   let found = Number.POSITIVE_INFINITY;
@@ -77,7 +77,7 @@
     const count = histogram.counts[index] ?? 0;
     beyond += count;
     sum += count * (BOUNDS[index] ?? 0);
-    if (beyond > most) {
+    if (beyond > maxBeyond) {
       break;
     }
     if (beyond > 0 && sum / beyond - bound >= rest) {
@@ -94,15 +94,11 @@
  * @param tail - largest share of the samples that may lie beyond it
  * @param rest - what must be left at least, on the mean, in expected latencies
  */
-export const worthwhileRatio = (
-  histogram: LatencyHistogram,
-  tail: number,
-  rest: number,
-): number => {
-  if (histogram.fresh >= REFRESH_SAMPLES || histogram.cachedTail !== tail) {
-    histogram.fresh = 0;
+export const hedgeThreshold = (histogram: LatencyHistogram, tail: number, rest: number): number => {
+  if (histogram.samplesSinceScan >= REFRESH_SAMPLES || histogram.cachedTail !== tail) {
+    histogram.samplesSinceScan = 0;
     histogram.cachedTail = tail;
-    histogram.cachedRatio = scan(histogram, tail, rest);
+    histogram.cachedRatio = scanForThreshold(histogram, tail, rest);
   }
   return histogram.cachedRatio;
 };
--- a/src/core/query/merge-answers.ts
+++ b/src/core/query/merge-answers.ts
@@ -13,18 +13,18 @@
   finish(): AnswerItem[];
 }
 
-interface PlacedItem {
+interface RankedItem {
   readonly item: AnswerItem;
   readonly shardIndex: number;
 }
 
 /** Orders by score, highest first; equal scores by shard, then by item. */
-const compareRank = (a: PlacedItem, b: PlacedItem): number =>
+const compareRank = (a: RankedItem, b: RankedItem): number =>
   b.item.score - a.item.score ||
   a.shardIndex - b.shardIndex ||
   (a.item.id < b.item.id ? -1 : Number(a.item.id > b.item.id));
 
-const insertRanked = (best: PlacedItem[], placed: PlacedItem): void => {
+const insertRanked = (best: RankedItem[], placed: RankedItem): void => {
   let low = 0;
   let high = best.length;
   while (low < high) {
@@ -40,7 +40,7 @@
 };
 
 const createTopMerge = (maxItems: number): AnswerMerge => {
-  const best: PlacedItem[] = [];
+  const best: RankedItem[] = [];
   return {
     add(shardIndex, items) {
       for (const item of items) {
@@ -62,7 +62,7 @@
 }
 
 /** Drops pages at the end that lie wholly beyond the first `maxItems` items. */
-const dropBeyond = (pages: ShardPage[], maxItems: number): void => {
+const dropPagesBeyond = (pages: ShardPage[], maxItems: number): void => {
   let kept = 0;
   let count = 0;
   while (kept < pages.length && count < maxItems) {
@@ -95,7 +95,7 @@
         place -= 1;
       }
       pages.splice(place, 0, { shardIndex, items });
-      dropBeyond(pages, maxItems);
+      dropPagesBeyond(pages, maxItems);
     },
     finish: () => joinPages(pages, maxItems),
   };
--- a/src/core/query/observations.ts
+++ b/src/core/query/observations.ts
@@ -49,7 +49,7 @@
   `${partner}|${endpoint}`;
 
 /** What is observed of a service. */
-export const observeService = (
+export const getServiceObservation = (
   observations: Observations,
   partner: PartnerId,
   service: ServiceName,
@@ -65,7 +65,7 @@
 };
 
 /** What is observed of a replica; begins now if it is new. */
-export const observeReplica = (
+export const getReplicaObservation = (
   observations: Observations,
   key: string,
   service: ServiceObservation,
@@ -81,7 +81,7 @@
 };
 
 /** What is kept for a row. */
-export const observeRow = (observations: Observations, row: RouteRow): RowObservation => {
+export const getRowObservation = (observations: Observations, row: RouteRow): RowObservation => {
   const key = routeRowKey(row.partner, row.route, row.kind);
   const known = observations.rows.get(key);
   if (known !== undefined) {
@@ -98,7 +98,7 @@
 };
 
 /** Forgets replicas that are published no more and have no attempt in flight. */
-export const forgetReplicas = (
+export const removeUnpublishedReplicas = (
   observations: Observations,
   published: ReadonlySet<string>,
 ): void => {
--- a/src/core/query/overload-limit.ts
+++ b/src/core/query/overload-limit.ts
@@ -8,18 +8,18 @@
 import type { RouteRow } from '../../table/route-row.js';
 
 /** A limit never goes below this. */
-const LEAST_LIMIT = 2;
+const MIN_LIMIT = 2;
 /** Share of the row's deadline that its legs may wait at feeders. */
 const WAIT_SHARE = 0.25;
 /** Shortest wait that counts as overload, in milliseconds. */
-const LEAST_WAIT_MS = 10;
+const MIN_WAIT_MS = 10;
 /** The limit shrinks by this factor, at most once in `PAUSE_MS` milliseconds. */
-const DECREASE = 0.8;
-const PAUSE_MS = 50;
+const DECREASE_FACTOR = 0.8;
+const MIN_DECREASE_INTERVAL_MS = 50;
 /** The limit grows only while this share of it is in use. */
 const BUSY_SHARE = 0.8;
 /** Share of itself by which the limit grows while as many queries end as it allows. */
-const GROWTH_SHARE = 0.1;
+const GROWTH_STEP = 0.1;
 /** A limit that has not shrunk for so long, in milliseconds, is lifted. */
 const LIFT_AFTER_MS = 5_000;
 /** A refused caller may come back after this many milliseconds, spread by as much again. */
@@ -42,48 +42,48 @@
 });
 
 /** Whether one more query may start. */
-export const hasRoom = (overload: OverloadLimit): boolean =>
-  overload.inProgress < Math.max(LEAST_LIMIT, Math.floor(overload.limit));
+export const isBelowLimit = (overload: OverloadLimit): boolean =>
+  overload.inProgress < Math.max(MIN_LIMIT, Math.floor(overload.limit));
 
 /** When a refused caller may come back, in milliseconds. */
-export const retryAfter = (random: Random): number =>
+export const chooseRetryDelay = (random: Random): number =>
   Math.ceil(RETRY_AFTER_MS * (1 + random.next()));
 
 /** Notes that a query has started. */
-export const noteStarted = (overload: OverloadLimit): void => {
+export const recordQueryStarted = (overload: OverloadLimit): void => {
   overload.inProgress += 1;
 };
 
 /** Notes that a leg was refused for want of capacity. */
-export const noteCongestion = (overload: OverloadLimit, at: number): void => {
-  if (at - overload.decreasedAt < PAUSE_MS) {
+export const recordCongestion = (overload: OverloadLimit, at: number): void => {
+  if (at - overload.decreasedAt < MIN_DECREASE_INTERVAL_MS) {
     return;
   }
   const current = Math.min(overload.limit, overload.inProgress);
-  overload.limit = Math.max(LEAST_LIMIT, current * DECREASE);
+  overload.limit = Math.max(MIN_LIMIT, current * DECREASE_FACTOR);
   overload.decreasedAt = at;
 };
 
 /** Notes how long a leg waited at its feeder. */
-export const noteWait = (
+export const recordLegWait = (
   overload: OverloadLimit,
   row: RouteRow,
   waitMs: number,
   at: number,
 ): void => {
-  if (waitMs > LEAST_WAIT_MS && waitMs > WAIT_SHARE * row.deadlineMs) {
-    noteCongestion(overload, at);
+  if (waitMs > MIN_WAIT_MS && waitMs > WAIT_SHARE * row.deadlineMs) {
+    recordCongestion(overload, at);
   }
 };
 
 /** Notes that a query has ended. */
-export const noteEnded = (overload: OverloadLimit, at: number): void => {
+export const recordQueryEnded = (overload: OverloadLimit, at: number): void => {
   const busy = overload.inProgress >= overload.limit * BUSY_SHARE;
   overload.inProgress -= 1;
   const sinceMs = at - overload.decreasedAt;
   if (sinceMs > LIFT_AFTER_MS) {
     overload.limit = Number.POSITIVE_INFINITY;
-  } else if (busy && sinceMs >= PAUSE_MS) {
-    overload.limit += GROWTH_SHARE;
+  } else if (busy && sinceMs >= MIN_DECREASE_INTERVAL_MS) {
+    overload.limit += GROWTH_STEP;
   }
 };
--- a/src/core/query/record-observation.ts
+++ b/src/core/query/record-observation.ts
@@ -3,12 +3,12 @@
 import type { ReplicaLoad } from '../../protocol/leg-messages.js';
 import type { Random } from '../random.js';
 import {
-  fadedLatency,
-  LACKING_MS,
-  lacksSnapshot,
+  decayedLatency,
+  SNAPSHOT_REFUSAL_VALID_MS,
+  hasRefusedSnapshot,
   type ReplicaObservation,
   type ServiceObservation,
-  silenceAfterMs,
+  silenceThresholdMs,
 } from './replica-observation.js';
 
 /** Weight of the newest sample in a decayed mean. */
@@ -16,19 +16,19 @@
 /** One sample counts at most this multiple of the mean: a lone straggler turns nobody away. */
 const CLIP_FACTOR = 3;
 /** Failures in a row, none answered between, after which a replica is ejected. */
-const STRIKES_TO_EJECT = 3;
+const EJECTION_SCORE = 3;
 /** Strikes that a refused connection counts for: nobody listens there. */
-const CONNECT_STRIKES = 2;
+const CONNECT_FAILURE_SCORE = 2;
 /** Strikes that an attempt called off late counts for, nothing having been heard meanwhile. */
-const SILENT_STRIKES = 1;
+const SILENCE_SCORE = 1;
 /** First pause before an ejected replica is probed, in milliseconds; doubles with each failure. */
 const FIRST_EJECTION_MS = 250;
 /** Longest such pause, in milliseconds. */
-const LONGEST_EJECTION_MS = 8_000;
+const MAX_EJECTION_MS = 8_000;
 /** First pause after a shed, in milliseconds; doubles with each shed in a row. */
 const FIRST_SHED_PAUSE_MS = 20;
 /** Longest such pause, in milliseconds. */
-const LONGEST_SHED_PAUSE_MS = 2_000;
+const MAX_SHED_PAUSE_MS = 2_000;
 /** Pauses are spread by this share either way, so that nodes do not return together. */
 const JITTER_SHARE = 0.3;
 
@@ -36,21 +36,21 @@
   pauseMs * (1 - JITTER_SHARE + 2 * JITTER_SHARE * random.next());
 
 const eject = (observed: ReplicaObservation, random: Random, at: number): void => {
-  const pause = Math.min(LONGEST_EJECTION_MS, FIRST_EJECTION_MS * 2 ** observed.ejections);
+  const pause = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** observed.ejections);
   observed.ejected = true;
   observed.ejections += 1;
-  observed.strikes = 0;
+  observed.failureScore = 0;
   observed.probeAt = at + jitter(random, pause);
 };
 
-const strike = (
+const addFailureScore = (
   observed: ReplicaObservation,
   random: Random,
   at: number,
-  strikes: number,
+  score: number,
 ): void => {
-  observed.strikes += strikes;
-  if (!observed.ejected && observed.strikes >= STRIKES_TO_EJECT) {
+  observed.failureScore += score;
+  if (!observed.ejected && observed.failureScore >= EJECTION_SCORE) {
     eject(observed, random, at);
   }
 };
@@ -58,8 +58,8 @@
 /** Notes that an attempt is on its way. */
 export const recordSent = (observed: ReplicaObservation, at: number): void => {
   if (observed.inFlight === 0) {
-    observed.unqueuedMs = fadedLatency(observed, at);
-    observed.heardAt = at;
+    observed.unqueuedMs = decayedLatency(observed, at);
+    observed.lastResponseAt = at;
   }
   observed.inFlight += 1;
 };
@@ -76,15 +76,15 @@
   readonly serviceMs: number;
 }
 
-const judgeLoadReport = (observed: ReplicaObservation, latencyMs: number, slots: number): void => {
+const updateLoadTrust = (observed: ReplicaObservation, latencyMs: number, slots: number): void => {
   const { load } = observed;
   if (load === undefined) {
     return;
   }
-  const own = Math.abs(latencyMs - observed.unqueuedMs);
-  const foretold = observed.serviceMs * (1 + (load.inFlight + load.queued) / slots);
-  const better = Math.abs(latencyMs - foretold) < own ? 1 : 0;
-  observed.loadTrust += SAMPLE_WEIGHT * (better - observed.loadTrust);
+  const ownError = Math.abs(latencyMs - observed.unqueuedMs);
+  const predictedMs = observed.serviceMs * (1 + (load.inFlight + load.queued) / slots);
+  const reportWasCloser = Math.abs(latencyMs - predictedMs) < ownError ? 1 : 0;
+  observed.loadTrust += SAMPLE_WEIGHT * (reportWasCloser - observed.loadTrust);
 };
 
 const addLatency = (observed: ReplicaObservation, unqueuedMs: number): void => {
@@ -108,10 +108,10 @@
   at: number,
 ): void => {
   const unqueuedMs = timing.latencyMs - timing.queuedMs;
-  judgeLoadReport(observed, unqueuedMs, slots);
+  updateLoadTrust(observed, unqueuedMs, slots);
   observed.inFlight -= 1;
-  observed.heardAt = at;
-  observed.strikes = 0;
+  observed.lastResponseAt = at;
+  observed.failureScore = 0;
   observed.sheds = 0;
   addLatency(observed, unqueuedMs);
   observed.backlogMs = timing.backlogMs;
@@ -125,7 +125,7 @@
   if (observed.ejected) {
     observed.ejected = false;
     observed.ejections = 0;
-    observed.easeInFrom = at;
+    observed.slowStartFrom = at;
   }
 };
 
@@ -137,20 +137,20 @@
   at: number,
 ): void => {
   observed.inFlight -= 1;
-  strike(observed, random, at, refused ? CONNECT_STRIKES : 1);
+  addFailureScore(observed, random, at, refused ? CONNECT_FAILURE_SCORE : 1);
 };
 
 /** Notes that the replica does not hold `snapshot`; false when that was known. */
-export const recordLacking = (
+export const recordSnapshotRefused = (
   observed: ReplicaObservation,
   snapshot: SnapshotVersion,
   at: number,
 ): boolean => {
   observed.inFlight -= 1;
-  observed.heardAt = at;
-  const known = lacksSnapshot(observed, snapshot, at);
-  observed.lacking ??= new Map();
-  observed.lacking.set(snapshot, at + LACKING_MS);
+  observed.lastResponseAt = at;
+  const known = hasRefusedSnapshot(observed, snapshot, at);
+  observed.refusedSnapshots ??= new Map();
+  observed.refusedSnapshots.set(snapshot, at + SNAPSHOT_REFUSAL_VALID_MS);
   return !known;
 };
 
@@ -163,7 +163,7 @@
 };
 
 /** Notes an attempt that ended without saying anything about the replica. */
-export const recordNeutral = (observed: ReplicaObservation): void => {
+export const recordInconclusive = (observed: ReplicaObservation): void => {
   observed.inFlight -= 1;
 };
 
@@ -175,17 +175,17 @@
   at: number,
 ): void => {
   observed.inFlight -= 1;
-  observed.heardAt = at;
-  const pause = Math.min(LONGEST_SHED_PAUSE_MS, FIRST_SHED_PAUSE_MS * 2 ** observed.sheds);
+  observed.lastResponseAt = at;
+  const pause = Math.min(MAX_SHED_PAUSE_MS, FIRST_SHED_PAUSE_MS * 2 ** observed.sheds);
   observed.sheds += 1;
-  observed.shedUntil = at + jitter(random, Math.max(pause, retryAfterMs ?? 0));
+  observed.backOffUntil = at + jitter(random, Math.max(pause, retryAfterMs ?? 0));
 };
 
 /**
  * Notes that an attempt was called off because another one answered, or because the query ended.
  * It lasted at least that long; if the replica had been silent all the while, it counts as a failure.
  */
-export const recordCalledOff = (
+export const recordCancelledAttempt = (
   observed: ReplicaObservation,
   sentAt: number,
   random: Random,
@@ -196,15 +196,15 @@
   if (lastedMs > observed.unqueuedMs) {
     addLatency(observed, lastedMs);
   }
-  const silent = observed.heardAt <= sentAt;
+  const silent = observed.lastResponseAt <= sentAt;
   const long = lastedMs > 2 * observed.service.latencyMs;
   if (silent && long) {
     observed.unqueuedMs = Math.max(observed.unqueuedMs, lastedMs);
-    strike(
+    addFailureScore(
       observed,
       random,
       at,
-      lastedMs >= silenceAfterMs(observed) ? STRIKES_TO_EJECT : SILENT_STRIKES,
+      lastedMs >= silenceThresholdMs(observed) ? EJECTION_SCORE : SILENCE_SCORE,
     );
   }
 };
--- a/src/core/query/record-outcome.ts
+++ b/src/core/query/record-outcome.ts
@@ -5,16 +5,16 @@
 import type { CoreState } from '../state.js';
 import type { AttemptRecord } from './active-query.js';
 import { addRatio } from './latency-histogram.js';
-import { recordUnaware } from './peer-observation.js';
+import { recordReplicaUnknown } from './peer-observation.js';
 import { invalidatePlans } from './build-query-plan.js';
-import { noteCongestion, noteWait } from './overload-limit.js';
+import { recordCongestion, recordLegWait } from './overload-limit.js';
 import {
   recordAnswer,
-  recordCalledOff,
+  recordCancelledAttempt,
   recordFailure,
   recordHeldBack,
-  recordLacking,
-  recordNeutral,
+  recordSnapshotRefused,
+  recordInconclusive,
   recordShed,
 } from './record-observation.js';
 
@@ -32,7 +32,7 @@
 ): void => {
   const { observed, status } = record.target;
   const latencyMs = at - record.sentAt - (result.heldMs ?? 0);
-  noteWait(record.query.observed.overload, record.query.row, result.queuedMs, at);
+  recordLegWait(record.query.observed.overload, record.query.row, result.queuedMs, at);
   addRatio(record.query.observed.ratios, latencyMs / observed.service.latencyMs);
   const { queuedMs, serviceMs, backlogMs = 0 } = result;
   const timing = { latencyMs, queuedMs, serviceMs, backlogMs };
@@ -43,14 +43,14 @@
 };
 
 /** A feeder that does not know the replica is to blame for the failure, not the replica. */
-const noteFeeder = (
+const recordFeederFailure = (
   state: CoreState,
   { feeder }: AttemptRecord,
   { reason }: Failed,
   at: number,
 ): void => {
   if (reason === 'unknown-replica') {
-    recordUnaware(state.query.peers, feeder.node, at);
+    recordReplicaUnknown(state.query.peers, feeder.node, at);
   }
 };
 
@@ -63,7 +63,7 @@
   effects: Effect[],
 ): void => {
   const { observed, status } = record.target;
-  noteFeeder(state, record, outcome, at);
+  recordFeederFailure(state, record, outcome, at);
   switch (outcome.reason) {
     case 'shedding': {
       const { retryAfterMs } = outcome as Extract<Failed, { type: 'not-run' }>;
@@ -72,18 +72,18 @@
     }
     case 'queue-full':
     case 'deadline-passed':
-      noteCongestion(record.query.observed.overload, at);
-      recordNeutral(observed);
+      recordCongestion(record.query.observed.overload, at);
+      recordInconclusive(observed);
       break;
     case 'snapshot-gone':
     case 'unknown-shard':
-      if (recordLacking(observed, record.target.snapshot, at)) {
+      if (recordSnapshotRefused(observed, record.target.snapshot, at)) {
         invalidatePlans(state);
       }
       break;
     case 'leaving': {
       const { retryAfterMs } = outcome as Extract<Failed, { type: 'not-run' }>;
-      recordNeutral(observed);
+      recordInconclusive(observed);
       effects.push(...noteReplicaLeaving(state, status.replica, at, retryAfterMs));
       break;
     }
@@ -95,7 +95,7 @@
       recordHeldBack(observed, state.random, at);
       break;
     case 'timed-out':
-      recordCutShort(record, at);
+      recordTruncatedLatency(record, at);
       recordFailure(observed, false, state.random, at);
       break;
     case 'connection-lost':
@@ -104,26 +104,26 @@
       recordFailure(observed, false, state.random, at);
       break;
     default:
-      recordNeutral(observed);
+      recordInconclusive(observed);
   }
 };
 
 /** A late attempt that was cut short is taken to have lasted this many times as long. */
-const CUT_SHORT_FACTOR = 2;
+const TRUNCATED_LATENCY_FACTOR = 2;
 
 /**
  * Notes how long a late attempt had lasted when it was cut short. Without it a hedge would hide the
  * slow answers that it is there for, and hedging would seem not to pay.
  */
-const recordCutShort = (record: AttemptRecord, at: number): void => {
+const recordTruncatedLatency = (record: AttemptRecord, at: number): void => {
   const ratio = (at - record.sentAt) / record.target.observed.service.latencyMs;
   if (ratio > 1) {
-    addRatio(record.query.observed.ratios, ratio * CUT_SHORT_FACTOR);
+    addRatio(record.query.observed.ratios, ratio * TRUNCATED_LATENCY_FACTOR);
   }
 };
 
 /** Notes an attempt that its coordinator has called off. */
 export const recordCancelled = (state: CoreState, record: AttemptRecord, at: number): void => {
-  recordCutShort(record, at);
-  recordCalledOff(record.target.observed, record.sentAt, state.random, at);
+  recordTruncatedLatency(record, at);
+  recordCancelledAttempt(record.target.observed, record.sentAt, state.random, at);
 };
--- a/src/core/query/reducer.ts
+++ b/src/core/query/reducer.ts
@@ -9,18 +9,18 @@
 import { gatherAnswers } from './gather-answers.js';
 import type { ActiveQuery } from './active-query.js';
 import { hedgeLegs } from './hedge-legs.js';
-import { hasNoHope, nextLookAt } from './hopeless-legs.js';
-import { recordHeard, recordLinkLost } from './peer-observation.js';
+import { areOpenLegsUnanswerable, nextCheckAt } from './unanswerable-legs.js';
+import { recordPeerReport, recordLinkLost } from './peer-observation.js';
 import { retryPausedLegs } from './retry-legs.js';
 
-const reachDeadline = (state: CoreState, event: TimerFired): Effect[] => {
+const handleDeadlineTimer = (state: CoreState, event: TimerFired): Effect[] => {
   const query = state.query.queries.get(identifier<RequestId>(event.key.subject));
   const effects: Effect[] = [];
   if (query === undefined) {
     return effects;
   }
-  if (event.at < query.deadlineAt && !hasNoHope(state, query, event.at)) {
-    effects.push({ type: 'set-timer', key: event.key, at: nextLookAt(query, event.at) });
+  if (event.at < query.deadlineAt && !areOpenLegsUnanswerable(state, query, event.at)) {
+    effects.push({ type: 'set-timer', key: event.key, at: nextCheckAt(query, event.at) });
   } else if (query.phase === 'claiming') {
     refuseActiveQuery(state, query, 'not-ready', event.at, effects);
   } else {
@@ -49,10 +49,10 @@
   return effects;
 };
 
-const takeTimer = (state: CoreState, event: TimerFired): Effect[] => {
+const handleTimer = (state: CoreState, event: TimerFired): Effect[] => {
   switch (event.key.purpose) {
     case 'query-deadline':
-      return reachDeadline(state, event);
+      return handleDeadlineTimer(state, event);
     case 'query-hedge':
       return continueQuery(state, event, hedgeLegs);
     case 'query-retry':
@@ -62,17 +62,17 @@
   }
 };
 
-const takeMessage = (state: CoreState, event: LinkMessageArrived): Effect[] => {
+const handleLinkMessage = (state: CoreState, event: LinkMessageArrived): Effect[] => {
   const effects: Effect[] = [];
   if (event.message.type === 'leg-results') {
-    recordHeard(state.query.peers, event.from, event.at);
+    recordPeerReport(state.query.peers, event.from, event.at);
     gatherAnswers(state, event.from, event.message.results, event.at, effects);
   }
   return effects;
 };
 
 /** Ends every attempt that was left with a peer out of reach. */
-const losePeer = (state: CoreState, event: LinkLost): Effect[] => {
+const handleLinkLost = (state: CoreState, event: LinkLost): Effect[] => {
   recordLinkLost(state.query.peers, event.peer, event.at);
   const lost: LegResult[] = [];
   for (const record of state.query.attempts.values()) {
@@ -86,7 +86,7 @@
   return effects;
 };
 
-const dropCaller = (state: CoreState, call: CallId, at: number): Effect[] => {
+const handleCallerLeft = (state: CoreState, call: CallId, at: number): Effect[] => {
   const request = state.query.requestOfCall.get(call);
   const query = request && state.query.queries.get(request);
   const effects: Effect[] = [];
@@ -102,13 +102,13 @@
     case 'query-arrived':
       return acceptQuery(state, event);
     case 'caller-left':
-      return dropCaller(state, event.call, event.at);
+      return handleCallerLeft(state, event.call, event.at);
     case 'timer-fired':
-      return takeTimer(state, event);
+      return handleTimer(state, event);
     case 'link-message-arrived':
-      return takeMessage(state, event);
+      return handleLinkMessage(state, event);
     case 'link-lost':
-      return losePeer(state, event);
+      return handleLinkLost(state, event);
     default:
       return [];
   }
--- a/src/core/query/replica-observation.ts
+++ b/src/core/query/replica-observation.ts
@@ -9,19 +9,19 @@
 /** Latency assumed before the first answer, in milliseconds. */
 const INITIAL_LATENCY_MS = 10;
 /** Time in which what is known of an unused replica fades half-way to its service's mean. */
-const FADE_HALF_LIFE_MS = 4_000;
+const IDLE_HALF_LIFE_MS = 4_000;
 /** A replica is silent when attempts wait and it has answered none for this many mean latencies. */
 const SILENCE_FACTOR = 6;
 /** Shortest silence that counts, in milliseconds. */
-const SILENCE_FLOOR_MS = 25;
+const MIN_SILENCE_MS = 25;
 /** Age at which the wait foretold by a feeder counts half, in milliseconds. */
 const BACKLOG_HALF_LIFE_MS = 50;
 /** Age at which a load report counts half, in milliseconds. */
 const LOAD_HALF_LIFE_MS = 200;
 /** Time over which a replica that is new or back takes up its full share of the work. */
-export const EASE_IN_MS = 3_000;
+export const SLOW_START_MS = 3_000;
 /** How long a replica's refusal of a snapshot is believed, in milliseconds. */
-export const LACKING_MS = 2_000;
+export const SNAPSHOT_REFUSAL_VALID_MS = 2_000;
 
 /** Decayed latencies of a service, over all its replicas. */
 export interface ServiceObservation {
@@ -45,20 +45,20 @@
   /** Decayed mean of the working time alone, in milliseconds. */
   serviceMs: number;
   /** Last time it answered, or when it was given work after having had none. */
-  heardAt: number;
+  lastResponseAt: number;
   /** Failures in a row. */
-  strikes: number;
+  failureScore: number;
   ejected: boolean;
   /** When an ejected replica may be probed. */
   probeAt: number;
   ejections: number;
   /** No work before then: it has shed. */
-  shedUntil: number;
+  backOffUntil: number;
   sheds: number;
   /** When it was first seen, or came back from an ejection. */
-  easeInFrom: number;
+  slowStartFrom: number;
   /** Snapshots that it has refused as gone, with the time until which that is believed. */
-  lacking: Map<SnapshotVersion, number> | undefined;
+  refusedSnapshots: Map<SnapshotVersion, number> | undefined;
   /** Its last report, and when it came. */
   load: ReplicaLoad | undefined;
   loadAt: number;
@@ -84,48 +84,48 @@
   backlogMs: 0,
   backlogAt: at,
   serviceMs: service.unqueuedMs / 2,
-  heardAt: at,
-  strikes: 0,
+  lastResponseAt: at,
+  failureScore: 0,
   ejected: false,
   probeAt: 0,
   ejections: 0,
-  shedUntil: 0,
+  backOffUntil: 0,
   sheds: 0,
-  easeInFrom: at,
-  lacking: undefined,
+  slowStartFrom: at,
+  refusedSnapshots: undefined,
   load: undefined,
   loadAt: 0,
   loadTrust: 0,
 });
 
 /** How long a replica with work may answer nothing before it counts as silent, in milliseconds. */
-export const silenceAfterMs = (observed: ReplicaObservation): number =>
-  Math.max(SILENCE_FLOOR_MS, SILENCE_FACTOR * observed.service.latencyMs);
+export const silenceThresholdMs = (observed: ReplicaObservation): number =>
+  Math.max(MIN_SILENCE_MS, SILENCE_FACTOR * observed.service.latencyMs);
 
 /** Whether work waits at the replica and it has answered nothing for long. */
 export const isSilent = (observed: ReplicaObservation, at: number): boolean =>
-  observed.inFlight > 0 && at - observed.heardAt >= silenceAfterMs(observed);
+  observed.inFlight > 0 && at - observed.lastResponseAt >= silenceThresholdMs(observed);
 
 /** Latency without the wait at the feeder, in milliseconds; fades to the service's mean while idle. */
-export const fadedLatency = (observed: ReplicaObservation, at: number): number => {
-  const idleMs = observed.inFlight > 0 ? 0 : at - observed.heardAt;
+export const decayedLatency = (observed: ReplicaObservation, at: number): number => {
+  const idleMs = observed.inFlight > 0 ? 0 : at - observed.lastResponseAt;
   const mean = observed.service.unqueuedMs;
-  const kept = idleMs < 1 ? 1 : 0.5 ** (idleMs / FADE_HALF_LIFE_MS);
+  const kept = idleMs < 1 ? 1 : 0.5 ** (idleMs / IDLE_HALF_LIFE_MS);
   return mean + (observed.unqueuedMs - mean) * kept;
 };
 
 /** Whether the replica has refused `snapshot` of late. */
-export const lacksSnapshot = (
+export const hasRefusedSnapshot = (
   observed: ReplicaObservation,
   snapshot: SnapshotVersion,
   at: number,
 ): boolean => {
-  const until = observed.lacking?.get(snapshot);
+  const until = observed.refusedSnapshots?.get(snapshot);
   if (until === undefined) {
     return false;
   }
   if (until <= at) {
-    observed.lacking?.delete(snapshot);
+    observed.refusedSnapshots?.delete(snapshot);
   }
   return until > at;
 };
@@ -135,21 +135,21 @@
   observed.ejected && at >= observed.probeAt && observed.inFlight === 0;
 
 /** Whether the replica seems unable to answer. */
-export const isOut = (observed: ReplicaObservation, at: number): boolean =>
+export const isUnavailable = (observed: ReplicaObservation, at: number): boolean =>
   observed.ejected || isSilent(observed, at);
 
 /** Whether the replica has shed and is left alone for now. */
-export const isPaused = (observed: ReplicaObservation, at: number): boolean =>
-  observed.shedUntil > at;
+export const isBackingOff = (observed: ReplicaObservation, at: number): boolean =>
+  observed.backOffUntil > at;
 
 /**
  * What one more attempt is expected to take, in milliseconds: the decayed latency, which fades to
  * the service's mean while the replica is not used, the wait its feeder foretold, what this node has
  * in flight there, and the replica's own report, weighed by its age and by how well earlier reports foretold.
  */
-export const expectLatency = (observed: ReplicaObservation, slots: number, at: number): number => {
+export const predictLatency = (observed: ReplicaObservation, slots: number, at: number): number => {
   const backlog = observed.backlogMs * 0.5 ** ((at - observed.backlogAt) / BACKLOG_HALF_LIFE_MS);
-  const latency = fadedLatency(observed, at) + backlog;
+  const latency = decayedLatency(observed, at) + backlog;
   const own = (observed.serviceMs * observed.inFlight) / slots;
   const { load } = observed;
   if (load === undefined || observed.loadTrust === 0) {
--- a/src/core/query/restart-query.ts
+++ b/src/core/query/restart-query.ts
@@ -11,25 +11,25 @@
 /** Whole restarts of one query. */
 const MAX_RESTARTS = 1;
 /** Mean latencies of its services that must be left of the deadline for a restart. */
-const LEAST_LATENCIES_LEFT = 2;
+const MIN_LATENCIES_LEFT = 2;
 
-const isGone = (leg: LegState): boolean =>
+const isSnapshotGone = (leg: LegState): boolean =>
   leg.reason === 'snapshot-gone' || leg.reason === 'unknown-shard';
 
-const hasTime = (query: ActiveQuery, leg: LegState, at: number): boolean =>
-  query.deadlineAt - at > LEAST_LATENCIES_LEFT * leg.shard.observed.latencyMs;
+const hasTimeToRestart = (query: ActiveQuery, leg: LegState, at: number): boolean =>
+  query.deadlineAt - at > MIN_LATENCIES_LEFT * leg.shard.observed.latencyMs;
 
 const mayRestart = (query: ActiveQuery, leg: LegState, at: number): boolean =>
-  isGone(leg) &&
+  isSnapshotGone(leg) &&
   query.restarts < MAX_RESTARTS &&
-  hasTime(query, leg, at) &&
+  hasTimeToRestart(query, leg, at) &&
   (query.row.safeToRepeat || !query.legs.some(mayHaveRun));
 
 /**
  * Restarts `query` if one of `legs` is lost because the snapshot has gone and another snapshot can
  * be pinned; nothing of the first run is kept. True if it was restarted.
  */
-export const restartIfGone = (
+export const restartIfSnapshotGone = (
   state: CoreState,
   query: ActiveQuery,
   legs: readonly LegState[],
@@ -52,7 +52,7 @@
   query.contributed = 0;
   query.open = query.legs.length;
   query.needed = query.legs.length;
-  query.paused = [];
+  query.legsAwaitingRetry = [];
   query.nearlyComplete = false;
   query.wantedShards = wantedShards(query.row, query.query, query.legs.length);
   scatterLegs(state, query, 'first', at, effects);
--- a/src/core/query/retry-legs.ts
+++ b/src/core/query/retry-legs.ts
@@ -6,8 +6,8 @@
 import { finishIfDone, markMissing } from './finish-query.js';
 import { startHedging } from './hedge-legs.js';
 import type { MissingReason } from './query-request.js';
-import { restartIfGone } from './restart-query.js';
-import { hasGoodReplica } from './select-replica.js';
+import { restartIfSnapshotGone } from './restart-query.js';
+import { hasAvailableReplica } from './select-replica.js';
 import { sendLegs } from './send-legs.js';
 
 /** Most attempts of one leg, hedges included. */
@@ -40,7 +40,7 @@
     return borrowExtraLoad(budget);
   }
   const overloaded = reason !== undefined && OVERLOAD_REASONS.has(reason);
-  const free = !leg.mayHaveRun && (!overloaded || hasGoodReplica(state, leg, at));
+  const free = !leg.mayHaveRun && (!overloaded || hasAvailableReplica(state, leg, at));
   return free || spendExtraLoad(budget);
 };
 
@@ -61,7 +61,7 @@
   effects: Effect[],
 ): void => {
   const unsent = sendLegs(state, query, legs, 'retry', at, effects);
-  if (unsent.length > 0 && restartIfGone(state, query, unsent, at, effects)) {
+  if (unsent.length > 0 && restartIfSnapshotGone(state, query, unsent, at, effects)) {
     return;
   }
   unsent.forEach((leg) => markMissing(query, leg, leg.reason ?? 'no-replica'));
@@ -77,8 +77,8 @@
   at: number,
   effects: Effect[],
 ): void => {
-  query.paused.push(leg);
-  if (query.paused.length === 1) {
+  query.legsAwaitingRetry.push(leg);
+  if (query.legsAwaitingRetry.length === 1) {
     const key = { purpose: 'query-retry', subject: query.request } as const;
     const pause = SHED_PAUSE_MS * state.random.next();
     effects.push({ type: 'set-timer', key, at: at + pause });
@@ -113,8 +113,10 @@
   at: number,
   effects: Effect[],
 ): void => {
-  const legs = query.paused.filter((leg) => leg.status === 'open' && query.legs.includes(leg));
-  query.paused = [];
+  const legs = query.legsAwaitingRetry.filter(
+    (leg) => leg.status === 'open' && query.legs.includes(leg),
+  );
+  query.legsAwaitingRetry = [];
   sendRetries(state, query, legs, at, effects);
   finishIfDone(state, query, at, effects);
 };
--- a/src/core/query/select-feeder.ts
+++ b/src/core/query/select-feeder.ts
@@ -2,7 +2,7 @@
 import type { NodeIdentity } from '../../protocol/node-address.js';
 import { listLiveMembers, rankByRendezvous } from '../membership/view.js';
 import type { CoreState } from '../state.js';
-import { forgetPeers, isPeerAvoided } from './peer-observation.js';
+import { removeFormerPeers, isPeerAvoided } from './peer-observation.js';
 import type { ReplicaTarget } from './query-plan.js';
 
 /** Candidates kept for each replica beyond its feeders: they step in for peers out of reach. */
@@ -22,7 +22,7 @@
   if (feederCache.viewVersion !== state.membership.viewVersion) {
     feederCache.viewVersion = state.membership.viewVersion;
     feederCache.ranked.clear();
-    forgetPeers(state.query.peers, state.membership.members);
+    removeFormerPeers(state.query.peers, state.membership.members);
   }
   const known = feederCache.ranked.get(target.endpoint);
   if (known !== undefined) {
@@ -61,6 +61,6 @@
 };
 
 /** Whether all nodes that could feed `target` are out of reach: its zone may be cut off. */
-export const isBeyondReach = (state: CoreState, target: ReplicaTarget, at: number): boolean =>
-  state.query.peers.avoidedUntil > at &&
+export const isUnreachable = (state: CoreState, target: ReplicaTarget, at: number): boolean =>
+  state.query.peers.noneAvoidedAfter > at &&
   listFeeders(state, target).every((identity) => isAvoided(state, identity, at));
--- a/src/core/query/select-replica.ts
+++ b/src/core/query/select-replica.ts
@@ -7,19 +7,19 @@
 import type { LegState } from './active-query.js';
 import type { ReplicaTarget } from './query-plan.js';
 import {
-  EASE_IN_MS,
-  expectLatency,
-  isOut,
-  isPaused,
+  SLOW_START_MS,
+  predictLatency,
+  isUnavailable,
+  isBackingOff,
   isProbeDue,
-  lacksSnapshot,
+  hasRefusedSnapshot,
 } from './replica-observation.js';
-import { isBeyondReach } from './select-feeder.js';
+import { isUnreachable } from './select-feeder.js';
 
 /** Smallest share of its turns that a replica which eases in takes. */
-const LEAST_EASE_IN = 0.1;
+const MIN_SLOW_START_SHARE = 0.1;
 
-const wasTried = (leg: LegState, target: ReplicaTarget, lastResort: boolean): boolean => {
+const wasAttempted = (leg: LegState, target: ReplicaTarget, lastResort: boolean): boolean => {
   for (const record of leg.attempts) {
     if (record.target.endpoint === target.endpoint && !(record.heldBack && lastResort)) {
       return true;
@@ -31,7 +31,7 @@
 const isLeaving = (state: CoreState, target: ReplicaTarget, at: number): boolean =>
   state.membership.leavingReplicas.size > 0 && isReplicaLeaving(state, target.status.replica, at);
 
-const mayTake = (
+const isEligible = (
   state: CoreState,
   leg: LegState,
   target: ReplicaTarget,
@@ -39,59 +39,62 @@
   lastResort = false,
 ): boolean =>
   !isLeaving(state, target, at) &&
-  !(target.observed.lacking && lacksSnapshot(target.observed, target.snapshot, at)) &&
-  (leg.attempts.length === 0 || !wasTried(leg, target, lastResort));
+  !(target.observed.refusedSnapshots && hasRefusedSnapshot(target.observed, target.snapshot, at)) &&
+  (leg.attempts.length === 0 || !wasAttempted(leg, target, lastResort));
 
 /** How far a new or returned replica has eased in, 0 to 1; one that warms up stays at the least. */
-const easeIn = (target: ReplicaTarget, at: number): number => {
+const slowStartShare = (target: ReplicaTarget, at: number): number => {
   if (target.status.lifecycle === 'warming') {
-    return LEAST_EASE_IN;
+    return MIN_SLOW_START_SHARE;
   }
-  return Math.max(LEAST_EASE_IN, Math.min(1, (at - target.observed.easeInFrom) / EASE_IN_MS));
+  return Math.max(
+    MIN_SLOW_START_SHARE,
+    Math.min(1, (at - target.observed.slowStartFrom) / SLOW_START_MS),
+  );
 };
 
 const selectRandom = (state: CoreState, leg: LegState, at: number): ReplicaTarget | undefined => {
-  const candidates = leg.shard.replicas.filter((target) => mayTake(state, leg, target, at));
+  const candidates = leg.shard.replicas.filter((target) => isEligible(state, leg, target, at));
   return candidates[state.random.nextBelow(Math.max(1, candidates.length))];
 };
 
 /** Sharpens the preference for the quicker of two: their chances are as this power of their speeds. */
-const preferenceOf = (latencyMs: number): number => latencyMs ** 4;
+const selectionCost = (latencyMs: number): number => latencyMs ** 4;
 
-const preferQuicker = (
+const preferFaster = (
   state: CoreState,
   a: ReplicaTarget,
   b: ReplicaTarget,
   at: number,
 ): ReplicaTarget => {
-  const costA = preferenceOf(expectLatency(a.observed, a.status.slots, at));
-  const costB = preferenceOf(expectLatency(b.observed, b.status.slots, at));
+  const costA = selectionCost(predictLatency(a.observed, a.status.slots, at));
+  const costB = selectionCost(predictLatency(b.observed, b.status.slots, at));
   return state.random.next() * (costA + costB) <= costB ? a : b;
 };
 
 /** Of two candidates more often the quicker; the less eased in yields more often than not. */
-const preferOne = (
+const chooseBetween = (
   state: CoreState,
   a: ReplicaTarget,
   b: ReplicaTarget,
   at: number,
 ): ReplicaTarget => {
-  const easedA = easeIn(a, at);
-  const easedB = easeIn(b, at);
-  if (easedA !== easedB) {
-    const settled = easedA < easedB ? b : a;
-    const share = Math.min(easedA, easedB) / Math.max(easedA, easedB);
+  const shareA = slowStartShare(a, at);
+  const shareB = slowStartShare(b, at);
+  if (shareA !== shareB) {
+    const established = shareA < shareB ? b : a;
+    const share = Math.min(shareA, shareB) / Math.max(shareA, shareB);
     if (state.random.next() > share) {
-      return settled;
+      return established;
     }
   }
-  return preferQuicker(state, a, b, at);
+  return preferFaster(state, a, b, at);
 };
 
 /** The one whose ejection or pause ends first, when no replica is in good standing. */
-const preferSooner = (a: ReplicaTarget, b: ReplicaTarget): ReplicaTarget => {
+const preferEarlierReturn = (a: ReplicaTarget, b: ReplicaTarget): ReplicaTarget => {
   const endOf = ({ observed }: ReplicaTarget): number =>
-    Math.max(observed.ejected ? observed.probeAt : 0, observed.shedUntil);
+    Math.max(observed.ejected ? observed.probeAt : 0, observed.backOffUntil);
   return endOf(a) <= endOf(b) ? a : b;
 };
 
@@ -99,11 +102,11 @@
   /** Two drawn at random from those in good standing. */
   first: ReplicaTarget | undefined;
   second: ReplicaTarget | undefined;
-  good: number;
+  available: number;
   /** Those that seem unable to answer. */
   out: number;
   /** Of those that are not, the one to be tried first. */
-  spare: ReplicaTarget | undefined;
+  fallback: ReplicaTarget | undefined;
 }
 
 /** Draws two candidates in one pass, each pair with the same chance. */
@@ -111,23 +114,24 @@
   const drawn: Candidates = {
     first: undefined,
     second: undefined,
-    good: 0,
+    available: 0,
     out: 0,
-    spare: undefined,
+    fallback: undefined,
   };
   for (const target of leg.shard.replicas) {
-    if (!mayTake(state, leg, target, at)) {
+    if (!isEligible(state, leg, target, at)) {
       continue;
     }
-    const beyondReach = isBeyondReach(state, target, at);
-    const out = isOut(target.observed, at);
-    if (beyondReach || out || isPaused(target.observed, at)) {
-      drawn.out += Number(out && !beyondReach);
-      drawn.spare = drawn.spare === undefined ? target : preferSooner(drawn.spare, target);
+    const unreachable = isUnreachable(state, target, at);
+    const out = isUnavailable(target.observed, at);
+    if (unreachable || out || isBackingOff(target.observed, at)) {
+      drawn.out += Number(out && !unreachable);
+      drawn.fallback =
+        drawn.fallback === undefined ? target : preferEarlierReturn(drawn.fallback, target);
       continue;
     }
-    drawn.good += 1;
-    const place = state.random.nextBelow(drawn.good);
+    drawn.available += 1;
+    const place = state.random.nextBelow(drawn.available);
     if (place === 0) {
       drawn.second = drawn.first;
       drawn.first = target;
@@ -139,13 +143,13 @@
 };
 
 const selectObserved = (state: CoreState, leg: LegState, at: number): ReplicaTarget | undefined => {
-  const { first, second, spare, out } = drawCandidates(state, leg, at);
+  const { first, second, fallback: fallback, out } = drawCandidates(state, leg, at);
   if (first === undefined) {
-    return spare;
+    return fallback;
   }
-  const tooManyOut = out * 2 > leg.shard.replicas.length;
-  const other = second ?? (tooManyOut ? spare : undefined);
-  return other === undefined ? first : preferOne(state, first, other, at);
+  const mostUnavailable = out * 2 > leg.shard.replicas.length;
+  const other = second ?? (mostUnavailable ? fallback : undefined);
+  return other === undefined ? first : chooseBetween(state, first, other, at);
 };
 
 /** Picks a replica that this leg has not tried yet; undefined when there is none. */
@@ -159,13 +163,13 @@
     : selectObserved(state, leg, at);
 
 /** Whether a replica that the leg has not tried is in good standing: neither out nor shedding. */
-export const hasGoodReplica = (state: CoreState, leg: LegState, at: number): boolean =>
+export const hasAvailableReplica = (state: CoreState, leg: LegState, at: number): boolean =>
   leg.shard.replicas.some(
     (target) =>
-      mayTake(state, leg, target, at) &&
-      !isOut(target.observed, at) &&
-      !isPaused(target.observed, at) &&
-      !isBeyondReach(state, target, at),
+      isEligible(state, leg, target, at) &&
+      !isUnavailable(target.observed, at) &&
+      !isBackingOff(target.observed, at) &&
+      !isUnreachable(state, target, at),
   );
 
 /** A replica in good standing to which a second attempt may go. */
@@ -178,9 +182,9 @@
   const usable =
     state.query.policy.hedging === 'fixed' ||
     (target &&
-      !isOut(target.observed, at) &&
-      !isPaused(target.observed, at) &&
-      !isBeyondReach(state, target, at));
+      !isUnavailable(target.observed, at) &&
+      !isBackingOff(target.observed, at) &&
+      !isUnreachable(state, target, at));
   return usable ? target : undefined;
 };
 
@@ -190,7 +194,7 @@
   leg: LegState,
   at: number,
 ): ReplicaTarget | undefined =>
-  leg.shard.replicas.find((target) => mayTake(state, leg, target, at, true));
+  leg.shard.replicas.find((target) => isEligible(state, leg, target, at, true));
 
 /** An ejected replica of the leg's shard that is due to be probed. */
 export const selectProbeReplica = (
@@ -199,5 +203,5 @@
   at: number,
 ): ReplicaTarget | undefined =>
   leg.shard.replicas.find(
-    (target) => isProbeDue(target.observed, at) && mayTake(state, leg, target, at),
+    (target) => isProbeDue(target.observed, at) && isEligible(state, leg, target, at),
   );
--- a/src/core/query/send-legs.ts
+++ b/src/core/query/send-legs.ts
@@ -6,10 +6,10 @@
 import { acceptLegs } from '../replica/accept-legs.js';
 import type { CoreState } from '../state.js';
 import type { ActiveQuery, AttemptPurpose, AttemptRecord, LegState } from './active-query.js';
-import { recordHanded } from './peer-observation.js';
+import { recordAttemptAtPeer } from './peer-observation.js';
 import type { ReplicaTarget } from './query-plan.js';
 import { recordSent } from './record-observation.js';
-import { isOut } from './replica-observation.js';
+import { isUnavailable } from './replica-observation.js';
 import { selectFeeder } from './select-feeder.js';
 import { selectLastResort, selectReplica } from './select-replica.js';
 
@@ -41,7 +41,7 @@
 
 /** Whether the attempt must be sent even if the replica seems silent: no other could take it. */
 const isLastResort = (leg: LegState, target: ReplicaTarget, at: number): boolean =>
-  leg.shard.replicas.length === 1 || leg.attempts.length > 0 || isOut(target.observed, at);
+  leg.shard.replicas.length === 1 || leg.attempts.length > 0 || isUnavailable(target.observed, at);
 
 const createAttempt = (
   state: CoreState,
@@ -71,7 +71,7 @@
   state.query.attempts.set(attempt, record);
   recordSent(target.observed, at);
   if (purpose !== 'probe') {
-    recordHanded(state.query.peers, feeder.node, at);
+    recordAttemptAtPeer(state.query.peers, feeder.node, at);
   }
   countAttempt(state, query, purpose);
   return record;
@@ -96,7 +96,7 @@
  * Whether the feeder may let an answer wait for others. Only where every shard is wanted: the query
  * ends with the last answer, which does not wait; with fewer, any answer may be the one that ends it.
  */
-const mayWaitForOthers = (
+const mayDelayAnswers = (
   state: CoreState,
   query: ActiveQuery,
   legs: readonly LegAttempt[],
@@ -126,7 +126,7 @@
     type: 'send-link',
     to: feeder.node,
     address: feeder.address,
-    message: { ...message, ...(mayWaitForOthers(state, query, legs) && { mayWait: true }) },
+    message: { ...message, ...(mayDelayAnswers(state, query, legs) && { mayWait: true }) },
   });
 };
 
--- a/src/core/query/snapshot-targets.ts
+++ b/src/core/query/snapshot-targets.ts
@@ -10,18 +10,18 @@
 import {
   endpointOf,
   type Observations,
-  observeReplica,
-  observeService,
+  getReplicaObservation,
+  getServiceObservation,
   replicaKey,
 } from './observations.js';
 import type { ReplicaTarget, ShardTarget, SnapshotTargets } from './query-plan.js';
-import { lacksSnapshot, type ServiceObservation } from './replica-observation.js';
+import { hasRefusedSnapshot, type ServiceObservation } from './replica-observation.js';
 
 /**
  * Share of a service's replicas that must hold the newest snapshot before policy `covered` pins it
  * although an older one is held by more, once the newest has been there for `SETTLED_MS`.
  */
-const ENOUGH_REPLICAS_SHARE = 0.5;
+const MIN_REPLICA_SHARE = 0.5;
 /** Time after which a roll-out is not expected to reach further replicas, in milliseconds. */
 const SETTLED_MS = 30_000;
 
@@ -55,12 +55,17 @@
   layout: SnapshotLayout,
 ): ServiceTargets => {
   const { observations, at } = sources;
-  const observed = observeService(observations, row.partner, service);
+  const observed = getServiceObservation(observations, row.partner, service);
   const status = sources.inForce.services.get(row.partner)?.get(service);
   const serving = status?.replicas.filter((replica) => serves(replica, layout)) ?? [];
   const replicas = serving.map((replica) => {
     const endpoint = endpointOf(replica);
-    const seen = observeReplica(observations, replicaKey(row.partner, endpoint), observed, at);
+    const seen = getReplicaObservation(
+      observations,
+      replicaKey(row.partner, endpoint),
+      observed,
+      at,
+    );
     return { status: replica, endpoint, snapshot: layout.version, observed: seen };
   });
   return { observed, replicas };
@@ -89,17 +94,21 @@
  * The smallest share of a service's replicas, over all shards, that hold the snapshot: as published,
  * less those that have refused it.
  */
-const measureCover = (sources: TargetSources, row: RouteRow, targets: SnapshotTargets): number => {
+const measureReplicaShare = (
+  sources: TargetSources,
+  row: RouteRow,
+  targets: SnapshotTargets,
+): number => {
   const services = sources.inForce.services.get(row.partner);
-  let least = 1;
+  let smallest = 1;
   for (const { service, replicas } of targets.shards) {
     const known = services?.get(service)?.replicas.filter((r) => r.lifecycle !== 'leaving') ?? [];
     const holding = replicas.filter(
-      ({ observed }) => !lacksSnapshot(observed, targets.snapshot, sources.at),
+      ({ observed }) => !hasRefusedSnapshot(observed, targets.snapshot, sources.at),
     );
-    least = Math.min(least, holding.length / Math.max(1, known.length));
+    smallest = Math.min(smallest, holding.length / Math.max(1, known.length));
   }
-  return least;
+  return smallest;
 };
 
 const shareServed = (targets: SnapshotTargets): number =>
@@ -119,17 +128,17 @@
 
 interface Candidate {
   readonly targets: SnapshotTargets;
-  readonly cover: number;
-  readonly served: number;
+  readonly replicaShare: number;
+  readonly servedShare: number;
 }
 
 /** The better held of two; the newer when equal. */
-const preferHeld = (a: Candidate, b: Candidate): Candidate => {
-  if (a.cover !== b.cover) {
-    return a.cover > b.cover ? a : b;
+const preferWidelyHeld = (a: Candidate, b: Candidate): Candidate => {
+  if (a.replicaShare !== b.replicaShare) {
+    return a.replicaShare > b.replicaShare ? a : b;
   }
-  if (a.served !== b.served) {
-    return a.served > b.served ? a : b;
+  if (a.servedShare !== b.servedShare) {
+    return a.servedShare > b.servedShare ? a : b;
   }
   return a.targets.snapshot > b.targets.snapshot ? a : b;
 };
@@ -149,18 +158,18 @@
     .filter((targets) => targets.shards.length > 0)
     .map((targets) => ({
       targets,
-      cover: measureCover(sources, row, targets),
-      served: shareServed(targets),
+      replicaShare: measureReplicaShare(sources, row, targets),
+      servedShare: shareServed(targets),
     }))
-    .filter((candidate) => candidate.served > 0)
+    .filter((candidate) => candidate.servedShare > 0)
     .sort((a, b) => b.targets.snapshot - a.targets.snapshot);
   const [newest] = candidates;
   if (newest === undefined || row.snapshotPolicy === 'newest') {
     return newest?.targets;
   }
   const since = firstSeenAt(sources, row, newest.targets.snapshot);
-  if (sources.at - since >= SETTLED_MS && newest.cover >= ENOUGH_REPLICAS_SHARE) {
+  if (sources.at - since >= SETTLED_MS && newest.replicaShare >= MIN_REPLICA_SHARE) {
     return newest.targets;
   }
-  return candidates.reduce(preferHeld).targets;
+  return candidates.reduce(preferWidelyHeld).targets;
 };
--- a/src/gateway/requests/route-latency.ts
+++ b/src/gateway/requests/route-latency.ts
@@ -3,7 +3,7 @@
   addRatio,
   createLatencyHistogram,
   type LatencyHistogram,
-  worthwhileRatio,
+  hedgeThreshold,
 } from '../../core/query/latency-histogram.js';
 import type { Route } from '../model/route.js';
 
@@ -56,7 +56,7 @@
   if (latency.samples < MIN_SAMPLES) {
     return latest;
   }
-  const ratio = worthwhileRatio(latency.histogram, HEDGED_TAIL, WORTHWHILE_REST);
+  const ratio = hedgeThreshold(latency.histogram, HEDGED_TAIL, WORTHWHILE_REST);
   const delay = latency.median * Math.max(EARLIEST_HEDGE, ratio);
   return Math.min(latest, delay);
 };
--- a/src/operator/read-status.ts
+++ b/src/operator/read-status.ts
@@ -68,7 +68,7 @@
   if (observed?.ejected === true) {
     return 'ejected';
   }
-  return observed !== undefined && observed.shedUntil > at ? 'shedding' : 'used';
+  return observed !== undefined && observed.backOffUntil > at ? 'shedding' : 'used';
 };
 
 const readReplica = (
--- a/test/query/misbehaving-replicas.test.ts
+++ b/test/query/misbehaving-replicas.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import type { NodeId } from '../../src/core/identifiers.js';
-import { isOut } from '../../src/core/query/replica-observation.js';
+import { isUnavailable } from '../../src/core/query/replica-observation.js';
 import type { Random } from '../../src/core/random.js';
 import { type Answer, makeKey, makeRow, type TierOptions, VirtualTier } from './virtual-tier.js';
 
@@ -132,7 +132,7 @@
     tier.replicas.filter((_, index) => index % 3 !== 0).forEach((r) => (r.mode = 'dead'));
     load(tier, 500);
     const [observed] = tier.nodeIds.map((id) => tier.state(id).query.observations.replicas);
-    const out = [...(observed?.values() ?? [])].filter((each) => isOut(each, tier.now));
+    const out = [...(observed?.values() ?? [])].filter((each) => isUnavailable(each, tier.now));
     expect(out.length).toBeGreaterThan(2);
     tier.replicas.forEach((replica) => (replica.mode = 'normal'));
     const before = tier.replicas.map((replica) => replica.ran.length);
