--- a/src/core/query/accept-query.ts
+++ b/src/core/query/accept-query.ts
@@ -11,7 +11,7 @@
 import type { ActiveQuery } from './active-query.js';
 import { buildQueryPlan } from './build-query-plan.js';
 import { createAnswerMerge } from './merge-answers.js';
-import { nextCheckAt } from './unanswerable-legs.js';
+import { nextCheckAt } from './hopeless-legs.js';
 import { getRowObservation } from './observations.js';
 import { isBelowLimit, recordQueryStarted, chooseRetryDelay } from './overload-limit.js';
 import type { QueryPlan } from './query-plan.js';
--- a/src/core/query/reducer.ts
+++ b/src/core/query/reducer.ts
@@ -9,7 +9,7 @@
 import { gatherAnswers } from './gather-answers.js';
 import type { ActiveQuery } from './active-query.js';
 import { hedgeLegs } from './hedge-legs.js';
-import { areOpenLegsUnanswerable, nextCheckAt } from './unanswerable-legs.js';
+import { areOpenLegsUnanswerable, nextCheckAt } from './hopeless-legs.js';
 import { recordPeerReport, recordLinkLost } from './peer-observation.js';
 import { retryPausedLegs } from './retry-legs.js';
 
--- a/test/query/misbehaving-replicas.test.ts
+++ b/test/query/misbehaving-replicas.test.ts
@@ -4,19 +4,19 @@
 import type { Random } from '../../src/core/random.js';
 import { type Answer, makeKey, makeRow, type TierOptions, VirtualTier } from './virtual-tier.js';
 
-const plainService = (random: Random): number => 2.5 - 1.5 * Math.log(1 - random.next());
+const sampleServiceMs = (random: Random): number => 2.5 - 1.5 * Math.log(1 - random.next());
 
 const createTier = (options: TierOptions = {}): VirtualTier =>
   new VirtualTier({
     zones: ['bole', 'arada'],
     services: 6,
-    serviceMs: plainService,
+    serviceMs: sampleServiceMs,
     rows: [makeRow({ deadlineMs: 1_000 })],
     ...options,
   });
 
 /** Asks every `gapMs`, each node in turn, for `durationMs`; returns the answers to these. */
-const load = (tier: VirtualTier, durationMs: number, gapMs = 5): Answer[] => {
+const runLoad = (tier: VirtualTier, durationMs: number, gapMs = 5): Answer[] => {
   const calls: string[] = [];
   const until = tier.now + durationMs;
   const ask = (): void => {
@@ -47,25 +47,25 @@
 const firstReplicas = (tier: VirtualTier) =>
   tier.replicas.filter((each) => each.status.replica.endsWith('r0'));
 
-const ranOn = (tier: VirtualTier, index: number): number =>
+const countRunsOn = (tier: VirtualTier, index: number): number =>
   tier.replicas[index]?.ran.length as number;
 
 describe('choice of a replica', () => {
   it('turns away from a slow replica and back when it has recovered', () => {
     const tier = createTier();
-    load(tier, 1_000);
+    runLoad(tier, 1_000);
     (tier.replicas[0] as { serviceMs: unknown }).serviceMs = () => 60;
-    load(tier, 500);
-    const before = [ranOn(tier, 0), ranOn(tier, 1)] as const;
-    load(tier, 2_000);
-    const slow = ranOn(tier, 0) - before[0];
-    const quick = ranOn(tier, 1) - before[1];
+    runLoad(tier, 500);
+    const before = [countRunsOn(tier, 0), countRunsOn(tier, 1)] as const;
+    runLoad(tier, 2_000);
+    const slow = countRunsOn(tier, 0) - before[0];
+    const quick = countRunsOn(tier, 1) - before[1];
     expect(slow).toBeLessThan(quick / 10);
-    (tier.replicas[0] as { serviceMs: unknown }).serviceMs = plainService;
-    load(tier, 15_000, 10);
-    const later = [ranOn(tier, 0), ranOn(tier, 1)] as const;
-    load(tier, 1_000);
-    expect(ranOn(tier, 0) - later[0]).toBeGreaterThan((ranOn(tier, 1) - later[1]) / 4);
+    (tier.replicas[0] as { serviceMs: unknown }).serviceMs = sampleServiceMs;
+    runLoad(tier, 15_000, 10);
+    const later = [countRunsOn(tier, 0), countRunsOn(tier, 1)] as const;
+    runLoad(tier, 1_000);
+    expect(countRunsOn(tier, 0) - later[0]).toBeGreaterThan((countRunsOn(tier, 1) - later[1]) / 4);
   });
 
   it('gives a replica that appears only a part of its share at first', () => {
@@ -77,25 +77,25 @@
       tier.publish(tier.statusContents('ensemble' as never));
     };
     hide([]);
-    load(tier, 4_000, 20);
-    expect(ranOn(tier, 1)).toBe(0);
+    runLoad(tier, 4_000, 20);
+    expect(countRunsOn(tier, 1)).toBe(0);
     hide(snapshots);
-    const before = ranOn(tier, 0);
-    load(tier, 500);
-    expect(ranOn(tier, 1)).toBeGreaterThan(0);
-    expect(ranOn(tier, 1)).toBeLessThan((ranOn(tier, 0) - before) / 2);
+    const before = countRunsOn(tier, 0);
+    runLoad(tier, 500);
+    expect(countRunsOn(tier, 1)).toBeGreaterThan(0);
+    expect(countRunsOn(tier, 1)).toBeLessThan((countRunsOn(tier, 0) - before) / 2);
   });
 
   it('believes its own eyes when load reports are inverted', () => {
     const tier = createTier();
     tier.replicas.forEach((replica) => {
-      replica.distort = (outcome) =>
+      replica.transformOutcome = (outcome) =>
         outcome.type === 'answered' && outcome.load
           ? { ...outcome, load: { inFlight: 5 - outcome.load.inFlight, queued: 0 } }
           : outcome;
     });
-    const inverted = p99(load(tier, 3_000, 4).slice(200));
-    const truthful = p99(load(createTier(), 3_000, 4).slice(200));
+    const inverted = p99(runLoad(tier, 3_000, 4).slice(200));
+    const truthful = p99(runLoad(createTier(), 3_000, 4).slice(200));
     expect(inverted).toBeLessThan(1.2 * truthful);
   });
 });
@@ -103,24 +103,24 @@
 describe('one replica of each service out of order', () => {
   it('is passed over when dead, with full coverage', () => {
     const tier = createTier();
-    const healthy = load(tier, 1_000);
+    const healthy = runLoad(tier, 1_000);
     firstReplicas(tier).forEach((replica) => (replica.mode = 'dead'));
-    const answers = load(tier, 3_000);
+    const answers = runLoad(tier, 3_000);
     expect(answers.every(isWhole)).toBe(true);
     expect(p99(answers.slice(200))).toBeLessThan(1.5 * p99(healthy));
   });
 
   it('is hedged around when frozen, and used again when it thaws', () => {
     const tier = createTier();
-    const healthy = load(tier, 1_000);
+    const healthy = runLoad(tier, 1_000);
     firstReplicas(tier).forEach((replica) => (replica.mode = 'frozen'));
-    const answers = load(tier, 4_000, 10);
+    const answers = runLoad(tier, 4_000, 10);
     const settled = answers.slice(200);
     expect(settled.every(isWhole)).toBe(true);
     expect(p99(settled)).toBeLessThan(1.5 * p99(healthy));
     const frozen = firstReplicas(tier).map((replica) => replica.ran.length);
-    firstReplicas(tier).forEach((replica) => tier.thaw(replica));
-    load(tier, 12_000, 20);
+    firstReplicas(tier).forEach((replica) => tier.resumeReplica(replica));
+    runLoad(tier, 12_000, 20);
     firstReplicas(tier).forEach((replica, index) => {
       expect(replica.ran.length).toBeGreaterThan((frozen[index] as number) + 50);
     });
@@ -128,47 +128,47 @@
 
   it('is never a majority of the replicas of a shard', () => {
     const tier = createTier({ services: 2, replicasPerService: 3 });
-    load(tier, 500);
+    runLoad(tier, 500);
     tier.replicas.filter((_, index) => index % 3 !== 0).forEach((r) => (r.mode = 'dead'));
-    load(tier, 500);
+    runLoad(tier, 500);
     const [observed] = tier.nodeIds.map((id) => tier.state(id).query.observations.replicas);
     const out = [...(observed?.values() ?? [])].filter((each) => isUnavailable(each, tier.now));
     expect(out.length).toBeGreaterThan(2);
     tier.replicas.forEach((replica) => (replica.mode = 'normal'));
     const before = tier.replicas.map((replica) => replica.ran.length);
-    load(tier, 200);
+    runLoad(tier, 200);
     const back = tier.replicas.filter((r, index) => r.ran.length > (before[index] as number));
     expect(back.length).toBeGreaterThan(2);
   });
 });
 
 describe('the budget of extra load', () => {
-  const straggling = (random: Random): number =>
-    plainService(random) * (random.next() < 0.01 ? 10 : 1);
+  const sampleStragglingMs = (random: Random): number =>
+    sampleServiceMs(random) * (random.next() < 0.01 ? 10 : 1);
 
   it('halves the tail of stragglers within its share', () => {
-    const options = { services: 12, serviceMs: straggling };
-    const plain = load(
+    const options = { services: 12, serviceMs: sampleStragglingMs };
+    const plain = runLoad(
       createTier({ ...options, policy: { replicaChoice: 'random', hedging: 'none' } }),
       4_000,
     );
-    const hedged = load(createTier(options), 4_000);
+    const hedged = runLoad(createTier(options), 4_000);
     expect(p99(hedged.slice(200))).toBeLessThan(0.5 * p99(plain.slice(200)));
     expect(extraLoad(hedged)).toBeLessThan(0.03);
     expect(extraLoad(hedged)).toBeGreaterThan(0);
   });
 
   it('spends next to nothing when no tail is there', () => {
-    expect(extraLoad(load(createTier(), 3_000))).toBeLessThan(0.005);
+    expect(extraLoad(runLoad(createTier(), 3_000))).toBeLessThan(0.005);
   });
 
   it('holds when everything is slow, and latency is back at once after it', () => {
     const tier = createTier();
-    const healthy = load(tier, 1_000);
-    tier.replicas.forEach((r) => (r.serviceMs = (random) => 3 * plainService(random)));
-    expect(extraLoad(load(tier, 3_000))).toBeLessThan(0.03);
-    tier.replicas.forEach((r) => (r.serviceMs = plainService));
-    expect(p99(load(tier, 1_000))).toBeLessThan(1.5 * p99(healthy));
+    const healthy = runLoad(tier, 1_000);
+    tier.replicas.forEach((r) => (r.serviceMs = (random) => 3 * sampleServiceMs(random)));
+    expect(extraLoad(runLoad(tier, 3_000))).toBeLessThan(0.03);
+    tier.replicas.forEach((r) => (r.serviceMs = sampleServiceMs));
+    expect(p99(runLoad(tier, 1_000))).toBeLessThan(1.5 * p99(healthy));
   });
 
   it('hedges no request that is not safe to repeat', () => {
@@ -190,7 +190,7 @@
 describe('a feeder that freezes while its links stay open', () => {
   it('costs no coverage', () => {
     const tier = createTier({ nodesPerZone: 3 });
-    load(tier, 500);
+    runLoad(tier, 500);
     const frozen = tier.nodeIds[1] as NodeId;
     tier.pause(frozen);
     const calls: string[] = [];
--- a/test/query/bookkeeping.test.ts
+++ b/test/query/observations-and-budget.test.ts
@@ -101,7 +101,7 @@
     }
   };
 
-  const legsAfter = (replicasPerService: number, ejected: number): number[] => {
+  const countLegsAfterEjection = (replicasPerService: number, ejected: number): number[] => {
     const tier = new VirtualTier({ services: 1, replicasPerService });
     ejectFirst(tier, ejected);
     const before = tier.replicas.map((replica) => replica.ran.length);
@@ -112,17 +112,17 @@
   };
 
   it('keeps work from an ejected replica', () => {
-    expect(legsAfter(2, 1)[0]).toBe(0);
-    expect(legsAfter(3, 1)[0]).toBe(0);
+    expect(countLegsAfterEjection(2, 1)[0]).toBe(0);
+    expect(countLegsAfterEjection(3, 1)[0]).toBe(0);
   });
 
   it('never holds for a majority of the replicas of a shard', () => {
-    const [first = 0, second = 0] = legsAfter(3, 2);
+    const [first = 0, second = 0] = countLegsAfterEjection(3, 2);
     expect(first + second).toBeGreaterThan(20);
   });
 
   it('leaves the only replica of a shard in use', () => {
-    expect(legsAfter(1, 1)[0]).toBe(120);
+    expect(countLegsAfterEjection(1, 1)[0]).toBe(120);
   });
 });
 
--- a/test/query/overload.test.ts
+++ b/test/query/overload.test.ts
@@ -7,7 +7,7 @@
 const SLOTS = 5;
 const MEAN_MS = 5;
 
-const service = (random: Random): number => 2.5 - 1.5 * Math.log(1 - random.next());
+const sampleServiceMs = (random: Random): number => 2.5 - 1.5 * Math.log(1 - random.next());
 
 const createTier = (): VirtualTier =>
   new VirtualTier({
@@ -15,7 +15,7 @@
     services: SERVICES,
     shardsPerService: 1,
     slots: SLOTS,
-    serviceMs: service,
+    serviceMs: sampleServiceMs,
     rows: [makeRow({ deadlineMs: 1_000 }), makeRow({ partner: TAWE, deadlineMs: 1_000 })],
     shares: [
       { partner: ENSEMBLE, share: 0.5 },
@@ -26,7 +26,12 @@
 /** Queries a millisecond that the slots of all replicas can do. */
 const CAPACITY = (SERVICES * 2 * SLOTS) / MEAN_MS / SERVICES;
 
-const ask = (tier: VirtualTier, partner: PartnerId, perMs: number, until: number): string[] => {
+const sendQueries = (
+  tier: VirtualTier,
+  partner: PartnerId,
+  perMs: number,
+  until: number,
+): string[] => {
   const calls: string[] = [];
   const next = (): void => {
     calls.push(tier.ask(tier.nodeIds[calls.length % 4] as NodeId, { partner }));
@@ -52,14 +57,14 @@
 
 describe('a partner that floods to 5 times the capacity', () => {
   const alone = createTier();
-  const aloneCalls = ask(alone, ENSEMBLE, CAPACITY / 5, alone.now + 3_000);
+  const aloneCalls = sendQueries(alone, ENSEMBLE, CAPACITY / 5, alone.now + 3_000);
   alone.runFor(4_500);
 
   const tier = createTier();
   const begin = tier.now + 1_000;
-  const calls = ask(tier, ENSEMBLE, CAPACITY / 5, begin + 3_000);
+  const calls = sendQueries(tier, ENSEMBLE, CAPACITY / 5, begin + 3_000);
   tier.runUntil(begin);
-  const flood = ask(tier, TAWE, 5 * CAPACITY, begin + 3_000);
+  const flood = sendQueries(tier, TAWE, 5 * CAPACITY, begin + 3_000);
   tier.runFor(4_500);
 
   it('takes nothing from the other: no refusal, no shard, little time', () => {
@@ -87,7 +92,7 @@
   });
 
   it('is served in full again after the flood', () => {
-    const later = ask(tier, TAWE, CAPACITY / 10, tier.now + 500);
+    const later = sendQueries(tier, TAWE, CAPACITY / 10, tier.now + 500);
     tier.runFor(2_000);
     expect(answersTo(tier, later).every(isWhole)).toBe(true);
   });
--- a/test/query/query-path.test.ts
+++ b/test/query/query-path.test.ts
@@ -152,7 +152,7 @@
       const tier = new VirtualTier();
       const distorted = tier.replicas.filter((each) => each.status.replica.endsWith('r0'));
       distorted.forEach((replica) => {
-        replica.distort = (outcome) => ({ ...outcome, ...fields }) as typeof outcome;
+        replica.transformOutcome = (outcome) => ({ ...outcome, ...fields }) as typeof outcome;
       });
       const outcome = answered(tier.askAndWait(firstNode(tier))?.outcome);
       const { counters } = tier.state(firstNode(tier));
@@ -187,7 +187,7 @@
   it('runs once and says unknown when the answer is lost', () => {
     const tier = new VirtualTier({ rows: [booking] });
     tier.replicas.forEach((replica) => {
-      replica.distort = () => ({ type: 'unknown', reason: 'connection-lost' });
+      replica.transformOutcome = () => ({ type: 'unknown', reason: 'connection-lost' });
     });
     const outcome = tier.askAndWait(firstNode(tier), ask)?.outcome;
     expect(outcome).toMatchObject({ type: 'unknown', reason: 'connection-lost' });
--- a/test/query/snapshots.test.ts
+++ b/test/query/snapshots.test.ts
@@ -12,7 +12,7 @@
 
 const firstNode = (tier: VirtualTier): NodeId => tier.nodeIds[0] as NodeId;
 
-const hold = (replica: VirtualReplica, snapshots: readonly number[]): void => {
+const setSnapshots = (replica: VirtualReplica, snapshots: readonly number[]): void => {
   replica.status = { ...replica.status, snapshots };
 };
 
@@ -38,17 +38,17 @@
       const outcome = tier.askAndWait(firstNode(tier))?.outcome;
       return outcome?.type === 'answered' ? outcome.snapshot : outcome;
     };
-    tier.replicas.slice(0, 3).forEach((replica) => hold(replica, [1, 2]));
+    tier.replicas.slice(0, 3).forEach((replica) => setSnapshots(replica, [1, 2]));
     publish(tier, [1, 2]);
     expect(pinned()).toBe(1);
-    tier.replicas.forEach((replica) => hold(replica, [1, 2]));
+    tier.replicas.forEach((replica) => setSnapshots(replica, [1, 2]));
     publish(tier, [1, 2]);
     expect(pinned()).toBe(2);
   });
 
   it('is the newest for a row that asks for it, whatever it costs', () => {
     const tier = new VirtualTier({ rows: [makeRow({ snapshotPolicy: 'newest' })] });
-    tier.replicas.slice(0, 4).forEach((replica) => hold(replica, [1, 2]));
+    tier.replicas.slice(0, 4).forEach((replica) => setSnapshots(replica, [1, 2]));
     publish(tier, [1, 2]);
     const outcome = tier.askAndWait(firstNode(tier))?.outcome;
     expect(outcome).toMatchObject({ type: 'answered', snapshot: 2, shards: 8, contributed: 4 });
@@ -56,7 +56,7 @@
 
   it('is not held back for good by a replica that never takes the newest', () => {
     const tier = new VirtualTier();
-    tier.replicas.slice(1).forEach((replica) => hold(replica, [1, 2]));
+    tier.replicas.slice(1).forEach((replica) => setSnapshots(replica, [1, 2]));
     publish(tier, [1, 2]);
     tier.askAndWait(firstNode(tier));
     tier.runFor(31_000);
@@ -65,12 +65,12 @@
 
   it('is left whole for the next one, once, when it goes away under the query', () => {
     const tier = new VirtualTier({ serviceMs: () => 20 });
-    tier.replicas.forEach((replica) => hold(replica, [1, 2]));
+    tier.replicas.forEach((replica) => setSnapshots(replica, [1, 2]));
     publish(tier, [1, 2]);
     tier.askAndWait(firstNode(tier));
     // Snapshot 2 is withdrawn from one service before the platform says so.
     const call = tier.ask(firstNode(tier));
-    tier.replicas.slice(2, 4).forEach((replica) => hold(replica, [1]));
+    tier.replicas.slice(2, 4).forEach((replica) => setSnapshots(replica, [1]));
     tier.runFor(400);
     const answer = tier.answers.get(call) as Answer;
     expect(answer.outcome).toMatchObject({ type: 'answered', snapshot: 1, contributed: 8 });
@@ -83,7 +83,7 @@
   it('is not restarted when no other one can be pinned', () => {
     const tier = new VirtualTier();
     const call = tier.ask(firstNode(tier));
-    tier.replicas.slice(2, 4).forEach((replica) => hold(replica, []));
+    tier.replicas.slice(2, 4).forEach((replica) => setSnapshots(replica, []));
     tier.runFor(1_000);
     const outcome = tier.answers.get(call)?.outcome;
     expect(outcome).toMatchObject({ type: 'answered', snapshot: 1, contributed: 6 });
@@ -94,11 +94,11 @@
   it('restarts no request that is not safe to repeat and may have run', () => {
     const rows = [makeRow({ safeToRepeat: false, kind: 'book', coverage: 1 })];
     const tier = new VirtualTier({ rows, serviceMs: () => 20 });
-    tier.replicas.forEach((replica) => hold(replica, [1, 2]));
+    tier.replicas.forEach((replica) => setSnapshots(replica, [1, 2]));
     publish(tier, [1, 2]);
     const fields = { kind: 'book', idempotencyKey: makeKey(1) };
     const call = tier.ask(firstNode(tier), fields);
-    tier.replicas.slice(2, 4).forEach((replica) => hold(replica, [1]));
+    tier.replicas.slice(2, 4).forEach((replica) => setSnapshots(replica, [1]));
     tier.runFor(1_500);
     expect(tier.answers.get(call)).toBeDefined();
     const ran = tier.replicas.flatMap((each) => each.ran.map((sent) => sent.leg.shard));
@@ -113,7 +113,7 @@
     const begin = tier.now;
     order.forEach((replica, index) => {
       const at = begin + 500 + index * 200;
-      tier.at(at, () => hold(replica, [2]));
+      tier.at(at, () => setSnapshots(replica, [2]));
       tier.at(at + 300, () => publish(tier, [1, 2]));
     });
     const calls: string[] = [];
@@ -157,7 +157,7 @@
   it('is noted as leaving by an answer that says so', () => {
     const tier = new VirtualTier();
     const leaving = tier.replicas[0] as VirtualReplica;
-    leaving.distort = (outcome) =>
+    leaving.transformOutcome = (outcome) =>
       outcome.type === 'answered' ? { ...outcome, leaving: true } : outcome;
     for (let round = 0; round < 10; round += 1) {
       tier.askAndWait(firstNode(tier));
--- a/test/query/out-of-reach.test.ts
+++ b/test/query/unavailable-replicas.test.ts
@@ -3,7 +3,7 @@
 import { makeKey, makeRow, type VirtualReplica, VirtualTier } from './virtual-tier.js';
 
 const COORDINATOR = 'bole-0' as NodeId;
-const FAR = 'arada-0' as NodeId;
+const SILENT_PEER = 'arada-0' as NodeId;
 
 const replicasOf = (tier: VirtualTier, service: string): VirtualReplica[] =>
   tier.replicas.filter(({ status }) => status.replica.startsWith(service));
@@ -21,16 +21,16 @@
   it('are passed over until the peer reports, but for one leg now and then', () => {
     const rows = [makeRow({ fanOut: 'key' })];
     const tier = new VirtualTier({ zones: ['bole', 'arada'], nodesPerZone: 1, services: 40, rows });
-    const askOften = (queries: number): string[] =>
+    const sendQueries = (queries: number): string[] =>
       Array.from({ length: queries }, () => {
         const call = tier.ask(COORDINATOR, { key: `key-${tier.asked}` });
         tier.runFor(10);
         return call;
       });
-    tier.pause(FAR);
-    askOften(20);
-    const count = countLegsTo(tier, FAR);
-    const calls = askOften(100);
+    tier.pause(SILENT_PEER);
+    sendQueries(20);
+    const count = countLegsTo(tier, SILENT_PEER);
+    const calls = sendQueries(100);
     tier.runFor(500);
     for (const call of calls) {
       expect(tier.answers.get(call)?.outcome).toMatchObject({ type: 'answered', missing: [] });
@@ -61,7 +61,7 @@
     for (let round = 0; round < 8; round += 1) {
       tier.askAndWait(COORDINATOR);
     }
-    frozen.forEach((replica) => tier.thaw(replica));
+    frozen.forEach((replica) => tier.resumeReplica(replica));
     expect(tier.askAndWait(COORDINATOR)?.outcome).toMatchObject({ contributed: 8, missing: [] });
   });
 
--- a/test/query/unaware-feeder.test.ts
+++ b/test/query/unknown-replica.test.ts
@@ -3,12 +3,12 @@
 import { VirtualTier } from './virtual-tier.js';
 
 const COORDINATOR = 'bole-0' as NodeId;
-const STARTED = 'bole-1' as NodeId;
+const NEW_NODE = 'bole-1' as NodeId;
 
 describe('a node that does not know the replicas yet', () => {
   it('costs no query a shard, though others hand it legs as soon as it is a member', () => {
     const tier = new VirtualTier({ nodesPerZone: 3, services: 24 });
-    const { configuration } = tier.state(STARTED);
+    const { configuration } = tier.state(NEW_NODE);
     configuration.inForce = { ...configuration.inForce, services: new Map() };
     const outcomes = Array.from({ length: 20 }, () => tier.askAndWait(COORDINATOR)?.outcome);
     outcomes.forEach((outcome) => {
--- a/test/query/virtual-tier.ts
+++ b/test/query/virtual-tier.ts
@@ -51,9 +51,9 @@
   serviceMs: (random: Random) => number;
   mode: 'normal' | 'frozen' | 'dead' | 'shedding' | 'leaving';
   /** Replaces the answer of an attempt. */
-  distort?: (outcome: AttemptOutcome) => AttemptOutcome;
+  transformOutcome?: (outcome: AttemptOutcome) => AttemptOutcome;
   busy: number;
-  busyMost: number;
+  busyMax: number;
   waiting: SendAttempt[];
   /** Attempts that truly ran, in order. */
   ran: SendAttempt[];
@@ -101,7 +101,7 @@
   a.at < b.at || (a.at === b.at && a.order < b.order);
 
 /** A binary heap, earliest first. */
-class Agenda {
+class EventQueue {
   private readonly heap: Scheduled[] = [];
 
   get first(): Scheduled | undefined {
@@ -122,7 +122,7 @@
     heap[place] = entry;
   }
 
-  takeFirst(): void {
+  removeFirst(): void {
     const { heap } = this;
     const moved = heap.pop() as Scheduled;
     if (heap.length === 0) {
@@ -158,7 +158,7 @@
   readonly options: Required<Omit<TierOptions, 'policy' | 'shares'>> & TierOptions;
   /** Changes a message between nodes on its way: none to lose it, two to double it. */
   onMessage: (effect: Extract<Effect, { type: 'send-link' }>) => number = () => 1;
-  private readonly agenda = new Agenda();
+  private readonly eventQueue = new EventQueue();
   private scheduled = 0;
   private calls = 0;
   private revision = 0;
@@ -213,7 +213,7 @@
           serviceMs,
           mode: 'normal',
           busy: 0,
-          busyMost: 0,
+          busyMax: 0,
           waiting: [],
           ran: [],
         };
@@ -338,7 +338,7 @@
 
   at(time: number, run: () => void): void {
     this.scheduled += 1;
-    this.agenda.add({ at: time, order: this.scheduled, run });
+    this.eventQueue.add({ at: time, order: this.scheduled, run });
   }
 
   after(delay: number, run: () => void): void {
@@ -348,11 +348,11 @@
   /** Runs until virtual time `until`. */
   runUntil(until: number): void {
     for (;;) {
-      const next = this.agenda.first;
+      const next = this.eventQueue.first;
       if (next === undefined || next.at > until) {
         break;
       }
-      this.agenda.takeFirst();
+      this.eventQueue.removeFirst();
       this.now = Math.max(this.now, next.at);
       next.run();
     }
@@ -370,7 +370,7 @@
       return;
     }
     for (const effect of step(node.state, event)) {
-      this.carryOut(id, node, effect);
+      this.applyEffect(id, node, effect);
     }
   }
 
@@ -434,10 +434,10 @@
     return this.answers.get(call);
   }
 
-  private carryOut(id: NodeId, node: VirtualNode, effect: Effect): void {
+  private applyEffect(id: NodeId, node: VirtualNode, effect: Effect): void {
     switch (effect.type) {
       case 'answer-caller':
-        this.takeAnswer(effect.call, effect.outcome);
+        this.recordAnswer(effect.call, effect.outcome);
         break;
       case 'set-timer':
         this.setTimer(id, node, effect);
@@ -459,7 +459,7 @@
     }
   }
 
-  private takeAnswer(call: string, outcome: QueryOutcome): void {
+  private recordAnswer(call: string, outcome: QueryOutcome): void {
     if (this.answers.has(call)) {
       throw new Error(`${call} was answered twice`);
     }
@@ -496,7 +496,12 @@
     }
   }
 
-  private end(id: NodeId, sent: SendAttempt, outcome: AttemptOutcome, sentAt: number): void {
+  private finishAttempt(
+    id: NodeId,
+    sent: SendAttempt,
+    outcome: AttemptOutcome,
+    sentAt: number,
+  ): void {
     const { attempt } = sent.leg;
     if (this.ended.has(attempt)) {
       return;
@@ -521,12 +526,12 @@
     if (replica === undefined) {
       throw new Error(`no replica at port ${sent.replica.port}`);
     }
-    const finish = (outcome: AttemptOutcome) => this.end(id, sent, outcome, sentAt);
+    const finish = (outcome: AttemptOutcome) => this.finishAttempt(id, sent, outcome, sentAt);
     this.after(sent.remainingMs, () => finish({ type: 'unknown', reason: 'timed-out' }));
-    this.after(0.5, () => this.arriveAtReplica(replica, sent, finish));
+    this.after(0.5, () => this.handleAtReplica(replica, sent, finish));
   }
 
-  private arriveAtReplica(
+  private handleAtReplica(
     replica: VirtualReplica,
     sent: SendAttempt,
     finish: (outcome: AttemptOutcome) => void,
@@ -536,7 +541,7 @@
       replica.waiting = replica.waiting.filter((each) => each.leg.attempt !== attempt);
       if (replica.mode !== 'frozen' && this.running.delete(attempt)) {
         replica.busy -= 1;
-        this.work(replica);
+        this.startWaiting(replica);
       }
       finish({ type: 'unknown', reason: 'cancelled' });
     });
@@ -549,7 +554,7 @@
     } else {
       this.finishers.set(attempt, finish);
       replica.waiting.push(sent);
-      this.work(replica);
+      this.startWaiting(replica);
     }
   }
 
@@ -558,21 +563,21 @@
   /** Attempts that replicas work on; one that is cancelled gives its slot back at once. */
   private readonly running = new Set<string>();
 
-  private work(replica: VirtualReplica): void {
+  private startWaiting(replica: VirtualReplica): void {
     while (replica.busy < replica.status.slots && replica.mode !== 'frozen') {
       const sent = replica.waiting.shift();
       if (sent === undefined) {
         return;
       }
       replica.busy += 1;
-      replica.busyMost = Math.max(replica.busyMost, replica.busy);
+      replica.busyMax = Math.max(replica.busyMax, replica.busy);
       replica.ran.push(sent);
       this.running.add(sent.leg.attempt);
-      this.after(replica.serviceMs(this.random), () => this.complete(replica, sent));
+      this.after(replica.serviceMs(this.random), () => this.completeAttempt(replica, sent));
     }
   }
 
-  private complete(replica: VirtualReplica, sent: SendAttempt): void {
+  private completeAttempt(replica: VirtualReplica, sent: SendAttempt): void {
     const { attempt, shard } = sent.leg;
     if (!this.running.delete(attempt)) {
       return;
@@ -582,16 +587,16 @@
     const items = [{ id: `${shard}@${snapshot}`, score: 1, value: null }];
     const load = { inFlight: replica.busy, queued: replica.waiting.length };
     const answered: AttemptOutcome = { type: 'answered', request, shard, snapshot, items, load };
-    const outcome = replica.distort?.(answered) ?? answered;
+    const outcome = replica.transformOutcome?.(answered) ?? answered;
     if (replica.mode !== 'frozen') {
       this.after(0.5, () => this.finishers.get(attempt)?.(outcome));
     }
-    this.work(replica);
+    this.startWaiting(replica);
   }
 
   /** Thaws a frozen replica. */
-  thaw(replica: VirtualReplica): void {
+  resumeReplica(replica: VirtualReplica): void {
     replica.mode = 'normal';
-    this.work(replica);
+    this.startWaiting(replica);
   }
 }
--- a/test/replica/result-batches.test.ts
+++ b/test/replica/result-batches.test.ts
@@ -38,7 +38,7 @@
     ...options,
     policy: { hedging: 'none', replicaChoice: 'random', ...policy },
   });
-  tier.replicas.forEach((replica) => (replica.distort = withSharedItems));
+  tier.replicas.forEach((replica) => (replica.transformOutcome = withSharedItems));
   const batches: (readonly LegResult[])[] = [];
   tier.onMessage = ({ message }) => {
     if (message.type === 'leg-results') {
