--- a/src/core/query/accept-query.ts
+++ b/src/core/query/accept-query.ts
@@ -1,4 +1,4 @@
-/** Takes a caller's request in: finds its row, plans it, admits it and starts it, or refuses it. */
+/** Accepts or refuses a caller's request: looks up its row, builds the plan, checks limits and starts it. */
 import type { LegContext } from '../../protocol/leg-messages.js';
 import type { RouteRow } from '../../table/route-row.js';
 import { admitQuery } from '../admission/admit-query.js';
@@ -43,11 +43,11 @@
   return [{ type: 'answer-caller', call: event.call, outcome }];
 };
 
-/** When a caller may ask a starting node again, in milliseconds. */
+/** Time after which a caller may retry at a node that is still starting, in milliseconds. */
 export const STARTING_RETRY_AFTER_MS = 1_000;
 /**
- * When a caller may come back to a stopping node, in milliseconds: by then a successor serves at its
- * address. One that comes back sooner may meet the port as it closes and be reset unheard.
+ * Time after which a caller may retry at a stopping node, in milliseconds. By then a successor serves
+ * at its address; an earlier retry may reach the closing port and have its connection reset.
  */
 const STOPPING_RETRY_AFTER_MS = 5_000;
 
@@ -62,7 +62,7 @@
   }
 };
 
-/** Why the request cannot be taken, from the phase of the node and the form of the request alone. */
+/** Returns why the request is refused, judged by the node's phase and the request's form alone. */
 const findRefusalReason = (
   state: CoreState,
   row: RouteRow | undefined,
@@ -147,7 +147,11 @@
   effects.push(...requestClaim(state, active.request, active.row.partner, claimKey, at));
 };
 
-/** Takes a caller's request. */
+/**
+ * Handles a caller's request: starts a query for it, or refuses it with a reason.
+ *
+ * @returns effects; a refusal is an `answer-caller` with outcome `not-run`
+ */
 export const acceptQuery = (state: CoreState, event: QueryArrived): Effect[] => {
   const { query, at } = event;
   const { rows } = state.configuration.inForce;
--- a/src/core/query/active-query.ts
+++ b/src/core/query/active-query.ts
@@ -1,4 +1,4 @@
-/** A query in progress at its coordinator, its legs and their attempts. */
+/** A query in progress at its coordinator, with its legs and their attempts. */
 import type { LegContext } from '../../protocol/leg-messages.js';
 import type { NodeIdentity } from '../../protocol/node-address.js';
 import type { RouteRow } from '../../table/route-row.js';
@@ -8,10 +8,10 @@
 import type { ReplicaTarget, ShardTarget } from './query-plan.js';
 import type { MissingReason, QueryRequest } from './query-request.js';
 
-/** Why an attempt is made. */
+/** Why an attempt is sent. */
 export type AttemptPurpose = 'first' | 'hedge' | 'probe' | 'retry';
 
-/** An attempt as its coordinator knows it. */
+/** The coordinator's record of an attempt. */
 export interface AttemptRecord {
   readonly attempt: AttemptId;
   readonly query: ActiveQuery;
@@ -19,26 +19,26 @@
   readonly target: ReplicaTarget;
   readonly feeder: NodeIdentity;
   readonly purpose: AttemptPurpose;
-  /** The feeder is asked to send it even to a replica that seems silent. */
+  /** Whether the feeder must send it even if the replica is silent. */
   readonly insist: boolean;
   readonly sentAt: number;
   ended: boolean;
-  /** It was never sent, because the replica seemed silent to its feeder. */
+  /** Whether the feeder did not send it, because it found the replica silent. */
   heldBack: boolean;
 }
 
-/** One leg: a shard that is to contribute. */
+/** One leg of a query: the part that one shard contributes. */
 export interface LegState {
-  /** Place of the shard in the plan. */
+  /** Index of the shard in the plan. */
   readonly index: number;
   readonly shard: ShardTarget;
   readonly attempts: AttemptRecord[];
-  /** Attempts that have not ended; probes of ejected replicas are not counted. */
+  /** Number of attempts that have not ended; probes of ejected replicas do not count. */
   outstanding: number;
   status: 'open' | 'answered' | 'missing';
   /** Why the leg is missing, or why its last attempt failed. */
   reason: MissingReason | undefined;
-  /** Whether an attempt ended such that it may have run. */
+  /** Whether an attempt ended without proof that it did not run. */
   mayHaveRun: boolean;
 }
 
@@ -51,21 +51,21 @@
   readonly query: QueryRequest;
   readonly startedAt: number;
   readonly deadlineAt: number;
-  /** Shards that suffice for an early answer. */
+  /** Number of shards that suffice for an early answer. */
   wantedShards: number;
   phase: 'claiming' | 'running';
-  /** The plan in progress; replaced as a whole when the query is restarted. */
+  /** What the attempts of the current plan share; a restart replaces it together with the legs. */
   context: LegContext;
   legs: LegState[];
   merge: AnswerMerge;
-  /** Legs that wait for a pause before their next attempt. */
+  /** Legs whose next attempt is delayed until the retry timer fires. */
   legsAwaitingRetry: LegState[];
   contributed: number;
-  /** Legs neither answered nor missing. */
+  /** Number of legs that are neither answered nor missing. */
   open: number;
-  /** Whether so few legs are open that the budget may be spent on them. */
+  /** Whether so few legs are open that hedges for them may use the extra-load budget. */
   nearlyComplete: boolean;
-  /** Whether a timer looks for late legs. */
+  /** Whether the timer that checks for late legs is set. */
   hedgeArmed: boolean;
   attemptsMade: number;
   needed: number;
--- a/src/core/query/build-query-plan.ts
+++ b/src/core/query/build-query-plan.ts
@@ -1,4 +1,4 @@
-/** Builds the plan of a query from tables that are derived once for each configuration in force. */
+/** Builds the plan of a query from a cache that is derived from the configuration in force. */
 import type { RouteRow } from '../../table/route-row.js';
 import { type ConfigurationInForce, routeRowKey } from '../configuration/state.js';
 import { hash32 } from '../hash.js';
@@ -9,13 +9,16 @@
 import { SNAPSHOT_REFUSAL_VALID_MS } from './replica-observation.js';
 import { selectSnapshot } from './snapshot-targets.js';
 
-/** Seeds the hash that places keys on shards; apart from the one that ranks nodes. */
+/** Seed of the hash that maps keys to shards; differs from the seed of the hash that ranks nodes. */
 const KEY_HASH_SEED = 7;
 
-/** Plans are derived again after this time: what replicas have refused is believed for a while. */
+/**
+ * Lifetime of cached plans, in milliseconds. A plan depends on which snapshots replicas have refused,
+ * and a refusal is valid for a limited time.
+ */
 const PLAN_VALID_MS = SNAPSHOT_REFUSAL_VALID_MS / 2;
 
-/** Has the plans derived again, because a replica has refused a snapshot. */
+/** Invalidates the cached plans after a replica has refused a snapshot. */
 export const invalidatePlans = (state: CoreState): void => {
   state.query.planCache.validUntil = 0;
 };
@@ -30,7 +33,7 @@
   return published;
 };
 
-/** The snapshot pinned for new queries of `row`, with its shards; derived again when tables change. */
+/** Returns the snapshot pinned for new queries of `row` with its shards; rebuilds an outdated cache. */
 const findTargets = (state: CoreState, row: RouteRow, at: number): SnapshotTargets | undefined => {
   const { planCache, observations } = state.query;
   const { inForce } = state.configuration;
@@ -50,7 +53,7 @@
   return planCache.targets.get(key);
 };
 
-/** Pins a snapshot and lists the shards the query must reach. */
+/** Pins a snapshot and lists the shards that the query needs; refuses if there is no snapshot or key. */
 export const buildQueryPlan = (
   state: CoreState,
   row: RouteRow,
--- a/src/core/query/extra-load-budget.ts
+++ b/src/core/query/extra-load-budget.ts
@@ -1,19 +1,20 @@
 /**
- * The budget of extra load of a row at this node: a token bucket that earns a share of a token with
- * each leg needed. Hedges, probes and retries after a possible run take one token each.
+ * The extra-load budget of a row at this node: a token bucket that is credited with a fraction of a
+ * token for each leg a query needs. A hedge, a probe, or a retry of an attempt that may have run costs
+ * one token.
  */
 
-/** Legs whose earnings the bucket holds at most. */
+/** Capacity of the bucket, in legs: the credit of this many legs. */
 const BUCKET_LEGS = 400;
-/** Legs whose earnings a new bucket starts with. */
+/** Credit of a new bucket, in legs. */
 const INITIAL_LEGS = 100;
-/** Deepest debt, in tokens; nothing else is spent until it is earned back. */
+/** Maximum debt, in tokens; regular spending resumes once the debt is repaid. */
 const DEBT_LIMIT = 50;
 
-/** A token bucket. */
+/** A token bucket for extra attempts. */
 export interface ExtraLoadBudget {
   tokens: number;
-  /** Share of extra load allowed, 0 to 1. */
+  /** Allowed extra load as a share of the legs needed, 0 to 1. */
   share: number;
 }
 
@@ -23,13 +24,13 @@
   share,
 });
 
-/** Earns the share of `legs` needed legs. */
+/** Credits the bucket for `legs` needed legs and updates its share. */
 export const earnExtraLoad = (budget: ExtraLoadBudget, share: number, legs: number): void => {
   budget.share = share;
   budget.tokens = Math.min(share * BUCKET_LEGS, budget.tokens + share * legs);
 };
 
-/** Takes one token; false, with nothing taken, when there is none. */
+/** Takes one token; returns false and takes nothing if less than one token is left. */
 export const spendExtraLoad = (budget: ExtraLoadBudget): boolean => {
   if (budget.tokens < 1) {
     return false;
@@ -38,7 +39,7 @@
   return true;
 };
 
-/** Takes one token on credit, for a leg whose replica or feeder has fallen silent. */
+/** Takes one token, on credit if necessary: for a silent replica, a lost feeder or a lost connection. */
 export const borrowExtraLoad = (budget: ExtraLoadBudget): boolean => {
   if (budget.tokens <= -DEBT_LIMIT) {
     return false;
@@ -47,6 +48,6 @@
   return true;
 };
 
-/** How full the bucket is, 0 to 1. */
+/** Returns the fill level of the bucket, 0 to 1. */
 export const budgetLevel = (budget: ExtraLoadBudget): number =>
   Math.max(0, Math.min(1, budget.tokens / Math.max(1, budget.share * BUCKET_LEGS)));
--- a/src/core/query/finish-query.ts
+++ b/src/core/query/finish-query.ts
@@ -1,4 +1,4 @@
-/** Ends queries: the answer, the refusal or the unknown outcome, and the end of what is unwanted. */
+/** Ends queries: determines the outcome, answers the caller and cancels outstanding attempts. */
 import type { UnknownReason } from '../../protocol/leg-messages.js';
 import type { NodeIdentity } from '../../protocol/node-address.js';
 import { releaseQuery } from '../admission/admit-query.js';
@@ -28,7 +28,7 @@
   'peer-lost',
 ]);
 
-/** Gives up a leg: no further attempt will be made. */
+/** Marks a leg as missing; no further attempt is sent for it. */
 export const markMissing = (query: ActiveQuery, leg: LegState, reason: MissingReason): void => {
   leg.status = 'missing';
   leg.reason = reason;
@@ -47,7 +47,7 @@
   readonly attempts: AttemptId[];
 }
 
-/** Tells the feeders that attempts are no longer wanted, one message for each feeder. */
+/** Ends attempts at their coordinator and sends each feeder one message that cancels its part. */
 export const cancelAttempts = (
   state: CoreState,
   records: readonly AttemptRecord[],
@@ -76,7 +76,7 @@
   }
 };
 
-/** Marks an attempt as ended; its record stays until its query ends, to tell doubled answers. */
+/** Marks an attempt as ended. Its record stays until the query ends, to detect duplicate answers. */
 export const markAttemptEnded = (state: CoreState, record: AttemptRecord): void => {
   record.ended = true;
   if (record.purpose !== 'probe') {
@@ -85,7 +85,7 @@
   }
 };
 
-/** Calls off what is outstanding; probes go on, for what they tell of their replicas. */
+/** Cancels outstanding attempts except probes, whose results still show the state of their replicas. */
 export const releaseLegs = (
   state: CoreState,
   query: ActiveQuery,
@@ -109,7 +109,7 @@
   }
 };
 
-/** The counter of queries that ended so. */
+/** The counter for each type of outcome. */
 const COUNTER_OF_OUTCOME = {
   answered: 'queries_answered',
   'not-run': 'queries_not_run',
@@ -146,7 +146,7 @@
   cost: costOf(query),
 });
 
-/** Refuses a query in progress of which nothing has run. */
+/** Refuses a query in progress; the caller has made sure that no attempt of it has run. */
 export const refuseActiveQuery = (
   state: CoreState,
   query: ActiveQuery,
@@ -168,7 +168,7 @@
   return missing;
 };
 
-/** Whether an attempt of the leg has run, may have run or may still run. */
+/** Whether an attempt of the leg has run, may have run or is still outstanding. */
 export const mayHaveRun = (leg: LegState): boolean =>
   leg.status === 'answered' || leg.mayHaveRun || leg.attempts.some((record) => !record.ended);
 
@@ -209,10 +209,10 @@
 };
 
 /**
- * Ends a query with what it has. A request that is not safe to repeat ends `unknown` if a leg that
- * did not answer may have run; any request of which provably nothing ran ends `not-run`.
+ * Ends a query with the answers received so far. A request that is not safe to repeat ends `unknown`
+ * if a leg without an answer may have run. Any request of which provably nothing ran ends `not-run`.
  *
- * @param fallback - reason given for shards that are still open
+ * @param fallback - reason reported for shards that are still open
  */
 export const finishQuery = (
   state: CoreState,
@@ -224,7 +224,7 @@
   closeQuery(state, query, describeOutcome(query, fallback), at, effects);
 };
 
-/** Ends the query if every leg has ended, or if the coverage asked for is reached; true if so. */
+/** Ends the query if no leg is open or the required coverage is reached; returns whether it ended. */
 export const finishIfDone = (
   state: CoreState,
   query: ActiveQuery,
--- a/src/core/query/gather-answers.ts
+++ b/src/core/query/gather-answers.ts
@@ -1,4 +1,4 @@
-/** Takes the results of attempts in, drops what does not belong, and goes on with each query. */
+/** Handles the results of attempts: discards those that match no attempt and continues each query. */
 import type { AttemptOutcome, LegResult } from '../../protocol/leg-messages.js';
 import type { Effect } from '../effect.js';
 import type { NodeId } from '../identifiers.js';
@@ -23,7 +23,7 @@
   }
 };
 
-/** Finds the attempt a result belongs to, if it is still awaited from this feeder. */
+/** Finds the outstanding attempt of this feeder that a result belongs to; counts a result without one. */
 const findAwaited = (
   state: CoreState,
   from: NodeId,
@@ -45,7 +45,7 @@
   return record;
 };
 
-/** Whether an answer is for this attempt's request, shard and snapshot; counts it if not. */
+/** Whether an answer carries its attempt's request, shard and snapshot; counts a mismatch. */
 const matchesAttempt = (state: CoreState, record: AttemptRecord, answer: Answered): boolean => {
   const { query, leg } = record;
   if (answer.request !== query.request || answer.shard !== leg.shard.shard) {
@@ -59,7 +59,7 @@
   return true;
 };
 
-/** Attempts to be called off once a leg is answered; probes are left to show what they find. */
+/** Lists the attempts to cancel once a leg is answered; probes continue, as their result is of use. */
 const listCancellable = (leg: LegState): AttemptRecord[] =>
   leg.attempts.filter((record) => !record.ended && record.purpose !== 'probe');
 
@@ -114,7 +114,7 @@
   }
 };
 
-/** Takes the end of a probe whose query has ended: it only tells of the replica. */
+/** Handles the result of a probe whose query has ended: it only updates what is observed of the replica. */
 const handleLateProbeResult = (
   state: CoreState,
   record: AttemptRecord,
@@ -134,9 +134,9 @@
 };
 
 /**
- * Takes results that a feeder reports, this node itself included.
+ * Handles results reported by a feeder, which may be this node itself.
  *
- * @param from - the feeder; a result of an attempt that went to another one is dropped
+ * @param from - the feeder; a result is discarded if its attempt went to another feeder
  */
 export const gatherAnswers = (
   state: CoreState,
--- a/src/core/query/handle-claim-verdict.ts
+++ b/src/core/query/handle-claim-verdict.ts
@@ -1,4 +1,4 @@
-/** Goes on with a request that waited for its claim. */
+/** Continues a query that waits for the claim of its idempotency key. */
 import type { Effect } from '../effect.js';
 import type { RequestId } from '../identifiers.js';
 import type { ClaimVerdict } from '../once/claim.js';
@@ -13,7 +13,7 @@
   'key-invalid': 'key-invalid',
 };
 
-/** Runs `request` if its claim was granted and refuses it otherwise; ignores one that has ended. */
+/** Runs `request` if its claim was granted and refuses it otherwise; does nothing if it has ended. */
 export const handleClaimVerdict = (
   state: CoreState,
   request: RequestId,
--- a/src/core/query/hedge-legs.ts
+++ b/src/core/query/hedge-legs.ts
@@ -1,7 +1,7 @@
 /**
- * Hedging: a second attempt of a leg that takes long. The slowest leg sets the latency of a query,
- * so the budget is kept for the last legs of a query that is nearly complete, and for legs whose
- * replica has fallen silent.
+ * Hedging: a second attempt for a leg that takes long. The slowest leg determines the latency of a
+ * query, so the budget is reserved for the last open legs of a nearly complete query and for legs
+ * whose replica is silent.
  */
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
@@ -13,25 +13,28 @@
 import { selectHedgeReplica } from './select-replica.js';
 import { type ChosenLeg, sendChosen } from './send-legs.js';
 
-/** A query is nearly complete when at most this share of its legs is open. */
+/** A query is nearly complete when at most this share of its legs is open, ... */
 const LAST_LEGS_SHARE = 0.1;
-/** Legs that may be open at least for a query to be nearly complete. */
+/** ... or at most this many legs, whichever is more. */
 const MIN_LAST_LEGS = 2;
-/** Shortest delay before a hedge, in milliseconds. */
+/** Minimum delay before a hedge, in milliseconds. */
 const MIN_DELAY_MS = 1;
-/** Samples before the observed quantile is trusted; until then the ratio is `INITIAL_RATIO`. */
+/** Number of samples from which the observed quantile is used; `INITIAL_RATIO` applies before. */
 const TRUSTED_SAMPLES = 200;
 const INITIAL_RATIO = 3;
-/** The quantile leaves this multiple of the budget's share beyond it when the bucket is empty. */
+/** Share of legs beyond the quantile when the bucket is empty, as a multiple of the extra-load limit. */
 const EMPTY_BUDGET_TAIL_FACTOR = 0.3;
-/** And this much more when the bucket is full. */
+/** Increase of that multiple when the bucket is full. */
 const FULL_BUDGET_EXTRA_TAIL_FACTOR = 1.4;
-/** Largest share of legs that may lie beyond the delay. */
+/** Maximum share of legs that may take longer than the hedge delay. */
 const MAX_TAIL = 0.5;
-/** Expected latencies that must be left for a hedge to pay, when the bucket is full and empty. */
+/**
+ * Time that a hedge must be expected to save, in multiples of the expected latency, with a full and
+ * with an empty bucket.
+ */
 const FULL_BUDGET_MIN_SAVING = 0.5;
 const EMPTY_BUDGET_MIN_SAVING = 1.5;
-/** Steps in which the level of the bucket moves the quantile. */
+/** Number of steps to which the bucket's level is rounded up before it changes the quantile. */
 const BUDGET_LEVEL_STEPS = 4;
 
 const hedgeRatio = (query: ActiveQuery): number => {
@@ -58,7 +61,7 @@
 const timerKey = (query: ActiveQuery) =>
   ({ purpose: 'query-hedge', subject: query.request }) as const;
 
-/** When the leg's only attempt is late enough for a hedge. */
+/** Returns when the leg's only outstanding attempt is late enough for a hedge. */
 const hedgeDueAt = (
   state: CoreState,
   leg: LegState,
@@ -74,7 +77,7 @@
   return record.sentAt + Math.min(lateMs, silenceThresholdMs(record.target.observed));
 };
 
-/** The only outstanding attempt of an open leg that can still be hedged. */
+/** Returns the only outstanding attempt of an open leg if that leg can still be hedged. */
 const findHedgeableAttempt = (leg: LegState): AttemptRecord | undefined => {
   const possible =
     leg.status === 'open' &&
@@ -85,7 +88,7 @@
     : undefined;
 };
 
-/** The earliest time at which a leg may be hedged; undefined when none can be. */
+/** Returns the earliest time at which a leg may be hedged; undefined if none can be. */
 const nextHedgeAt = (state: CoreState, query: ActiveQuery): number | undefined => {
   const ratio = hedgeRatio(query);
   let next: number | undefined;
@@ -113,7 +116,7 @@
   }
 };
 
-/** Begins to watch for late legs when a query starts. */
+/** Sets the first hedge timer of a query, if it may be hedged. */
 export const startHedging = (
   state: CoreState,
   query: ActiveQuery,
@@ -136,7 +139,7 @@
   query.nearlyComplete ||
   isSilent(record.target.observed, at);
 
-/** Takes a token; on credit for a leg whose replica has fallen silent. */
+/** Takes a token for a hedge, on credit if the replica is silent; `fixed` hedging needs no token. */
 const payForHedge = (
   state: CoreState,
   query: ActiveQuery,
@@ -172,10 +175,10 @@
   return chosen;
 };
 
-/** Shortest time between two looks at the late legs of a query, in milliseconds. */
+/** Minimum time between two checks for late legs of a query, in milliseconds. */
 const MIN_CHECK_INTERVAL_MS = 2;
 
-/** Hedges the legs that are late, and looks again later. */
+/** Hedges the legs that are late and sets the timer for the next check. */
 export const hedgeLegs = (
   state: CoreState,
   query: ActiveQuery,
@@ -188,7 +191,7 @@
   setHedgeTimer(state, query, at + pause, effects);
 };
 
-/** Looks at the late legs at once when the answer that came made the query nearly complete. */
+/** Checks for late legs at once when the last answer made the query nearly complete. */
 export const hedgeWhenNearlyComplete = (
   state: CoreState,
   query: ActiveQuery,
--- a/src/core/query/hopeless-legs.ts
+++ b/src/core/query/hopeless-legs.ts
@@ -1,18 +1,18 @@
 /**
- * Ends the wait for legs without hope: a query whose open legs all lie at replicas that seem unable to
- * answer is answered before its deadline, with what it has. The attempts themselves are made as ever,
- * and one that is answered in time brings its replica back.
+ * Detects queries whose open legs all depend on replicas that seem unable to answer. Such a query is
+ * answered before its deadline with the answers it has. Attempts to these replicas are still sent, and
+ * an answer in time makes the replica available again.
  */
 import type { CoreState } from '../state.js';
 import type { ActiveQuery, LegState } from './active-query.js';
 import { hasAvailableReplica } from './select-replica.js';
 
-/** Share of a query's time after which it is looked at, again and again. */
+/** Interval between two checks of a query, as a share of the time between its start and deadline. */
 const CHECK_INTERVAL_SHARE = 0.25;
-/** Mean latencies of its service that a leg is given at least. */
+/** Minimum time a leg is given, in mean latencies of its service. */
 const MIN_LATENCIES = 4;
 
-/** When the query is looked at next: its deadline at the latest. */
+/** Returns when the query is checked next, at its deadline at the latest. */
 export const nextCheckAt = (query: ActiveQuery, at: number): number =>
   Math.min(query.deadlineAt, at + CHECK_INTERVAL_SHARE * (query.deadlineAt - query.startedAt));
 
@@ -33,7 +33,7 @@
   return leg.attempts.every((record) => record.ended || record.target.observed.ejected);
 };
 
-/** Whether nothing that is still open can be expected to be answered. */
+/** Whether no answer can be expected for any open leg of a running query that is safe to repeat. */
 export const areOpenLegsUnanswerable = (
   state: CoreState,
   query: ActiveQuery,
--- a/src/core/query/latency-histogram.ts
+++ b/src/core/query/latency-histogram.ts
@@ -1,27 +1,27 @@
 /**
- * A decaying histogram of how long legs took relative to what was expected of them, and from it the
- * point from which a second attempt pays.
+ * A decaying histogram of leg latencies relative to the expected latency. It yields the latency from
+ * which a second attempt is worth sending.
  */
 
 const BUCKETS = 72;
 /** Upper bound of the first bucket, as a ratio to the expected latency. */
 const FIRST_BOUND = 0.1;
-/** Each bucket is wider than the one before by this factor. */
+/** Factor between the upper bounds of two adjacent buckets. */
 const GROWTH = 1.1;
-/** When this many samples are held, all counts are halved: older ones fade. */
+/** Number of samples at which all counts are halved, so that older samples lose weight. */
 const HALVE_AT = 4_096;
-/** What is derived is worked out again after this many samples. */
+/** Number of new samples after which the cached threshold is recomputed. */
 const REFRESH_SAMPLES = 64;
 
 const LOG_GROWTH = Math.log(GROWTH);
 
 const BOUNDS = Float64Array.from({ length: BUCKETS }, (_, index) => FIRST_BOUND * GROWTH ** index);
 
-/** Samples as ratios, kept in logarithmic buckets. */
+/** Samples as ratios to the expected latency, counted in logarithmic buckets. */
 export interface LatencyHistogram {
   readonly counts: Float64Array;
   total: number;
-  /** Samples since `cachedRatio` was worked out. */
+  /** Samples added since `cachedRatio` was computed. */
   samplesSinceScan: number;
   cachedTail: number;
   cachedRatio: number;
@@ -52,7 +52,7 @@
   }
 };
 
-/** Adds one sample. */
+/** Adds one sample, as a ratio to the expected latency. */
 export const addRatio = (histogram: LatencyHistogram, ratio: number): void => {
   const bucket = bucketOf(ratio);
   histogram.counts[bucket] = (histogram.counts[bucket] ?? 0) + 1;
@@ -64,8 +64,8 @@
 };
 
 /**
- * Scans from the slowest samples down, for the smallest ratio beyond which at most `tail` of the
- * samples lie and from which on the mean of what is left is at least `rest`.
+ * Scans from the slowest bucket down for the smallest ratio that at most the share `tail` of the
+ * samples exceed and that those samples exceed by at least `rest` on average.
  */
 const scanForThreshold = (histogram: LatencyHistogram, tail: number, rest: number): number => {
   const maxBeyond = histogram.total * tail;
@@ -88,11 +88,11 @@
 };
 
 /**
- * The ratio from which a second attempt pays; infinite when none does, as with a distribution that
- * has no long tail.
+ * Returns the ratio to the expected latency from which a second attempt is worth sending. It is
+ * infinite if there is none, as for a distribution without a long tail.
  *
- * @param tail - largest share of the samples that may lie beyond it
- * @param rest - what must be left at least, on the mean, in expected latencies
+ * @param tail - maximum share of the samples that may exceed the ratio, 0 to 1
+ * @param rest - minimum mean time that remains beyond the ratio, in expected latencies
  */
 export const hedgeThreshold = (histogram: LatencyHistogram, tail: number, rest: number): number => {
   if (histogram.samplesSinceScan >= REFRESH_SAMPLES || histogram.cachedTail !== tail) {
--- a/src/core/query/merge-answers.ts
+++ b/src/core/query/merge-answers.ts
@@ -1,15 +1,15 @@
 /**
- * Merges the shards' answers as they arrive. What can no longer be part of the answer is dropped at
- * once. The result depends only on which shards contributed, not on the order of their arrival.
+ * Merges the shards' answers as they arrive and discards items early that cannot be part of the
+ * result. The result depends only on which shards contributed, not on the order of arrival.
  */
 import type { AnswerItem } from '../../protocol/leg-messages.js';
 import type { MergeRule } from '../../table/route-row.js';
 
-/** An answer in the making. */
+/** Accumulates the answers of a query's shards. */
 export interface AnswerMerge {
-  /** Adds one shard's items; `shardIndex` is the shard's place in the plan. */
+  /** Adds one shard's items; `shardIndex` is the shard's index in the plan. */
   add(shardIndex: number, items: readonly AnswerItem[]): void;
-  /** The answer from all shards added so far. */
+  /** Returns the merged items of all shards added so far. */
   finish(): AnswerItem[];
 }
 
@@ -18,7 +18,7 @@
   readonly shardIndex: number;
 }
 
-/** Orders by score, highest first; equal scores by shard, then by item. */
+/** Orders by score, highest first; equal scores by shard index, then by item id. */
 const compareRank = (a: RankedItem, b: RankedItem): number =>
   b.item.score - a.item.score ||
   a.shardIndex - b.shardIndex ||
@@ -61,7 +61,7 @@
   readonly items: readonly AnswerItem[];
 }
 
-/** Drops pages at the end that lie wholly beyond the first `maxItems` items. */
+/** Removes trailing pages that contain none of the first `maxItems` items. */
 const dropPagesBeyond = (pages: ShardPage[], maxItems: number): void => {
   let kept = 0;
   let count = 0;
@@ -72,7 +72,7 @@
   pages.length = kept;
 };
 
-/** The first `maxItems` items; in a loop, because `flatMap` took 1% of a node's time. */
+/** Returns the first `maxItems` items; a loop, because `flatMap` took 1% of a node's CPU time. */
 const joinPages = (pages: readonly ShardPage[], maxItems: number): AnswerItem[] => {
   const joined: AnswerItem[] = [];
   for (const { items } of pages) {
@@ -101,7 +101,7 @@
   };
 };
 
-/** Most different items a sum keeps; further ones are left out. */
+/** Maximum number of distinct items of a sum; further items are left out. */
 const SUM_ITEM_LIMIT = 10_000;
 
 interface SumEntry {
@@ -140,7 +140,7 @@
   };
 };
 
-/** Starts an answer under a row's merge rule, of at most `maxItems` items. */
+/** Creates the merge for a row's merge rule; its result has at most `maxItems` items. */
 export const createAnswerMerge = (rule: MergeRule, maxItems: number): AnswerMerge => {
   switch (rule) {
     case 'top':
--- a/src/core/query/observations.ts
+++ b/src/core/query/observations.ts
@@ -1,4 +1,4 @@
-/** Everything a coordinator has observed: of replicas, of services and of its own rows. */
+/** All observations of a coordinator: replicas, services, snapshots and rows. */
 import type { ReplicaStatus } from '../../catalog/partner-index.js';
 import type { RouteRow } from '../../table/route-row.js';
 import { routeRowKey } from '../configuration/state.js';
@@ -13,27 +13,27 @@
   type ServiceObservation,
 } from './replica-observation.js';
 
-/** What a coordinator keeps for a row. */
+/** Observations and limits of one row at this coordinator. */
 export interface RowObservation {
   readonly budget: ExtraLoadBudget;
-  /** Latency of legs as a ratio to the mean of their service. */
+  /** Latency of legs as a ratio to the mean latency of their service. */
   readonly ratios: LatencyHistogram;
   readonly overload: OverloadLimit;
 }
 
-/** Observations by what they are about. */
+/** Observations, indexed by their subject. */
 export interface Observations {
-  /** By `partner|host:port`: what partners wait for at one back end differs with their shares. */
+  /** By `partner|host:port`, as the waits of partners at one back end differ with their shares. */
   readonly replicas: Map<string, ReplicaObservation>;
   /** By `partner/service`. */
   readonly services: Map<string, ServiceObservation>;
-  /** By `partner/version`: when a snapshot was first seen. */
+  /** When a snapshot was first seen, by `partner/version`. */
   readonly snapshots: Map<string, number>;
   /** By the key of the row. */
   readonly rows: Map<string, RowObservation>;
 }
 
-/** Creates observations of nothing. */
+/** Creates empty observations. */
 export const createObservations = (): Observations => ({
   replicas: new Map(),
   services: new Map(),
@@ -41,14 +41,14 @@
   rows: new Map(),
 });
 
-/** Names the back end of a replica over all partners. */
+/** Returns the key of a replica's back end, the same for all partners. */
 export const endpointOf = (status: ReplicaStatus): string => `${status.host}:${status.port}`;
 
-/** Names what a partner's queries see of a back end. */
+/** Returns the key of a partner's observations of a back end. */
 export const replicaKey = (partner: PartnerId, endpoint: string): string =>
   `${partner}|${endpoint}`;
 
-/** What is observed of a service. */
+/** Returns the observations of a service; creates them if there are none. */
 export const getServiceObservation = (
   observations: Observations,
   partner: PartnerId,
@@ -64,7 +64,7 @@
   return created;
 };
 
-/** What is observed of a replica; begins now if it is new. */
+/** Returns the observations of a replica; creates them, starting at `at`, if there are none. */
 export const getReplicaObservation = (
   observations: Observations,
   key: string,
@@ -80,7 +80,7 @@
   return created;
 };
 
-/** What is kept for a row. */
+/** Returns the observations of a row; creates them if there are none. */
 export const getRowObservation = (observations: Observations, row: RouteRow): RowObservation => {
   const key = routeRowKey(row.partner, row.route, row.kind);
   const known = observations.rows.get(key);
@@ -97,7 +97,7 @@
   return created;
 };
 
-/** Forgets replicas that are published no more and have no attempt in flight. */
+/** Removes the observations of replicas that are no longer published and have no attempt in flight. */
 export const removeUnpublishedReplicas = (
   observations: Observations,
   published: ReadonlySet<string>,
--- a/src/core/query/overload-limit.ts
+++ b/src/core/query/overload-limit.ts
@@ -1,40 +1,40 @@
 /**
- * Refuses queries of a row early when its legs wait long at their feeders. Queries beyond what the
- * back ends can finish are refused as a whole before any leg is sent, instead of each of them being
- * carried out in part. There is no limit until legs have waited; then it is cut from the queries in
- * progress, shrinks by a factor and grows by small steps.
+ * Limits the queries of a row in progress when its legs wait long at their feeders. Queries beyond the
+ * capacity of the back ends are refused as a whole before any leg is sent; otherwise each query would
+ * be answered only in part. There is no limit until legs have waited. The first limit is derived from
+ * the queries in progress; it decreases by a factor and increases in small steps.
  */
 import type { Random } from '../random.js';
 import type { RouteRow } from '../../table/route-row.js';
 
-/** A limit never goes below this. */
+/** Minimum of the limit. */
 const MIN_LIMIT = 2;
-/** Share of the row's deadline that its legs may wait at feeders. */
+/** Share of the row's deadline that a leg may wait at its feeder without counting as overload. */
 const WAIT_SHARE = 0.25;
-/** Shortest wait that counts as overload, in milliseconds. */
+/** Waits up to this never count as overload, in milliseconds. */
 const MIN_WAIT_MS = 10;
-/** The limit shrinks by this factor, at most once in `PAUSE_MS` milliseconds. */
+/** The limit decreases by this factor, at most once in `MIN_DECREASE_INTERVAL_MS` milliseconds. */
 const DECREASE_FACTOR = 0.8;
 const MIN_DECREASE_INTERVAL_MS = 50;
-/** The limit grows only while this share of it is in use. */
+/** The limit increases only while at least this share of it is in use. */
 const BUSY_SHARE = 0.8;
-/** Share of itself by which the limit grows while as many queries end as it allows. */
+/** Increase of the limit per ended query: it grows by 10% while as many queries end as it allows. */
 const GROWTH_STEP = 0.1;
-/** A limit that has not shrunk for so long, in milliseconds, is lifted. */
+/** Time without a decrease after which the limit is removed, in milliseconds. */
 const LIFT_AFTER_MS = 5_000;
-/** A refused caller may come back after this many milliseconds, spread by as much again. */
+/** Minimum delay before a refused caller may retry, in milliseconds; jitter adds up to as much again. */
 const RETRY_AFTER_MS = 100;
 
-/** The limit of one row at this node. */
+/** The overload limit of one row at this node. */
 export interface OverloadLimit {
-  /** Infinite until the row has been overloaded. */
+  /** Maximum of queries in progress; infinite while there is no overload. */
   limit: number;
   /** Queries of the row in progress. */
   inProgress: number;
   decreasedAt: number;
 }
 
-/** Creates the limit of a row that has not been used. */
+/** Creates the limit of an unused row. */
 export const createOverloadLimit = (): OverloadLimit => ({
   limit: Number.POSITIVE_INFINITY,
   inProgress: 0,
@@ -45,16 +45,16 @@
 export const isBelowLimit = (overload: OverloadLimit): boolean =>
   overload.inProgress < Math.max(MIN_LIMIT, Math.floor(overload.limit));
 
-/** When a refused caller may come back, in milliseconds. */
+/** Returns the time after which a refused caller may retry, in milliseconds, with jitter. */
 export const chooseRetryDelay = (random: Random): number =>
   Math.ceil(RETRY_AFTER_MS * (1 + random.next()));
 
-/** Notes that a query has started. */
+/** Records that a query has started. */
 export const recordQueryStarted = (overload: OverloadLimit): void => {
   overload.inProgress += 1;
 };
 
-/** Notes that a leg was refused for want of capacity. */
+/** Records overload, such as a leg refused for lack of capacity, and decreases the limit. */
 export const recordCongestion = (overload: OverloadLimit, at: number): void => {
   if (at - overload.decreasedAt < MIN_DECREASE_INTERVAL_MS) {
     return;
@@ -64,7 +64,7 @@
   overload.decreasedAt = at;
 };
 
-/** Notes how long a leg waited at its feeder. */
+/** Records how long a leg waited at its feeder, in milliseconds; a long wait counts as overload. */
 export const recordLegWait = (
   overload: OverloadLimit,
   row: RouteRow,
@@ -76,7 +76,7 @@
   }
 };
 
-/** Notes that a query has ended. */
+/** Records that a query has ended; may increase or remove the limit. */
 export const recordQueryEnded = (overload: OverloadLimit, at: number): void => {
   const busy = overload.inProgress >= overload.limit * BUSY_SHARE;
   overload.inProgress -= 1;
--- a/src/core/query/peer-observation.ts
+++ b/src/core/query/peer-observation.ts
@@ -1,28 +1,31 @@
-/** What a coordinator has seen of its peers as feeders; one that is out of reach is passed over. */
+/** What a coordinator has observed of its peers as feeders. It avoids peers that seem unreachable. */
 import type { NodeId } from '../identifiers.js';
 
-/** How long a peer is passed over after its link was lost or it fell silent, in milliseconds. */
+/** How long a peer is avoided after its link was lost or it fell silent, in milliseconds. */
 const AVOID_PEER_MS = 1_000;
-/** A peer that holds legs is silent when it has reported nothing for so long, in milliseconds. */
+/** A peer that holds legs counts as silent after this time without a report, in milliseconds. */
 const PEER_SILENCE_MS = 100;
 
-/** One peer. */
+/** Observations of one peer. */
 export interface PeerObservation {
-  /** Attempts that it holds. */
+  /** Attempts sent to the peer that have not ended. */
   inFlight: number;
-  /** When it last reported, or was given work after having had none. */
+  /** Time of its last report, or of the first attempt sent to it after it had none. */
   lastReportAt: number;
-  /** It is passed over until then. */
+  /** The peer is avoided until then, unless it reports. */
   avoidUntil: number;
-  /** It knows a replica too little to feed it, and is passed over until then, whatever it reports. */
+  /** The peer did not know a replica and is avoided until then, even if it reports. */
   replicaUnknownUntil: number;
-  /** It has been passed over and not reported since: it is given one attempt at a time. */
+  /** The peer was avoided and has not reported since; it gets one attempt at a time. */
   onProbation: boolean;
 }
 
-/** Peers by node. */
+/** Observations of peers by node. */
 export class PeerObservations extends Map<NodeId, PeerObservation> {
-  /** No peer is passed over from then on, as far as has been noted; a trial's wait is counted in. */
+  /**
+   * Upper bound of the times until which peers are avoided. It includes the time until a peer that
+   * does not answer its trial attempt counts as silent again.
+   */
   noneAvoidedAfter = 0;
 }
 
@@ -42,7 +45,7 @@
   return created;
 };
 
-/** Notes that an attempt was handed to `node`. */
+/** Records that an attempt was sent to `node` as its feeder. */
 export const recordAttemptAtPeer = (peers: PeerObservations, node: NodeId, at: number): void => {
   const peer = getPeerObservation(peers, node);
   if (peer.inFlight === 0) {
@@ -51,7 +54,7 @@
   peer.inFlight += 1;
 };
 
-/** Notes that an attempt at `node` has ended for its coordinator, by a report or not. */
+/** Records that an attempt at `node` has ended for its coordinator, with or without a report. */
 export const recordAttemptAtPeerEnded = (peers: PeerObservations, node: NodeId): void => {
   const peer = peers.get(node);
   if (peer !== undefined) {
@@ -59,7 +62,7 @@
   }
 };
 
-/** Notes a report from `node`. */
+/** Records a report from `node`, which is then no longer avoided as unreachable. */
 export const recordPeerReport = (peers: PeerObservations, node: NodeId, at: number): void => {
   const peer = getPeerObservation(peers, node);
   peer.lastReportAt = at;
@@ -73,20 +76,20 @@
   peers.noneAvoidedAfter = Math.max(peers.noneAvoidedAfter, peer.avoidUntil + PEER_SILENCE_MS);
 };
 
-/** Notes that the link to `node` was lost. */
+/** Records that the link to `node` was lost. */
 export const recordLinkLost = (peers: PeerObservations, node: NodeId, at: number): void => {
   markAvoided(peers, getPeerObservation(peers, node), at);
 };
 
 /**
- * Notes that `node` was handed a leg for a replica that it does not know: a process that has just started is
- * a member before it has read what the platform lists.
+ * Records that `node` did not know the replica of a leg it was sent. A process that has just started
+ * becomes a member before it has read the platform's list of replicas.
  */
 export const recordReplicaUnknown = (peers: PeerObservations, node: NodeId, at: number): void => {
   getPeerObservation(peers, node).replicaUnknownUntil = at + AVOID_PEER_MS;
 };
 
-/** Whether `node` should be given no legs; one that has fallen silent is noted as such. */
+/** Whether `node` should get no legs; starts to avoid it if it has fallen silent. */
 export const isPeerAvoided = (peers: PeerObservations, node: NodeId, at: number): boolean => {
   const peer = peers.get(node);
   if (peer === undefined) {
@@ -101,7 +104,7 @@
   return peer.avoidUntil > at || (peer.onProbation && peer.inFlight > 0);
 };
 
-/** Forgets peers that are no members any more and hold no attempt. */
+/** Removes the observations of peers that are no longer members and hold no attempt. */
 export const removeFormerPeers = (
   peers: PeerObservations,
   members: ReadonlyMap<NodeId, unknown>,
--- a/src/core/query/query-plan.ts
+++ b/src/core/query/query-plan.ts
@@ -1,12 +1,12 @@
-/** What is to be done for a query: the snapshot pinned, and the shards with their replicas. */
+/** The plan of a query: the pinned snapshot, and the shards with their replicas. */
 import type { ReplicaStatus, SnapshotVersion } from '../../catalog/partner-index.js';
 import type { ServiceName, ShardId } from '../identifiers.js';
 import type { ReplicaObservation, ServiceObservation } from './replica-observation.js';
 
-/** A replica that a leg can go to. */
+/** A replica that can serve a leg. */
 export interface ReplicaTarget {
   readonly status: ReplicaStatus;
-  /** `host:port`; the same back end under two partners has one endpoint. */
+  /** `host:port`; a back end shared by two partners has one endpoint. */
   readonly endpoint: string;
   readonly snapshot: SnapshotVersion;
   readonly observed: ReplicaObservation;
@@ -26,7 +26,7 @@
   readonly shards: readonly ShardTarget[];
 }
 
-/** A plan: scatter to the shards, or refuse because nothing can be planned. */
+/** A plan: scatter to the shards, or refuse with the reason why there is no plan. */
 export type QueryPlan =
   | {
       readonly type: 'scatter';
--- a/src/core/query/query-policy.ts
+++ b/src/core/query/query-policy.ts
@@ -1,33 +1,33 @@
-/** How queries are carried out; the defaults are the ones to run with, the others serve comparisons. */
+/** Policies for running queries. Production uses the defaults; the other values are for comparisons. */
 
-/** How the replica of a leg is chosen: uniformly, or by what this node has observed of each. */
+/** How the replica of a leg is chosen: uniformly at random, or by this node's observations. */
 export type ReplicaChoice = 'random' | 'observed';
 
 /**
- * When a second attempt of a slow leg is made: never, after a fixed delay whatever it costs, or at a
- * quantile of the latencies observed and within the row's budget of extra load.
+ * When a slow leg gets a second attempt: never, after a fixed delay without a budget, or at a quantile
+ * of the observed latencies within the row's extra-load budget.
  */
 export type Hedging = 'none' | 'fixed' | 'adaptive';
 
-/** In which order a feeder sends the legs it holds: as they came, or by weighted fair shares. */
+/** Order in which a feeder sends its queued legs: by arrival, or by weighted fair shares. */
 export type FeederOrder = 'first-come' | 'fair';
 
-/** The switches of the query path. */
+/** Settings of the query path. */
 export interface QueryPolicy {
   readonly replicaChoice: ReplicaChoice;
   readonly hedging: Hedging;
   /** Delay of hedging `fixed`, in milliseconds. */
   readonly fixedHedgeDelayMs: number;
-  /** Whether a failed leg that may be repeated is tried again. */
+  /** Whether a failed leg gets another attempt if it may be repeated. */
   readonly retries: boolean;
   readonly feederOrder: FeederOrder;
-  /** Nodes that feed each replica at once; they divide its slots and connections. At least 1. */
+  /** Number of nodes that feed each replica and divide its slots and connections; at least 1. */
   readonly feedersPerReplica: number;
-  /** How long a feeder may let an answer wait for others of its query, in milliseconds. */
+  /** How long a feeder may delay an answer to send it with others of its query, in milliseconds. */
   readonly resultWaitMs: number;
 }
 
-/** What a node runs with when nothing else is said. */
+/** The policy of a node without other settings. */
 export const DEFAULT_QUERY_POLICY: QueryPolicy = {
   replicaChoice: 'observed',
   hedging: 'adaptive',
--- a/src/core/query/query-request.ts
+++ b/src/core/query/query-request.ts
@@ -1,4 +1,4 @@
-/** What a caller asks and what it is told. */
+/** Requests of callers and their outcomes. */
 import type { SnapshotVersion } from '../../catalog/partner-index.js';
 import type { AnswerItem, NotRunReason, UnknownReason } from '../../protocol/leg-messages.js';
 import type { PartnerId, RequestId, RequestKind, RouteName, ShardId } from '../identifiers.js';
@@ -8,12 +8,12 @@
   readonly partner: PartnerId;
   readonly route: RouteName;
   readonly kind: RequestKind;
-  /** Milliseconds the caller is willing to wait; absent for the row's own deadline. */
+  /** Deadline requested by the caller, in milliseconds; absent for the row's deadline. */
   readonly deadlineMs?: number;
-  /** Coverage at which the caller takes the answer early; absent for the row's own. */
+  /** Coverage that suffices for an early answer, 0 to 1; absent for the row's coverage. */
   readonly coverage?: number;
   readonly idempotencyKey?: string;
-  /** Places a query with fan-out `key`. */
+  /** Selects the shard of a query with fan-out `key`. */
   readonly key?: string;
   readonly maxItems?: number;
   readonly payload: unknown;
@@ -28,17 +28,17 @@
   readonly reason: MissingReason;
 }
 
-/** Work one query caused at the back ends. */
+/** Work that one query caused at the back ends. */
 export interface QueryCost {
-  /** Shards of the query: the legs it needed. */
+  /** Legs the query needed, one for each of its shards. */
   readonly needed: number;
-  /** Attempts handed to feeders, with hedges and retries. */
+  /** Attempts sent to feeders, including hedges and retries. */
   readonly sent: number;
   readonly hedges: number;
   readonly retries: number;
 }
 
-/** Why a request was refused, none of it having run. */
+/** Why a request was refused; no part of it has run. */
 export type RefusalReason =
   | 'stopping'
   | 'not-ready'
@@ -51,7 +51,7 @@
   | 'key-invalid'
   | 'legs-refused';
 
-/** The final word on a query. */
+/** The outcome of a query. */
 export type QueryOutcome =
   | {
       readonly type: 'answered';
@@ -67,7 +67,7 @@
       readonly type: 'not-run';
       readonly request: RequestId;
       readonly reason: RefusalReason;
-      /** When the caller may come back, in milliseconds. */
+      /** Time after which the caller may retry, in milliseconds. */
       readonly retryAfterMs?: number;
       readonly cost: QueryCost;
     }
--- a/src/core/query/record-observation.ts
+++ b/src/core/query/record-observation.ts
@@ -1,4 +1,4 @@
-/** Keeps what a coordinator has seen of its back ends up to date as its attempts go out and end. */
+/** Updates the observations of back ends when attempts are sent and when they end. */
 import type { SnapshotVersion } from '../../catalog/partner-index.js';
 import type { ReplicaLoad } from '../../protocol/leg-messages.js';
 import type { Random } from '../random.js';
@@ -13,23 +13,23 @@
 
 /** Weight of the newest sample in a decayed mean. */
 const SAMPLE_WEIGHT = 0.1;
-/** One sample counts at most this multiple of the mean: a lone straggler turns nobody away. */
+/** A sample counts at most this multiple of the mean, so that a single straggler changes no choice. */
 const CLIP_FACTOR = 3;
-/** Failures in a row, none answered between, after which a replica is ejected. */
+/** Score of failures without an answer in between at which a replica is ejected. */
 const EJECTION_SCORE = 3;
-/** Strikes that a refused connection counts for: nobody listens there. */
+/** Score of a failed connect: no process listens at the address. */
 const CONNECT_FAILURE_SCORE = 2;
-/** Strikes that an attempt called off late counts for, nothing having been heard meanwhile. */
+/** Score of an attempt cancelled late while the replica gave no response. */
 const SILENCE_SCORE = 1;
-/** First pause before an ejected replica is probed, in milliseconds; doubles with each failure. */
+/** Pause before the first probe of an ejected replica, in milliseconds; doubles with each ejection. */
 const FIRST_EJECTION_MS = 250;
-/** Longest such pause, in milliseconds. */
+/** Maximum pause before a probe, in milliseconds. */
 const MAX_EJECTION_MS = 8_000;
-/** First pause after a shed, in milliseconds; doubles with each shed in a row. */
+/** Pause after the first shed, in milliseconds; doubles with each consecutive shed. */
 const FIRST_SHED_PAUSE_MS = 20;
-/** Longest such pause, in milliseconds. */
+/** Maximum pause after a shed, in milliseconds; a longer `retryAfterMs` of the replica takes precedence. */
 const MAX_SHED_PAUSE_MS = 2_000;
-/** Pauses are spread by this share either way, so that nodes do not return together. */
+/** Jitter of pauses, as a share in both directions, so that nodes do not resume at the same time. */
 const JITTER_SHARE = 0.3;
 
 const jitter = (random: Random, pauseMs: number): number =>
@@ -55,7 +55,7 @@
   }
 };
 
-/** Notes that an attempt is on its way. */
+/** Records that an attempt was sent. */
 export const recordSent = (observed: ReplicaObservation, at: number): void => {
   if (observed.inFlight === 0) {
     observed.unqueuedMs = decayedLatency(observed, at);
@@ -70,9 +70,9 @@
   readonly latencyMs: number;
   /** Wait at the feeder. */
   readonly queuedMs: number;
-  /** Wait at the feeder that a new attempt would have. */
+  /** Wait at the feeder that a new attempt would have at that time. */
   readonly backlogMs: number;
-  /** Working time at the replica as its feeder saw it. */
+  /** Service time at the replica, measured by its feeder. */
   readonly serviceMs: number;
 }
 
@@ -99,7 +99,7 @@
   service.unqueuedMs += weight * (timing.latencyMs - timing.queuedMs - service.unqueuedMs);
 };
 
-/** Notes an answer; ends a row of failures and an ejection. */
+/** Records an answer: updates the latencies and the load, resets the failure score, ends an ejection. */
 export const recordAnswer = (
   observed: ReplicaObservation,
   timing: AnswerTiming,
@@ -129,7 +129,7 @@
   }
 };
 
-/** Notes an attempt that failed; `refused` when no connection could be made. */
+/** Records a failed attempt; `refused` means that no connection could be established. */
 export const recordFailure = (
   observed: ReplicaObservation,
   refused: boolean,
@@ -140,7 +140,7 @@
   addFailureScore(observed, random, at, refused ? CONNECT_FAILURE_SCORE : 1);
 };
 
-/** Notes that the replica does not hold `snapshot`; false when that was known. */
+/** Records that the replica does not hold `snapshot`; returns false if that was known. */
 export const recordSnapshotRefused = (
   observed: ReplicaObservation,
   snapshot: SnapshotVersion,
@@ -154,7 +154,7 @@
   return !known;
 };
 
-/** Notes that the feeder of the replica held an attempt back: it has seen it fall silent. */
+/** Records that the feeder did not send an attempt because the replica is silent; ejects the replica. */
 export const recordHeldBack = (observed: ReplicaObservation, random: Random, at: number): void => {
   observed.inFlight -= 1;
   if (!observed.ejected) {
@@ -162,12 +162,12 @@
   }
 };
 
-/** Notes an attempt that ended without saying anything about the replica. */
+/** Records the end of an attempt that gives no information about the replica. */
 export const recordInconclusive = (observed: ReplicaObservation): void => {
   observed.inFlight -= 1;
 };
 
-/** Notes a shed: the replica is left alone for a growing, jittered while. */
+/** Records a shed: the replica gets no work for a time that grows with each shed and has jitter. */
 export const recordShed = (
   observed: ReplicaObservation,
   retryAfterMs: number | undefined,
@@ -182,8 +182,8 @@
 };
 
 /**
- * Notes that an attempt was called off because another one answered, or because the query ended.
- * It lasted at least that long; if the replica had been silent all the while, it counts as a failure.
+ * Records that an attempt was cancelled because another one answered or the query ended. Its duration
+ * is a lower bound of the latency. It counts as a failure if the replica was silent all that time.
  */
 export const recordCancelledAttempt = (
   observed: ReplicaObservation,
@@ -209,7 +209,7 @@
   }
 };
 
-/** Notes that a probe is on its way; the next one is due after a longer pause. */
+/** Records that a probe is sent; the next one is due after a longer pause. */
 export const recordProbe = (observed: ReplicaObservation, random: Random, at: number): void => {
   eject(observed, random, at);
 };
--- a/src/core/query/record-outcome.ts
+++ b/src/core/query/record-outcome.ts
@@ -1,4 +1,4 @@
-/** Feeds the ends of attempts into what this node observes of replicas. */
+/** Updates this node's observations of replicas from the outcomes of attempts. */
 import type { AttemptOutcome, LegResult } from '../../protocol/leg-messages.js';
 import type { Effect } from '../effect.js';
 import { noteReplicaLeaving } from '../membership/replica-rumours.js';
@@ -21,7 +21,7 @@
 type Answered = Extract<AttemptOutcome, { type: 'answered' }>;
 type Failed = Exclude<AttemptOutcome, { type: 'answered' }>;
 
-/** Notes an answer and how long it took. */
+/** Records an answer and its latency. */
 export const recordAnswered = (
   state: CoreState,
   record: AttemptRecord,
@@ -42,7 +42,7 @@
   }
 };
 
-/** A feeder that does not know the replica is to blame for the failure, not the replica. */
+/** Records a failure caused by a feeder that does not know the replica, not by the replica. */
 const recordFeederFailure = (
   state: CoreState,
   { feeder }: AttemptRecord,
@@ -54,7 +54,7 @@
   }
 };
 
-/** Notes a failed attempt. */
+/** Records a failed attempt. */
 export const recordFailed = (
   state: CoreState,
   record: AttemptRecord,
@@ -108,12 +108,12 @@
   }
 };
 
-/** A late attempt that was cut short is taken to have lasted this many times as long. */
+/** Estimated full latency of a late attempt that was cut short, as a multiple of its duration so far. */
 const TRUNCATED_LATENCY_FACTOR = 2;
 
 /**
- * Notes how long a late attempt had lasted when it was cut short. Without it a hedge would hide the
- * slow answers that it is there for, and hedging would seem not to pay.
+ * Records the estimated latency of a late attempt that was cut short. Without this sample, hedges would
+ * hide the slow answers they are meant for, and hedging would seem to have no benefit.
  */
 const recordTruncatedLatency = (record: AttemptRecord, at: number): void => {
   const ratio = (at - record.sentAt) / record.target.observed.service.latencyMs;
@@ -122,7 +122,7 @@
   }
 };
 
-/** Notes an attempt that its coordinator has called off. */
+/** Records an attempt that its coordinator has cancelled. */
 export const recordCancelled = (state: CoreState, record: AttemptRecord, at: number): void => {
   recordTruncatedLatency(record, at);
   recordCancelledAttempt(record.target.observed, record.sentAt, state.random, at);
--- a/src/core/query/reducer.ts
+++ b/src/core/query/reducer.ts
@@ -1,4 +1,4 @@
-/** The query slice: takes callers' requests, scatters, gathers and answers. */
+/** The query slice: accepts callers' requests, scatters legs, gathers their results and answers. */
 import type { LegResult } from '../../protocol/leg-messages.js';
 import type { Effect } from '../effect.js';
 import type { Event, LinkLost, LinkMessageArrived, TimerFired } from '../event.js';
@@ -71,7 +71,7 @@
   return effects;
 };
 
-/** Ends every attempt that was left with a peer out of reach. */
+/** Ends every attempt that the lost peer holds as feeder, with outcome `unknown` and `peer-lost`. */
 const handleLinkLost = (state: CoreState, event: LinkLost): Effect[] => {
   recordLinkLost(state.query.peers, event.peer, event.at);
   const lost: LegResult[] = [];
--- a/src/core/query/replica-observation.ts
+++ b/src/core/query/replica-observation.ts
@@ -1,79 +1,79 @@
 /**
- * What a coordinator has seen of a back end by its own attempts, and what it makes of it. Choice,
- * hedging and ejection rest on these observations; what a back end reports of its load only adds to
- * them. `record-observation.ts` keeps them up to date.
+ * A coordinator's observations of a back end, made with its own attempts, and what it infers from
+ * them. Replica choice, hedging and ejection rest on these observations; a back end's own load reports
+ * only supplement them. `record-observation.ts` updates them.
  */
 import type { SnapshotVersion } from '../../catalog/partner-index.js';
 import type { ReplicaLoad } from '../../protocol/leg-messages.js';
 
 /** Latency assumed before the first answer, in milliseconds. */
 const INITIAL_LATENCY_MS = 10;
-/** Time in which what is known of an unused replica fades half-way to its service's mean. */
+/** Half-life, in milliseconds, of the difference between an idle replica's latency and its service's mean. */
 const IDLE_HALF_LIFE_MS = 4_000;
-/** A replica is silent when attempts wait and it has answered none for this many mean latencies. */
+/** A replica with attempts in flight is silent after this many mean latencies without a response. */
 const SILENCE_FACTOR = 6;
-/** Shortest silence that counts, in milliseconds. */
+/** Minimum time without a response before a replica counts as silent, in milliseconds. */
 const MIN_SILENCE_MS = 25;
-/** Age at which the wait foretold by a feeder counts half, in milliseconds. */
+/** Half-life of the weight of a wait predicted by a feeder, in milliseconds. */
 const BACKLOG_HALF_LIFE_MS = 50;
-/** Age at which a load report counts half, in milliseconds. */
+/** Half-life of the weight of a load report, in milliseconds. */
 const LOAD_HALF_LIFE_MS = 200;
-/** Time over which a replica that is new or back takes up its full share of the work. */
+/** Time in which a new or recovered replica reaches its full share of the work, in milliseconds. */
 export const SLOW_START_MS = 3_000;
-/** How long a replica's refusal of a snapshot is believed, in milliseconds. */
+/** How long a replica's refusal of a snapshot is valid, in milliseconds. */
 export const SNAPSHOT_REFUSAL_VALID_MS = 2_000;
 
-/** Decayed latencies of a service, over all its replicas. */
+/** Decayed mean latencies of a service over all its replicas. */
 export interface ServiceObservation {
-  /** From sending to the answer as the coordinator sees it, in milliseconds. */
+  /** From sending to the answer at the coordinator, in milliseconds. */
   latencyMs: number;
   /** The same without the wait at the feeder. */
   unqueuedMs: number;
   samples: number;
 }
 
-/** One back end as this node has seen it. */
+/** Observations of one back end at this node. */
 export interface ReplicaObservation {
   readonly service: ServiceObservation;
   /** Attempts of this node's queries that have not ended. */
   inFlight: number;
   /** Decayed mean from sending to the answer, without the wait at the feeder, in milliseconds. */
   unqueuedMs: number;
-  /** Wait at the feeder that its last result foretold, in milliseconds, and when it came. */
+  /** Wait at the feeder predicted by the last result, in milliseconds, and the time of that result. */
   backlogMs: number;
   backlogAt: number;
-  /** Decayed mean of the working time alone, in milliseconds. */
+  /** Decayed mean of the service time alone, in milliseconds. */
   serviceMs: number;
-  /** Last time it answered, or when it was given work after having had none. */
+  /** Time of its last response, or of the first attempt sent to it while it was idle. */
   lastResponseAt: number;
-  /** Failures in a row. */
+  /** Score of the failures since the last answer or ejection. */
   failureScore: number;
   ejected: boolean;
   /** When an ejected replica may be probed. */
   probeAt: number;
   ejections: number;
-  /** No work before then: it has shed. */
+  /** The replica has shed work and gets none until then. */
   backOffUntil: number;
   sheds: number;
-  /** When it was first seen, or came back from an ejection. */
+  /** When it was first observed, or when its last ejection ended. */
   slowStartFrom: number;
-  /** Snapshots that it has refused as gone, with the time until which that is believed. */
+  /** Snapshots that it has refused as gone, with the time until which the refusal is valid. */
   refusedSnapshots: Map<SnapshotVersion, number> | undefined;
-  /** Its last report, and when it came. */
+  /** Its last load report, and when that arrived. */
   load: ReplicaLoad | undefined;
   loadAt: number;
-  /** 0 to 1: how often its reports foretold the wait better than this node's own mean. */
+  /** How often its load reports predicted the latency better than this node's own mean, 0 to 1. */
   loadTrust: number;
 }
 
-/** Creates what is known of a service before its first answer. */
+/** Creates the observations of a service before its first answer. */
 export const createServiceObservation = (): ServiceObservation => ({
   latencyMs: INITIAL_LATENCY_MS,
   unqueuedMs: INITIAL_LATENCY_MS,
   samples: 0,
 });
 
-/** Creates what is known of a replica before its first attempt. */
+/** Creates the observations of a replica before its first attempt. */
 export const createReplicaObservation = (
   service: ServiceObservation,
   at: number,
@@ -98,15 +98,15 @@
   loadTrust: 0,
 });
 
-/** How long a replica with work may answer nothing before it counts as silent, in milliseconds. */
+/** Returns how long a replica with work may give no response before it is silent, in milliseconds. */
 export const silenceThresholdMs = (observed: ReplicaObservation): number =>
   Math.max(MIN_SILENCE_MS, SILENCE_FACTOR * observed.service.latencyMs);
 
-/** Whether work waits at the replica and it has answered nothing for long. */
+/** Whether the replica has attempts in flight and has given no response for too long. */
 export const isSilent = (observed: ReplicaObservation, at: number): boolean =>
   observed.inFlight > 0 && at - observed.lastResponseAt >= silenceThresholdMs(observed);
 
-/** Latency without the wait at the feeder, in milliseconds; fades to the service's mean while idle. */
+/** Returns the latency without feeder wait, in milliseconds; while idle it decays to the service's mean. */
 export const decayedLatency = (observed: ReplicaObservation, at: number): number => {
   const idleMs = observed.inFlight > 0 ? 0 : at - observed.lastResponseAt;
   const mean = observed.service.unqueuedMs;
@@ -114,7 +114,7 @@
   return mean + (observed.unqueuedMs - mean) * kept;
 };
 
-/** Whether the replica has refused `snapshot` of late. */
+/** Whether a refusal of `snapshot` by the replica is still valid. */
 export const hasRefusedSnapshot = (
   observed: ReplicaObservation,
   snapshot: SnapshotVersion,
@@ -130,22 +130,22 @@
   return until > at;
 };
 
-/** Whether a probe is due: an ejected replica is tried again by a copy of a leg. */
+/** Whether an ejected replica is due for a probe, which is an additional attempt of a leg. */
 export const isProbeDue = (observed: ReplicaObservation, at: number): boolean =>
   observed.ejected && at >= observed.probeAt && observed.inFlight === 0;
 
-/** Whether the replica seems unable to answer. */
+/** Whether the replica seems unable to answer: it is ejected or silent. */
 export const isUnavailable = (observed: ReplicaObservation, at: number): boolean =>
   observed.ejected || isSilent(observed, at);
 
-/** Whether the replica has shed and is left alone for now. */
+/** Whether the replica has shed work and gets none for now. */
 export const isBackingOff = (observed: ReplicaObservation, at: number): boolean =>
   observed.backOffUntil > at;
 
 /**
- * What one more attempt is expected to take, in milliseconds: the decayed latency, which fades to
- * the service's mean while the replica is not used, the wait its feeder foretold, what this node has
- * in flight there, and the replica's own report, weighed by its age and by how well earlier reports foretold.
+ * Predicts the latency of one more attempt, in milliseconds. It adds the decayed latency, the wait
+ * predicted by the feeder and the work that this node has in flight at the replica. The replica's own
+ * load report replaces the latter with a weight from its age and the accuracy of earlier reports.
  */
 export const predictLatency = (observed: ReplicaObservation, slots: number, at: number): number => {
   const backlog = observed.backlogMs * 0.5 ** ((at - observed.backlogAt) / BACKLOG_HALF_LIFE_MS);
--- a/src/core/query/restart-query.ts
+++ b/src/core/query/restart-query.ts
@@ -1,4 +1,4 @@
-/** Restarts a query whole on another snapshot, once, when the pinned one has gone away under it. */
+/** Restarts a whole query once, on another snapshot, when the pinned snapshot is gone. */
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
 import type { ActiveQuery, LegState } from './active-query.js';
@@ -8,9 +8,9 @@
 import { createLeg, scatterLegs } from './scatter-query.js';
 import { wantedShards } from './wanted-shards.js';
 
-/** Whole restarts of one query. */
+/** Maximum number of restarts of one query. */
 const MAX_RESTARTS = 1;
-/** Mean latencies of its services that must be left of the deadline for a restart. */
+/** Minimum time before the deadline for a restart, in mean latencies of the leg's service. */
 const MIN_LATENCIES_LEFT = 2;
 
 const isSnapshotGone = (leg: LegState): boolean =>
@@ -26,8 +26,8 @@
   (query.row.safeToRepeat || !query.legs.some(mayHaveRun));
 
 /**
- * Restarts `query` if one of `legs` is lost because the snapshot has gone and another snapshot can
- * be pinned; nothing of the first run is kept. True if it was restarted.
+ * Restarts `query` if one of `legs` failed because the snapshot is gone and another snapshot can be
+ * pinned. No answer of the first run is kept. Returns whether the query was restarted.
  */
 export const restartIfSnapshotGone = (
   state: CoreState,
--- a/src/core/query/retry-legs.ts
+++ b/src/core/query/retry-legs.ts
@@ -1,4 +1,4 @@
-/** Decides what becomes of legs all of whose attempts have failed. */
+/** Retries legs whose attempts have all failed, or marks them as missing. */
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
 import type { ActiveQuery, LegState } from './active-query.js';
@@ -10,28 +10,28 @@
 import { hasAvailableReplica } from './select-replica.js';
 import { sendLegs } from './send-legs.js';
 
-/** Most attempts of one leg, hedges included. */
+/** Maximum number of attempts of one leg, hedges and probes included. */
 export const MAX_ATTEMPTS_PER_LEG = 3;
-/** A leg that was shed is tried elsewhere after a random pause of at most this, in milliseconds. */
+/** Maximum of the random delay before a shed leg is sent to another replica, in milliseconds. */
 const SHED_PAUSE_MS = 10;
 
-/** Refusals that say that there is too much work: another attempt would add to it. */
+/** Refusals caused by overload; another attempt would add to it. */
 const OVERLOAD_REASONS: ReadonlySet<MissingReason> = new Set<MissingReason>([
   'shedding',
   'queue-full',
   'deadline-passed',
 ]);
 
-/** Ends that leave open whether the attempt ran, and that no load explains. */
+/** Failures not caused by load that leave unknown whether the attempt ran. */
 const LOST_REASONS: ReadonlySet<MissingReason> = new Set<MissingReason>([
   'peer-lost',
   'connection-lost',
 ]);
 
 /**
- * Pays for another attempt. After proof that nothing ran it adds no work and is free, if no load is
- * the cause or a replica in good standing is left; what was lost with a link is made good on credit;
- * all else needs a token.
+ * Pays for another attempt; returns false if the budget does not allow it. The retry is free if the
+ * failed attempts provably did not run, unless overload is the cause and no other replica is available.
+ * A retry after a lost link or connection may use credit. Any other retry needs a token.
  */
 const payForRetry = (state: CoreState, query: ActiveQuery, leg: LegState, at: number): boolean => {
   const { budget } = query.observed;
@@ -44,7 +44,7 @@
   return free || spendExtraLoad(budget);
 };
 
-/** Whether another attempt of `leg` is allowed; after a possible run only if it may be repeated. */
+/** Whether `leg` gets another attempt; if it may have run, only if its request is safe to repeat. */
 const mayRetry = (state: CoreState, query: ActiveQuery, leg: LegState, at: number): boolean =>
   state.query.policy.retries &&
   leg.attempts.length < MAX_ATTEMPTS_PER_LEG &&
@@ -52,7 +52,7 @@
   (query.row.safeToRepeat || !leg.mayHaveRun) &&
   payForRetry(state, query, leg, at);
 
-/** Sends another attempt of each of `legs`; gives up those for which no replica is left. */
+/** Sends another attempt of each of `legs`. If no replica is left, restarts the query or marks the leg missing. */
 const sendRetries = (
   state: CoreState,
   query: ActiveQuery,
@@ -85,7 +85,7 @@
   }
 };
 
-/** Sends another attempt of each leg that may have one, and gives up the others. */
+/** Sends or delays another attempt of each leg that may have one, and marks the others missing. */
 export const retryLegs = (
   state: CoreState,
   query: ActiveQuery,
@@ -106,7 +106,7 @@
   sendRetries(state, query, retried, at, effects);
 };
 
-/** Sends the attempts that waited for a pause to end. */
+/** Sends the delayed retries of a query. */
 export const retryPausedLegs = (
   state: CoreState,
   query: ActiveQuery,
--- a/src/core/query/scatter-query.ts
+++ b/src/core/query/scatter-query.ts
@@ -10,7 +10,7 @@
 import { selectProbeReplica } from './select-replica.js';
 import { type ChosenLeg, sendChosen, sendLegs } from './send-legs.js';
 
-/** Creates a leg that has made no attempt. */
+/** Creates an open leg without attempts. */
 export const createLeg = (shard: ShardTarget, index: number): LegState => ({
   index,
   shard,
@@ -21,7 +21,7 @@
   mayHaveRun: false,
 });
 
-/** Copies of legs for ejected replicas that are due to be probed; the leg itself is elsewhere. */
+/** Chooses legs to send as probes to ejected replicas, each in addition to the leg's own attempt. */
 const chooseProbes = (state: CoreState, query: ActiveQuery, at: number): ChosenLeg[] => {
   const chosen: ChosenLeg[] = [];
   if (!query.row.safeToRepeat || state.query.policy.replicaChoice !== 'observed') {
@@ -43,7 +43,7 @@
   return chosen;
 };
 
-/** Sends an attempt of each leg of the plan, and begins to watch for late ones. */
+/** Sends an attempt of each leg of the plan and sets the hedge timer; legs without a replica are missing. */
 export const scatterLegs = (
   state: CoreState,
   query: ActiveQuery,
@@ -57,7 +57,7 @@
   startHedging(state, query, at, effects);
 };
 
-/** Sends the first attempt of each leg. */
+/** Sends the first attempts of a query's legs and any probes that are due. */
 export const scatterQuery = (
   state: CoreState,
   query: ActiveQuery,
--- a/src/core/query/select-feeder.ts
+++ b/src/core/query/select-feeder.ts
@@ -1,11 +1,11 @@
-/** Chooses the node that feeds a replica: by rendezvous hash in the replica's zone. */
+/** Selects the node that feeds a replica, by rendezvous hashing in the replica's zone. */
 import type { NodeIdentity } from '../../protocol/node-address.js';
 import { listLiveMembers, rankByRendezvous } from '../membership/view.js';
 import type { CoreState } from '../state.js';
 import { removeFormerPeers, isPeerAvoided } from './peer-observation.js';
 import type { ReplicaTarget } from './query-plan.js';
 
-/** Candidates kept for each replica beyond its feeders: they step in for peers out of reach. */
+/** Candidates kept for each replica in addition to its feeders; they replace unreachable feeders. */
 const SPARE_FEEDERS = 2;
 
 const rankFeeders = (state: CoreState, target: ReplicaTarget): readonly NodeIdentity[] => {
@@ -16,7 +16,7 @@
   return rankByRendezvous(candidates, target.endpoint).slice(0, kept);
 };
 
-/** The candidates that feed `target`, first choice first, from the current view. */
+/** Returns the nodes of the current view that may feed `target`, in order of preference. */
 const listFeeders = (state: CoreState, target: ReplicaTarget): readonly NodeIdentity[] => {
   const { feederCache } = state.query;
   if (feederCache.viewVersion !== state.membership.viewVersion) {
@@ -37,8 +37,9 @@
   identity.node !== state.self.node && isPeerAvoided(state.query.peers, identity.node, at);
 
 /**
- * Picks the feeder of `target`: this node if it is one of the feeders, else one of them at random,
- * else a spare when the feeders are out of reach. Undefined only when no node is known.
+ * Selects the feeder of `target`: this node if it is one of the feeders, else a random feeder, else
+ * the first candidate that is not avoided. If all are avoided, it is the random feeder. Undefined only
+ * if no node is known.
  */
 export const selectFeeder = (
   state: CoreState,
@@ -60,7 +61,7 @@
   return ranked.find((identity) => !isAvoided(state, identity, at)) ?? preferred;
 };
 
-/** Whether all nodes that could feed `target` are out of reach: its zone may be cut off. */
+/** Whether all nodes that could feed `target` are avoided, as when its zone is cut off. */
 export const isUnreachable = (state: CoreState, target: ReplicaTarget, at: number): boolean =>
   state.query.peers.noneAvoidedAfter > at &&
   listFeeders(state, target).every((identity) => isAvoided(state, identity, at));
--- a/src/core/query/select-replica.ts
+++ b/src/core/query/select-replica.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses the replica of a leg: the better of two drawn at random from those in good standing. Those
- * that seem unable to answer are passed over, but never a majority of a shard's replicas.
+ * Selects the replica of a leg: usually the better of two candidates drawn at random from the available
+ * replicas. Replicas that seem unable to answer are skipped, but never a majority of a shard's replicas.
  */
 import { isReplicaLeaving } from '../membership/replica-rumours.js';
 import type { CoreState } from '../state.js';
@@ -16,7 +16,7 @@
 } from './replica-observation.js';
 import { isUnreachable } from './select-feeder.js';
 
-/** Smallest share of its turns that a replica which eases in takes. */
+/** Minimum share of its turns that a replica takes during its slow start. */
 const MIN_SLOW_START_SHARE = 0.1;
 
 const wasAttempted = (leg: LegState, target: ReplicaTarget, lastResort: boolean): boolean => {
@@ -42,7 +42,7 @@
   !(target.observed.refusedSnapshots && hasRefusedSnapshot(target.observed, target.snapshot, at)) &&
   (leg.attempts.length === 0 || !wasAttempted(leg, target, lastResort));
 
-/** How far a new or returned replica has eased in, 0 to 1; one that warms up stays at the least. */
+/** Share of its turns that a replica takes, 0 to 1; it grows during slow start, not while warming. */
 const slowStartShare = (target: ReplicaTarget, at: number): number => {
   if (target.status.lifecycle === 'warming') {
     return MIN_SLOW_START_SHARE;
@@ -58,7 +58,7 @@
   return candidates[state.random.nextBelow(Math.max(1, candidates.length))];
 };
 
-/** Sharpens the preference for the quicker of two: their chances are as this power of their speeds. */
+/** Cost of a latency: of two replicas, the chance of each is in proportion to the other's cost. */
 const selectionCost = (latencyMs: number): number => latencyMs ** 4;
 
 const preferFaster = (
@@ -72,7 +72,7 @@
   return state.random.next() * (costA + costB) <= costB ? a : b;
 };
 
-/** Of two candidates more often the quicker; the less eased in yields more often than not. */
+/** Chooses one of two candidates: an established one over one in slow start, then the faster, by chance. */
 const chooseBetween = (
   state: CoreState,
   a: ReplicaTarget,
@@ -91,7 +91,7 @@
   return preferFaster(state, a, b, at);
 };
 
-/** The one whose ejection or pause ends first, when no replica is in good standing. */
+/** Returns the one whose ejection or back-off ends first; used if no replica is available. */
 const preferEarlierReturn = (a: ReplicaTarget, b: ReplicaTarget): ReplicaTarget => {
   const endOf = ({ observed }: ReplicaTarget): number =>
     Math.max(observed.ejected ? observed.probeAt : 0, observed.backOffUntil);
@@ -99,17 +99,17 @@
 };
 
 interface Candidates {
-  /** Two drawn at random from those in good standing. */
+  /** Two drawn at random from the available replicas. */
   first: ReplicaTarget | undefined;
   second: ReplicaTarget | undefined;
   available: number;
-  /** Those that seem unable to answer. */
+  /** Number of reachable replicas that seem unable to answer. */
   out: number;
-  /** Of those that are not, the one to be tried first. */
+  /** Of the replicas that are not available, the first to use. */
   fallback: ReplicaTarget | undefined;
 }
 
-/** Draws two candidates in one pass, each pair with the same chance. */
+/** Draws two candidates in one pass; every pair is equally likely. */
 const drawCandidates = (state: CoreState, leg: LegState, at: number): Candidates => {
   const drawn: Candidates = {
     first: undefined,
@@ -152,7 +152,7 @@
   return other === undefined ? first : chooseBetween(state, first, other, at);
 };
 
-/** Picks a replica that this leg has not tried yet; undefined when there is none. */
+/** Selects a replica to which this leg has not been sent; undefined if there is none. */
 export const selectReplica = (
   state: CoreState,
   leg: LegState,
@@ -162,7 +162,7 @@
     ? selectRandom(state, leg, at)
     : selectObserved(state, leg, at);
 
-/** Whether a replica that the leg has not tried is in good standing: neither out nor shedding. */
+/** Whether an available replica is left for the leg: not ejected, silent, backing off or unreachable. */
 export const hasAvailableReplica = (state: CoreState, leg: LegState, at: number): boolean =>
   leg.shard.replicas.some(
     (target) =>
@@ -172,7 +172,7 @@
       !isUnreachable(state, target, at),
   );
 
-/** A replica in good standing to which a second attempt may go. */
+/** Selects an available replica for a hedge; `fixed` hedging takes any selected replica. */
 export const selectHedgeReplica = (
   state: CoreState,
   leg: LegState,
@@ -188,7 +188,7 @@
   return usable ? target : undefined;
 };
 
-/** A replica that its feeder held back from before, when no other is left. */
+/** Selects a replica to which a feeder did not send an earlier attempt; used if no other is left. */
 export const selectLastResort = (
   state: CoreState,
   leg: LegState,
@@ -196,7 +196,7 @@
 ): ReplicaTarget | undefined =>
   leg.shard.replicas.find((target) => isEligible(state, leg, target, at, true));
 
-/** An ejected replica of the leg's shard that is due to be probed. */
+/** Selects an ejected replica of the leg's shard that is due for a probe. */
 export const selectProbeReplica = (
   state: CoreState,
   leg: LegState,
--- a/src/core/query/send-legs.ts
+++ b/src/core/query/send-legs.ts
@@ -39,7 +39,7 @@
   }
 };
 
-/** Whether the attempt must be sent even if the replica seems silent: no other could take it. */
+/** Whether the attempt must be sent even to a silent replica, as no better choice is left. */
 const isLastResort = (leg: LegState, target: ReplicaTarget, at: number): boolean =>
   leg.shard.replicas.length === 1 || leg.attempts.length > 0 || isUnavailable(target.observed, at);
 
@@ -93,8 +93,9 @@
 };
 
 /**
- * Whether the feeder may let an answer wait for others. Only where every shard is wanted: the query
- * ends with the last answer, which does not wait; with fewer, any answer may be the one that ends it.
+ * Whether the feeder may delay answers to send several together. This requires that all shards are
+ * wanted: the query then ends with the last answer, which is not delayed. With fewer wanted shards,
+ * any answer may be the one that ends the query.
  */
 const mayDelayAnswers = (
   state: CoreState,
@@ -130,7 +131,7 @@
   });
 };
 
-/** Makes the attempts chosen; returns the legs whose replica no node can feed. */
+/** Sends the chosen attempts, one batch per feeder; returns the legs whose replica has no feeder. */
 export const sendChosen = (
   state: CoreState,
   query: ActiveQuery,
@@ -154,7 +155,7 @@
   return unsent;
 };
 
-/** Makes one attempt for each of `legs`; returns the legs for which no replica was left. */
+/** Sends one attempt for each of `legs`; returns the legs without a replica or feeder. */
 export const sendLegs = (
   state: CoreState,
   query: ActiveQuery,
--- a/src/core/query/snapshot-targets.ts
+++ b/src/core/query/snapshot-targets.ts
@@ -1,4 +1,4 @@
-/** Derives, for a row, the shards and replicas of each snapshot, and which snapshot to pin. */
+/** Derives the shards and replicas of each snapshot for a row, and selects the snapshot to pin. */
 import type {
   ReplicaStatus,
   SnapshotLayout,
@@ -18,16 +18,16 @@
 import { hasRefusedSnapshot, type ServiceObservation } from './replica-observation.js';
 
 /**
- * Share of a service's replicas that must hold the newest snapshot before policy `covered` pins it
- * although an older one is held by more, once the newest has been there for `SETTLED_MS`.
+ * Minimum share of each service's replicas that must hold the newest snapshot for policy `covered` to
+ * pin it while more replicas hold an older one; applies once the newest is `SETTLED_MS` old.
  */
 const MIN_REPLICA_SHARE = 0.5;
-/** Time after which a roll-out is not expected to reach further replicas, in milliseconds. */
+/** Time after which a roll-out is not expected to reach more replicas, in milliseconds. */
 const SETTLED_MS = 30_000;
 
 const WILDCARD = '*';
 
-/** Whether `service` is named by one of a row's patterns. */
+/** Whether `service` matches one of a row's patterns. */
 const matchesServices = (patterns: readonly string[], service: ServiceName): boolean =>
   patterns.some((pattern) =>
     pattern.endsWith(WILDCARD) ? service.startsWith(pattern.slice(0, -1)) : service === pattern,
@@ -36,7 +36,7 @@
 const serves = (status: ReplicaStatus, layout: SnapshotLayout): boolean =>
   status.lifecycle !== 'leaving' && status.snapshots.includes(layout.version);
 
-/** Where the tables are derived from. */
+/** Inputs for the targets: the configuration in force, observations and the current time. */
 export interface TargetSources {
   readonly inForce: ConfigurationInForce;
   readonly observations: Observations;
@@ -71,7 +71,7 @@
   return { observed, replicas };
 };
 
-/** The shards of `row` in `layout`, each with the replicas that hold the snapshot. */
+/** Returns the shards of `row` in `layout`, each with the replicas that hold the snapshot. */
 const deriveSnapshotTargets = (
   sources: TargetSources,
   row: RouteRow,
@@ -91,8 +91,8 @@
 };
 
 /**
- * The smallest share of a service's replicas, over all shards, that hold the snapshot: as published,
- * less those that have refused it.
+ * Returns the smallest share, over all shards, of a service's replicas that hold the snapshot. Replicas
+ * count as published, except those that have refused the snapshot.
  */
 const measureReplicaShare = (
   sources: TargetSources,
@@ -114,7 +114,7 @@
 const shareServed = (targets: SnapshotTargets): number =>
   targets.shards.filter((target) => target.replicas.length > 0).length / targets.shards.length;
 
-/** When this node first saw a snapshot among those that may be served. */
+/** Returns when this node first saw a snapshot that may be served. */
 const firstSeenAt = (sources: TargetSources, row: RouteRow, snapshot: SnapshotVersion): number => {
   const { snapshots } = sources.observations;
   const key = `${row.partner}/${snapshot}`;
@@ -132,7 +132,7 @@
   readonly servedShare: number;
 }
 
-/** The better held of two; the newer when equal. */
+/** Returns the snapshot held by the larger share of replicas; the newer one if both are equal. */
 const preferWidelyHeld = (a: Candidate, b: Candidate): Candidate => {
   if (a.replicaShare !== b.replicaShare) {
     return a.replicaShare > b.replicaShare ? a : b;
@@ -144,10 +144,10 @@
 };
 
 /**
- * Picks the snapshot to pin. `newest` takes the newest of which anything is served. `covered` takes
- * the one that most replicas of every shard hold, the newer when equal: during a roll-out the newest
- * costs coverage and leaves no replica to hedge to. A roll-out that has settled short of some
- * replicas does not hold the newest back.
+ * Selects the snapshot to pin. Policy `newest` selects the newest snapshot of which any shard is
+ * served. Policy `covered` selects the one that the largest share of every service's replicas holds,
+ * the newer one if equal: during a roll-out the newest costs coverage and leaves no replica for hedges.
+ * A roll-out that has settled without some replicas does not exclude the newest.
  */
 export const selectSnapshot = (
   sources: TargetSources,
--- a/src/core/query/state.ts
+++ b/src/core/query/state.ts
@@ -1,4 +1,4 @@
-/** State of the queries this node coordinates. */
+/** State of the queries that this node coordinates. */
 import type { NodeIdentity } from '../../protocol/node-address.js';
 import type { ConfigurationInForce } from '../configuration/state.js';
 import type { AttemptId, CallId, RequestId } from '../identifiers.js';
@@ -8,28 +8,28 @@
 import type { QueryPolicy } from './query-policy.js';
 import type { SnapshotTargets } from './query-plan.js';
 
-/** Shards and replicas by row, derived from one configuration in force. */
+/** Cache of shards and replicas by row, derived from one configuration in force. */
 export interface PlanCache {
   inForce: ConfigurationInForce | undefined;
-  /** They are derived again after that time. */
+  /** Time at which the targets expire. */
   validUntil: number;
   readonly targets: Map<string, SnapshotTargets | undefined>;
 }
 
-/** Feeder candidates by endpoint, derived from one view of the members. */
+/** Cache of feeder candidates by endpoint, derived from one membership view. */
 export interface FeederCache {
   viewVersion: number;
   readonly ranked: Map<string, readonly NodeIdentity[]>;
 }
 
-/** Queries in progress. */
+/** Queries of this coordinator, with its observations and caches. */
 export interface QueryState {
   readonly policy: QueryPolicy;
-  /** Begins each identifier this process gives out; differs after a restart. */
+  /** Prefix of all identifiers that this process assigns; differs after a restart. */
   readonly identifierPrefix: string;
-  /** Queries accepted since the start; numbers the next one. */
+  /** Identifiers assigned since the start, to accepted and refused requests; numbers the next one. */
   accepted: number;
-  /** Queries without a final answer. */
+  /** Number of queries without an outcome. */
   inProgress: number;
   readonly queries: Map<RequestId, ActiveQuery>;
   readonly requestOfCall: Map<CallId, RequestId>;
@@ -37,13 +37,13 @@
   readonly observations: Observations;
   readonly planCache: PlanCache;
   readonly feederCache: FeederCache;
-  /** Peers as feeders of this node's legs. */
+  /** Observations of peers as feeders of this node's legs. */
   readonly peers: PeerObservations;
 }
 
 const IDENTIFIER_RADIX = 36;
 
-/** Creates the state of a node that has taken no query yet. */
+/** Creates the state of a node that has not accepted a query. */
 export const createQueryState = (self: NodeIdentity, policy: QueryPolicy): QueryState => ({
   policy,
   identifierPrefix: `${self.node}~${self.incarnation.toString(IDENTIFIER_RADIX)}~`,
--- a/src/core/query/wanted-shards.ts
+++ b/src/core/query/wanted-shards.ts
@@ -1,7 +1,7 @@
-/** How many shards suffice for an early answer. */
+/** Computes how many shards suffice for an early answer. */
 import type { RouteRow } from '../../table/route-row.js';
 import type { QueryRequest } from './query-request.js';
 
-/** Shards of `shards` that reach the coverage the caller asks for, or else the row's; at least 1. */
+/** Returns how many of `shards` shards reach the caller's coverage, or else the row's; at least 1. */
 export const wantedShards = (row: RouteRow, query: QueryRequest, shards: number): number =>
   Math.max(1, Math.ceil(shards * (query.coverage ?? row.coverage)));
--- a/test/query/misbehaving-replicas.test.ts
+++ b/test/query/misbehaving-replicas.test.ts
@@ -15,7 +15,7 @@
     ...options,
   });
 
-/** Asks every `gapMs`, each node in turn, for `durationMs`; returns the answers to these. */
+/** Sends a query every `gapMs` to each node in turn for `durationMs`; returns their answers. */
 const runLoad = (tier: VirtualTier, durationMs: number, gapMs = 5): Answer[] => {
   const calls: string[] = [];
   const until = tier.now + durationMs;
@@ -50,8 +50,8 @@
 const countRunsOn = (tier: VirtualTier, index: number): number =>
   tier.replicas[index]?.ran.length as number;
 
-describe('choice of a replica', () => {
-  it('turns away from a slow replica and back when it has recovered', () => {
+describe('the choice of a replica', () => {
+  it('avoids a slow replica and uses it again after it has recovered', () => {
     const tier = createTier();
     runLoad(tier, 1_000);
     (tier.replicas[0] as { serviceMs: unknown }).serviceMs = () => 60;
@@ -68,7 +68,7 @@
     expect(countRunsOn(tier, 0) - later[0]).toBeGreaterThan((countRunsOn(tier, 1) - later[1]) / 4);
   });
 
-  it('gives a replica that appears only a part of its share at first', () => {
+  it('gives a new replica only a part of its share at first', () => {
     const tier = createTier({ services: 1 });
     const snapshots = [...(tier.replicas[1]?.status.snapshots ?? [])];
     const hide = (hidden: number[]): void => {
@@ -86,7 +86,7 @@
     expect(countRunsOn(tier, 1)).toBeLessThan((countRunsOn(tier, 0) - before) / 2);
   });
 
-  it('believes its own eyes when load reports are inverted', () => {
+  it('relies on its own observations when load reports are inverted', () => {
     const tier = createTier();
     tier.replicas.forEach((replica) => {
       replica.transformOutcome = (outcome) =>
@@ -100,8 +100,8 @@
   });
 });
 
-describe('one replica of each service out of order', () => {
-  it('is passed over when dead, with full coverage', () => {
+describe('one failing replica of each service', () => {
+  it('is avoided with full coverage when its connections are refused', () => {
     const tier = createTier();
     const healthy = runLoad(tier, 1_000);
     firstReplicas(tier).forEach((replica) => (replica.mode = 'dead'));
@@ -110,7 +110,7 @@
     expect(p99(answers.slice(200))).toBeLessThan(1.5 * p99(healthy));
   });
 
-  it('is hedged around when frozen, and used again when it thaws', () => {
+  it('is hedged when it stops answering, and used again after it resumes', () => {
     const tier = createTier();
     const healthy = runLoad(tier, 1_000);
     firstReplicas(tier).forEach((replica) => (replica.mode = 'frozen'));
@@ -126,7 +126,7 @@
     });
   });
 
-  it('is never a majority of the replicas of a shard', () => {
+  it('is used again if a majority of the replicas of a shard seems unavailable', () => {
     const tier = createTier({ services: 2, replicasPerService: 3 });
     runLoad(tier, 500);
     tier.replicas.filter((_, index) => index % 3 !== 0).forEach((r) => (r.mode = 'dead'));
@@ -142,11 +142,11 @@
   });
 });
 
-describe('the budget of extra load', () => {
+describe('the extra-load budget', () => {
   const sampleStragglingMs = (random: Random): number =>
     sampleServiceMs(random) * (random.next() < 0.01 ? 10 : 1);
 
-  it('halves the tail of stragglers within its share', () => {
+  it('allows hedges that halve the tail latency of stragglers within its share', () => {
     const options = { services: 12, serviceMs: sampleStragglingMs };
     const plain = runLoad(
       createTier({ ...options, policy: { replicaChoice: 'random', hedging: 'none' } }),
@@ -158,11 +158,11 @@
     expect(extraLoad(hedged)).toBeGreaterThan(0);
   });
 
-  it('spends next to nothing when no tail is there', () => {
+  it('is hardly used when the latencies have no long tail', () => {
     expect(extraLoad(runLoad(createTier(), 3_000))).toBeLessThan(0.005);
   });
 
-  it('holds when everything is slow, and latency is back at once after it', () => {
+  it('is not exceeded when all replicas are slow, and latency recovers at once afterwards', () => {
     const tier = createTier();
     const healthy = runLoad(tier, 1_000);
     tier.replicas.forEach((r) => (r.serviceMs = (random) => 3 * sampleServiceMs(random)));
@@ -171,7 +171,7 @@
     expect(p99(runLoad(tier, 1_000))).toBeLessThan(1.5 * p99(healthy));
   });
 
-  it('hedges no request that is not safe to repeat', () => {
+  it('is not used for requests that are not safe to repeat', () => {
     const rows = [makeRow({ safeToRepeat: false, fanOut: 'key', deadlineMs: 400 })];
     const tier = createTier({ rows });
     firstReplicas(tier).forEach((replica) => (replica.mode = 'frozen'));
@@ -187,8 +187,8 @@
   });
 });
 
-describe('a feeder that freezes while its links stay open', () => {
-  it('costs no coverage', () => {
+describe('a feeder whose process is paused while its links stay open', () => {
+  it('does not reduce coverage', () => {
     const tier = createTier({ nodesPerZone: 3 });
     runLoad(tier, 500);
     const frozen = tier.nodeIds[1] as NodeId;
--- a/test/query/observations-and-budget.test.ts
+++ b/test/query/observations-and-budget.test.ts
@@ -12,8 +12,8 @@
 
 const firstNode = (tier: VirtualTier): NodeId => tier.nodeIds[0] as NodeId;
 
-describe('doubled messages', () => {
-  it('leave no trace in what is observed of replicas and peers', () => {
+describe('duplicate messages', () => {
+  it('leave the in-flight counts of replicas and peers correct', () => {
     const tier = new VirtualTier({ nodesPerZone: 3, services: 8 });
     tier.onMessage = () => 2;
     for (let round = 0; round < 20; round += 1) {
@@ -28,7 +28,7 @@
     expect(tier.state(firstNode(tier)).counters.answers_doubled).toBeGreaterThan(0);
   });
 
-  it('run no request twice that is not safe to repeat, however late the second comes', () => {
+  it('run no request twice that is not safe to repeat, however late the duplicate arrives', () => {
     const rows = [makeRow({ safeToRepeat: false, fanOut: 'key' })];
     const tier = new VirtualTier({ rows, nodesPerZone: 3 });
     const batches: SendLink[] = [];
@@ -53,8 +53,8 @@
   });
 });
 
-describe('the budget of extra load', () => {
-  it('gives what was earned, lends a bounded debt, and holds no more than a bucket', () => {
+describe('the extra-load budget', () => {
+  it('spends its credit, allows a bounded debt and never exceeds its capacity', () => {
     const budget = createExtraLoadBudget(0.02);
     earnExtraLoad(budget, 0.02, 100);
     let spent = 0;
@@ -73,7 +73,7 @@
     expect(budget.tokens).toBeLessThanOrEqual(8);
   });
 
-  it('bounds hedges where far more legs are slow than it pays for', () => {
+  it('bounds hedges when far more legs are slow than it can pay for', () => {
     const slow = (random: Random): number => (random.next() < 0.15 ? 60 : 4);
     const rows = [makeRow({ extraLoadLimit: 0.02, deadlineMs: 1_000 })];
     const tier = new VirtualTier({ services: 8, rows, serviceMs: slow });
@@ -86,13 +86,13 @@
     const costs = calls.map((call) => tier.answers.get(call)?.outcome.cost);
     const sent = costs.reduce((sum, cost) => sum + (cost?.sent ?? 0), 0);
     const needed = costs.reduce((sum, cost) => sum + (cost?.needed ?? 0), 0);
-    // Two nodes, each of which starts with the earnings of 100 legs.
+    // Each of the two nodes starts with the credit of 100 legs.
     expect(sent - needed).toBeLessThanOrEqual(0.02 * (needed + 200));
     expect(sent - needed).toBeGreaterThan(0.01 * needed);
   });
 });
 
-describe('ejection', () => {
+describe('an ejection', () => {
   const ejectFirst = (tier: VirtualTier, count: number): void => {
     tier.askAndWait(firstNode(tier));
     const observed = [...tier.state(firstNode(tier)).query.observations.replicas.values()];
@@ -111,23 +111,23 @@
     return tier.replicas.map((replica, index) => replica.ran.length - (before[index] as number));
   };
 
-  it('keeps work from an ejected replica', () => {
+  it('excludes the replica from work', () => {
     expect(countLegsAfterEjection(2, 1)[0]).toBe(0);
     expect(countLegsAfterEjection(3, 1)[0]).toBe(0);
   });
 
-  it('never holds for a majority of the replicas of a shard', () => {
+  it('never excludes a majority of the replicas of a shard', () => {
     const [first = 0, second = 0] = countLegsAfterEjection(3, 2);
     expect(first + second).toBeGreaterThan(20);
   });
 
-  it('leaves the only replica of a shard in use', () => {
+  it('does not exclude the only replica of a shard', () => {
     expect(countLegsAfterEjection(1, 1)[0]).toBe(120);
   });
 });
 
-describe('a replica that lacks a snapshot which the platform says it holds', () => {
-  it('is asked for it again only now and then', () => {
+describe('a replica that refuses a snapshot which the platform lists for it', () => {
+  it('is rarely sent legs for that snapshot again', () => {
     const tier = new VirtualTier();
     const lacking = tier.replicas[0] as { status: object };
     lacking.status = { ...lacking.status, snapshots: [] };
--- a/test/query/overload.test.ts
+++ b/test/query/overload.test.ts
@@ -23,7 +23,7 @@
     ],
   });
 
-/** Queries a millisecond that the slots of all replicas can do. */
+/** Queries per millisecond that the slots of all replicas can serve. */
 const CAPACITY = (SERVICES * 2 * SLOTS) / MEAN_MS / SERVICES;
 
 const sendQueries = (
@@ -55,7 +55,7 @@
 const answersTo = (tier: VirtualTier, calls: readonly string[]): Answer[] =>
   calls.map((call) => tier.answers.get(call) as Answer);
 
-describe('a partner that floods to 5 times the capacity', () => {
+describe('a partner that sends 5 times the capacity', () => {
   const alone = createTier();
   const aloneCalls = sendQueries(alone, ENSEMBLE, CAPACITY / 5, alone.now + 3_000);
   alone.runFor(4_500);
@@ -67,14 +67,14 @@
   const flood = sendQueries(tier, TAWE, 5 * CAPACITY, begin + 3_000);
   tier.runFor(4_500);
 
-  it('takes nothing from the other: no refusal, no shard, little time', () => {
+  it('causes the other partner no refusal, no missing shard and little latency', () => {
     const others = answersTo(tier, calls);
     expect(others.every(isWhole)).toBe(true);
     const during = others.filter((answer) => answer.askedAt > begin);
     expect(p99(during)).toBeLessThan(1.15 * p99(answersTo(alone, aloneCalls)));
   });
 
-  it('is refused early, as not run, with a time to come back', () => {
+  it('is refused at once as not run, with a retry delay', () => {
     const refused = answersTo(tier, flood).filter(({ outcome }) => outcome.type === 'not-run');
     expect(refused.length).toBeGreaterThan(flood.length / 2);
     for (const { outcome, latencyMs } of refused) {
@@ -84,21 +84,21 @@
     }
   });
 
-  it('leaves the capacity in use', () => {
+  it('does not reduce the use of the capacity', () => {
     const settled = [...answersTo(tier, calls), ...answersTo(tier, flood)].filter(
       (answer) => answer.askedAt > begin + 500 && isWhole(answer),
     );
     expect(settled.length / (2_500 * CAPACITY)).toBeGreaterThan(0.9);
   });
 
-  it('is served in full again after the flood', () => {
+  it('is served in full again after the overload', () => {
     const later = sendQueries(tier, TAWE, CAPACITY / 10, tier.now + 500);
     tier.runFor(2_000);
     expect(answersTo(tier, later).every(isWhole)).toBe(true);
   });
 });
 
-describe('work that cannot finish in time', () => {
+describe('a leg that cannot finish before its deadline', () => {
   it('is not started', () => {
     const tier = new VirtualTier({ services: 1, replicasPerService: 1, slots: 1 });
     const replica = tier.replicas[0] as { serviceMs: unknown; ran: unknown[] };
--- a/test/query/query-path.test.ts
+++ b/test/query/query-path.test.ts
@@ -20,8 +20,8 @@
     return query.inProgress + replica.attemptsInProgress + tables === 0;
   });
 
-describe('the way of a query', () => {
-  it('answers with every shard of the snapshot, once', () => {
+describe('a query', () => {
+  it('is answered with every shard of the snapshot exactly once', () => {
     const tier = new VirtualTier({ zones: ['bole', 'arada'], nodesPerZone: 3 });
     const outcome = answered(tier.askAndWait(firstNode(tier))?.outcome);
     expect(outcome.shards).toBe(8);
@@ -33,7 +33,7 @@
     expect(isIdle(tier)).toBe(true);
   });
 
-  it('sends one message to each feeder', () => {
+  it('sends at most one message to each feeder', () => {
     const tier = new VirtualTier({ nodesPerZone: 3, services: 12 });
     const sentTo: string[] = [];
     tier.onMessage = (effect) => {
@@ -48,7 +48,7 @@
     expect(sentTo).not.toContain(firstNode(tier));
   });
 
-  it('sends a query with a key to one shard, always the same', () => {
+  it('with a key always goes to the same single shard', () => {
     const tier = new VirtualTier({ rows: [makeRow({ fanOut: 'key' })] });
     const first = answered(tier.askAndWait(firstNode(tier), { key: 'hall-7' })?.outcome);
     const again = answered(tier.askAndWait(firstNode(tier), { key: 'hall-7' })?.outcome);
@@ -58,7 +58,7 @@
     expect(none).toMatchObject({ type: 'not-run', reason: 'key-missing' });
   });
 
-  it('ends early at the coverage wanted and cancels the rest', () => {
+  it('ends early at the requested coverage and cancels the other legs', () => {
     const tier = new VirtualTier({ policy: { hedging: 'none' } });
     const slow = tier.replicas.filter((each) => each.status.replica.startsWith('svc-3'));
     slow.forEach((replica) => (replica.serviceMs = () => 300));
@@ -74,7 +74,7 @@
     expect(isIdle(tier)).toBe(true);
   });
 
-  it('answers at the deadline with the true coverage and names the missing shards', () => {
+  it('is answered at the deadline with its true coverage and the missing shards', () => {
     const tier = new VirtualTier({ policy: { hedging: 'none' } });
     const frozen = tier.replicas.filter((each) => each.status.replica.startsWith('svc-2'));
     frozen.forEach((replica) => (replica.mode = 'frozen'));
@@ -88,7 +88,7 @@
     ]);
   });
 
-  it('keeps to the slots of a replica, over all nodes', () => {
+  it('never exceeds the slots of a replica over all nodes', () => {
     const tier = new VirtualTier({ nodesPerZone: 3, slots: 2, services: 1 });
     for (let round = 0; round < 20; round += 1) {
       tier.nodeIds.forEach((id) => tier.ask(id));
@@ -103,8 +103,8 @@
   });
 });
 
-describe('refusals', () => {
-  it('says not-run for an unknown route, before the start and while stopping', () => {
+describe('a refusal', () => {
+  it('is not-run for an unknown route and while the node is stopping', () => {
     const tier = new VirtualTier();
     const node = firstNode(tier);
     expect(tier.askAndWait(node, { route: 'none' })?.outcome).toMatchObject({
@@ -121,7 +121,7 @@
     });
   });
 
-  it('finishes what runs when a stop is asked for', () => {
+  it('does not affect queries in progress when the node is asked to stop', () => {
     const tier = new VirtualTier({ serviceMs: () => 200 });
     const call = tier.ask(firstNode(tier));
     tier.runFor(10);
@@ -132,7 +132,7 @@
     expect(tier.nodeIds.map((id) => tier.state(id).phase)).toEqual(['ended', 'ended']);
   });
 
-  it('says not-run when every attempt was refused, and only then', () => {
+  it('is not-run when every attempt was refused', () => {
     const tier = new VirtualTier();
     tier.replicas.forEach((replica) => (replica.mode = 'dead'));
     const outcome = tier.askAndWait(firstNode(tier))?.outcome;
@@ -141,14 +141,14 @@
   });
 });
 
-describe('matching of answers', () => {
+describe('the matching of answers', () => {
   const distortions = {
     'another request': { request: 'other' },
     'another shard': { shard: 'svc-0#9' },
     'another snapshot': { snapshot: 2 },
   };
   for (const [name, fields] of Object.entries(distortions)) {
-    it(`drops and counts an answer for ${name}`, () => {
+    it(`discards and counts an answer for ${name}`, () => {
       const tier = new VirtualTier();
       const distorted = tier.replicas.filter((each) => each.status.replica.endsWith('r0'));
       distorted.forEach((replica) => {
@@ -163,7 +163,7 @@
     });
   }
 
-  it('counts doubled, late and foreign results and takes none of them', () => {
+  it('discards and counts duplicate, late and foreign results', () => {
     const tier = new VirtualTier({ serviceMs: () => 4 });
     tier.onMessage = () => 2;
     const node = firstNode(tier);
@@ -180,11 +180,11 @@
   });
 });
 
-describe('requests that are not safe to repeat', () => {
+describe('a request that is not safe to repeat', () => {
   const booking = makeRow({ safeToRepeat: false, fanOut: 'key', kind: 'book' });
   const ask = { kind: 'book', key: 'hall-7', idempotencyKey: makeKey(1) };
 
-  it('runs once and says unknown when the answer is lost', () => {
+  it('runs once and is unknown when its answer is lost', () => {
     const tier = new VirtualTier({ rows: [booking] });
     tier.replicas.forEach((replica) => {
       replica.transformOutcome = () => ({ type: 'unknown', reason: 'connection-lost' });
@@ -194,7 +194,7 @@
     expect(tier.replicas.flatMap((replica) => replica.ran)).toHaveLength(1);
   });
 
-  it('goes to another replica after proof that it did not run', () => {
+  it('goes to another replica if it provably did not run', () => {
     const tier = new VirtualTier({ rows: [booking], seed: 3 });
     tier.replicas
       .filter((each) => each.status.replica.endsWith('r0'))
@@ -206,7 +206,7 @@
     expect(tier.replicas.flatMap((replica) => replica.ran)).toHaveLength(8);
   });
 
-  it('runs once although every message between nodes is doubled', () => {
+  it('runs once even if every message between nodes is duplicated', () => {
     const tier = new VirtualTier({ rows: [booking], nodesPerZone: 4 });
     tier.onMessage = () => 2;
     for (let number = 0; number < 8; number += 1) {
@@ -223,8 +223,8 @@
   });
 });
 
-describe('a feeder that is killed', () => {
-  it('loses no shard of a safe query', () => {
+describe('the crash of a feeder', () => {
+  it('costs a query that is safe to repeat no shard', () => {
     const tier = new VirtualTier({ nodesPerZone: 3, services: 12, serviceMs: () => 20 });
     const call = tier.ask(firstNode(tier));
     tier.runFor(5);
@@ -235,7 +235,7 @@
     expect(outcome.cost.retries).toBeGreaterThan(0);
   });
 
-  it('leaves an unsafe request unknown, and runs it nowhere else', () => {
+  it('leaves a request that is not safe to repeat unknown and runs it nowhere else', () => {
     const row = makeRow({ safeToRepeat: false, fanOut: 'key' });
     const tier = new VirtualTier({ rows: [row], serviceMs: () => 20 });
     const outcomes: string[] = [];
@@ -252,7 +252,7 @@
   });
 });
 
-describe('identifiers', () => {
+describe('request identifiers', () => {
   it('differ after a restart', () => {
     const tier = new VirtualTier();
     const { self } = tier.state(firstNode(tier));
--- a/test/query/snapshots.test.ts
+++ b/test/query/snapshots.test.ts
@@ -16,14 +16,14 @@
   replica.status = { ...replica.status, snapshots };
 };
 
-/** Publishes what the replicas hold, and the layouts that may be served. */
+/** Publishes the status of the replicas and the layouts of the given versions. */
 const publish = (tier: VirtualTier, versions: readonly number[]): void =>
   tier.publish([tier.layoutContent(ENSEMBLE, versions), ...tier.statusContents(ENSEMBLE)]);
 
 const snapshotsOf = (outcome: QueryOutcome): Set<string | undefined> =>
   new Set(outcome.type === 'answered' ? outcome.items.map((item) => item.id.split('@')[1]) : []);
 
-/** Every answer is from the snapshot it names, and from no other. */
+/** Whether all items of an answer are from the snapshot that it names. */
 const isUnmixed = ({ outcome }: Answer): boolean =>
   outcome.type !== 'answered' ||
   [...snapshotsOf(outcome)].every((version) => version === String(outcome.snapshot));
@@ -32,7 +32,7 @@
   outcome.type === 'answered' ? outcome.contributed / outcome.shards : 0;
 
 describe('the snapshot of a query', () => {
-  it('is the one that most replicas hold during a roll-out, then the newest', () => {
+  it('is the one that most replicas hold during a roll-out, and the newest afterwards', () => {
     const tier = new VirtualTier();
     const pinned = (): unknown => {
       const outcome = tier.askAndWait(firstNode(tier))?.outcome;
@@ -46,7 +46,7 @@
     expect(pinned()).toBe(2);
   });
 
-  it('is the newest for a row that asks for it, whatever it costs', () => {
+  it('is the newest for a row with policy newest, even at reduced coverage', () => {
     const tier = new VirtualTier({ rows: [makeRow({ snapshotPolicy: 'newest' })] });
     tier.replicas.slice(0, 4).forEach((replica) => setSnapshots(replica, [1, 2]));
     publish(tier, [1, 2]);
@@ -54,7 +54,7 @@
     expect(outcome).toMatchObject({ type: 'answered', snapshot: 2, shards: 8, contributed: 4 });
   });
 
-  it('is not held back for good by a replica that never takes the newest', () => {
+  it('becomes the newest even if a replica never loads it', () => {
     const tier = new VirtualTier();
     tier.replicas.slice(1).forEach((replica) => setSnapshots(replica, [1, 2]));
     publish(tier, [1, 2]);
@@ -63,12 +63,12 @@
     expect(tier.askAndWait(firstNode(tier))?.outcome).toMatchObject({ snapshot: 2 });
   });
 
-  it('is left whole for the next one, once, when it goes away under the query', () => {
+  it('is replaced by one restart of the whole query when it is withdrawn', () => {
     const tier = new VirtualTier({ serviceMs: () => 20 });
     tier.replicas.forEach((replica) => setSnapshots(replica, [1, 2]));
     publish(tier, [1, 2]);
     tier.askAndWait(firstNode(tier));
-    // Snapshot 2 is withdrawn from one service before the platform says so.
+    // One service withdraws snapshot 2 before the platform publishes the change.
     const call = tier.ask(firstNode(tier));
     tier.replicas.slice(2, 4).forEach((replica) => setSnapshots(replica, [1]));
     tier.runFor(400);
@@ -80,7 +80,7 @@
     expect(answer.outcome.cost.sent).toBeGreaterThan(8);
   });
 
-  it('is not restarted when no other one can be pinned', () => {
+  it('is kept without a restart when no other snapshot can be pinned', () => {
     const tier = new VirtualTier();
     const call = tier.ask(firstNode(tier));
     tier.replicas.slice(2, 4).forEach((replica) => setSnapshots(replica, []));
@@ -91,7 +91,7 @@
     expect(reasons).toEqual(['snapshot-gone', 'snapshot-gone']);
   });
 
-  it('restarts no request that is not safe to repeat and may have run', () => {
+  it('is kept for a request that is not safe to repeat and may have run', () => {
     const rows = [makeRow({ safeToRepeat: false, kind: 'book', coverage: 1 })];
     const tier = new VirtualTier({ rows, serviceMs: () => 20 });
     tier.replicas.forEach((replica) => setSnapshots(replica, [1, 2]));
@@ -107,7 +107,7 @@
 });
 
 describe('a roll-out whose replicas hold one snapshot at a time', () => {
-  it('mixes no answer and costs next to no coverage', () => {
+  it('causes no mixed answer and reduces coverage by less than 0.1%', () => {
     const tier = new VirtualTier({ zones: ['bole', 'arada'], services: 10, serviceMs: () => 5 });
     const order = [0, 1].flatMap((copy) => tier.replicas.filter((_, i) => i % 2 === copy));
     const begin = tier.now;
@@ -136,8 +136,8 @@
   });
 });
 
-describe('a back end that leaves or sheds', () => {
-  it('gets no new work from any query after its first refusal', () => {
+describe('a back end that is leaving or shedding', () => {
+  it('gets no new work from any query after it has refused one as leaving', () => {
     const tier = new VirtualTier();
     const leaving = tier.replicas[0] as VirtualReplica;
     tier.askAndWait(firstNode(tier));
@@ -154,7 +154,7 @@
     expect(observations.replicas.size).toBe(before);
   });
 
-  it('is noted as leaving by an answer that says so', () => {
+  it('is recorded as leaving when an answer says so', () => {
     const tier = new VirtualTier();
     const leaving = tier.replicas[0] as VirtualReplica;
     leaving.transformOutcome = (outcome) =>
@@ -165,7 +165,7 @@
     expect(leaving.ran.length).toBeLessThanOrEqual(4);
   });
 
-  it('is left alone for a growing while when it sheds', () => {
+  it('gets no work for an increasing time when it sheds', () => {
     const tier = new VirtualTier();
     const shedding = tier.replicas[0] as VirtualReplica;
     shedding.mode = 'shedding';
--- a/test/query/unavailable-replicas.test.ts
+++ b/test/query/unavailable-replicas.test.ts
@@ -18,7 +18,7 @@
 };
 
 describe('replicas that only a silent peer feeds', () => {
-  it('are passed over until the peer reports, but for one leg now and then', () => {
+  it('are avoided until the peer reports, except for an occasional trial leg', () => {
     const rows = [makeRow({ fanOut: 'key' })];
     const tier = new VirtualTier({ zones: ['bole', 'arada'], nodesPerZone: 1, services: 40, rows });
     const sendQueries = (queries: number): string[] =>
@@ -39,14 +39,14 @@
   });
 });
 
-describe('a query whose open legs lie at replicas that answer nothing', () => {
+describe('a query whose open legs are at replicas that do not answer', () => {
   const freeze = (tier: VirtualTier): VirtualReplica[] => {
     const frozen = replicasOf(tier, 'svc-2');
     frozen.forEach((replica) => (replica.mode = 'frozen'));
     return frozen;
   };
 
-  it('is answered long before its deadline once that is known', () => {
+  it('is answered long before its deadline once the replicas are ejected', () => {
     const tier = new VirtualTier();
     freeze(tier);
     const latencies = Array.from({ length: 8 }, () => tier.askAndWait(COORDINATOR)?.latencyMs ?? 0);
@@ -55,7 +55,7 @@
     expect(tier.askAndWait(COORDINATOR)?.outcome).toMatchObject({ contributed: 6 });
   });
 
-  it('is whole again at once when they answer again', () => {
+  it('has full coverage at once when the replicas answer again', () => {
     const tier = new VirtualTier();
     const frozen = freeze(tier);
     for (let round = 0; round < 8; round += 1) {
@@ -65,7 +65,7 @@
     expect(tier.askAndWait(COORDINATOR)?.outcome).toMatchObject({ contributed: 8, missing: [] });
   });
 
-  it('waits until the deadline if it must not run twice', () => {
+  it('waits until its deadline if it is not safe to repeat', () => {
     const row = makeRow({ safeToRepeat: false, fanOut: 'key', services: ['svc-2'] });
     const tier = new VirtualTier({ rows: [row] });
     freeze(tier);
--- a/test/query/virtual-tier.ts
+++ b/test/query/virtual-tier.ts
@@ -1,4 +1,4 @@
-/** A tier in virtual time for the tests of the query path: cores, links and replicas, no I/O. */
+/** A simulated tier in virtual time for tests of the query path: cores, links and replicas without I/O. */
 import type { ReplicaStatus } from '../../src/catalog/partner-index.js';
 import { type KeeperRoster, rosterObjectName } from '../../src/catalog/keeper-roster.js';
 import type { StoreContent, StoreObject } from '../../src/catalog/store-object.js';
@@ -19,11 +19,11 @@
 export const ENSEMBLE = identifier<PartnerId>('ensemble');
 export const TAWE = identifier<PartnerId>('tawe');
 
-/** An idempotency key made at the start of the tier; the same `number` gives the same key. */
+/** Creates an idempotency key dated at the start of the tier; the same `number` gives the same key. */
 export const makeKey = (number: number): string =>
   createIdempotencyKey(START_MS, createRandom(number).next);
 
-/** Fields of a row that differ from a plain safe `top` row over all services. */
+/** Creates a row over all services that is safe to repeat and merges by `top`; `fields` override it. */
 export const makeRow = (fields: Partial<Record<keyof RouteRow, unknown>> = {}): RouteRow =>
   ({
     partner: ENSEMBLE,
@@ -43,23 +43,23 @@
     ...fields,
   }) as RouteRow;
 
-/** How a replica of the tier behaves; tests change it while the tier runs. */
+/** A simulated replica; tests change its behaviour while the tier runs. */
 export interface VirtualReplica {
   status: ReplicaStatus;
   partner: PartnerId;
-  /** Working time of a request, in milliseconds. */
+  /** Service time of a request, in milliseconds. */
   serviceMs: (random: Random) => number;
   mode: 'normal' | 'frozen' | 'dead' | 'shedding' | 'leaving';
-  /** Replaces the answer of an attempt. */
+  /** Replaces the outcome of an answered attempt. */
   transformOutcome?: (outcome: AttemptOutcome) => AttemptOutcome;
   busy: number;
   busyMax: number;
   waiting: SendAttempt[];
-  /** Attempts that truly ran, in order. */
+  /** Attempts that the replica ran, in order. */
   ran: SendAttempt[];
 }
 
-/** What a caller got. */
+/** The outcome of a call, with its times in milliseconds. */
 export interface Answer {
   readonly outcome: QueryOutcome;
   readonly askedAt: number;
@@ -100,7 +100,7 @@
 const isBefore = (a: Scheduled, b: Scheduled): boolean =>
   a.at < b.at || (a.at === b.at && a.order < b.order);
 
-/** A binary heap, earliest first. */
+/** Events in a binary heap, earliest first; events at the same time are ordered by insertion. */
 class EventQueue {
   private readonly heap: Scheduled[] = [];
 
@@ -156,7 +156,7 @@
   private readonly byPort = new Map<number, VirtualReplica>();
   readonly answers = new Map<string, Answer>();
   readonly options: Required<Omit<TierOptions, 'policy' | 'shares'>> & TierOptions;
-  /** Changes a message between nodes on its way: none to lose it, two to double it. */
+  /** Returns how many copies of a message between nodes arrive: 0 loses it, 2 duplicates it. */
   onMessage: (effect: Extract<Effect, { type: 'send-link' }>) => number = () => 1;
   private readonly eventQueue = new EventQueue();
   private scheduled = 0;
@@ -223,7 +223,7 @@
     }
   }
 
-  /** Publishes the status of all replicas of all services as it stands. */
+  /** Returns the current status of all replicas of all services as store contents. */
   statusContents(partner: PartnerId): StoreContent[] {
     const { services, replicasPerService } = this.options;
     return Array.from({ length: services }, (_, service) => {
@@ -262,7 +262,7 @@
     }
   }
 
-  /** All nodes are keepers in the first period. */
+  /** Creates the roster of the first period, with all nodes as keepers. */
   private createRoster(): KeeperRoster {
     const keepers = this.createIdentities().map(({ node, zone, incarnation }) => ({
       node,
@@ -363,7 +363,7 @@
     this.runUntil(this.now + duration);
   }
 
-  /** Gives an event to a node and carries out the effects. */
+  /** Delivers an event to a node and applies the resulting effects. */
   deliver(id: NodeId, event: Event): void {
     const node = this.nodes.get(id);
     if (node === undefined || node.down || node.paused) {
@@ -374,7 +374,7 @@
     }
   }
 
-  /** Ends a node without warning; its peers see their links to it break. */
+  /** Crashes a node; its peers lose their links to it. */
   kill(id: NodeId): void {
     (this.nodes.get(id) as VirtualNode).down = true;
     for (const other of this.nodeIds) {
@@ -384,7 +384,7 @@
     }
   }
 
-  /** Stops a node from doing anything, while its links stay open. */
+  /** Pauses a node's process; its links stay open. */
   pause(id: NodeId): void {
     (this.nodes.get(id) as VirtualNode).paused = true;
   }
@@ -394,12 +394,12 @@
     return !node.down && !node.paused;
   }
 
-  /** Requests asked so far. */
+  /** Number of requests sent so far. */
   get asked(): number {
     return this.calls;
   }
 
-  /** Sends a caller's request to a node; returns the name of the call. */
+  /** Sends a caller's request to a node; returns the identifier of the call. */
   ask(node: NodeId, fields: Partial<Record<keyof QueryRequest, unknown>> = {}): string {
     this.calls += 1;
     const call = `call-${this.calls}`;
@@ -420,7 +420,7 @@
     return this.partnerOf.get(call) === partner;
   }
 
-  /** Asks a node and runs until the answer is there, `waitMs` at most. */
+  /** Sends a request to a node and runs until it is answered, `waitMs` milliseconds at most. */
   askAndWait(
     node: NodeId,
     fields: Partial<Record<keyof QueryRequest, unknown>> = {},
@@ -560,7 +560,7 @@
 
   private readonly finishers = new Map<string, (outcome: AttemptOutcome) => void>();
 
-  /** Attempts that replicas work on; one that is cancelled gives its slot back at once. */
+  /** Attempts that replicas are running; a cancelled attempt frees its slot at once. */
   private readonly running = new Set<string>();
 
   private startWaiting(replica: VirtualReplica): void {
@@ -594,7 +594,7 @@
     this.startWaiting(replica);
   }
 
-  /** Thaws a frozen replica. */
+  /** Resumes a frozen replica. */
   resumeReplica(replica: VirtualReplica): void {
     replica.mode = 'normal';
     this.startWaiting(replica);
