--- a/src/core/query/finish-query.ts
+++ b/src/core/query/finish-query.ts
@@ -1,4 +1,4 @@
-/** Ends queries: the answer, the refusal or the unknown outcome, and the end of what is unwanted. */
+/** Ends queries: determines the outcome, answers the caller and cancels outstanding attempts. */
 import type { UnknownReason } from '../../protocol/leg-messages.js';
 import type { NodeIdentity } from '../../protocol/node-address.js';
 import { releaseQuery } from '../admission/admit-query.js';
@@ -8,8 +8,8 @@
 import { cancelLegs } from '../replica/cancel-legs.js';
 import type { CoreState } from '../state.js';
 import type { ActiveQuery, AttemptRecord, LegState } from './active-query.js';
-import { noteEnded } from './overload-limit.js';
-import { recordHandedEnded } from './peer-observation.js';
+import { recordQueryEnded } from './overload-limit.js';
+import { recordAttemptAtPeerEnded } from './peer-observation.js';
 import { recordCancelled } from './record-outcome.js';
 import type {
   MissingReason,
@@ -28,7 +28,7 @@
   'peer-lost',
 ]);
 
-/** Gives up a leg: no further attempt will be made. */
+/** Marks a leg as missing; no further attempt is sent for it. */
 export const markMissing = (query: ActiveQuery, leg: LegState, reason: MissingReason): void => {
   leg.status = 'missing';
   leg.reason = reason;
@@ -47,7 +47,7 @@
   readonly attempts: AttemptId[];
 }
 
-/** Tells the feeders that attempts are no longer wanted, one message for each feeder. */
+/** Ends attempts at their coordinator and sends each feeder one message that cancels its part. */
 export const cancelAttempts = (
   state: CoreState,
   records: readonly AttemptRecord[],
@@ -56,7 +56,7 @@
 ): void => {
   const batches = new Map<NodeId, CancelBatch>();
   for (const record of records) {
-    endAttempt(state, record);
+    markAttemptEnded(state, record);
     recordCancelled(state, record, at);
     state.counters.attempts_cancelled += 1;
     const batch = batches.get(record.feeder.node);
@@ -76,16 +76,16 @@
   }
 };
 
-/** Marks an attempt as ended; its record stays until its query ends, to tell doubled answers. */
-export const endAttempt = (state: CoreState, record: AttemptRecord): void => {
+/** Marks an attempt as ended. Its record stays until the query ends, to detect duplicate answers. */
+export const markAttemptEnded = (state: CoreState, record: AttemptRecord): void => {
   record.ended = true;
   if (record.purpose !== 'probe') {
     record.leg.outstanding -= 1;
-    recordHandedEnded(state.query.peers, record.feeder.node);
+    recordAttemptAtPeerEnded(state.query.peers, record.feeder.node);
   }
 };
 
-/** Calls off what is outstanding; probes go on, for what they tell of their replicas. */
+/** Cancels outstanding attempts except probes, whose results still show the state of their replicas. */
 export const releaseLegs = (
   state: CoreState,
   query: ActiveQuery,
@@ -109,7 +109,7 @@
   }
 };
 
-/** The counter of queries that ended so. */
+/** The counter for each type of outcome. */
 const COUNTER_OF_OUTCOME = {
   answered: 'queries_answered',
   'not-run': 'queries_not_run',
@@ -129,7 +129,7 @@
   state.query.queries.delete(request);
   state.query.requestOfCall.delete(call);
   state.query.inProgress -= 1;
-  noteEnded(query.observed.overload, at);
+  recordQueryEnded(query.observed.overload, at);
   effects.push(...releaseQuery(state, query.row, at));
   effects.push(...endClaim(state, request, outcome.type !== 'not-run', at));
   effects.push({ type: 'cancel-timer', key: { purpose: 'query-deadline', subject: request } });
@@ -146,7 +146,7 @@
   cost: costOf(query),
 });
 
-/** Refuses a query in progress of which nothing has run. */
+/** Refuses a query in progress; the caller has made sure that no attempt of it has run. */
 export const refuseActiveQuery = (
   state: CoreState,
   query: ActiveQuery,
@@ -168,7 +168,7 @@
   return missing;
 };
 
-/** Whether an attempt of the leg has run, may have run or may still run. */
+/** Whether an attempt of the leg has run, may have run or is still outstanding. */
 export const mayHaveRun = (leg: LegState): boolean =>
   leg.status === 'answered' || leg.mayHaveRun || leg.attempts.some((record) => !record.ended);
 
@@ -202,17 +202,17 @@
   if (!query.legs.some(mayHaveRun)) {
     return describeNotRun(query, 'legs-refused');
   }
-  const doubtful = query.legs.some((leg) => leg.status !== 'answered' && mayHaveRun(leg));
-  return doubtful && !query.row.safeToRepeat
+  const hasUnknownLeg = query.legs.some((leg) => leg.status !== 'answered' && mayHaveRun(leg));
+  return hasUnknownLeg && !query.row.safeToRepeat
     ? describeUnknown(query)
     : describeAnswer(query, fallback);
 };
 
 /**
- * Ends a query with what it has. A request that is not safe to repeat ends `unknown` if a leg that
- * did not answer may have run; any request of which provably nothing ran ends `not-run`.
+ * Ends a query with the answers received so far. A request that is not safe to repeat ends `unknown`
+ * if a leg without an answer may have run. Any request of which provably nothing ran ends `not-run`.
  *
- * @param fallback - reason given for shards that are still open
+ * @param fallback - reason reported for shards that are still open
  */
 export const finishQuery = (
   state: CoreState,
@@ -224,7 +224,7 @@
   closeQuery(state, query, describeOutcome(query, fallback), at, effects);
 };
 
-/** Ends the query if every leg has ended, or if the coverage asked for is reached; true if so. */
+/** Ends the query if no leg is open or the required coverage is reached; returns whether it ended. */
 export const finishIfDone = (
   state: CoreState,
   query: ActiveQuery,
--- a/src/core/query/continue-claimed.ts
+++ b/src/core/query/handle-claim-verdict.ts
@@ -1,4 +1,4 @@
-/** Goes on with a request that waited for its claim. */
+/** Continues a query that waits for the claim of its idempotency key. */
 import type { Effect } from '../effect.js';
 import type { RequestId } from '../identifiers.js';
 import type { ClaimVerdict } from '../once/claim.js';
@@ -7,14 +7,14 @@
 import type { RefusalReason } from './query-request.js';
 import { scatterQuery } from './scatter-query.js';
 
-const REASONS: Readonly<Record<Exclude<ClaimVerdict, 'granted'>, RefusalReason>> = {
+const REFUSAL_OF_VERDICT: Readonly<Record<Exclude<ClaimVerdict, 'granted'>, RefusalReason>> = {
   'already-claimed': 'already-claimed',
   'owner-not-ready': 'not-ready',
   'key-invalid': 'key-invalid',
 };
 
-/** Runs `request` if its claim was granted and refuses it otherwise; ignores one that has ended. */
-export const continueClaimed = (
+/** Runs `request` if its claim was granted and refuses it otherwise; does nothing if it has ended. */
+export const handleClaimVerdict = (
   state: CoreState,
   request: RequestId,
   verdict: ClaimVerdict,
@@ -29,7 +29,7 @@
     active.phase = 'running';
     scatterQuery(state, active, at, effects);
   } else {
-    refuseActiveQuery(state, active, REASONS[verdict], at, effects);
+    refuseActiveQuery(state, active, REFUSAL_OF_VERDICT[verdict], at, effects);
   }
   return effects;
 };
--- a/src/core/query/hedge-legs.ts
+++ b/src/core/query/hedge-legs.ts
@@ -1,74 +1,84 @@
 /**
- * Hedging: a second attempt of a leg that takes long. The slowest leg sets the latency of a query,
- * so the budget is kept for the last legs of a query that is nearly complete, and for legs whose
- * replica has fallen silent.
+ * Hedging: a second attempt for a leg that takes long. The slowest leg determines the latency of a
+ * query, so the budget is reserved for the last open legs of a nearly complete query and for legs
+ * whose replica is silent.
  */
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
 import type { ActiveQuery, AttemptRecord, LegState } from './active-query.js';
 import { borrowExtraLoad, budgetLevel, spendExtraLoad } from './extra-load-budget.js';
-import { worthwhileRatio } from './latency-histogram.js';
-import { isSilent, silenceAfterMs } from './replica-observation.js';
+import { hedgeThreshold } from './latency-histogram.js';
+import { isSilent, silenceThresholdMs } from './replica-observation.js';
 import { MAX_ATTEMPTS_PER_LEG } from './retry-legs.js';
 import { selectHedgeReplica } from './select-replica.js';
 import { type ChosenLeg, sendChosen } from './send-legs.js';
 
-/** A query is nearly complete when at most this share of its legs is open. */
+/** A query is nearly complete when at most this share of its legs is open, ... */
 const LAST_LEGS_SHARE = 0.1;
-/** Legs that may be open at least for a query to be nearly complete. */
-const LEAST_LAST_LEGS = 2;
-/** Shortest delay before a hedge, in milliseconds. */
-const SHORTEST_DELAY_MS = 1;
-/** Samples before the observed quantile is trusted; until then the ratio is `INITIAL_RATIO`. */
+/** ... or at most this many legs, whichever is more. */
+const MIN_LAST_LEGS = 2;
+/** Minimum delay before a hedge, in milliseconds. */
+const MIN_DELAY_MS = 1;
+/** Number of samples from which the observed quantile is used; `INITIAL_RATIO` applies before. */
 const TRUSTED_SAMPLES = 200;
 const INITIAL_RATIO = 3;
-/** The quantile leaves this multiple of the budget's share beyond it when the bucket is empty. */
-const LEAST_TAIL_FACTOR = 0.3;
-/** And this much more when the bucket is full. */
-const FULL_TAIL_FACTOR = 1.4;
-/** Largest share of legs that may lie beyond the delay. */
-const LARGEST_TAIL = 0.5;
-/** Expected latencies that must be left for a hedge to pay, when the bucket is full and empty. */
-const LEAST_REST = 0.5;
-const MOST_REST = 1.5;
-/** Steps in which the level of the bucket moves the quantile. */
-const LEVEL_STEPS = 4;
+/** Share of legs beyond the quantile when the bucket is empty, as a multiple of the extra-load limit. */
+const EMPTY_BUDGET_TAIL_FACTOR = 0.3;
+/** Increase of that multiple when the bucket is full. */
+const FULL_BUDGET_EXTRA_TAIL_FACTOR = 1.4;
+/** Maximum share of legs that may take longer than the hedge delay. */
+const MAX_TAIL = 0.5;
+/**
+ * Time that a hedge must be expected to save, in multiples of the expected latency, with a full and
+ * with an empty bucket.
+ */
+const FULL_BUDGET_MIN_SAVING = 0.5;
+const EMPTY_BUDGET_MIN_SAVING = 1.5;
+/** Number of steps to which the bucket's level is rounded up before it changes the quantile. */
+const BUDGET_LEVEL_STEPS = 4;
 
 const hedgeRatio = (query: ActiveQuery): number => {
   const { ratios, budget } = query.observed;
   if (ratios.total < TRUSTED_SAMPLES) {
     return INITIAL_RATIO;
   }
-  const level = Math.ceil(budgetLevel(budget) * LEVEL_STEPS) / LEVEL_STEPS;
-  const tail = query.row.extraLoadLimit * (LEAST_TAIL_FACTOR + FULL_TAIL_FACTOR * level);
-  const rest = LEAST_REST + (1 - level) * (MOST_REST - LEAST_REST);
-  return worthwhileRatio(ratios, Math.min(LARGEST_TAIL, tail), rest);
+  const level = Math.ceil(budgetLevel(budget) * BUDGET_LEVEL_STEPS) / BUDGET_LEVEL_STEPS;
+  const maxTail =
+    query.row.extraLoadLimit * (EMPTY_BUDGET_TAIL_FACTOR + FULL_BUDGET_EXTRA_TAIL_FACTOR * level);
+  const minSaving =
+    FULL_BUDGET_MIN_SAVING + (1 - level) * (EMPTY_BUDGET_MIN_SAVING - FULL_BUDGET_MIN_SAVING);
+  return hedgeThreshold(ratios, Math.min(MAX_TAIL, maxTail), minSaving);
 };
 
 const mayHedge = (state: CoreState, query: ActiveQuery): boolean =>
   state.query.policy.hedging !== 'none' && query.row.hedging && query.row.safeToRepeat;
 
-const lastLegs = (query: ActiveQuery): number =>
-  Math.max(LEAST_LAST_LEGS, Math.floor(query.legs.length * LAST_LEGS_SHARE)) +
+const lastLegCount = (query: ActiveQuery): number =>
+  Math.max(MIN_LAST_LEGS, Math.floor(query.legs.length * LAST_LEGS_SHARE)) +
   query.legs.length -
   query.wantedShards;
 
 const timerKey = (query: ActiveQuery) =>
   ({ purpose: 'query-hedge', subject: query.request }) as const;
 
-/** When the leg's only attempt is late enough for a hedge. */
-const dueAt = (state: CoreState, leg: LegState, record: AttemptRecord, ratio: number): number => {
+/** Returns when the leg's only outstanding attempt is late enough for a hedge. */
+const hedgeDueAt = (
+  state: CoreState,
+  leg: LegState,
+  record: AttemptRecord,
+  ratio: number,
+): number => {
   const { policy } = state.query;
   if (policy.hedging === 'fixed') {
     return record.sentAt + policy.fixedHedgeDelayMs;
   }
   const { latencyMs } = leg.shard.observed;
-  const lateMs = Math.max(SHORTEST_DELAY_MS, ratio * latencyMs);
-  return record.sentAt + Math.min(lateMs, silenceAfterMs(record.target.observed));
+  const lateMs = Math.max(MIN_DELAY_MS, ratio * latencyMs);
+  return record.sentAt + Math.min(lateMs, silenceThresholdMs(record.target.observed));
 };
 
-/** The only outstanding attempt of an open leg that can still be hedged. */
-const hedgeable = (leg: LegState): AttemptRecord | undefined => {
+/** Returns the only outstanding attempt of an open leg if that leg can still be hedged. */
+const findHedgeableAttempt = (leg: LegState): AttemptRecord | undefined => {
   const possible =
     leg.status === 'open' &&
     leg.outstanding === 1 &&
@@ -78,14 +88,14 @@
     : undefined;
 };
 
-/** The earliest time at which a leg may be hedged; undefined when none can be. */
-const nextDueAt = (state: CoreState, query: ActiveQuery): number | undefined => {
+/** Returns the earliest time at which a leg may be hedged; undefined if none can be. */
+const nextHedgeAt = (state: CoreState, query: ActiveQuery): number | undefined => {
   const ratio = hedgeRatio(query);
   let next: number | undefined;
   for (const leg of query.legs) {
-    const record = hedgeable(leg);
+    const record = findHedgeableAttempt(leg);
     if (record !== undefined) {
-      const due = dueAt(state, leg, record, ratio);
+      const due = hedgeDueAt(state, leg, record, ratio);
       next = next === undefined ? due : Math.min(next, due);
     }
   }
@@ -93,20 +103,20 @@
 };
 
 /** Sets the timer for the next hedge of `query`, no earlier than `earliest`. */
-const armHedge = (
+const setHedgeTimer = (
   state: CoreState,
   query: ActiveQuery,
   earliest: number,
   effects: Effect[],
 ): void => {
-  const due = nextDueAt(state, query);
+  const due = nextHedgeAt(state, query);
   if (due !== undefined && due < query.deadlineAt) {
     query.hedgeArmed = true;
     effects.push({ type: 'set-timer', key: timerKey(query), at: Math.max(due, earliest) });
   }
 };
 
-/** Begins to watch for late legs when a query starts. */
+/** Sets the first hedge timer of a query, if it may be hedged. */
 export const startHedging = (
   state: CoreState,
   query: ActiveQuery,
@@ -114,8 +124,8 @@
   effects: Effect[],
 ): void => {
   if (mayHedge(state, query) && query.open > 0) {
-    query.nearlyComplete = query.open <= lastLegs(query);
-    armHedge(state, query, at, effects);
+    query.nearlyComplete = query.open <= lastLegCount(query);
+    setHedgeTimer(state, query, at, effects);
   }
 };
 
@@ -129,7 +139,7 @@
   query.nearlyComplete ||
   isSilent(record.target.observed, at);
 
-/** Takes a token; on credit for a leg whose replica has fallen silent. */
+/** Takes a token for a hedge, on credit if the replica is silent; `fixed` hedging needs no token. */
 const payForHedge = (
   state: CoreState,
   query: ActiveQuery,
@@ -147,8 +157,8 @@
   const chosen: ChosenLeg[] = [];
   const ratio = hedgeRatio(query);
   for (const leg of query.legs) {
-    const record = hedgeable(leg);
-    if (record === undefined || dueAt(state, leg, record, ratio) > at) {
+    const record = findHedgeableAttempt(leg);
+    if (record === undefined || hedgeDueAt(state, leg, record, ratio) > at) {
       continue;
     }
     const target = isWorthHedging(state, query, record, at)
@@ -165,10 +175,10 @@
   return chosen;
 };
 
-/** Shortest time between two looks at the late legs of a query, in milliseconds. */
-const LOOK_AGAIN_MS = 2;
+/** Minimum time between two checks for late legs of a query, in milliseconds. */
+const MIN_CHECK_INTERVAL_MS = 2;
 
-/** Hedges the legs that are late, and looks again later. */
+/** Hedges the legs that are late and sets the timer for the next check. */
 export const hedgeLegs = (
   state: CoreState,
   query: ActiveQuery,
@@ -177,18 +187,18 @@
 ): void => {
   query.hedgeArmed = false;
   sendChosen(state, query, chooseHedges(state, query, at), at, effects);
-  const pause = Math.max(LOOK_AGAIN_MS, (at - query.startedAt) / 4);
-  armHedge(state, query, at + pause, effects);
+  const pause = Math.max(MIN_CHECK_INTERVAL_MS, (at - query.startedAt) / 4);
+  setHedgeTimer(state, query, at + pause, effects);
 };
 
-/** Looks at the late legs at once when the answer that came made the query nearly complete. */
+/** Checks for late legs at once when the last answer made the query nearly complete. */
 export const hedgeWhenNearlyComplete = (
   state: CoreState,
   query: ActiveQuery,
   at: number,
   effects: Effect[],
 ): void => {
-  if (query.nearlyComplete || query.open > lastLegs(query) || !mayHedge(state, query)) {
+  if (query.nearlyComplete || query.open > lastLegCount(query) || !mayHedge(state, query)) {
     return;
   }
   query.nearlyComplete = true;
--- a/src/core/query/latency-histogram.ts
+++ b/src/core/query/latency-histogram.ts
@@ -1,28 +1,28 @@
 /**
- * A decaying histogram of how long legs took relative to what was expected of them, and from it the
- * point from which a second attempt pays.
+ * A decaying histogram of leg latencies relative to the expected latency. It yields the latency from
+ * which a second attempt is worth sending.
  */
 
 const BUCKETS = 72;
 /** Upper bound of the first bucket, as a ratio to the expected latency. */
 const FIRST_BOUND = 0.1;
-/** Each bucket is wider than the one before by this factor. */
+/** Factor between the upper bounds of two adjacent buckets. */
 const GROWTH = 1.1;
-/** When this many samples are held, all counts are halved: older ones fade. */
+/** Number of samples at which all counts are halved, so that older samples lose weight. */
 const HALVE_AT = 4_096;
-/** What is derived is worked out again after this many samples. */
+/** Number of new samples after which the cached threshold is recomputed. */
 const REFRESH_SAMPLES = 64;
 
 const LOG_GROWTH = Math.log(GROWTH);
 
 const BOUNDS = Float64Array.from({ length: BUCKETS }, (_, index) => FIRST_BOUND * GROWTH ** index);
 
-/** Samples as ratios, kept in logarithmic buckets. */
+/** Samples as ratios to the expected latency, counted in logarithmic buckets. */
 export interface LatencyHistogram {
   readonly counts: Float64Array;
   total: number;
-  /** Samples since `cachedRatio` was worked out. */
-  fresh: number;
+  /** Samples added since `cachedRatio` was computed. */
+  samplesSinceScan: number;
   cachedTail: number;
   cachedRatio: number;
 }
@@ -31,7 +31,7 @@
 export const createLatencyHistogram = (): LatencyHistogram => ({
   counts: new Float64Array(BUCKETS),
   total: 0,
-  fresh: 0,
+  samplesSinceScan: 0,
   cachedTail: Number.NaN,
   cachedRatio: Number.POSITIVE_INFINITY,
 });
@@ -52,23 +52,23 @@
   }
 };
 
-/** Adds one sample. */
+/** Adds one sample, as a ratio to the expected latency. */
 export const addRatio = (histogram: LatencyHistogram, ratio: number): void => {
   const bucket = bucketOf(ratio);
   histogram.counts[bucket] = (histogram.counts[bucket] ?? 0) + 1;
   histogram.total += 1;
-  histogram.fresh += 1;
+  histogram.samplesSinceScan += 1;
   if (histogram.total >= HALVE_AT) {
     halve(histogram);
   }
 };
 
 /**
- * Scans from the slowest samples down, for the smallest ratio beyond which at most `tail` of the
- * samples lie and from which on the mean of what is left is at least `rest`.
+ * Scans from the slowest bucket down for the smallest ratio that at most the share `tail` of the
+ * samples exceed and that those samples exceed by at least `rest` on average.
  */
-const scan = (histogram: LatencyHistogram, tail: number, rest: number): number => {
-  const most = histogram.total * tail;
+const scanForThreshold = (histogram: LatencyHistogram, tail: number, rest: number): number => {
+  const maxBeyond = histogram.total * tail;
   let beyond = 0;
   let sum = 0;
   let found = Number.POSITIVE_INFINITY;
@@ -77,7 +77,7 @@
     const count = histogram.counts[index] ?? 0;
     beyond += count;
     sum += count * (BOUNDS[index] ?? 0);
-    if (beyond > most) {
+    if (beyond > maxBeyond) {
       break;
     }
     if (beyond > 0 && sum / beyond - bound >= rest) {
@@ -88,21 +88,17 @@
 };
 
 /**
- * The ratio from which a second attempt pays; infinite when none does, as with a distribution that
- * has no long tail.
+ * Returns the ratio to the expected latency from which a second attempt is worth sending. It is
+ * infinite if there is none, as for a distribution without a long tail.
  *
- * @param tail - largest share of the samples that may lie beyond it
- * @param rest - what must be left at least, on the mean, in expected latencies
+ * @param tail - maximum share of the samples that may exceed the ratio, 0 to 1
+ * @param rest - minimum mean time that remains beyond the ratio, in expected latencies
  */
-export const worthwhileRatio = (
-  histogram: LatencyHistogram,
-  tail: number,
-  rest: number,
-): number => {
-  if (histogram.fresh >= REFRESH_SAMPLES || histogram.cachedTail !== tail) {
-    histogram.fresh = 0;
+export const hedgeThreshold = (histogram: LatencyHistogram, tail: number, rest: number): number => {
+  if (histogram.samplesSinceScan >= REFRESH_SAMPLES || histogram.cachedTail !== tail) {
+    histogram.samplesSinceScan = 0;
     histogram.cachedTail = tail;
-    histogram.cachedRatio = scan(histogram, tail, rest);
+    histogram.cachedRatio = scanForThreshold(histogram, tail, rest);
   }
   return histogram.cachedRatio;
 };
--- a/src/core/query/peer-observation.ts
+++ b/src/core/query/peer-observation.ts
@@ -1,102 +1,111 @@
-/** What a coordinator has seen of its peers as feeders; one that is out of reach is passed over. */
+/** What a coordinator has observed of its peers as feeders. It avoids peers that seem unreachable. */
 import type { NodeId } from '../identifiers.js';
 
-/** How long a peer is passed over after its link was lost or it fell silent, in milliseconds. */
+/** How long a peer is avoided after its link was lost or it fell silent, in milliseconds. */
 const AVOID_PEER_MS = 1_000;
-/** A peer that holds legs is silent when it has reported nothing for so long, in milliseconds. */
+/** A peer that holds legs counts as silent after this time without a report, in milliseconds. */
 const PEER_SILENCE_MS = 100;
 
-/** One peer. */
+/** Observations of one peer. */
 export interface PeerObservation {
-  /** Attempts that it holds. */
+  /** Attempts sent to the peer that have not ended. */
   inFlight: number;
-  /** When it last reported, or was given work after having had none. */
-  heardAt: number;
-  /** It is passed over until then. */
+  /** Time of its last report, or of the first attempt sent to it after it had none. */
+  lastReportAt: number;
+  /** The peer is avoided until then, unless it reports. */
   avoidUntil: number;
-  /** It knows a replica too little to feed it, and is passed over until then, whatever it reports. */
-  unawareUntil: number;
-  /** It has been passed over and not reported since: it is given one attempt at a time. */
-  doubted: boolean;
+  /** The peer did not know a replica and is avoided until then, even if it reports. */
+  replicaUnknownUntil: number;
+  /** The peer was avoided and has not reported since; it gets one attempt at a time. */
+  onProbation: boolean;
 }
 
-/** Peers by node. */
+/** Observations of peers by node. */
 export class PeerObservations extends Map<NodeId, PeerObservation> {
-  /** No peer is passed over from then on, as far as has been noted; a trial's wait is counted in. */
-  avoidedUntil = 0;
+  /**
+   * Upper bound of the times until which peers are avoided. It includes the time until a peer that
+   * does not answer its trial attempt counts as silent again.
+   */
+  noneAvoidedAfter = 0;
 }
 
-const observePeer = (peers: PeerObservations, node: NodeId): PeerObservation => {
+const getPeerObservation = (peers: PeerObservations, node: NodeId): PeerObservation => {
   const known = peers.get(node);
   if (known !== undefined) {
     return known;
   }
-  const created = { inFlight: 0, heardAt: 0, avoidUntil: 0, unawareUntil: 0, doubted: false };
+  const created = {
+    inFlight: 0,
+    lastReportAt: 0,
+    avoidUntil: 0,
+    replicaUnknownUntil: 0,
+    onProbation: false,
+  };
   peers.set(node, created);
   return created;
 };
 
-/** Notes that an attempt was handed to `node`. */
-export const recordHanded = (peers: PeerObservations, node: NodeId, at: number): void => {
-  const peer = observePeer(peers, node);
+/** Records that an attempt was sent to `node` as its feeder. */
+export const recordAttemptAtPeer = (peers: PeerObservations, node: NodeId, at: number): void => {
+  const peer = getPeerObservation(peers, node);
   if (peer.inFlight === 0) {
-    peer.heardAt = at;
+    peer.lastReportAt = at;
   }
   peer.inFlight += 1;
 };
 
-/** Notes that an attempt at `node` has ended for its coordinator, by a report or not. */
-export const recordHandedEnded = (peers: PeerObservations, node: NodeId): void => {
+/** Records that an attempt at `node` has ended for its coordinator, with or without a report. */
+export const recordAttemptAtPeerEnded = (peers: PeerObservations, node: NodeId): void => {
   const peer = peers.get(node);
   if (peer !== undefined) {
     peer.inFlight -= 1;
   }
 };
 
-/** Notes a report from `node`. */
-export const recordHeard = (peers: PeerObservations, node: NodeId, at: number): void => {
-  const peer = observePeer(peers, node);
-  peer.heardAt = at;
+/** Records a report from `node`, which is then no longer avoided as unreachable. */
+export const recordPeerReport = (peers: PeerObservations, node: NodeId, at: number): void => {
+  const peer = getPeerObservation(peers, node);
+  peer.lastReportAt = at;
   peer.avoidUntil = 0;
-  peer.doubted = false;
+  peer.onProbation = false;
 };
 
-const avoid = (peers: PeerObservations, peer: PeerObservation, at: number): void => {
+const markAvoided = (peers: PeerObservations, peer: PeerObservation, at: number): void => {
   peer.avoidUntil = at + AVOID_PEER_MS;
-  peer.doubted = true;
-  peers.avoidedUntil = Math.max(peers.avoidedUntil, peer.avoidUntil + PEER_SILENCE_MS);
+  peer.onProbation = true;
+  peers.noneAvoidedAfter = Math.max(peers.noneAvoidedAfter, peer.avoidUntil + PEER_SILENCE_MS);
 };
 
-/** Notes that the link to `node` was lost. */
+/** Records that the link to `node` was lost. */
 export const recordLinkLost = (peers: PeerObservations, node: NodeId, at: number): void => {
-  avoid(peers, observePeer(peers, node), at);
+  markAvoided(peers, getPeerObservation(peers, node), at);
 };
 
 /**
- * Notes that `node` was handed a leg for a replica that it does not know: a process that has just started is
- * a member before it has read what the platform lists.
+ * Records that `node` did not know the replica of a leg it was sent. A process that has just started
+ * becomes a member before it has read the platform's list of replicas.
  */
-export const recordUnaware = (peers: PeerObservations, node: NodeId, at: number): void => {
-  observePeer(peers, node).unawareUntil = at + AVOID_PEER_MS;
+export const recordReplicaUnknown = (peers: PeerObservations, node: NodeId, at: number): void => {
+  getPeerObservation(peers, node).replicaUnknownUntil = at + AVOID_PEER_MS;
 };
 
-/** Whether `node` should be given no legs; one that has fallen silent is noted as such. */
+/** Whether `node` should get no legs; starts to avoid it if it has fallen silent. */
 export const isPeerAvoided = (peers: PeerObservations, node: NodeId, at: number): boolean => {
   const peer = peers.get(node);
   if (peer === undefined) {
     return false;
   }
-  if (peer.unawareUntil > at) {
+  if (peer.replicaUnknownUntil > at) {
     return true;
   }
-  if (peer.inFlight > 0 && at - peer.heardAt > PEER_SILENCE_MS) {
-    avoid(peers, peer, at);
+  if (peer.inFlight > 0 && at - peer.lastReportAt > PEER_SILENCE_MS) {
+    markAvoided(peers, peer, at);
   }
-  return peer.avoidUntil > at || (peer.doubted && peer.inFlight > 0);
+  return peer.avoidUntil > at || (peer.onProbation && peer.inFlight > 0);
 };
 
-/** Forgets peers that are no members any more and hold no attempt. */
-export const forgetPeers = (
+/** Removes the observations of peers that are no longer members and hold no attempt. */
+export const removeFormerPeers = (
   peers: PeerObservations,
   members: ReadonlyMap<NodeId, unknown>,
 ): void => {
--- a/src/core/query/record-observation.ts
+++ b/src/core/query/record-observation.ts
@@ -1,65 +1,65 @@
-/** Keeps what a coordinator has seen of its back ends up to date as its attempts go out and end. */
+/** Updates the observations of back ends when attempts are sent and when they end. */
 import type { SnapshotVersion } from '../../catalog/partner-index.js';
 import type { ReplicaLoad } from '../../protocol/leg-messages.js';
 import type { Random } from '../random.js';
 import {
-  fadedLatency,
-  LACKING_MS,
-  lacksSnapshot,
+  decayedLatency,
+  SNAPSHOT_REFUSAL_VALID_MS,
+  hasRefusedSnapshot,
   type ReplicaObservation,
   type ServiceObservation,
-  silenceAfterMs,
+  silenceThresholdMs,
 } from './replica-observation.js';
 
 /** Weight of the newest sample in a decayed mean. */
 const SAMPLE_WEIGHT = 0.1;
-/** One sample counts at most this multiple of the mean: a lone straggler turns nobody away. */
+/** A sample counts at most this multiple of the mean, so that a single straggler changes no choice. */
 const CLIP_FACTOR = 3;
-/** Failures in a row, none answered between, after which a replica is ejected. */
-const STRIKES_TO_EJECT = 3;
-/** Strikes that a refused connection counts for: nobody listens there. */
-const CONNECT_STRIKES = 2;
-/** Strikes that an attempt called off late counts for, nothing having been heard meanwhile. */
-const SILENT_STRIKES = 1;
-/** First pause before an ejected replica is probed, in milliseconds; doubles with each failure. */
+/** Score of failures without an answer in between at which a replica is ejected. */
+const EJECTION_SCORE = 3;
+/** Score of a failed connect: no process listens at the address. */
+const CONNECT_FAILURE_SCORE = 2;
+/** Score of an attempt cancelled late while the replica gave no response. */
+const SILENCE_SCORE = 1;
+/** Pause before the first probe of an ejected replica, in milliseconds; doubles with each ejection. */
 const FIRST_EJECTION_MS = 250;
-/** Longest such pause, in milliseconds. */
-const LONGEST_EJECTION_MS = 8_000;
-/** First pause after a shed, in milliseconds; doubles with each shed in a row. */
+/** Maximum pause before a probe, in milliseconds. */
+const MAX_EJECTION_MS = 8_000;
+/** Pause after the first shed, in milliseconds; doubles with each consecutive shed. */
 const FIRST_SHED_PAUSE_MS = 20;
-/** Longest such pause, in milliseconds. */
-const LONGEST_SHED_PAUSE_MS = 2_000;
-/** Pauses are spread by this share either way, so that nodes do not return together. */
+/** Maximum pause after a shed, in milliseconds; a longer `retryAfterMs` of the replica takes precedence. */
+const MAX_SHED_PAUSE_MS = 2_000;
+/** Jitter of pauses, as a share in both directions, so that nodes do not resume at the same time. */
 const JITTER_SHARE = 0.3;
 
 const jitter = (random: Random, pauseMs: number): number =>
   pauseMs * (1 - JITTER_SHARE + 2 * JITTER_SHARE * random.next());
 
 const eject = (observed: ReplicaObservation, random: Random, at: number): void => {
-  const pause = Math.min(LONGEST_EJECTION_MS, FIRST_EJECTION_MS * 2 ** observed.ejections);
+  const pause = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** observed.ejections);
   observed.ejected = true;
   observed.ejections += 1;
-  observed.strikes = 0;
+  observed.failureScore = 0;
   observed.probeAt = at + jitter(random, pause);
 };
 
-const strike = (
+const addFailureScore = (
   observed: ReplicaObservation,
   random: Random,
   at: number,
-  strikes: number,
+  score: number,
 ): void => {
-  observed.strikes += strikes;
-  if (!observed.ejected && observed.strikes >= STRIKES_TO_EJECT) {
+  observed.failureScore += score;
+  if (!observed.ejected && observed.failureScore >= EJECTION_SCORE) {
     eject(observed, random, at);
   }
 };
 
-/** Notes that an attempt is on its way. */
+/** Records that an attempt was sent. */
 export const recordSent = (observed: ReplicaObservation, at: number): void => {
   if (observed.inFlight === 0) {
-    observed.unqueuedMs = fadedLatency(observed, at);
-    observed.heardAt = at;
+    observed.unqueuedMs = decayedLatency(observed, at);
+    observed.lastResponseAt = at;
   }
   observed.inFlight += 1;
 };
@@ -70,21 +70,21 @@
   readonly latencyMs: number;
   /** Wait at the feeder. */
   readonly queuedMs: number;
-  /** Wait at the feeder that a new attempt would have. */
+  /** Wait at the feeder that a new attempt would have at that time. */
   readonly backlogMs: number;
-  /** Working time at the replica as its feeder saw it. */
+  /** Service time at the replica, measured by its feeder. */
   readonly serviceMs: number;
 }
 
-const judgeLoadReport = (observed: ReplicaObservation, latencyMs: number, slots: number): void => {
+const updateLoadTrust = (observed: ReplicaObservation, latencyMs: number, slots: number): void => {
   const { load } = observed;
   if (load === undefined) {
     return;
   }
-  const own = Math.abs(latencyMs - observed.unqueuedMs);
-  const foretold = observed.serviceMs * (1 + (load.inFlight + load.queued) / slots);
-  const better = Math.abs(latencyMs - foretold) < own ? 1 : 0;
-  observed.loadTrust += SAMPLE_WEIGHT * (better - observed.loadTrust);
+  const ownError = Math.abs(latencyMs - observed.unqueuedMs);
+  const predictedMs = observed.serviceMs * (1 + (load.inFlight + load.queued) / slots);
+  const reportWasCloser = Math.abs(latencyMs - predictedMs) < ownError ? 1 : 0;
+  observed.loadTrust += SAMPLE_WEIGHT * (reportWasCloser - observed.loadTrust);
 };
 
 const addLatency = (observed: ReplicaObservation, unqueuedMs: number): void => {
@@ -99,7 +99,7 @@
   service.unqueuedMs += weight * (timing.latencyMs - timing.queuedMs - service.unqueuedMs);
 };
 
-/** Notes an answer; ends a row of failures and an ejection. */
+/** Records an answer: updates the latencies and the load, resets the failure score, ends an ejection. */
 export const recordAnswer = (
   observed: ReplicaObservation,
   timing: AnswerTiming,
@@ -108,10 +108,10 @@
   at: number,
 ): void => {
   const unqueuedMs = timing.latencyMs - timing.queuedMs;
-  judgeLoadReport(observed, unqueuedMs, slots);
+  updateLoadTrust(observed, unqueuedMs, slots);
   observed.inFlight -= 1;
-  observed.heardAt = at;
-  observed.strikes = 0;
+  observed.lastResponseAt = at;
+  observed.failureScore = 0;
   observed.sheds = 0;
   addLatency(observed, unqueuedMs);
   observed.backlogMs = timing.backlogMs;
@@ -125,11 +125,11 @@
   if (observed.ejected) {
     observed.ejected = false;
     observed.ejections = 0;
-    observed.easeInFrom = at;
+    observed.slowStartFrom = at;
   }
 };
 
-/** Notes an attempt that failed; `refused` when no connection could be made. */
+/** Records a failed attempt; `refused` means that no connection could be established. */
 export const recordFailure = (
   observed: ReplicaObservation,
   refused: boolean,
@@ -137,24 +137,24 @@
   at: number,
 ): void => {
   observed.inFlight -= 1;
-  strike(observed, random, at, refused ? CONNECT_STRIKES : 1);
+  addFailureScore(observed, random, at, refused ? CONNECT_FAILURE_SCORE : 1);
 };
 
-/** Notes that the replica does not hold `snapshot`; false when that was known. */
-export const recordLacking = (
+/** Records that the replica does not hold `snapshot`; returns false if that was known. */
+export const recordSnapshotRefused = (
   observed: ReplicaObservation,
   snapshot: SnapshotVersion,
   at: number,
 ): boolean => {
   observed.inFlight -= 1;
-  observed.heardAt = at;
-  const known = lacksSnapshot(observed, snapshot, at);
-  observed.lacking ??= new Map();
-  observed.lacking.set(snapshot, at + LACKING_MS);
+  observed.lastResponseAt = at;
+  const known = hasRefusedSnapshot(observed, snapshot, at);
+  observed.refusedSnapshots ??= new Map();
+  observed.refusedSnapshots.set(snapshot, at + SNAPSHOT_REFUSAL_VALID_MS);
   return !known;
 };
 
-/** Notes that the feeder of the replica held an attempt back: it has seen it fall silent. */
+/** Records that the feeder did not send an attempt because the replica is silent; ejects the replica. */
 export const recordHeldBack = (observed: ReplicaObservation, random: Random, at: number): void => {
   observed.inFlight -= 1;
   if (!observed.ejected) {
@@ -162,12 +162,12 @@
   }
 };
 
-/** Notes an attempt that ended without saying anything about the replica. */
-export const recordNeutral = (observed: ReplicaObservation): void => {
+/** Records the end of an attempt that gives no information about the replica. */
+export const recordInconclusive = (observed: ReplicaObservation): void => {
   observed.inFlight -= 1;
 };
 
-/** Notes a shed: the replica is left alone for a growing, jittered while. */
+/** Records a shed: the replica gets no work for a time that grows with each shed and has jitter. */
 export const recordShed = (
   observed: ReplicaObservation,
   retryAfterMs: number | undefined,
@@ -175,17 +175,17 @@
   at: number,
 ): void => {
   observed.inFlight -= 1;
-  observed.heardAt = at;
-  const pause = Math.min(LONGEST_SHED_PAUSE_MS, FIRST_SHED_PAUSE_MS * 2 ** observed.sheds);
+  observed.lastResponseAt = at;
+  const pause = Math.min(MAX_SHED_PAUSE_MS, FIRST_SHED_PAUSE_MS * 2 ** observed.sheds);
   observed.sheds += 1;
-  observed.shedUntil = at + jitter(random, Math.max(pause, retryAfterMs ?? 0));
+  observed.backOffUntil = at + jitter(random, Math.max(pause, retryAfterMs ?? 0));
 };
 
 /**
- * Notes that an attempt was called off because another one answered, or because the query ended.
- * It lasted at least that long; if the replica had been silent all the while, it counts as a failure.
+ * Records that an attempt was cancelled because another one answered or the query ended. Its duration
+ * is a lower bound of the latency. It counts as a failure if the replica was silent all that time.
  */
-export const recordCalledOff = (
+export const recordCancelledAttempt = (
   observed: ReplicaObservation,
   sentAt: number,
   random: Random,
@@ -196,20 +196,20 @@
   if (lastedMs > observed.unqueuedMs) {
     addLatency(observed, lastedMs);
   }
-  const silent = observed.heardAt <= sentAt;
+  const silent = observed.lastResponseAt <= sentAt;
   const long = lastedMs > 2 * observed.service.latencyMs;
   if (silent && long) {
     observed.unqueuedMs = Math.max(observed.unqueuedMs, lastedMs);
-    strike(
+    addFailureScore(
       observed,
       random,
       at,
-      lastedMs >= silenceAfterMs(observed) ? STRIKES_TO_EJECT : SILENT_STRIKES,
+      lastedMs >= silenceThresholdMs(observed) ? EJECTION_SCORE : SILENCE_SCORE,
     );
   }
 };
 
-/** Notes that a probe is on its way; the next one is due after a longer pause. */
+/** Records that a probe is sent; the next one is due after a longer pause. */
 export const recordProbe = (observed: ReplicaObservation, random: Random, at: number): void => {
   eject(observed, random, at);
 };
--- a/src/core/query/snapshot-targets.ts
+++ b/src/core/query/snapshot-targets.ts
@@ -1,4 +1,4 @@
-/** Derives, for a row, the shards and replicas of each snapshot, and which snapshot to pin. */
+/** Derives the shards and replicas of each snapshot for a row, and selects the snapshot to pin. */
 import type {
   ReplicaStatus,
   SnapshotLayout,
@@ -10,24 +10,24 @@
 import {
   endpointOf,
   type Observations,
-  observeReplica,
-  observeService,
+  getReplicaObservation,
+  getServiceObservation,
   replicaKey,
 } from './observations.js';
 import type { ReplicaTarget, ShardTarget, SnapshotTargets } from './query-plan.js';
-import { lacksSnapshot, type ServiceObservation } from './replica-observation.js';
+import { hasRefusedSnapshot, type ServiceObservation } from './replica-observation.js';
 
 /**
- * Share of a service's replicas that must hold the newest snapshot before policy `covered` pins it
- * although an older one is held by more, once the newest has been there for `SETTLED_MS`.
+ * Minimum share of each service's replicas that must hold the newest snapshot for policy `covered` to
+ * pin it while more replicas hold an older one; applies once the newest is `SETTLED_MS` old.
  */
-const ENOUGH_REPLICAS_SHARE = 0.5;
-/** Time after which a roll-out is not expected to reach further replicas, in milliseconds. */
+const MIN_REPLICA_SHARE = 0.5;
+/** Time after which a roll-out is not expected to reach more replicas, in milliseconds. */
 const SETTLED_MS = 30_000;
 
 const WILDCARD = '*';
 
-/** Whether `service` is named by one of a row's patterns. */
+/** Whether `service` matches one of a row's patterns. */
 const matchesServices = (patterns: readonly string[], service: ServiceName): boolean =>
   patterns.some((pattern) =>
     pattern.endsWith(WILDCARD) ? service.startsWith(pattern.slice(0, -1)) : service === pattern,
@@ -36,7 +36,7 @@
 const serves = (status: ReplicaStatus, layout: SnapshotLayout): boolean =>
   status.lifecycle !== 'leaving' && status.snapshots.includes(layout.version);
 
-/** Where the tables are derived from. */
+/** Inputs for the targets: the configuration in force, observations and the current time. */
 export interface TargetSources {
   readonly inForce: ConfigurationInForce;
   readonly observations: Observations;
@@ -55,18 +55,23 @@
   layout: SnapshotLayout,
 ): ServiceTargets => {
   const { observations, at } = sources;
-  const observed = observeService(observations, row.partner, service);
+  const observed = getServiceObservation(observations, row.partner, service);
   const status = sources.inForce.services.get(row.partner)?.get(service);
   const serving = status?.replicas.filter((replica) => serves(replica, layout)) ?? [];
   const replicas = serving.map((replica) => {
     const endpoint = endpointOf(replica);
-    const seen = observeReplica(observations, replicaKey(row.partner, endpoint), observed, at);
+    const seen = getReplicaObservation(
+      observations,
+      replicaKey(row.partner, endpoint),
+      observed,
+      at,
+    );
     return { status: replica, endpoint, snapshot: layout.version, observed: seen };
   });
   return { observed, replicas };
 };
 
-/** The shards of `row` in `layout`, each with the replicas that hold the snapshot. */
+/** Returns the shards of `row` in `layout`, each with the replicas that hold the snapshot. */
 const deriveSnapshotTargets = (
   sources: TargetSources,
   row: RouteRow,
@@ -86,26 +91,30 @@
 };
 
 /**
- * The smallest share of a service's replicas, over all shards, that hold the snapshot: as published,
- * less those that have refused it.
+ * Returns the smallest share, over all shards, of a service's replicas that hold the snapshot. Replicas
+ * count as published, except those that have refused the snapshot.
  */
-const measureCover = (sources: TargetSources, row: RouteRow, targets: SnapshotTargets): number => {
+const measureReplicaShare = (
+  sources: TargetSources,
+  row: RouteRow,
+  targets: SnapshotTargets,
+): number => {
   const services = sources.inForce.services.get(row.partner);
-  let least = 1;
+  let smallest = 1;
   for (const { service, replicas } of targets.shards) {
     const known = services?.get(service)?.replicas.filter((r) => r.lifecycle !== 'leaving') ?? [];
     const holding = replicas.filter(
-      ({ observed }) => !lacksSnapshot(observed, targets.snapshot, sources.at),
+      ({ observed }) => !hasRefusedSnapshot(observed, targets.snapshot, sources.at),
     );
-    least = Math.min(least, holding.length / Math.max(1, known.length));
+    smallest = Math.min(smallest, holding.length / Math.max(1, known.length));
   }
-  return least;
+  return smallest;
 };
 
 const shareServed = (targets: SnapshotTargets): number =>
   targets.shards.filter((target) => target.replicas.length > 0).length / targets.shards.length;
 
-/** When this node first saw a snapshot among those that may be served. */
+/** Returns when this node first saw a snapshot that may be served. */
 const firstSeenAt = (sources: TargetSources, row: RouteRow, snapshot: SnapshotVersion): number => {
   const { snapshots } = sources.observations;
   const key = `${row.partner}/${snapshot}`;
@@ -119,26 +128,26 @@
 
 interface Candidate {
   readonly targets: SnapshotTargets;
-  readonly cover: number;
-  readonly served: number;
+  readonly replicaShare: number;
+  readonly servedShare: number;
 }
 
-/** The better held of two; the newer when equal. */
-const preferHeld = (a: Candidate, b: Candidate): Candidate => {
-  if (a.cover !== b.cover) {
-    return a.cover > b.cover ? a : b;
+/** Returns the snapshot held by the larger share of replicas; the newer one if both are equal. */
+const preferWidelyHeld = (a: Candidate, b: Candidate): Candidate => {
+  if (a.replicaShare !== b.replicaShare) {
+    return a.replicaShare > b.replicaShare ? a : b;
   }
-  if (a.served !== b.served) {
-    return a.served > b.served ? a : b;
+  if (a.servedShare !== b.servedShare) {
+    return a.servedShare > b.servedShare ? a : b;
   }
   return a.targets.snapshot > b.targets.snapshot ? a : b;
 };
 
 /**
- * Picks the snapshot to pin. `newest` takes the newest of which anything is served. `covered` takes
- * the one that most replicas of every shard hold, the newer when equal: during a roll-out the newest
- * costs coverage and leaves no replica to hedge to. A roll-out that has settled short of some
- * replicas does not hold the newest back.
+ * Selects the snapshot to pin. Policy `newest` selects the newest snapshot of which any shard is
+ * served. Policy `covered` selects the one that the largest share of every service's replicas holds,
+ * the newer one if equal: during a roll-out the newest costs coverage and leaves no replica for hedges.
+ * A roll-out that has settled without some replicas does not exclude the newest.
  */
 export const selectSnapshot = (
   sources: TargetSources,
@@ -149,18 +158,18 @@
     .filter((targets) => targets.shards.length > 0)
     .map((targets) => ({
       targets,
-      cover: measureCover(sources, row, targets),
-      served: shareServed(targets),
+      replicaShare: measureReplicaShare(sources, row, targets),
+      servedShare: shareServed(targets),
     }))
-    .filter((candidate) => candidate.served > 0)
+    .filter((candidate) => candidate.servedShare > 0)
     .sort((a, b) => b.targets.snapshot - a.targets.snapshot);
   const [newest] = candidates;
   if (newest === undefined || row.snapshotPolicy === 'newest') {
     return newest?.targets;
   }
   const since = firstSeenAt(sources, row, newest.targets.snapshot);
-  if (sources.at - since >= SETTLED_MS && newest.cover >= ENOUGH_REPLICAS_SHARE) {
+  if (sources.at - since >= SETTLED_MS && newest.replicaShare >= MIN_REPLICA_SHARE) {
     return newest.targets;
   }
-  return candidates.reduce(preferHeld).targets;
+  return candidates.reduce(preferWidelyHeld).targets;
 };
--- a/test/query/overload.test.ts
+++ b/test/query/overload.test.ts
@@ -7,7 +7,7 @@
 const SLOTS = 5;
 const MEAN_MS = 5;
 
-const service = (random: Random): number => 2.5 - 1.5 * Math.log(1 - random.next());
+const sampleServiceMs = (random: Random): number => 2.5 - 1.5 * Math.log(1 - random.next());
 
 const createTier = (): VirtualTier =>
   new VirtualTier({
@@ -15,7 +15,7 @@
     services: SERVICES,
     shardsPerService: 1,
     slots: SLOTS,
-    serviceMs: service,
+    serviceMs: sampleServiceMs,
     rows: [makeRow({ deadlineMs: 1_000 }), makeRow({ partner: TAWE, deadlineMs: 1_000 })],
     shares: [
       { partner: ENSEMBLE, share: 0.5 },
@@ -23,10 +23,15 @@
     ],
   });
 
-/** Queries a millisecond that the slots of all replicas can do. */
+/** Queries per millisecond that the slots of all replicas can serve. */
 const CAPACITY = (SERVICES * 2 * SLOTS) / MEAN_MS / SERVICES;
 
-const ask = (tier: VirtualTier, partner: PartnerId, perMs: number, until: number): string[] => {
+const sendQueries = (
+  tier: VirtualTier,
+  partner: PartnerId,
+  perMs: number,
+  until: number,
+): string[] => {
   const calls: string[] = [];
   const next = (): void => {
     calls.push(tier.ask(tier.nodeIds[calls.length % 4] as NodeId, { partner }));
@@ -50,26 +55,26 @@
 const answersTo = (tier: VirtualTier, calls: readonly string[]): Answer[] =>
   calls.map((call) => tier.answers.get(call) as Answer);
 
-describe('a partner that floods to 5 times the capacity', () => {
+describe('a partner that sends 5 times the capacity', () => {
   const alone = createTier();
-  const aloneCalls = ask(alone, ENSEMBLE, CAPACITY / 5, alone.now + 3_000);
+  const aloneCalls = sendQueries(alone, ENSEMBLE, CAPACITY / 5, alone.now + 3_000);
   alone.runFor(4_500);
 
   const tier = createTier();
   const begin = tier.now + 1_000;
-  const calls = ask(tier, ENSEMBLE, CAPACITY / 5, begin + 3_000);
+  const calls = sendQueries(tier, ENSEMBLE, CAPACITY / 5, begin + 3_000);
   tier.runUntil(begin);
-  const flood = ask(tier, TAWE, 5 * CAPACITY, begin + 3_000);
+  const flood = sendQueries(tier, TAWE, 5 * CAPACITY, begin + 3_000);
   tier.runFor(4_500);
 
-  it('takes nothing from the other: no refusal, no shard, little time', () => {
+  it('causes the other partner no refusal, no missing shard and little latency', () => {
     const others = answersTo(tier, calls);
     expect(others.every(isWhole)).toBe(true);
     const during = others.filter((answer) => answer.askedAt > begin);
     expect(p99(during)).toBeLessThan(1.15 * p99(answersTo(alone, aloneCalls)));
   });
 
-  it('is refused early, as not run, with a time to come back', () => {
+  it('is refused at once as not run, with a retry delay', () => {
     const refused = answersTo(tier, flood).filter(({ outcome }) => outcome.type === 'not-run');
     expect(refused.length).toBeGreaterThan(flood.length / 2);
     for (const { outcome, latencyMs } of refused) {
@@ -79,21 +84,21 @@
     }
   });
 
-  it('leaves the capacity in use', () => {
+  it('does not reduce the use of the capacity', () => {
     const settled = [...answersTo(tier, calls), ...answersTo(tier, flood)].filter(
       (answer) => answer.askedAt > begin + 500 && isWhole(answer),
     );
     expect(settled.length / (2_500 * CAPACITY)).toBeGreaterThan(0.9);
   });
 
-  it('is served in full again after the flood', () => {
-    const later = ask(tier, TAWE, CAPACITY / 10, tier.now + 500);
+  it('is served in full again after the overload', () => {
+    const later = sendQueries(tier, TAWE, CAPACITY / 10, tier.now + 500);
     tier.runFor(2_000);
     expect(answersTo(tier, later).every(isWhole)).toBe(true);
   });
 });
 
-describe('work that cannot finish in time', () => {
+describe('a leg that cannot finish before its deadline', () => {
   it('is not started', () => {
     const tier = new VirtualTier({ services: 1, replicasPerService: 1, slots: 1 });
     const replica = tier.replicas[0] as { serviceMs: unknown; ran: unknown[] };
--- a/test/query/out-of-reach.test.ts
+++ b/test/query/unavailable-replicas.test.ts
@@ -3,7 +3,7 @@
 import { makeKey, makeRow, type VirtualReplica, VirtualTier } from './virtual-tier.js';
 
 const COORDINATOR = 'bole-0' as NodeId;
-const FAR = 'arada-0' as NodeId;
+const SILENT_PEER = 'arada-0' as NodeId;
 
 const replicasOf = (tier: VirtualTier, service: string): VirtualReplica[] =>
   tier.replicas.filter(({ status }) => status.replica.startsWith(service));
@@ -18,19 +18,19 @@
 };
 
 describe('replicas that only a silent peer feeds', () => {
-  it('are passed over until the peer reports, but for one leg now and then', () => {
+  it('are avoided until the peer reports, except for an occasional trial leg', () => {
     const rows = [makeRow({ fanOut: 'key' })];
     const tier = new VirtualTier({ zones: ['bole', 'arada'], nodesPerZone: 1, services: 40, rows });
-    const askOften = (queries: number): string[] =>
+    const sendQueries = (queries: number): string[] =>
       Array.from({ length: queries }, () => {
         const call = tier.ask(COORDINATOR, { key: `key-${tier.asked}` });
         tier.runFor(10);
         return call;
       });
-    tier.pause(FAR);
-    askOften(20);
-    const count = countLegsTo(tier, FAR);
-    const calls = askOften(100);
+    tier.pause(SILENT_PEER);
+    sendQueries(20);
+    const count = countLegsTo(tier, SILENT_PEER);
+    const calls = sendQueries(100);
     tier.runFor(500);
     for (const call of calls) {
       expect(tier.answers.get(call)?.outcome).toMatchObject({ type: 'answered', missing: [] });
@@ -39,14 +39,14 @@
   });
 });
 
-describe('a query whose open legs lie at replicas that answer nothing', () => {
+describe('a query whose open legs are at replicas that do not answer', () => {
   const freeze = (tier: VirtualTier): VirtualReplica[] => {
     const frozen = replicasOf(tier, 'svc-2');
     frozen.forEach((replica) => (replica.mode = 'frozen'));
     return frozen;
   };
 
-  it('is answered long before its deadline once that is known', () => {
+  it('is answered long before its deadline once the replicas are ejected', () => {
     const tier = new VirtualTier();
     freeze(tier);
     const latencies = Array.from({ length: 8 }, () => tier.askAndWait(COORDINATOR)?.latencyMs ?? 0);
@@ -55,17 +55,17 @@
     expect(tier.askAndWait(COORDINATOR)?.outcome).toMatchObject({ contributed: 6 });
   });
 
-  it('is whole again at once when they answer again', () => {
+  it('has full coverage at once when the replicas answer again', () => {
     const tier = new VirtualTier();
     const frozen = freeze(tier);
     for (let round = 0; round < 8; round += 1) {
       tier.askAndWait(COORDINATOR);
     }
-    frozen.forEach((replica) => tier.thaw(replica));
+    frozen.forEach((replica) => tier.resumeReplica(replica));
     expect(tier.askAndWait(COORDINATOR)?.outcome).toMatchObject({ contributed: 8, missing: [] });
   });
 
-  it('waits until the deadline if it must not run twice', () => {
+  it('waits until its deadline if it is not safe to repeat', () => {
     const row = makeRow({ safeToRepeat: false, fanOut: 'key', services: ['svc-2'] });
     const tier = new VirtualTier({ rows: [row] });
     freeze(tier);
