--- a/src/core/configuration/take-objects.ts
+++ b/src/core/configuration/apply-objects.ts
@@ -3,7 +3,7 @@
 import { trimHistory } from '../../table/spread-history.js';
 import type { CoreState } from '../state.js';
 import { REBUILD_CHANGES } from './bounds.js';
-import { amendInForce, deriveInForce } from './derive-in-force.js';
+import { updateInForce, deriveInForce } from './derive-in-force.js';
 
 /** True for what operators and nodes write by compare-and-set; the platform writes the rest. */
 export const isEdited = (content: StoreContent): boolean =>
@@ -21,26 +21,26 @@
   return object.revision > held.revision && versionGrows;
 };
 
-interface Taken {
+interface ObjectChange {
   readonly held: StoreObject | undefined;
   readonly object: StoreObject;
 }
 
-const amendOrRebuild = (state: CoreState, taken: readonly Taken[]): void => {
+const updateOrRebuild = (state: CoreState, changes: readonly ObjectChange[]): void => {
   const { configuration } = state;
-  if (taken.length >= REBUILD_CHANGES) {
+  if (changes.length >= REBUILD_CHANGES) {
     configuration.inForce = deriveInForce(configuration.objects.values());
     return;
   }
-  for (const { held, object } of taken) {
-    configuration.inForce = amendInForce(configuration.inForce, held, object);
+  for (const { held, object } of changes) {
+    configuration.inForce = updateInForce(configuration.inForce, held, object);
   }
 };
 
 /** Takes those of `objects` that are newer than what is held; returns how many. */
-export const takeObjects = (state: CoreState, objects: readonly StoreObject[]): number => {
+export const applyObjects = (state: CoreState, objects: readonly StoreObject[]): number => {
   const { configuration } = state;
-  const taken: Taken[] = [];
+  const taken: ObjectChange[] = [];
   for (const object of objects.map(trimHistory)) {
     const held = configuration.objects.get(object.name);
     if (isNewer(object, held)) {
@@ -50,6 +50,6 @@
       state.counters.configuration_older_refused += 1;
     }
   }
-  amendOrRebuild(state, taken);
+  updateOrRebuild(state, taken);
   return taken.length;
 };
--- a/src/core/configuration/derive-in-force.ts
+++ b/src/core/configuration/derive-in-force.ts
@@ -49,7 +49,7 @@
   return { rows, layouts, services, keys, agreement, rosters };
 };
 
-const amendRows = (
+const updateRows = (
   before: ConfigurationInForce,
   held: StoreObject | undefined,
   sheet: Sheet,
@@ -66,7 +66,7 @@
   return { ...before, rows };
 };
 
-const amendService = (
+const updateService = (
   before: ConfigurationInForce,
   status: ServiceStatus,
 ): ConfigurationInForce => {
@@ -75,34 +75,34 @@
   return { ...before, services: new Map(before.services).set(status.partner, ofPartner) };
 };
 
-const amendRosters = (
+const updateRosters = (
   before: ConfigurationInForce,
   held: StoreObject | undefined,
-  taken: KeeperRoster,
+  roster: KeeperRoster,
 ): ConfigurationInForce => {
   const rosters = new Map(before.rosters);
   if (held?.content.type === 'keepers') {
     rosters.delete(held.content.roster.period);
   }
-  return { ...before, rosters: rosters.set(taken.period, taken) };
+  return { ...before, rosters: rosters.set(roster.period, roster) };
 };
 
 /**
  * Amends the tables for one object that takes the place of `held`. Copies the table it belongs to
  * and shares all others, so that a change of one service costs the same whatever their number.
  */
-export const amendInForce = (
+export const updateInForce = (
   before: ConfigurationInForce,
   held: StoreObject | undefined,
   { content }: StoreObject,
 ): ConfigurationInForce => {
   switch (content.type) {
     case 'sheet':
-      return amendRows(before, held, content.sheet);
+      return updateRows(before, held, content.sheet);
     case 'status':
-      return amendService(before, content.status);
+      return updateService(before, content.status);
     case 'keepers':
-      return amendRosters(before, held, content.roster);
+      return updateRosters(before, held, content.roster);
     case 'layout':
       return {
         ...before,
--- a/src/core/configuration/older-store.ts
+++ b/src/core/configuration/older-store.ts
@@ -21,18 +21,18 @@
 import { identifier, type StoreRequestId } from '../identifiers.js';
 import { listLiveMembers } from '../membership/view.js';
 import type { CoreState } from '../state.js';
-import { RESTORE_RETRY_MS, RESTORE_TURN_MS } from './bounds.js';
-import { rankOfSelf } from './readers.js';
+import { RESTORE_RETRY_MS, RESTORE_STAGGER_MS } from './bounds.js';
+import { findOwnRank } from './readers.js';
 import type { OlderStore, RestoreItem } from './state.js';
-import { isEdited, isNewer } from './take-objects.js';
+import { isEdited, isNewer } from './apply-objects.js';
 
 const RESTORE_TIMER = { purpose: 'configuration-read', subject: 'restore' } as const;
 /** Answers that end early, in a row, before the store is asked whether it is older. */
-const SHORT_ANSWERS = 2;
+const OUTDATED_ANSWERS_BEFORE_CHECK = 2;
 
-type Standing = Pick<StoreObject, 'version' | 'revision'>;
+type StoredVersion = Pick<StoreObject, 'version' | 'revision'>;
 
-interface Current {
+interface RestoreStep {
   readonly older: OlderStore;
   readonly item: RestoreItem;
 }
@@ -62,7 +62,7 @@
  * What the store has surely lost. When that is nothing, any edited object is written once more as
  * it stands, to raise the store's revision.
  */
-const listLost = (state: CoreState, through: number): RestoreItem[] => {
+const listLostItems = (state: CoreState, through: number): RestoreItem[] => {
   const edited = listEdited(state);
   const lost = edited.filter((object) => object.revision > through);
   const untouched = edited
@@ -76,7 +76,7 @@
   const zones = new Set(listLiveMembers(state.membership).map(({ zone }) => zone));
   const ranked = [...zones].sort((a, b) => hash32(a) - hash32(b));
   const turn = Math.max(0, ranked.indexOf(state.self.zone));
-  return (turn + Math.max(0, rankOfSelf(state)) / 2) * RESTORE_TURN_MS;
+  return (turn + Math.max(0, findOwnRank(state)) / 2) * RESTORE_STAGGER_MS;
 };
 
 /** Begins to bring a store up to date that shows less than is in force. */
@@ -85,7 +85,7 @@
   configuration.olderStore = {
     through: event.through,
     inForce: configuration.revision,
-    queue: listLost(state, event.through),
+    queue: listLostItems(state, event.through),
     request: undefined,
     writes: 0,
   };
@@ -102,7 +102,7 @@
   ];
 };
 
-const endRestore = (state: CoreState, older: OlderStore): Effect[] => {
+const finishRestore = (state: CoreState, older: OlderStore): Effect[] => {
   state.configuration.olderStore = undefined;
   return [
     { type: 'cancel-timer', key: RESTORE_TIMER },
@@ -155,10 +155,10 @@
   }
 };
 
-const isRestored = (older: OlderStore, item: RestoreItem, object: Standing): boolean =>
+const isRestored = (older: OlderStore, item: RestoreItem, object: StoredVersion): boolean =>
   object.version > item.aboveVersion && object.revision > older.inForce;
 
-const dropRestored = (older: OlderStore, objects: readonly StoreObject[]): void => {
+const removeRestored = (older: OlderStore, objects: readonly StoreObject[]): void => {
   const standing = new Map(objects.map((object) => [object.name, object]));
   const kept = older.queue.filter((item) => {
     const object = standing.get(item.name);
@@ -168,7 +168,7 @@
 };
 
 /** Those of the store's objects that may be followed while the store is older, or all. */
-export const followableObjects = (
+export const selectApplicableObjects = (
   state: CoreState,
   event: StoreChanged,
 ): readonly StoreObject[] => {
@@ -183,19 +183,19 @@
   if (event.after === 0) {
     queueMissing(state, older, event.objects);
   }
-  dropRestored(older, above);
+  removeRestored(older, above);
   return above;
 };
 
 /** Ends the work when the store is past what was in force and has got all back. */
-export const endIfRestored = (state: CoreState, through: number): Effect[] => {
+export const finishRestoreIfComplete = (state: CoreState, through: number): Effect[] => {
   const older = state.configuration.olderStore;
   const isDone = older !== undefined && older.queue.length === 0 && through > older.inForce;
-  return isDone ? endRestore(state, older) : [];
+  return isDone ? finishRestore(state, older) : [];
 };
 
 /** A store that lost writes and took others shows greater revisions with versions held already. */
-const givesVersionsAgain = (state: CoreState, objects: readonly StoreObject[]): boolean =>
+const reusesVersions = (state: CoreState, objects: readonly StoreObject[]): boolean =>
   objects.some((object) => {
     const held = state.configuration.objects.get(object.name);
     return (
@@ -210,20 +210,20 @@
  * Looks whether the store shows less than is in force. Returns nothing when the answer is to be
  * taken as usual.
  */
-export const noticeOlderStore = (state: CoreState, event: StoreChanged): Effect[] | undefined => {
+export const detectOlderStore = (state: CoreState, event: StoreChanged): Effect[] | undefined => {
   const { configuration } = state;
   if (configuration.olderStore !== undefined) {
     return undefined;
   }
-  if (event.through < event.after || givesVersionsAgain(state, event.objects)) {
+  if (event.through < event.after || reusesVersions(state, event.objects)) {
     return beginRestore(state, event);
   }
   const isShort = event.through < configuration.revision;
-  configuration.watch.shortAnswers = isShort ? configuration.watch.shortAnswers + 1 : 0;
-  if (configuration.watch.shortAnswers < SHORT_ANSWERS) {
+  configuration.watch.outdatedAnswers = isShort ? configuration.watch.outdatedAnswers + 1 : 0;
+  if (configuration.watch.outdatedAnswers < OUTDATED_ANSWERS_BEFORE_CHECK) {
     return undefined;
   }
-  configuration.watch.shortAnswers = 0;
+  configuration.watch.outdatedAnswers = 0;
   return [{ type: 'watch-store', after: configuration.revision }];
 };
 
@@ -245,7 +245,7 @@
   return [{ type: 'read-object', request: nextRequest(state, older), name: item.name }];
 };
 
-const findCurrent = (state: CoreState, request: StoreRequestId): Current | undefined => {
+const findRestoreStep = (state: CoreState, request: StoreRequestId): RestoreStep | undefined => {
   const older = state.configuration.olderStore;
   const item = older?.queue[0];
   return older === undefined || item === undefined || older.request !== request
@@ -253,14 +253,14 @@
     : { older, item };
 };
 
-const skip = (state: CoreState, older: OlderStore): Effect[] => {
+const skipItem = (state: CoreState, older: OlderStore): Effect[] => {
   older.queue.shift();
   return continueRestore(state);
 };
 
 /** Writes over what stands, unless it is past what was in force already. */
-export const takeRead = (state: CoreState, event: ObjectRead): Effect[] => {
-  const current = findCurrent(state, event.request);
+export const handleObjectRead = (state: CoreState, event: ObjectRead): Effect[] => {
+  const current = findRestoreStep(state, event.request);
   if (current === undefined) {
     return [];
   }
@@ -268,7 +268,7 @@
   const { object } = event;
   const content = item.content ? completeHistory(item.content, object?.content) : object?.content;
   if (content === undefined || (object !== undefined && isRestored(older, item, object))) {
-    return skip(state, older);
+    return skipItem(state, older);
   }
   return [
     {
@@ -282,8 +282,8 @@
 };
 
 /** A write of a restore was accepted; one that is still below what was in force is repeated. */
-export const takeWritten = (state: CoreState, event: ObjectWritten): Effect[] => {
-  const current = findCurrent(state, event.request);
+export const handleObjectWritten = (state: CoreState, event: ObjectWritten): Effect[] => {
+  const current = findRestoreStep(state, event.request);
   if (current === undefined) {
     return [];
   }
@@ -297,11 +297,14 @@
 };
 
 /** A write of a restore met another version: the object is read again. */
-export const takeRefused = (state: CoreState, event: ObjectWriteRefused): Effect[] =>
-  findCurrent(state, event.request) === undefined ? [] : continueRestore(state);
+export const handleWriteRefused = (state: CoreState, event: ObjectWriteRefused): Effect[] =>
+  findRestoreStep(state, event.request) === undefined ? [] : continueRestore(state);
 
 /** A request of a restore failed; a write may have taken effect, which the next read will show. */
-export const takeRequestFailed = (state: CoreState, event: ObjectRequestFailed): Effect[] =>
-  findCurrent(state, event.request) === undefined
+export const handleObjectRequestFailed = (
+  state: CoreState,
+  event: ObjectRequestFailed,
+): Effect[] =>
+  findRestoreStep(state, event.request) === undefined
     ? []
     : [{ type: 'set-timer', key: RESTORE_TIMER, at: event.at + RESTORE_RETRY_MS }];
--- a/src/core/configuration/pull.ts
+++ b/src/core/configuration/pull.ts
@@ -15,14 +15,14 @@
 import {
   PAGE_BYTES,
   PAGE_OBJECTS,
-  PULL_DELAY_LIMIT_MS,
-  PULL_DELAY_MS,
+  MAX_PULL_DELAY_MS,
+  MIN_PULL_DELAY_MS,
   PULL_TIMEOUT_MS,
 } from './bounds.js';
 import { estimateObjectBytes } from './object-size.js';
-import { becomeReady } from './readiness.js';
-import { takeStoreHint } from './store-hint.js';
-import { takeObjects } from './take-objects.js';
+import { serveIfReady } from './readiness.js';
+import { handleStoreHint } from './store-hint.js';
+import { applyObjects } from './apply-objects.js';
 
 const PULL_TIMER = { purpose: 'configuration-exchange', subject: 'pull' } as const;
 
@@ -39,7 +39,7 @@
 };
 
 /** Asks a peer for all that changed after what is held, unless an answer is awaited. */
-export const pullFrom = (state: CoreState, peer: NodeId, at: number): Effect[] => {
+export const requestPull = (state: CoreState, peer: NodeId, at: number): Effect[] => {
   const member = state.membership.members.get(peer);
   return member === undefined || isPulling(state, at)
     ? []
@@ -47,42 +47,42 @@
 };
 
 /** Takes note of what a peer holds, as it said on a datagram. */
-export const takeDigest = (
+export const handleDigest = (
   state: CoreState,
   peer: NodeId,
   digest: ConfigurationDigest,
   at: number,
 ): Effect[] => {
   const { configuration } = state;
-  configuration.servingPeerHeard ||= digest.serving;
+  configuration.servingPeerSeen ||= digest.serving;
   if (digest.revision <= configuration.revision) {
-    return becomeReady(state);
+    return serveIfReady(state);
   }
   if (state.phase === 'starting') {
-    return pullFrom(state, peer, at);
+    return requestPull(state, peer, at);
   }
-  const hinted = takeStoreHint(state, at);
+  const hinted = handleStoreHint(state, at);
   if (configuration.pullCandidate !== undefined) {
     return hinted;
   }
   configuration.pullCandidate = peer;
-  const spread = state.random.nextBelow(PULL_DELAY_LIMIT_MS - PULL_DELAY_MS);
-  return [...hinted, { type: 'set-timer', key: PULL_TIMER, at: at + PULL_DELAY_MS + spread }];
+  const spread = state.random.nextBelow(MAX_PULL_DELAY_MS - MIN_PULL_DELAY_MS);
+  return [...hinted, { type: 'set-timer', key: PULL_TIMER, at: at + MIN_PULL_DELAY_MS + spread }];
 };
 
 /** The wait for a push is over: asks the peer if its changes are still lacking. */
-export const pullIfLacking = (state: CoreState, at: number): Effect[] => {
+export const pullIfBehind = (state: CoreState, at: number): Effect[] => {
   const { configuration, membership } = state;
   const candidate = configuration.pullCandidate;
   configuration.pullCandidate = undefined;
   const member = candidate === undefined ? undefined : membership.members.get(candidate);
   return member !== undefined && member.revision > configuration.revision
-    ? pullFrom(state, member.identity.node, at)
+    ? requestPull(state, member.identity.node, at)
     : [];
 };
 
 /** A link broke: an answer that was awaited over it will not come. */
-export const forgetPull = (state: CoreState, peer: NodeId): Effect[] => {
+export const cancelPull = (state: CoreState, peer: NodeId): Effect[] => {
   const { configuration } = state;
   if (configuration.pull?.peer === peer) {
     configuration.pull = undefined;
@@ -90,7 +90,7 @@
   return [];
 };
 
-const takePage = (objects: readonly StoreObject[]): StoreObject[] => {
+const selectPage = (objects: readonly StoreObject[]): StoreObject[] => {
   const page: StoreObject[] = [];
   let bytes = 0;
   for (const object of objects) {
@@ -104,7 +104,7 @@
 };
 
 /** Answers a pull with the first page of what changed after the revision asked for. */
-export const answerPull = (state: CoreState, from: NodeId, pull: ConfigurationPull): Effect[] => {
+export const handlePull = (state: CoreState, from: NodeId, pull: ConfigurationPull): Effect[] => {
   const member = state.membership.members.get(from);
   if (member === undefined) {
     return [];
@@ -113,7 +113,7 @@
   const changed = [...configuration.objects.values()]
     .filter((object) => object.revision > pull.after)
     .sort((a, b) => a.revision - b.revision);
-  const objects = takePage(changed);
+  const objects = selectPage(changed);
   const last = objects.at(-1);
   const isLast = last === undefined || objects.length === changed.length;
   const message: ConfigurationPage = {
@@ -132,7 +132,7 @@
  * Takes a page. The objects are in force at once; the revision is claimed with the last page only,
  * as then nothing up to it is left out.
  */
-export const takePageOf = (
+export const handlePage = (
   state: CoreState,
   from: NodeId,
   page: ConfigurationPage,
@@ -142,12 +142,12 @@
   if (configuration.pull?.peer !== from) {
     return [];
   }
-  takeObjects(state, page.objects);
+  applyObjects(state, page.objects);
   const member = membership.members.get(from);
   if (page.next !== undefined && member !== undefined) {
     return [sendPull(state, member, page.next, at)];
   }
   configuration.pull = undefined;
   configuration.revision = Math.max(configuration.revision, page.revision);
-  return becomeReady(state);
+  return serveIfReady(state);
 };
--- a/src/core/configuration/push-deltas.ts
+++ b/src/core/configuration/push-deltas.ts
@@ -8,7 +8,7 @@
 export type PushedObjects = Pick<ConfigurationPush, 'objects' | 'deltas'>;
 
 /** Puts deltas in place of the sheets that this node holds; call it before they are taken. */
-export const shrinkObjects = (state: CoreState, objects: readonly StoreObject[]): PushedObjects => {
+export const createDeltas = (state: CoreState, objects: readonly StoreObject[]): PushedObjects => {
   const whole: StoreObject[] = [];
   const deltas: SheetDelta[] = [];
   for (const object of objects) {
@@ -27,7 +27,7 @@
  * The same objects, sharing with the sheets held all rows that their deltas leave as they are: what
  * follows from a sheet then costs by what changed, and nothing is held twice.
  */
-export const shareRows = (
+export const shareUnchangedRows = (
   state: CoreState,
   objects: readonly StoreObject[],
   { deltas = [] }: PushedObjects,
--- a/src/core/configuration/push.ts
+++ b/src/core/configuration/push.ts
@@ -9,11 +9,11 @@
 import type { CoreState } from '../state.js';
 import { PAGE_BYTES, PAGE_OBJECTS } from './bounds.js';
 import { estimateObjectBytes } from './object-size.js';
-import { pullFrom } from './pull.js';
+import { requestPull } from './pull.js';
 import { expandObjects } from './push-deltas.js';
 import { listChildren } from './readers.js';
-import { becomeReady } from './readiness.js';
-import { takeObjects } from './take-objects.js';
+import { serveIfReady } from './readiness.js';
+import { applyObjects } from './apply-objects.js';
 
 /** What is too large for one message is left to pulls, which come in pages. */
 const fitsOneMessage = (objects: readonly StoreObject[]): boolean =>
@@ -35,7 +35,7 @@
 };
 
 /** Takes a push, if it continues what is held, and passes it on. */
-export const takePush = (
+export const handlePush = (
   state: CoreState,
   from: NodeId,
   push: ConfigurationPush,
@@ -46,13 +46,13 @@
     return [];
   }
   if (push.after > configuration.revision) {
-    return pullFrom(state, from, at);
+    return requestPull(state, from, at);
   }
   const objects = expandObjects(state, push);
   if (objects === undefined) {
-    return pullFrom(state, from, at);
+    return requestPull(state, from, at);
   }
-  takeObjects(state, objects);
+  applyObjects(state, objects);
   configuration.revision = push.through;
-  return [...pushToChildren(state, push), ...becomeReady(state)];
+  return [...pushToChildren(state, push), ...serveIfReady(state)];
 };
--- a/src/core/configuration/readers.ts
+++ b/src/core/configuration/readers.ts
@@ -31,12 +31,12 @@
 };
 
 /** This node's rank in its zone; -1 when it is leaving. */
-export const rankOfSelf = (state: CoreState): number =>
+export const findOwnRank = (state: CoreState): number =>
   listZoneRanks(state).findIndex((identity) => identity.node === state.self.node);
 
 /** True when this node is one of those that watch the store. */
 export const isReader = (state: CoreState): boolean => {
-  const rank = rankOfSelf(state);
+  const rank = findOwnRank(state);
   return rank !== NO_RANK && rank < READERS_PER_ZONE;
 };
 
@@ -50,7 +50,7 @@
  * serves the children of the first as well, so that they miss nothing when the first one fails.
  */
 export const listChildren = (state: CoreState): readonly NodeIdentity[] => {
-  const rank = rankOfSelf(state);
+  const rank = findOwnRank(state);
   if (rank === NO_RANK) {
     return [];
   }
--- a/src/core/configuration/readiness.ts
+++ b/src/core/configuration/readiness.ts
@@ -13,7 +13,7 @@
   return false;
 };
 
-const findNewestShown = (state: CoreState): number => {
+const findNewestKnownRevision = (state: CoreState): number => {
   let newest = 0;
   for (const member of state.membership.members.values()) {
     if (member.state === 'alive' || member.state === 'suspect') {
@@ -23,18 +23,21 @@
   return newest;
 };
 
-const hasAsked = (state: CoreState): boolean => {
+const hasLearnedRevision = (state: CoreState): boolean => {
   const { configuration, membership } = state;
-  return configuration.watch.seen || (membership.joined && configuration.servingPeerHeard);
+  return configuration.watch.seen || (membership.joined && configuration.servingPeerSeen);
 };
 
 /** Lets a starting node serve when it holds what the store and its peers show. */
-export const becomeReady = (state: CoreState): Effect[] => {
+export const serveIfReady = (state: CoreState): Effect[] => {
   const { configuration } = state;
-  if (state.phase !== 'starting' || !hasAsked(state)) {
+  if (state.phase !== 'starting' || !hasLearnedRevision(state)) {
     return [];
   }
-  if (configuration.olderStore !== undefined || configuration.revision < findNewestShown(state)) {
+  if (
+    configuration.olderStore !== undefined ||
+    configuration.revision < findNewestKnownRevision(state)
+  ) {
     return [];
   }
   state.phase = 'serving';
--- a/src/core/configuration/reducer.ts
+++ b/src/core/configuration/reducer.ts
@@ -9,30 +9,30 @@
 import type { CoreState } from '../state.js';
 import {
   continueRestore,
-  takeRead,
-  takeRefused,
-  takeRequestFailed,
-  takeWritten,
+  handleObjectRead,
+  handleWriteRefused,
+  handleObjectRequestFailed,
+  handleObjectWritten,
 } from './older-store.js';
-import { answerPull, forgetPull, pullIfLacking, takeDigest, takePageOf } from './pull.js';
-import { takePush } from './push.js';
-import { takeStoreHint } from './store-hint.js';
+import { handlePull, cancelPull, pullIfBehind, handleDigest, handlePage } from './pull.js';
+import { handlePush } from './push.js';
+import { handleStoreHint } from './store-hint.js';
 import {
   checkRole,
-  followRole,
+  updateWatch,
   pollMachines,
+  handleStoreFailed,
+  handleStoreChanged,
   retryWatch,
-  takeStoreChange,
-  watchAgain,
 } from './store-watch.js';
 import { beginSurvey, continueSurvey } from './survey.js';
 
-const takeTimer = (state: CoreState, { key, at }: TimerFired): Effect[] => {
+const handleTimer = (state: CoreState, { key, at }: TimerFired): Effect[] => {
   switch (key.purpose) {
     case 'configuration-exchange':
-      return key.subject === 'pull' ? pullIfLacking(state, at) : checkRole(state, at);
+      return key.subject === 'pull' ? pullIfBehind(state, at) : checkRole(state, at);
     case 'configuration-read':
-      return key.subject === 'restore' ? continueRestore(state) : watchAgain(state);
+      return key.subject === 'restore' ? continueRestore(state) : retryWatch(state);
     case 'configuration-machines':
       return pollMachines(state, at);
     case 'configuration-survey':
@@ -42,38 +42,41 @@
   }
 };
 
-const takeLinkMessage = (state: CoreState, { from, message, at }: LinkMessageArrived): Effect[] => {
+const handleLinkMessage = (
+  state: CoreState,
+  { from, message, at }: LinkMessageArrived,
+): Effect[] => {
   switch (message.type) {
     case 'configuration-push':
-      return takePush(state, from, message, at);
+      return handlePush(state, from, message, at);
     case 'configuration-pull':
-      return answerPull(state, from, message);
+      return handlePull(state, from, message);
     case 'configuration-page':
-      return takePageOf(state, from, message, at);
+      return handlePage(state, from, message, at);
     case 'store-answered':
-      return takeStoreHint(state, at);
+      return handleStoreHint(state, at);
     default:
       return [];
   }
 };
 
-const takeDatagram = (state: CoreState, { message, at }: DatagramArrived): Effect[] =>
-  message.digest === undefined ? [] : takeDigest(state, message.sender.node, message.digest, at);
+const handleDatagram = (state: CoreState, { message, at }: DatagramArrived): Effect[] =>
+  message.digest === undefined ? [] : handleDigest(state, message.sender.node, message.digest, at);
 
 const reduceStoreEvent = (state: CoreState, event: Event): Effect[] => {
   switch (event.type) {
     case 'store-changed':
-      return takeStoreChange(state, event);
+      return handleStoreChanged(state, event);
     case 'store-failed':
-      return retryWatch(state, event);
+      return handleStoreFailed(state, event);
     case 'object-read':
-      return takeRead(state, event);
+      return handleObjectRead(state, event);
     case 'object-written':
-      return takeWritten(state, event);
+      return handleObjectWritten(state, event);
     case 'object-write-refused':
-      return takeRefused(state, event);
+      return handleWriteRefused(state, event);
     case 'object-request-failed':
-      return takeRequestFailed(state, event);
+      return handleObjectRequestFailed(state, event);
     default:
       return [];
   }
@@ -85,15 +88,15 @@
     case 'started':
       return checkRole(state, event.at);
     case 'stop-requested':
-      return followRole(state, event.at);
+      return updateWatch(state, event.at);
     case 'timer-fired':
-      return takeTimer(state, event);
+      return handleTimer(state, event);
     case 'link-message-arrived':
-      return takeLinkMessage(state, event);
+      return handleLinkMessage(state, event);
     case 'datagram-arrived':
-      return takeDatagram(state, event);
+      return handleDatagram(state, event);
     case 'link-lost':
-      return forgetPull(state, event.peer);
+      return cancelPull(state, event.peer);
     case 'revision-awaited':
       return beginSurvey(state, event.revision, event.at);
     default:
--- a/src/core/configuration/state.ts
+++ b/src/core/configuration/state.ts
@@ -43,13 +43,13 @@
   /** Since the last failure a peer has said that the store answers. */
   hinted: boolean;
   /** When the try is due that the last hint has brought about; 0 before any. */
-  hintedTryAt: number;
+  hintedRetryAt: number;
   /** After the store's return: until when this node asks nothing else of it. */
   quietUntil: number;
   /** The store has answered this process. */
   seen: boolean;
   /** Answers in a row that ended before what is in force. */
-  shortAnswers: number;
+  outdatedAnswers: number;
   /** This node reads the machine list. */
   readsMachines: boolean;
 }
@@ -83,7 +83,7 @@
   inForce: ConfigurationInForce;
   readonly watch: StoreWatchState;
   /** A peer that serves has been heard of. */
-  servingPeerHeard: boolean;
+  servingPeerSeen: boolean;
   /** The peer asked for changes, and when. */
   pull: { readonly peer: NodeId; readonly sentAt: number } | undefined;
   /** The peer to be asked when no push comes first. */
@@ -119,13 +119,13 @@
     watching: false,
     failures: 0,
     hinted: false,
-    hintedTryAt: 0,
+    hintedRetryAt: 0,
     quietUntil: 0,
     seen: false,
-    shortAnswers: 0,
+    outdatedAnswers: 0,
     readsMachines: false,
   },
-  servingPeerHeard: false,
+  servingPeerSeen: false,
   pull: undefined,
   pullCandidate: undefined,
   zoneRanks: { version: 0, nodes: [] },
--- a/src/core/configuration/store-hint.ts
+++ b/src/core/configuration/store-hint.ts
@@ -7,33 +7,33 @@
 import type { StoreAnswered } from '../../protocol/configuration-messages.js';
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
-import { HINT_SPREAD_MS } from './bounds.js';
+import { HINT_JITTER_MS } from './bounds.js';
 import { listReaders } from './readers.js';
 
 const RETRY_TIMER = { purpose: 'configuration-read', subject: '' } as const;
 
 /** Takes a hint: a reader that waits to try the store again does so within a moment. */
-export const takeStoreHint = (state: CoreState, at: number): Effect[] => {
+export const handleStoreHint = (state: CoreState, at: number): Effect[] => {
   const { watch } = state.configuration;
   const isWaiting = watch.watching && watch.failures > 0 && !watch.hinted;
   if (!isWaiting) {
     return [];
   }
   watch.hinted = true;
-  watch.hintedTryAt = at + state.random.nextBelow(HINT_SPREAD_MS);
-  return [{ type: 'set-timer', key: RETRY_TIMER, at: watch.hintedTryAt }];
+  watch.hintedRetryAt = at + state.random.nextBelow(HINT_JITTER_MS);
+  return [{ type: 'set-timer', key: RETRY_TIMER, at: watch.hintedRetryAt }];
 };
 
 /** Tells the readers of all zones that the store has answered with `revision`. */
-export const tellReaders = (state: CoreState, revision: number, at: number): Effect[] => {
+export const sendStoreHints = (state: CoreState, revision: number, at: number): Effect[] => {
   const message: StoreAnswered = { type: 'store-answered', revision };
   return listReaders(state).flatMap(({ node, address }): Effect[] =>
     node === state.self.node
-      ? takeStoreHint(state, at)
+      ? handleStoreHint(state, at)
       : [{ type: 'send-link', to: node, address, message }],
   );
 };
 
 /** The same, if `revision` is news to this node. */
-export const tellReadersOfNews = (state: CoreState, revision: number, at: number): Effect[] =>
-  revision > state.configuration.revision ? tellReaders(state, revision, at) : [];
+export const sendStoreHintsIfNewer = (state: CoreState, revision: number, at: number): Effect[] =>
+  revision > state.configuration.revision ? sendStoreHints(state, revision, at) : [];
--- a/src/core/configuration/survey.ts
+++ b/src/core/configuration/survey.ts
@@ -3,7 +3,7 @@
 import type { Member } from '../membership/member.js';
 import { pingMember } from '../membership/probes.js';
 import type { CoreState } from '../state.js';
-import { SURVEY_INTERVAL_MS, SURVEY_LIMIT_MS, SURVEY_PEERS } from './bounds.js';
+import { SURVEY_INTERVAL_MS, SURVEY_TIMEOUT_MS, SURVEY_PEERS } from './bounds.js';
 
 const SURVEY_TIMER = { purpose: 'configuration-survey', subject: '' } as const;
 
@@ -13,29 +13,29 @@
   member.identity.node === state.self.node ? state.configuration.revision : member.revision;
 
 /** Live members that are not known to hold `revision`. */
-export const listMembersLacking = (state: CoreState, revision: number): Member[] =>
+export const listMembersWithoutRevision = (state: CoreState, revision: number): Member[] =>
   [...state.membership.members.values()].filter(
     (member) => isLive(member) && revisionOf(state, member) < revision,
   );
 
-const askSome = (state: CoreState, lacking: readonly Member[], at: number): Effect[] => {
+const pingSample = (state: CoreState, lacking: readonly Member[], at: number): Effect[] => {
   const others = lacking.filter((member) => member.identity.node !== state.self.node);
   const start = state.random.nextBelow(Math.max(1, others.length));
-  const turned = [...others.slice(start), ...others.slice(0, start)];
-  return turned.slice(0, SURVEY_PEERS).map((member) => pingMember(state, member, at));
+  const rotated = [...others.slice(start), ...others.slice(0, start)];
+  return rotated.slice(0, SURVEY_PEERS).map((member) => pingMember(state, member, at));
 };
 
 /** One round of questions; there is none when all hold the revision or the time is over. */
 export const continueSurvey = (state: CoreState, at: number): Effect[] => {
   const { configuration } = state;
   const { survey } = configuration;
-  const lacking = survey === undefined ? [] : listMembersLacking(state, survey.revision);
+  const lacking = survey === undefined ? [] : listMembersWithoutRevision(state, survey.revision);
   if (survey === undefined || lacking.length === 0 || at >= survey.until) {
     configuration.survey = undefined;
     return [];
   }
   return [
-    ...askSome(state, lacking, at),
+    ...pingSample(state, lacking, at),
     { type: 'set-timer', key: SURVEY_TIMER, at: at + SURVEY_INTERVAL_MS },
   ];
 };
@@ -43,8 +43,8 @@
 /** Somebody waits for `revision`. */
 export const beginSurvey = (state: CoreState, revision: number, at: number): Effect[] => {
   const { configuration } = state;
-  const until = at + SURVEY_LIMIT_MS;
-  const wanted = Math.max(revision, configuration.survey?.revision ?? 0);
-  configuration.survey = { revision: wanted, until };
+  const until = at + SURVEY_TIMEOUT_MS;
+  const targetRevision = Math.max(revision, configuration.survey?.revision ?? 0);
+  configuration.survey = { revision: targetRevision, until };
   return continueSurvey(state, at);
 };
--- a/src/core/editing/reducer.ts
+++ b/src/core/editing/reducer.ts
@@ -9,7 +9,7 @@
   ObjectWriteRefused,
   ObjectWritten,
 } from '../event.js';
-import { tellReadersOfNews } from '../configuration/store-hint.js';
+import { sendStoreHintsIfNewer } from '../configuration/store-hint.js';
 import type { CoreState } from '../state.js';
 import type { TimerKey } from '../timer-key.js';
 import { CALLS_PER_EDIT_LIMIT, EDIT_DEADLINE_MS, EDITS_IN_PROGRESS_LIMIT } from './bounds.js';
@@ -99,7 +99,7 @@
     return [];
   }
   const { object, at } = event;
-  const told = tellReadersOfNews(state, object?.revision ?? 0, at);
+  const told = sendStoreHintsIfNewer(state, object?.revision ?? 0, at);
   const isReadBack = event.request === progress.readBack;
   const next = isReadBack
     ? takeReadBack(state, progress, object, at)
@@ -115,7 +115,7 @@
   const { edit } = progress.edit;
   const { version, revision } = event;
   const { findings } = progress;
-  const told = tellReadersOfNews(state, revision, event.at);
+  const told = sendStoreHintsIfNewer(state, revision, event.at);
   const outcome: EditOutcome = { type: 'accepted', edit, version, revision, findings };
   return [...finishEdit(state, progress, outcome), ...told];
 };
--- a/src/core/keepers/write-roster.ts
+++ b/src/core/keepers/write-roster.ts
@@ -6,8 +6,8 @@
   type PartnerHome,
 } from '../../catalog/keeper-roster.js';
 import type { ServiceStatus } from '../../catalog/partner-index.js';
-import { rankOfSelf } from '../configuration/readers.js';
-import { mayAskStore } from '../configuration/store-watch.js';
+import { findOwnRank } from '../configuration/readers.js';
+import { mayRequestFromStore } from '../configuration/store-watch.js';
 import type { Effect } from '../effect.js';
 import { identifier, type StoreRequestId, type ZoneName } from '../identifiers.js';
 import { listLiveMembers, rankByRendezvous } from '../membership/view.js';
@@ -38,7 +38,7 @@
   if (state.keepers.writer?.viewVersion !== viewVersion) {
     state.keepers.writer = { viewVersion, zone: findWriterZone(state) };
   }
-  return state.keepers.writer.zone === state.self.zone && rankOfSelf(state) === 0;
+  return state.keepers.writer.zone === state.self.zone && findOwnRank(state) === 0;
 };
 
 /** The first period from the current one on that lacks a roster; undefined when none does. */
@@ -114,7 +114,7 @@
   if (period === undefined || state.phase !== 'serving' || !isWriter(state)) {
     return [];
   }
-  if (!mayAskStore(state, at) || !mayWriteNow(state, period, current, at)) {
+  if (!mayRequestFromStore(state, at) || !mayWriteNow(state, period, current, at)) {
     return [];
   }
   state.keepers.lastWrite = { at, period };
--- a/test/configuration/take-objects.test.ts
+++ b/test/configuration/apply-objects.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 import type { StoreContent, StoreObject } from '../../src/catalog/store-object.js';
 import { deriveInForce } from '../../src/core/configuration/derive-in-force.js';
-import { takeObjects } from '../../src/core/configuration/take-objects.js';
+import { applyObjects } from '../../src/core/configuration/apply-objects.js';
 import { identifier } from '../../src/core/identifiers.js';
 import { createCoreState } from '../../src/core/state.js';
 import { sheetOf, statusOf } from '../support/store-contents.js';
@@ -60,7 +60,7 @@
             const { name, content } = (KINDS[kind] as (typeof KINDS)[number])(revision);
             return objectOf(name, revision, revision, content);
           });
-          takeObjects(state, objects);
+          applyObjects(state, objects);
         }
         const { inForce, objects } = state.configuration;
         expect(inForce).toEqual(deriveInForce(objects.values()));
@@ -72,13 +72,13 @@
   it('never give way to an older one, by version or by revision', () => {
     const state = createState();
     const held = objectOf('sheet/tawe', 7, 90, sheetOf('tawe', 7));
-    takeObjects(state, [held]);
+    applyObjects(state, [held]);
     const older = [
       objectOf('sheet/tawe', 6, 105, sheetOf('tawe', 6)),
       objectOf('sheet/tawe', 7, 105, sheetOf('tawe', 1)),
       objectOf('sheet/tawe', 8, 60, sheetOf('tawe', 8)),
     ];
-    expect(takeObjects(state, older)).toBe(0);
+    expect(applyObjects(state, older)).toBe(0);
     expect(state.configuration.objects.get(held.name)).toBe(held);
     expect(state.counters.configuration_older_refused).toBe(3);
   });
--- a/test/configuration/configuration.test.ts
+++ b/test/configuration/configuration.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import { identifier, type ObjectName } from '../../src/core/identifiers.js';
 import { describeOlderStore } from '../../src/core/configuration/older-store.js';
-import { listMembersLacking } from '../../src/core/configuration/survey.js';
+import { listMembersWithoutRevision } from '../../src/core/configuration/survey.js';
 import { sheetOf, statusOf } from '../support/store-contents.js';
 import { VirtualCluster, type VirtualNode } from '../support/virtual-cluster.js';
 
@@ -116,7 +116,7 @@
     cluster.run(400);
     cluster.handle(node, { type: 'revision-awaited', revision });
     cluster.run(300);
-    const lacking = listMembersLacking(node.state, revision);
+    const lacking = listMembersWithoutRevision(node.state, revision);
     expect(lacking.map((member) => member.identity.node)).toEqual(['node-9']);
   });
 });
--- a/test/configuration/store-return.test.ts
+++ b/test/configuration/store-outage.test.ts
@@ -1,11 +1,11 @@
 import { describe, expect, it } from 'vitest';
-import { loseStore, type Absence } from './store-return.js';
+import { simulateStoreOutage, type OutageKind } from './store-outage.js';
 
 const OUTAGE_MS = 600_000;
 const EDITS = 6;
 
 describe('a store that is away for 10 minutes', () => {
-  it.each<[Absence, number]>([
+  it.each<[OutageKind, number]>([
     ['refuses', 1],
     ['refuses', 6],
     ['unreachable', 1],
@@ -13,7 +13,7 @@
   ])(
     'costs no query and no member, and is not crowded when it returns (%s, seed %i)',
     (absence, seed) => {
-      const result = loseStore(seed, absence, OUTAGE_MS);
+      const result = simulateStoreOutage(seed, absence, OUTAGE_MS);
       expect(result.queries).toBeGreaterThan(OUTAGE_MS / 1_000);
       expect(result.queriesLost).toBe(0);
       expect(result.membersLost).toBe(0);
--- a/test/configuration/store-return.ts
+++ b/test/configuration/store-outage.ts
@@ -20,10 +20,10 @@
 const AFTER_MS = 20_000;
 
 /** How the store is away: it refuses connections, or nothing reaches it. */
-export type Absence = 'refuses' | 'unreachable';
+export type OutageKind = 'refuses' | 'unreachable';
 
 /** What an outage cost. */
-export interface StoreReturn {
+export interface OutageResult {
   readonly queries: number;
   readonly queriesLost: number;
   readonly membersLost: number;
@@ -59,10 +59,10 @@
   ...new Set([...simulation.nodes.values()].map(({ placement }) => String(placement.zone))),
 ];
 
-const setAway = (simulation: Simulation, absence: Absence, isAway: boolean): void => {
-  if (absence === 'refuses') {
-    simulation.store.setFaults({ down: isAway });
-  } else if (isAway) {
+const setStoreOutage = (simulation: Simulation, kind: OutageKind, isDown: boolean): void => {
+  if (kind === 'refuses') {
+    simulation.store.setFaults({ down: isDown });
+  } else if (isDown) {
     listZones(simulation).forEach((zone) => {
       simulation.network.reachability.cutZones(zone, 'platform');
     });
@@ -102,14 +102,14 @@
 };
 
 /** Sends edits after the store's return, and notes how long each takes once it is accepted. */
-const watchEdits = (simulation: Simulation, seed: number): number[] => {
-  const took: number[] = [];
+const measureEdits = (simulation: Simulation, seed: number): number[] => {
+  const durations: number[] = [];
   const random = createRandom(seed);
   const nodes = [...simulation.nodes.keys()];
   const check = (record: EditCallRecord): void => {
     const { outcome, endedAt } = record;
     if (outcome?.type === 'accepted' && isInForce(simulation, outcome.revision)) {
-      took.push(simulation.now - (endedAt ?? 0));
+      durations.push(simulation.now - (endedAt ?? 0));
     } else {
       simulation.after(10, () => {
         check(record);
@@ -122,11 +122,15 @@
       check(sendEdit(simulation, node, index));
     });
   }
-  return took;
+  return durations;
 };
 
 /** Takes the store away for `outageMs` and gives it back. */
-export const loseStore = (seed: number, absence: Absence, outageMs: number): StoreReturn => {
+export const simulateStoreOutage = (
+  seed: number,
+  absence: OutageKind,
+  outageMs: number,
+): OutageResult => {
   const { simulation, checker } = createTier(seed);
   const zones: { readonly at: number; readonly zone: string }[] = [];
   let membersLost = 0;
@@ -144,11 +148,11 @@
     },
   });
   sendQueries(simulation, outageMs + AFTER_MS);
-  setAway(simulation, absence, true);
+  setStoreOutage(simulation, absence, true);
   simulation.runFor(outageMs);
   const returnedAt = simulation.now;
-  setAway(simulation, absence, false);
-  const inForceMs = watchEdits(simulation, seed);
+  setStoreOutage(simulation, absence, false);
+  const inForceMs = measureEdits(simulation, seed);
   simulation.runFor(AFTER_MS + 10_000);
   const counts = new Map<string, number>();
   for (const { zone, at } of zones) {
