--- a/src/core/configuration/apply-objects.ts
+++ b/src/core/configuration/apply-objects.ts
@@ -1,17 +1,20 @@
-/** Takes objects into force: newer ones only. */
+/** Puts objects into force if they are newer than those held. */
 import type { StoreContent, StoreObject } from '../../catalog/store-object.js';
 import { trimHistory } from '../../table/spread-history.js';
 import type { CoreState } from '../state.js';
 import { REBUILD_CHANGES } from './bounds.js';
 import { updateInForce, deriveInForce } from './derive-in-force.js';
 
-/** True for what operators and nodes write by compare-and-set; the platform writes the rest. */
+/**
+ * True for objects that operators and nodes write by compare-and-set; the platform writes the
+ * others.
+ */
 export const isEdited = (content: StoreContent): boolean =>
   content.type !== 'status' && content.type !== 'layout';
 
 /**
- * True when `object` may take the place of `held`. An edited object must be newer by its version as
- * well: a store that lost writes gives out their versions again, under greater revisions.
+ * True when `object` may replace `held`. An edited object needs a newer version as well, because a
+ * store that lost writes reuses their versions under greater revisions.
  */
 export const isNewer = (object: StoreObject, held: StoreObject | undefined): boolean => {
   if (held === undefined) {
@@ -37,7 +40,7 @@
   }
 };
 
-/** Takes those of `objects` that are newer than what is held; returns how many. */
+/** Applies the `objects` that are newer than those held; returns their number. */
 export const applyObjects = (state: CoreState, objects: readonly StoreObject[]): number => {
   const { configuration } = state;
   const taken: ObjectChange[] = [];
--- a/src/core/configuration/bounds.ts
+++ b/src/core/configuration/bounds.ts
@@ -1,44 +1,49 @@
-/** Bounds and periods of the configuration in force. Times are in milliseconds. */
+/** Limits and intervals of the configuration slice. Times are in milliseconds. */
 
-/** Nodes of each zone that watch the store. */
+/** Number of nodes in each zone that watch the store. */
 export const READERS_PER_ZONE = 2;
-/** How often a node looks whether its role has moved. */
+/** How often a serving node checks whether its role has changed. */
 export const ROLE_CHECK_MS = 500;
-/** The same, while it has not begun to serve. */
+/** How often a starting node checks whether its role has changed. */
 export const START_CHECK_MS = 50;
-/** Peers to which a node passes a push on. */
+/** Number of peers to which a node forwards a push. */
 export const PUSH_FAN_OUT = 4;
-/** Most estimated bytes of objects in one push or page; a single object may be larger. */
+/** Maximum estimated size of the objects in one push or page; a single object may exceed it. */
 export const PAGE_BYTES = 256 * 1024;
-/** Most objects in one push or page. */
+/** Maximum number of objects in one push or page. */
 export const PAGE_OBJECTS = 256;
-/** A node that hears of a newer revision waits for the push at least this long. */
+/** Minimum delay between learning of a newer revision and pulling it; the push may arrive first. */
 export const MIN_PULL_DELAY_MS = 50;
-/** The same at most; drawn at random between. */
+/** Maximum of that delay, which is chosen at random between the two. */
 export const MAX_PULL_DELAY_MS = 250;
-/** A pull without an answer is given up after this long. */
+/** Timeout of a pull. */
 export const PULL_TIMEOUT_MS = 1_000;
-/** First wait before the watch is tried again; never less. */
+/** Minimum delay before the watch is retried. */
 export const MIN_WATCH_RETRY_MS = 1_000;
-/** A reader that is told that the store answers tries it within this time. */
+/** A reader that receives a hint retries the store after a random delay below this. */
 export const HINT_JITTER_MS = 200;
-/** After a failed store has answered a reader, the reader asks nothing else of it for this long. */
+/**
+ * After the store answers a reader again, the reader sends it no deferrable requests for this long.
+ */
 export const RECOVERY_QUIET_MS = 1_000;
-/** Longest wait before the watch is tried again. */
+/** Upper limit of the delay before the watch is retried. */
 export const MAX_WATCH_RETRY_MS = 30_000;
-/** Least time between two reads of the machine list. */
+/** Minimum interval between two reads of the machine list. */
 export const MACHINES_INTERVAL_MS = 10_000;
-/** Added for each member, so that the bytes a second stay the same however long the list is. */
+/**
+ * Added to the interval for each member, so that the read rate in bytes does not grow with the
+ * list.
+ */
 export const MACHINES_INTERVAL_PER_MEMBER_MS = 100;
-/** Changes taken at once from which the tables are built anew rather than amended. */
+/** Number of objects applied at once from which the tables are rebuilt instead of updated. */
 export const REBUILD_CHANGES = 16;
-/** A question to the nodes that lack a revision is given up after this long. */
+/** Timeout of a survey of the nodes that lack a revision. */
 export const SURVEY_TIMEOUT_MS = 10_000;
-/** Nodes are asked this often. */
+/** Interval between the rounds of a survey. */
 export const SURVEY_INTERVAL_MS = 250;
-/** Nodes asked at once. */
+/** Maximum number of nodes pinged in one round of a survey. */
 export const SURVEY_PEERS = 64;
-/** Zones begin to bring a store up to date one after the other, this far apart. */
+/** Delay between the zones, which start to restore the store one after the other. */
 export const RESTORE_STAGGER_MS = 3_000;
-/** Wait before a failed write of a restore is tried again. */
+/** Delay before a failed request of a restore is retried. */
 export const RESTORE_RETRY_MS = 1_000;
--- a/src/core/configuration/derive-in-force.ts
+++ b/src/core/configuration/derive-in-force.ts
@@ -1,4 +1,6 @@
-/** Derives the tables in force from the store objects held, all of them or one that changed. */
+/**
+ * Derives the tables in force from the store objects, either all at once or for one changed object.
+ */
 import { match } from 'ts-pattern';
 import type { KeeperRoster } from '../../catalog/keeper-roster.js';
 import type { PartnerLayout, ServiceStatus } from '../../catalog/partner-index.js';
@@ -26,7 +28,7 @@
   services.set(status.partner, ofPartner);
 };
 
-/** Builds the tables in force from `objects`, in one pass. */
+/** Builds the tables in force from `objects` in one pass. */
 export const deriveInForce = (objects: Iterable<StoreObject>): ConfigurationInForce => {
   const rows = new Map<string, RouteRow>();
   const layouts = new Map<PartnerId, PartnerLayout>();
@@ -88,8 +90,8 @@
 };
 
 /**
- * Amends the tables for one object that takes the place of `held`. Copies the table it belongs to
- * and shares all others, so that a change of one service costs the same whatever their number.
+ * Updates the tables for one object that replaces `held`. Copies only the table that the object
+ * belongs to and shares the others, so that the cost of a change does not depend on their size.
  */
 export const updateInForce = (
   before: ConfigurationInForce,
--- a/src/core/configuration/object-size.ts
+++ b/src/core/configuration/object-size.ts
@@ -1,4 +1,4 @@
-/** Estimates how large an object is on a link, without encoding it. */
+/** Estimates the encoded size of an object without encoding it. */
 import type { StoreContent } from '../../catalog/store-object.js';
 
 const FRAME_BYTES = 200;
@@ -33,6 +33,6 @@
   }
 };
 
-/** Bytes, about. */
+/** Estimates the size of an object in a link message, in bytes. */
 export const estimateObjectBytes = (content: StoreContent): number =>
   FRAME_BYTES + estimateItems(content);
--- a/src/core/configuration/older-store.ts
+++ b/src/core/configuration/older-store.ts
@@ -1,11 +1,12 @@
 /**
- * A store that shows less than is in force: it was restored from a copy, or lost writes. It is
- * reported and not followed. A reader writes back what is in force, by compare-and-set, until the
- * store's revision is past the one in force: from then on its revisions mean what they meant.
+ * Restores a store that is older than the configuration in force, because it was restored from a
+ * backup or lost writes. The state is logged, and the store's older data is not applied. A reader
+ * writes the configuration in force back by compare-and-set until the store's revision exceeds the
+ * one in force; from then on revisions are comparable again.
  *
- * All objects are read anew to see which differ. What the store gave out below the revision in force
- * is not followed; objects that no node holds are written once more as they stand, so that they get
- * a revision that all nodes take. The platform's own objects are not overwritten.
+ * The reader reads all objects to find the differences. Objects with a revision up to the one in
+ * force are not applied; objects that no node holds are rewritten unchanged, so that they get a
+ * revision that all nodes accept. Objects written by the platform are not overwritten.
  */
 import type { StoreObject } from '../../catalog/store-object.js';
 import { completeHistory } from '../../table/spread-history.js';
@@ -27,7 +28,7 @@
 import { isEdited, isNewer } from './apply-objects.js';
 
 const RESTORE_TIMER = { purpose: 'configuration-read', subject: 'restore' } as const;
-/** Answers that end early, in a row, before the store is asked whether it is older. */
+/** Consecutive answers below the revision in force after which the store is checked. */
 const OUTDATED_ANSWERS_BEFORE_CHECK = 2;
 
 type StoredVersion = Pick<StoreObject, 'version' | 'revision'>;
@@ -37,11 +38,13 @@
   readonly item: RestoreItem;
 }
 
-/** The revision after which the store is watched: all is read while the store is older. */
+/**
+ * Returns the revision after which the store is watched; 0 while the store is older, to read all.
+ */
 export const watchRevision = (state: CoreState): number =>
   state.configuration.olderStore === undefined ? state.configuration.revision : 0;
 
-/** Says in which way the store is older; undefined when it is not known to be. */
+/** Describes in which way the store is older; undefined when it is not known to be. */
 export const describeOlderStore = (state: CoreState): string | undefined => {
   const older = state.configuration.olderStore;
   return older === undefined
@@ -59,8 +62,8 @@
 });
 
 /**
- * What the store has surely lost. When that is nothing, any edited object is written once more as
- * it stands, to raise the store's revision.
+ * Lists the objects that the store is known to have lost. If there are none, lists one edited
+ * object to be rewritten unchanged, which raises the store's revision.
  */
 const listLostItems = (state: CoreState, through: number): RestoreItem[] => {
   const edited = listEdited(state);
@@ -71,7 +74,7 @@
   return lost.length > 0 ? lost.map(toItem) : untouched;
 };
 
-/** Zones take turns, and so do the readers of a zone, so that one of them does the work. */
+/** Staggers zones and the readers of a zone, so that normally a single reader does the restore. */
 const restoreDelay = (state: CoreState): number => {
   const zones = new Set(listLiveMembers(state.membership).map(({ zone }) => zone));
   const ranked = [...zones].sort((a, b) => hash32(a) - hash32(b));
@@ -79,7 +82,7 @@
   return (turn + Math.max(0, findOwnRank(state)) / 2) * RESTORE_STAGGER_MS;
 };
 
-/** Begins to bring a store up to date that shows less than is in force. */
+/** Starts to restore a store that is older than the configuration in force. */
 const beginRestore = (state: CoreState, event: StoreChanged): Effect[] => {
   const { configuration } = state;
   configuration.olderStore = {
@@ -115,7 +118,7 @@
   ];
 };
 
-/** Queues an item; one that was lost takes the place of one that was to be written as it stands. */
+/** Queues an item; a lost object replaces a queued item that would rewrite it unchanged. */
 const enqueue = (older: OlderStore, item: RestoreItem): void => {
   const place = older.queue.findIndex(({ name }) => name === item.name);
   if (place < 0) {
@@ -125,7 +128,9 @@
   }
 };
 
-/** Queues what differs from what is in force, and what no node would take as it stands. */
+/**
+ * Queues objects that differ from those in force, and objects whose revision no node would accept.
+ */
 const queueDifferences = (
   state: CoreState,
   older: OlderStore,
@@ -145,7 +150,7 @@
 const isDifferent = (object: StoreObject, held: StoreObject): boolean =>
   object.revision !== held.revision && !isNewer(object, held);
 
-/** Queues what is missing from a list of all objects. */
+/** Queues the edited objects that are missing from `all`, the complete list of the store. */
 const queueMissing = (state: CoreState, older: OlderStore, all: readonly StoreObject[]): void => {
   const names = new Set(all.map(({ name }) => name));
   for (const object of listEdited(state)) {
@@ -167,7 +172,10 @@
   older.queue.splice(0, older.queue.length, ...kept);
 };
 
-/** Those of the store's objects that may be followed while the store is older, or all. */
+/**
+ * Returns the objects to apply: all of them, or those above the revision in force if the store is
+ * older.
+ */
 export const selectApplicableObjects = (
   state: CoreState,
   event: StoreChanged,
@@ -187,14 +195,17 @@
   return above;
 };
 
-/** Ends the work when the store is past what was in force and has got all back. */
+/** Ends the restore when nothing is queued and the store exceeds the revision that was in force. */
 export const finishRestoreIfComplete = (state: CoreState, through: number): Effect[] => {
   const older = state.configuration.olderStore;
   const isDone = older !== undefined && older.queue.length === 0 && through > older.inForce;
   return isDone ? finishRestore(state, older) : [];
 };
 
-/** A store that lost writes and took others shows greater revisions with versions held already. */
+/**
+ * True for a store that lost writes and accepted others: it reuses versions under greater
+ * revisions.
+ */
 const reusesVersions = (state: CoreState, objects: readonly StoreObject[]): boolean =>
   objects.some((object) => {
     const held = state.configuration.objects.get(object.name);
@@ -207,8 +218,8 @@
   });
 
 /**
- * Looks whether the store shows less than is in force. Returns nothing when the answer is to be
- * taken as usual.
+ * Checks whether the store is older than the configuration in force. Returns undefined when the
+ * answer is to be applied as usual.
  */
 export const detectOlderStore = (state: CoreState, event: StoreChanged): Effect[] | undefined => {
   const { configuration } = state;
@@ -234,7 +245,7 @@
   return request;
 };
 
-/** Reads the next object that the store must get back: what stands decides what is written. */
+/** Reads the next queued object; its current version decides what is written. */
 export const continueRestore = (state: CoreState): Effect[] => {
   const { configuration } = state;
   const older = configuration.olderStore;
@@ -258,7 +269,7 @@
   return continueRestore(state);
 };
 
-/** Writes over what stands, unless it is past what was in force already. */
+/** Writes the queued content over the object read, unless the object is already restored. */
 export const handleObjectRead = (state: CoreState, event: ObjectRead): Effect[] => {
   const current = findRestoreStep(state, event.request);
   if (current === undefined) {
@@ -281,7 +292,7 @@
   ];
 };
 
-/** A write of a restore was accepted; one that is still below what was in force is repeated. */
+/** Handles an accepted write of a restore; repeats it if its revision is still too low. */
 export const handleObjectWritten = (state: CoreState, event: ObjectWritten): Effect[] => {
   const current = findRestoreStep(state, event.request);
   if (current === undefined) {
@@ -296,11 +307,11 @@
   return continueRestore(state);
 };
 
-/** A write of a restore met another version: the object is read again. */
+/** Handles a refused write of a restore: the version has changed, so the object is read again. */
 export const handleWriteRefused = (state: CoreState, event: ObjectWriteRefused): Effect[] =>
   findRestoreStep(state, event.request) === undefined ? [] : continueRestore(state);
 
-/** A request of a restore failed; a write may have taken effect, which the next read will show. */
+/** Retries after a failed request of a restore; the next read shows whether a write took effect. */
 export const handleObjectRequestFailed = (
   state: CoreState,
   event: ObjectRequestFailed,
--- a/src/core/configuration/pull.ts
+++ b/src/core/configuration/pull.ts
@@ -1,6 +1,6 @@
 /**
- * Anti-entropy: a node that hears of a newer revision, on a ping or an acknowledgement, asks for
- * what it lacks, a page at a time. It waits a moment first, as the push is likely on its way.
+ * Anti-entropy: a node that learns of a newer revision from a ping or an acknowledgement pulls the
+ * missing objects page by page. It waits briefly first, because a push is probably on its way.
  */
 import type { StoreObject } from '../../catalog/store-object.js';
 import type {
@@ -38,7 +38,7 @@
   return pull !== undefined && at - pull.sentAt < PULL_TIMEOUT_MS;
 };
 
-/** Asks a peer for all that changed after what is held, unless an answer is awaited. */
+/** Requests all changes after the revision held from a peer, unless a pull is in progress. */
 export const requestPull = (state: CoreState, peer: NodeId, at: number): Effect[] => {
   const member = state.membership.members.get(peer);
   return member === undefined || isPulling(state, at)
@@ -46,7 +46,7 @@
     : [sendPull(state, member, state.configuration.revision, at)];
 };
 
-/** Takes note of what a peer holds, as it said on a datagram. */
+/** Handles the configuration digest of a peer, received on a datagram. */
 export const handleDigest = (
   state: CoreState,
   peer: NodeId,
@@ -70,7 +70,9 @@
   return [...hinted, { type: 'set-timer', key: PULL_TIMER, at: at + MIN_PULL_DELAY_MS + spread }];
 };
 
-/** The wait for a push is over: asks the peer if its changes are still lacking. */
+/**
+ * Runs when the wait for a push is over: pulls from the peer if it still holds a newer revision.
+ */
 export const pullIfBehind = (state: CoreState, at: number): Effect[] => {
   const { configuration, membership } = state;
   const candidate = configuration.pullCandidate;
@@ -81,7 +83,7 @@
     : [];
 };
 
-/** A link broke: an answer that was awaited over it will not come. */
+/** Cancels the pull from `peer` after its link was lost, because no answer will arrive. */
 export const cancelPull = (state: CoreState, peer: NodeId): Effect[] => {
   const { configuration } = state;
   if (configuration.pull?.peer === peer) {
@@ -103,7 +105,7 @@
   return page;
 };
 
-/** Answers a pull with the first page of what changed after the revision asked for. */
+/** Answers a pull with the first page of the objects changed after the requested revision. */
 export const handlePull = (state: CoreState, from: NodeId, pull: ConfigurationPull): Effect[] => {
   const member = state.membership.members.get(from);
   if (member === undefined) {
@@ -129,8 +131,8 @@
 };
 
 /**
- * Takes a page. The objects are in force at once; the revision is claimed with the last page only,
- * as then nothing up to it is left out.
+ * Applies a page. The objects are in force at once; the revision advances with the last page only,
+ * when all changes up to it are held.
  */
 export const handlePage = (
   state: CoreState,
--- a/src/core/configuration/push-deltas.ts
+++ b/src/core/configuration/push-deltas.ts
@@ -1,13 +1,15 @@
-/** Sheets in pushes: as what changed where the receiver is likely to hold what it starts from. */
+/** Deltas of sheets in pushes, used where the receiver probably holds the previous version. */
 import type { StoreObject } from '../../catalog/store-object.js';
 import type { ConfigurationPush } from '../../protocol/configuration-messages.js';
 import { applySheetDelta, diffSheet, type SheetDelta } from '../../table/sheet-delta.js';
 import type { CoreState } from '../state.js';
 
-/** What a push carries besides its revisions. */
+/** The objects of a push, whole or as deltas. */
 export type PushedObjects = Pick<ConfigurationPush, 'objects' | 'deltas'>;
 
-/** Puts deltas in place of the sheets that this node holds; call it before they are taken. */
+/**
+ * Replaces sheets that this node holds by deltas; must be called before the objects are applied.
+ */
 export const createDeltas = (state: CoreState, objects: readonly StoreObject[]): PushedObjects => {
   const whole: StoreObject[] = [];
   const deltas: SheetDelta[] = [];
@@ -24,8 +26,8 @@
 };
 
 /**
- * The same objects, sharing with the sheets held all rows that their deltas leave as they are: what
- * follows from a sheet then costs by what changed, and nothing is held twice.
+ * Returns the same objects, sharing all rows that the deltas leave unchanged with the sheets held.
+ * The cost of deriving tables then depends on the change only, and no row is stored twice.
  */
 export const shareUnchangedRows = (
   state: CoreState,
@@ -40,7 +42,7 @@
     return (delta && applySheetDelta(held, delta)) ?? object;
   });
 
-/** The whole objects of a push; undefined when a delta starts from a sheet that is not held. */
+/** Returns the whole objects of a push; undefined when the base of a delta is not held. */
 export const expandObjects = (
   state: CoreState,
   { objects, deltas = [] }: PushedObjects,
--- a/src/core/configuration/push.ts
+++ b/src/core/configuration/push.ts
@@ -1,6 +1,6 @@
 /**
- * Pushes along the tree of ranks: what a reader learns from the store goes to its children in the
- * zone and from them to theirs. What a push misses is pulled, see `pull.ts`.
+ * Pushes changes along a tree of ranks: from the readers of the store to their children in the zone
+ * and on to the children of those. Nodes that miss a push pull the changes, see `pull.ts`.
  */
 import type { StoreObject } from '../../catalog/store-object.js';
 import type { ConfigurationPush } from '../../protocol/configuration-messages.js';
@@ -15,12 +15,12 @@
 import { serveIfReady } from './readiness.js';
 import { applyObjects } from './apply-objects.js';
 
-/** What is too large for one message is left to pulls, which come in pages. */
+/** Changes that do not fit are not pushed; peers pull them in pages. */
 const fitsOneMessage = (objects: readonly StoreObject[]): boolean =>
   objects.length <= PAGE_OBJECTS &&
   objects.reduce((sum, { content }) => sum + estimateObjectBytes(content), 0) <= PAGE_BYTES;
 
-/** Passes changes on to this node's children in the tree. */
+/** Sends changes to this node's children in the tree. */
 export const pushToChildren = (
   state: CoreState,
   changes: Omit<ConfigurationPush, 'type'>,
@@ -34,7 +34,7 @@
   return children.map(({ node, address }) => ({ type: 'send-link', to: node, address, message }));
 };
 
-/** Takes a push, if it continues what is held, and passes it on. */
+/** Applies a push that continues the revision held and forwards it; pulls if there is a gap. */
 export const handlePush = (
   state: CoreState,
   from: NodeId,
--- a/src/core/configuration/readers.ts
+++ b/src/core/configuration/readers.ts
@@ -1,4 +1,6 @@
-/** Roles within a zone, derived from the view: who watches the store, and who pushes to whom. */
+/**
+ * Roles within a zone, derived from the view: which nodes watch the store and push to which others.
+ */
 import type { NodeIdentity } from '../../protocol/node-address.js';
 import { listLiveMembers, listZoneMembers, rankByRendezvous } from '../membership/view.js';
 import type { CoreState } from '../state.js';
@@ -7,7 +9,7 @@
 const RANK_SUBJECT = 'store-reader';
 const NO_RANK = -1;
 
-/** Live members of this node's zone, the readers of the store first; cached for each view. */
+/** Lists the live members of this node's zone by rank, readers first; cached for each view. */
 const listZoneRanks = (state: CoreState): readonly NodeIdentity[] => {
   const { configuration, membership, self } = state;
   if (configuration.zoneRanks.version !== membership.viewVersion) {
@@ -17,7 +19,7 @@
   return configuration.zoneRanks.nodes;
 };
 
-/** The readers of all zones, as the view has them. */
+/** Lists the readers of all zones in the current view. */
 export const listReaders = (state: CoreState): readonly NodeIdentity[] => {
   const byZone = new Map<string, NodeIdentity[]>();
   for (const identity of listLiveMembers(state.membership)) {
@@ -30,11 +32,11 @@
   );
 };
 
-/** This node's rank in its zone; -1 when it is leaving. */
+/** Returns this node's rank in its zone; -1 when it is leaving. */
 export const findOwnRank = (state: CoreState): number =>
   listZoneRanks(state).findIndex((identity) => identity.node === state.self.node);
 
-/** True when this node is one of those that watch the store. */
+/** True when this node is a reader, which watches the store. */
 export const isReader = (state: CoreState): boolean => {
   const rank = findOwnRank(state);
   return rank !== NO_RANK && rank < READERS_PER_ZONE;
@@ -46,8 +48,9 @@
 };
 
 /**
- * The nodes to which this one passes pushes on: its children in the tree of ranks. The second reader
- * serves the children of the first as well, so that they miss nothing when the first one fails.
+ * Lists the nodes to which this node forwards pushes: its children in the tree of ranks. The second
+ * reader also pushes to the children of the first, so that they miss nothing if the first one
+ * fails.
  */
 export const listChildren = (state: CoreState): readonly NodeIdentity[] => {
   const rank = findOwnRank(state);
--- a/src/core/configuration/readiness.ts
+++ b/src/core/configuration/readiness.ts
@@ -1,8 +1,8 @@
-/** When a node that has started may serve: once it holds the newest revision to be had. */
+/** Readiness: a starting node may serve once it holds the newest revision known to it. */
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
 
-/** True while a live peer that serves is known: a starting node asks it before the store. */
+/** True while a live serving peer is known; a starting node asks it before the store. */
 export const hasServingPeer = (state: CoreState): boolean => {
   for (const member of state.membership.members.values()) {
     const isLive = member.state === 'alive' || member.state === 'suspect';
@@ -28,7 +28,10 @@
   return configuration.watch.seen || (membership.joined && configuration.servingPeerSeen);
 };
 
-/** Lets a starting node serve when it holds what the store and its peers show. */
+/**
+ * Starts serving when the node holds the newest revision that the store and its peers have
+ * reported.
+ */
 export const serveIfReady = (state: CoreState): Effect[] => {
   const { configuration } = state;
   if (state.phase !== 'starting' || !hasLearnedRevision(state)) {
--- a/src/core/configuration/reducer.ts
+++ b/src/core/configuration/reducer.ts
@@ -1,8 +1,9 @@
 /**
- * The configuration slice: which objects of the store are in force at this node.
+ * The configuration slice: tracks which store objects are in force at this node.
  *
- * Two nodes of each zone watch the store; the others get changes along a tree, and pull what they
- * lack from any peer whose digest shows more. Revisions only grow, whatever the store shows.
+ * Two nodes of each zone watch the store. The others receive changes along a tree, and pull missing
+ * ones from any peer whose digest shows a newer revision. The revision in force never decreases,
+ * even if the store reports an older one.
  */
 import type { Effect } from '../effect.js';
 import type { DatagramArrived, Event, LinkMessageArrived, TimerFired } from '../event.js';
@@ -82,7 +83,7 @@
   }
 };
 
-/** Handles an event of configuration. */
+/** Handles an event of the configuration slice. */
 export const reduceConfiguration = (state: CoreState, event: Event): Effect[] => {
   switch (event.type) {
     case 'started':
--- a/src/core/configuration/state.ts
+++ b/src/core/configuration/state.ts
@@ -1,4 +1,4 @@
-/** State of the configuration: the store objects in force at this node. */
+/** State of the configuration slice: the store objects in force at this node. */
 import type { KeeperRoster } from '../../catalog/keeper-roster.js';
 import type { PartnerLayout, ServiceStatus } from '../../catalog/partner-index.js';
 import type { StoreContent, StoreObject } from '../../catalog/store-object.js';
@@ -15,7 +15,7 @@
   type StoreRequestId,
 } from '../identifiers.js';
 
-/** Tables derived from the objects in force; replaced as a whole when an object changes. */
+/** Tables derived from the objects in force; replaced by a new value when an object changes. */
 export interface ConfigurationInForce {
   /** By `partner/route/kind`, see `routeRowKey`. */
   readonly rows: ReadonlyMap<string, RouteRow>;
@@ -28,82 +28,82 @@
   readonly rosters: ReadonlyMap<number, KeeperRoster>;
 }
 
-/** Why and until when a node asks others for their revision. */
+/** A survey in progress: the revision that is awaited, and when the survey ends. */
 export interface RevisionSurvey {
   readonly revision: number;
   readonly until: number;
 }
 
-/** The node's part in reading the store. */
+/** State of this node's watch of the store. */
 export interface StoreWatchState {
-  /** This node watches, or tries to. */
+  /** True while this node watches the store or retries to. */
   watching: boolean;
-  /** Failures in a row. */
+  /** Consecutive failures. */
   failures: number;
-  /** Since the last failure a peer has said that the store answers. */
+  /** A hint that the store answers has arrived since the last failure. */
   hinted: boolean;
-  /** When the try is due that the last hint has brought about; 0 before any. */
+  /** When the retry caused by the last hint is due; 0 before any hint. */
   hintedRetryAt: number;
-  /** After the store's return: until when this node asks nothing else of it. */
+  /** Until when this node sends no deferrable requests to the store after it recovered. */
   quietUntil: number;
-  /** The store has answered this process. */
+  /** The store has answered this process at least once. */
   seen: boolean;
-  /** Answers in a row that ended before what is in force. */
+  /** Consecutive answers of the store that ended below the revision in force. */
   outdatedAnswers: number;
   /** This node reads the machine list. */
   readsMachines: boolean;
 }
 
-/** An object that a store which lost writes must get back. */
+/** An object to be written back to an older store. */
 export interface RestoreItem {
   readonly name: ObjectName;
-  /** What is in force and was lost; absent for an object that is written again as it stands. */
+  /** The content in force that the store lost; absent for an object to be rewritten unchanged. */
   readonly content?: StoreContent;
-  /** The write must produce a greater version than this. */
+  /** The object is restored once its version exceeds this one. */
   readonly aboveVersion: number;
 }
 
-/** A store that shows less than is in force, and the work to bring it up to date. */
+/** A store that is older than the configuration in force, and the progress of its restore. */
 export interface OlderStore {
-  /** The store's revision when it was noticed. */
+  /** The store's revision when this was detected. */
   readonly through: number;
-  /** What was in force then; writes below it are not followed. */
+  /** The revision in force at that time; objects up to it are not applied. */
   readonly inForce: number;
   readonly queue: RestoreItem[];
-  /** The read or write under way. */
+  /** The read or write in progress. */
   request: StoreRequestId | undefined;
   writes: number;
 }
 
-/** The objects held and what follows from them. */
+/** The objects held by this node and the tables derived from them. */
 export interface ConfigurationState {
   readonly objects: Map<ObjectName, StoreObject>;
   /** All changes of the store up to this revision are held. */
   revision: number;
   inForce: ConfigurationInForce;
   readonly watch: StoreWatchState;
-  /** A peer that serves has been heard of. */
+  /** The digest of a serving peer has been received. */
   servingPeerSeen: boolean;
-  /** The peer asked for changes, and when. */
+  /** The pull in progress: the peer asked, and when. */
   pull: { readonly peer: NodeId; readonly sentAt: number } | undefined;
-  /** The peer to be asked when no push comes first. */
+  /** The peer to pull from unless a push arrives first. */
   pullCandidate: NodeId | undefined;
-  /** Members of this zone by rank, for the view `version`. */
+  /** Members of this zone by rank, for the view with this version. */
   zoneRanks: { readonly version: number; readonly nodes: readonly NodeIdentity[] };
   survey: RevisionSurvey | undefined;
   olderStore: OlderStore | undefined;
   nextRequest: number;
 }
 
-/** Names a row over all partners. */
+/** Builds the key of a row, unique over all partners. */
 export const routeRowKey = (partner: string, route: string, kind: string): string =>
   `${partner}/${route}/${kind}`;
 
-/** The partner of a row named by `routeRowKey`, also when the row is not in force here. */
+/** Returns the partner of a key from `routeRowKey`, even if the row is not in force here. */
 export const partnerOfRow = (row: string): PartnerId =>
   identifier<PartnerId>(row.slice(0, row.indexOf('/')));
 
-/** Creates the state of a node that holds no object yet. */
+/** Creates the state of a node that holds no objects. */
 export const createConfigurationState = (): ConfigurationState => ({
   objects: new Map(),
   revision: 0,
--- a/src/core/configuration/store-hint.ts
+++ b/src/core/configuration/store-hint.ts
@@ -1,8 +1,8 @@
 /**
- * Hints that the store answers again. Readers try a failing store less and less often; a reader
- * whose own try was answered, a node whose edit has just been written, and whoever shows a newer
- * revision know better. A reader acts on one hint for each of its failures, so that hints bring no
- * more than one try of each.
+ * Hints that the store answers again. Readers retry a failing store with growing delays. A hint
+ * comes from a reader whose retry was answered, from a node whose edit was written, and from a peer
+ * with a newer revision. A reader acts on one hint per failure, so hints cause at most one retry of
+ * each.
  */
 import type { StoreAnswered } from '../../protocol/configuration-messages.js';
 import type { Effect } from '../effect.js';
@@ -12,7 +12,7 @@
 
 const RETRY_TIMER = { purpose: 'configuration-read', subject: '' } as const;
 
-/** Takes a hint: a reader that waits to try the store again does so within a moment. */
+/** Handles a hint: a reader that waits to retry the store does so within `HINT_JITTER_MS`. */
 export const handleStoreHint = (state: CoreState, at: number): Effect[] => {
   const { watch } = state.configuration;
   const isWaiting = watch.watching && watch.failures > 0 && !watch.hinted;
@@ -24,7 +24,7 @@
   return [{ type: 'set-timer', key: RETRY_TIMER, at: watch.hintedRetryAt }];
 };
 
-/** Tells the readers of all zones that the store has answered with `revision`. */
+/** Sends the readers of all zones the hint that the store has answered with `revision`. */
 export const sendStoreHints = (state: CoreState, revision: number, at: number): Effect[] => {
   const message: StoreAnswered = { type: 'store-answered', revision };
   return listReaders(state).flatMap(({ node, address }): Effect[] =>
@@ -34,6 +34,6 @@
   );
 };
 
-/** The same, if `revision` is news to this node. */
+/** Sends the hints if `revision` is newer than the one held by this node. */
 export const sendStoreHintsIfNewer = (state: CoreState, revision: number, at: number): Effect[] =>
   revision > state.configuration.revision ? sendStoreHints(state, revision, at) : [];
--- a/src/core/configuration/store-watch.ts
+++ b/src/core/configuration/store-watch.ts
@@ -1,4 +1,4 @@
-/** The watch of the store: who holds it, what it brings, and when it is tried again. */
+/** The watch of the store: which node runs it, how changes are handled, and when it is retried. */
 import { trimHistory } from '../../table/spread-history.js';
 import type { Effect } from '../effect.js';
 import type { StoreChanged, StoreFailed } from '../event.js';
@@ -34,7 +34,10 @@
   after: watchRevision(state),
 });
 
-/** A starting node asks its peers first: a store that lost writes may show less than they hold. */
+/**
+ * A starting node asks its peers first, because a store that lost writes may be older than they
+ * are.
+ */
 const mayWatch = (state: CoreState): boolean =>
   state.phase === 'serving' || (state.phase === 'starting' && !hasServingPeer(state));
 
@@ -54,7 +57,7 @@
     : [{ type: 'cancel-timer', key: MACHINES_TIMER }];
 };
 
-/** Takes up or lays down the watch as the role has moved. */
+/** Starts or stops the watch when this node's role has changed. */
 export const updateWatch = (state: CoreState, at: number): Effect[] => {
   const { watch } = state.configuration;
   const shouldWatch = state.membership.joined && mayWatch(state) && isReader(state);
@@ -70,7 +73,7 @@
   return [...effects, ...updateMachinePolling(state, at)];
 };
 
-/** Looks at the role now, and again and again. */
+/** Checks the role and schedules the next check. */
 export const checkRole = (state: CoreState, at: number): Effect[] => {
   const effects = [...updateWatch(state, at), ...serveIfReady(state)];
   const interval = state.phase === 'starting' ? START_CHECK_MS : ROLE_CHECK_MS;
@@ -78,8 +81,8 @@
 };
 
 /**
- * The store failed: the watch is tried again after a jittered wait that doubles. The failure of an
- * earlier try does not put off the one that a hint has brought about.
+ * Handles a failure of the store: the watch is retried after a jittered delay whose upper bound
+ * doubles. The failure of an earlier request does not postpone a retry caused by a hint.
  */
 export const handleStoreFailed = (state: CoreState, event: StoreFailed): Effect[] => {
   const { watch } = state.configuration;
@@ -95,17 +98,19 @@
   return [{ type: 'set-timer', key: RETRY_TIMER, at: event.at + wait }];
 };
 
-/** The wait after a failure is over. */
+/** Retries the watch when the delay after a failure is over. */
 export const retryWatch = (state: CoreState): Effect[] =>
   state.configuration.watch.watching ? [watchStore(state)] : [];
 
-/** True when this node may ask the store for what can wait: it doesn't fail, nor did it just now. */
+/**
+ * True when deferrable requests may be sent: the store answers and did not recover only just now.
+ */
 export const mayRequestFromStore = (state: CoreState, at: number): boolean => {
   const { failures, quietUntil } = state.configuration.watch;
   return failures === 0 && at >= quietUntil;
 };
 
-/** Reads the machine list, unless the store is known to fail or has only just come back. */
+/** Reads the machine list, unless the store fails or has only just recovered. */
 export const pollMachines = (state: CoreState, at: number): Effect[] => {
   const { watch } = state.configuration;
   if (!watch.readsMachines) {
@@ -116,7 +121,9 @@
   return [...read, { type: 'set-timer', key: MACHINES_TIMER, at: next }];
 };
 
-/** The store has answered after failures; a reader that wasn't told so by another tells them all. */
+/**
+ * Handles the first answer after failures; sends hints to all readers unless this one got a hint.
+ */
 const handleStoreRecovery = (state: CoreState, { through, at }: StoreChanged): Effect[] => {
   const { watch } = state.configuration;
   const hints = watch.hinted ? [] : sendStoreHints(state, through, at);
@@ -132,7 +139,7 @@
   return watch.failures > 0 ? handleStoreRecovery(state, event) : [];
 };
 
-/** Takes what the watch brings. */
+/** Handles an answer of the watch: applies its changes and pushes them to peers. */
 export const handleStoreChanged = (state: CoreState, event: StoreChanged): Effect[] => {
   const { configuration } = state;
   const answered = recordStoreAnswer(state, event);
--- a/src/core/configuration/survey.ts
+++ b/src/core/configuration/survey.ts
@@ -1,4 +1,4 @@
-/** Asks the nodes that are not known to hold a revision, for somebody who waits for it. */
+/** Survey: pings the nodes not known to hold a revision, on behalf of a client that awaits it. */
 import type { Effect } from '../effect.js';
 import type { Member } from '../membership/member.js';
 import { pingMember } from '../membership/probes.js';
@@ -12,7 +12,7 @@
 const revisionOf = (state: CoreState, member: Member): number =>
   member.identity.node === state.self.node ? state.configuration.revision : member.revision;
 
-/** Live members that are not known to hold `revision`. */
+/** Lists the live members that are not known to hold `revision`. */
 export const listMembersWithoutRevision = (state: CoreState, revision: number): Member[] =>
   [...state.membership.members.values()].filter(
     (member) => isLive(member) && revisionOf(state, member) < revision,
@@ -25,7 +25,7 @@
   return rotated.slice(0, SURVEY_PEERS).map((member) => pingMember(state, member, at));
 };
 
-/** One round of questions; there is none when all hold the revision or the time is over. */
+/** Runs one round of the survey; ends it when all nodes hold the revision or at the timeout. */
 export const continueSurvey = (state: CoreState, at: number): Effect[] => {
   const { configuration } = state;
   const { survey } = configuration;
@@ -40,7 +40,7 @@
   ];
 };
 
-/** Somebody waits for `revision`. */
+/** Starts a survey for `revision`, or extends the current one. */
 export const beginSurvey = (state: CoreState, revision: number, at: number): Effect[] => {
   const { configuration } = state;
   const until = at + SURVEY_TIMEOUT_MS;
--- a/test/configuration/apply-objects.test.ts
+++ b/test/configuration/apply-objects.test.ts
@@ -45,8 +45,8 @@
   () => ({ name: 'agreement', content: { type: 'agreement', agreement: { shares: [] } } }),
 ];
 
-describe('objects taken into force', () => {
-  it('amend the tables to what a derivation anew gives', () => {
+describe('applyObjects', () => {
+  it('updates the tables to the same result as deriving them anew', () => {
     const batches = fc.array(fc.array(fc.integer({ min: 0, max: KINDS.length - 1 })), {
       maxLength: 8,
     });
@@ -69,7 +69,7 @@
     );
   });
 
-  it('never give way to an older one, by version or by revision', () => {
+  it('does not replace an object by one with an older version or revision', () => {
     const state = createState();
     const held = objectOf('sheet/tawe', 7, 90, sheetOf('tawe', 7));
     applyObjects(state, [held]);
--- a/test/configuration/configuration.test.ts
+++ b/test/configuration/configuration.test.ts
@@ -38,14 +38,14 @@
   cluster.running().filter((node) => node.zone === zone && node.watching).length;
 
 describe('configuration in force', () => {
-  it.each(SEEDS)('is the same on 12 nodes, read by two of each zone (seed %i)', (seed) => {
+  it.each(SEEDS)('is the same on 12 nodes, with two readers in each zone (seed %i)', (seed) => {
     const cluster = startServing(seed);
     expect(holdsRevision(cluster, 3)).toBe(true);
     expect(ZONES.map((zone) => countWatchers(cluster, zone))).toEqual([2, 2, 2, 2]);
   });
 
   it.each(SEEDS)(
-    'has each of 100 edits in force within 1 s, with a hundredth of messages lost and nodes failing (seed %i)',
+    'includes each of 100 edits within 1 s on all nodes, with 1% message loss and failing nodes (seed %i)',
     (seed) => {
       const cluster = startServing(seed);
       let worst = 0;
@@ -73,7 +73,7 @@
     },
   );
 
-  it('moves the watch when a reader is killed, and leaves at most two in a zone', () => {
+  it('moves the watch to another node when a reader is killed, with at most two readers in a zone', () => {
     const cluster = startServing(4, 16);
     const reader = cluster.running().find((node) => node.zone === 'bole' && node.watching);
     cluster.kill(reader?.id ?? '');
@@ -82,7 +82,7 @@
     expect(ZONES.map((zone) => countWatchers(cluster, zone))).toEqual([2, 2, 2, 2]);
   });
 
-  it('reaches a zone that is cut off from the store, through its peers', () => {
+  it('reaches a zone without connection to the store through peers', () => {
     const cluster = startServing(5);
     cluster.cut('yeka', 'store');
     cluster.run(100);
@@ -90,7 +90,7 @@
     expect(cluster.runUntil(() => holdsRevision(cluster, revision), 5_000)).toBeLessThan(2_000);
   });
 
-  it('brings thousands of objects to a joining node in pages', () => {
+  it('transfers thousands of objects to joining nodes in pages', () => {
     const cluster = createCluster(6, 0);
     for (let service = 0; service < 1_200; service += 1) {
       const name = `desk-${service}`;
@@ -108,7 +108,7 @@
     expect(services).toEqual(services.map(() => 1_201));
   });
 
-  it('asks the nodes that are not known to hold a revision, and names those that lack it', () => {
+  it('is surveyed for an awaited revision, and the nodes that lack it are listed', () => {
     const cluster = startServing(7);
     const node = cluster.node('node-2');
     cluster.pause('node-9', 60_000);
@@ -122,7 +122,7 @@
 });
 
 describe('a starting node', () => {
-  it('does not serve before it has asked anybody', () => {
+  it('does not serve before the store or a peer has answered', () => {
     const cluster = createCluster(8);
     cluster.store.down = true;
     const alone = cluster.start({ id: 'alone', zone: 'bole', port: 9_000, seeds: [9_001] });
@@ -133,7 +133,7 @@
     expect(alone.state.phase).toBe('serving');
   });
 
-  it('learns from its peers while the store is down, and serves with the newest revision only', () => {
+  it('pulls from its peers while the store is down, and serves only with the newest revision', () => {
     const cluster = startServing(9);
     const { revision } = cluster.store.write(SHEET, sheetOf('ensemble', 1));
     cluster.run(1_000);
@@ -144,7 +144,7 @@
     expect(joining.state.configuration.revision).toBe(revision);
   });
 
-  it('serves although the peer that it asked first dies without an answer', () => {
+  it('serves even if the first peer that it asks is killed before answering', () => {
     for (let seed = 40; seed < 60; seed += 1) {
       const cluster = startServing(seed, 4, 0);
       const joining = cluster.start({ id: 'new', zone: 'bole', port: 9_500, seeds: [9_003] });
@@ -154,7 +154,7 @@
     }
   });
 
-  it('asks a serving peer before the store', () => {
+  it('asks a serving peer before it asks the store', () => {
     const cluster = startServing(61, 4, 0);
     cluster.kill('node-1');
     cluster.storeRequests = [];
@@ -167,7 +167,7 @@
     expect(joining.watching).toBe(true);
   });
 
-  it('prefers what its peers hold to an older store', () => {
+  it('prefers the revision of its peers to that of an older store', () => {
     const cluster = startServing(10, 4, 0);
     const copy = [...cluster.store.objects.values()];
     const { revision } = cluster.store.write(SHEET, sheetOf('ensemble', 1));
@@ -185,7 +185,7 @@
 });
 
 describe('a store that is down', () => {
-  it('costs no member in 10 minutes, and is not crowded when it returns', () => {
+  it('loses no member in 10 minutes, and gets at most two requests per zone in the second after it recovers', () => {
     const cluster = startServing(11, 28);
     cluster.store.down = true;
     cluster.run(600_000);
@@ -204,7 +204,7 @@
     expect(ZONES.map((zone) => countWatchers(cluster, zone))).toEqual([2, 2, 2, 2]);
   });
 
-  it('is asked by the readers of a zone at most twice in any second', () => {
+  it('gets at most two requests per second from the readers of a zone', () => {
     const cluster = startServing(16);
     cluster.store.down = true;
     cluster.storeRequests = [];
@@ -218,7 +218,7 @@
     }
   });
 
-  it('is asked by each reader less and less often', () => {
+  it('is retried by each reader with growing delays', () => {
     const cluster = startServing(12);
     cluster.store.down = true;
     cluster.run(300_000);
@@ -229,8 +229,8 @@
   });
 });
 
-describe('a store that shows older data', () => {
-  it('is reported and not followed, and gets back what is in force', () => {
+describe('a store restored from a backup', () => {
+  it('has its older data refused and is restored to the configuration in force', () => {
     const cluster = startServing(13);
     const copy = [...cluster.store.objects.values()];
     const { revision: before } = cluster.store;
@@ -262,7 +262,7 @@
     );
   });
 
-  it('has what the platform wrote to it meanwhile in force everywhere in the end', () => {
+  it('has what the platform wrote to it meanwhile put into force on all nodes', () => {
     const cluster = startServing(14);
     const copy = [...cluster.store.objects.values()];
     const { revision: before } = cluster.store;
@@ -282,7 +282,7 @@
 });
 
 describe('while a store is older', () => {
-  it('no edit is decided by what it shows', () => {
+  it('describeOlderStore reports it, so that no edit is decided by its data', () => {
     const cluster = startServing(62, 4, 0);
     const copy = [...cluster.store.objects.values()];
     const { revision: before } = cluster.store;
@@ -299,8 +299,8 @@
   });
 });
 
-describe('a store that lost writes and took others since', () => {
-  it('gets back what is in force when it gives a version out again', () => {
+describe('a store that lost writes and accepted others since', () => {
+  it('is restored to the configuration in force when it reuses a version', () => {
     const cluster = startServing(15);
     const copy = [...cluster.store.objects.values()];
     const { revision: before } = cluster.store;
@@ -318,50 +318,53 @@
   });
 });
 
-describe('what is in force', () => {
-  it.each(SEEDS)('never reverts, through cuts, restarts and an older store (seed %i)', (seed) => {
-    const newest = new Map<string, number>();
-    const reverted: string[] = [];
-    const watchNode = (node: VirtualNode): void => {
-      for (const object of node.state.configuration.objects.values()) {
-        const key = `${node.id}@${node.state.self.incarnation}/${object.name}`;
-        if ((newest.get(key) ?? 0) > object.revision) {
-          reverted.push(key);
+describe('an object in force', () => {
+  it.each(SEEDS)(
+    'never reverts to an older revision during cuts, restarts and a restored store (seed %i)',
+    (seed) => {
+      const newest = new Map<string, number>();
+      const reverted: string[] = [];
+      const watchNode = (node: VirtualNode): void => {
+        for (const object of node.state.configuration.objects.values()) {
+          const key = `${node.id}@${node.state.self.incarnation}/${object.name}`;
+          if ((newest.get(key) ?? 0) > object.revision) {
+            reverted.push(key);
+          }
+          newest.set(key, object.revision);
+        }
+      };
+      const cluster = startServing(seed + 20);
+      const copy = [...cluster.store.objects.values()];
+      const { revision: copied } = cluster.store;
+      for (let round = 0; round < 60; round += 1) {
+        cluster.store.write(round % 2 === 0 ? SHEET : 'sheet/tawe', sheetOf('ensemble', round));
+        if (round % 10 === 3) {
+          cluster.cut('bole', 'store');
+          cluster.cut('bole', 'yeka');
+        }
+        if (round % 10 === 6) {
+          cluster.heal();
+        }
+        if (round === 31) {
+          cluster.store.restore(copy, copied);
+        }
+        if (round % 7 === 0) {
+          const index = round % 12;
+          cluster.kill(`node-${index}`);
+          cluster.run(300);
+          const zone = ZONES[index % 4] as string;
+          cluster.start({ id: `node-${index}`, zone, port: 9_000 + index, seeds: [9_000, 9_005] });
+        }
+        for (let part = 0; part < 10; part += 1) {
+          cluster.run(100);
+          cluster.running().forEach(watchNode);
         }
-        newest.set(key, object.revision);
-      }
-    };
-    const cluster = startServing(seed + 20);
-    const copy = [...cluster.store.objects.values()];
-    const { revision: copied } = cluster.store;
-    for (let round = 0; round < 60; round += 1) {
-      cluster.store.write(round % 2 === 0 ? SHEET : 'sheet/tawe', sheetOf('ensemble', round));
-      if (round % 10 === 3) {
-        cluster.cut('bole', 'store');
-        cluster.cut('bole', 'yeka');
-      }
-      if (round % 10 === 6) {
-        cluster.heal();
-      }
-      if (round === 31) {
-        cluster.store.restore(copy, copied);
-      }
-      if (round % 7 === 0) {
-        const index = round % 12;
-        cluster.kill(`node-${index}`);
-        cluster.run(300);
-        const zone = ZONES[index % 4] as string;
-        cluster.start({ id: `node-${index}`, zone, port: 9_000 + index, seeds: [9_000, 9_005] });
-      }
-      for (let part = 0; part < 10; part += 1) {
-        cluster.run(100);
-        cluster.running().forEach(watchNode);
       }
-    }
-    expect(reverted).toEqual([]);
-    cluster.heal();
-    cluster.run(60_000);
-    const { revision } = cluster.store.write(SHEET, sheetOf('ensemble', 99));
-    cluster.runUntil(() => holdsRevision(cluster, revision), 5_000);
-  });
+      expect(reverted).toEqual([]);
+      cluster.heal();
+      cluster.run(60_000);
+      const { revision } = cluster.store.write(SHEET, sheetOf('ensemble', 99));
+      cluster.runUntil(() => holdsRevision(cluster, revision), 5_000);
+    },
+  );
 });
--- a/test/configuration/push-deltas.test.ts
+++ b/test/configuration/push-deltas.test.ts
@@ -11,41 +11,45 @@
 const EDITS = 10;
 
 describe('pushes of a sheet with a long history', () => {
-  it.each([1, 2, 3])('carry what changed, and all nodes hold the same (seed %i)', (seed) => {
-    const sizes: number[] = [];
-    let wholeSheets = 0;
-    const cluster = new VirtualCluster({
-      seed,
-      onEffect: (_node, effect) => {
-        if (effect.type === 'send-link' && effect.message.type === 'configuration-push') {
-          sizes.push(encode(effect.message).length);
-        }
-        if (effect.type === 'send-link' && effect.message.type === 'configuration-page') {
-          wholeSheets += effect.message.objects.filter(({ name }) => name === SHEET).length;
-        }
-      },
-    });
-    cluster.store.write(SHEET, sheetOf('ensemble', EARLIER_EDITS));
-    cluster.startMany(12, ['bole', 'arada']);
-    cluster.runUntil(
-      () => cluster.isWhole() && cluster.running().every(({ state }) => state.phase === 'serving'),
-      10_000,
-    );
-    cluster.run(5_000);
-    sizes.length = 0;
-    wholeSheets = 0;
-    for (let edit = 1; edit <= EDITS; edit += 1) {
-      cluster.store.write(SHEET, sheetOf('ensemble', EARLIER_EDITS + edit));
-      cluster.run(1_000);
-    }
-    const whole = encode(cluster.store.objects.get(SHEET)).length;
-    expect(sizes.length).toBeGreaterThanOrEqual(EDITS * 8);
-    expect(Math.max(...sizes)).toBeLessThan(whole / 100);
-    expect(wholeSheets).toBe(0);
-    const stored = cluster.store.objects.get(SHEET) as StoreObject;
-    for (const { state } of cluster.running()) {
-      const held = state.configuration.objects.get(identifier<ObjectName>(SHEET));
-      expect(held).toEqual(trimHistory(stored));
-    }
-  });
+  it.each([1, 2, 3])(
+    'carry only the changes, and all nodes hold the same sheet (seed %i)',
+    (seed) => {
+      const sizes: number[] = [];
+      let wholeSheets = 0;
+      const cluster = new VirtualCluster({
+        seed,
+        onEffect: (_node, effect) => {
+          if (effect.type === 'send-link' && effect.message.type === 'configuration-push') {
+            sizes.push(encode(effect.message).length);
+          }
+          if (effect.type === 'send-link' && effect.message.type === 'configuration-page') {
+            wholeSheets += effect.message.objects.filter(({ name }) => name === SHEET).length;
+          }
+        },
+      });
+      cluster.store.write(SHEET, sheetOf('ensemble', EARLIER_EDITS));
+      cluster.startMany(12, ['bole', 'arada']);
+      cluster.runUntil(
+        () =>
+          cluster.isWhole() && cluster.running().every(({ state }) => state.phase === 'serving'),
+        10_000,
+      );
+      cluster.run(5_000);
+      sizes.length = 0;
+      wholeSheets = 0;
+      for (let edit = 1; edit <= EDITS; edit += 1) {
+        cluster.store.write(SHEET, sheetOf('ensemble', EARLIER_EDITS + edit));
+        cluster.run(1_000);
+      }
+      const whole = encode(cluster.store.objects.get(SHEET)).length;
+      expect(sizes.length).toBeGreaterThanOrEqual(EDITS * 8);
+      expect(Math.max(...sizes)).toBeLessThan(whole / 100);
+      expect(wholeSheets).toBe(0);
+      const stored = cluster.store.objects.get(SHEET) as StoreObject;
+      for (const { state } of cluster.running()) {
+        const held = state.configuration.objects.get(identifier<ObjectName>(SHEET));
+        expect(held).toEqual(trimHistory(stored));
+      }
+    },
+  );
 });
--- a/test/configuration/store-hint.test.ts
+++ b/test/configuration/store-hint.test.ts
@@ -8,7 +8,7 @@
 const ZONES = ['bole', 'arada', 'kirkos', 'yeka'];
 const OUTAGE_MS = 120_000;
 
-describe('an edit accepted as soon as the store is back', () => {
+describe('an edit accepted as soon as the store has recovered', () => {
   it.each([1, 2, 3, 4, 5])('is in force on 12 nodes within 1 s (seed %i)', (seed) => {
     const outcomes: EditOutcome[] = [];
     const cluster = new VirtualCluster({
@@ -41,7 +41,7 @@
       40_000,
     );
     expect(took).toBeLessThanOrEqual(1_000);
-    // Each of the two readers of a zone tries once, and no crowd comes with the hints.
+    // Each of the two readers of a zone retries once; hints cause no further requests.
     const watches = cluster.storeRequests.filter(
       ({ at, type }) => at >= returned && at <= returned + 1_000 && type === 'watch-store',
     );
--- a/test/configuration/store-outage.test.ts
+++ b/test/configuration/store-outage.test.ts
@@ -4,14 +4,14 @@
 const OUTAGE_MS = 600_000;
 const EDITS = 6;
 
-describe('a store that is away for 10 minutes', () => {
+describe('a store outage of 10 minutes', () => {
   it.each<[OutageKind, number]>([
     ['refuses', 1],
     ['refuses', 6],
     ['unreachable', 1],
     ['unreachable', 2],
   ])(
-    'costs no query and no member, and is not crowded when it returns (%s, seed %i)',
+    'loses no query and no member, and causes at most two requests per zone in the second after it (%s, seed %i)',
     (absence, seed) => {
       const result = simulateStoreOutage(seed, absence, OUTAGE_MS);
       expect(result.queries).toBeGreaterThan(OUTAGE_MS / 1_000);
--- a/test/configuration/store-outage.ts
+++ b/test/configuration/store-outage.ts
@@ -1,4 +1,4 @@
-/** A tier of today's size whose store is away for long and comes back, in virtual time. */
+/** Simulates a long store outage and recovery for a tier of production size, in virtual time. */
 import { identifier } from '../../src/core/identifiers.js';
 import type { QueryRequest } from '../../src/core/query/query-request.js';
 import { createRandom } from '../../src/core/random.js';
@@ -19,17 +19,17 @@
 const EDITS = 6;
 const AFTER_MS = 20_000;
 
-/** How the store is away: it refuses connections, or nothing reaches it. */
+/** Kind of outage: the store refuses connections, or is unreachable. */
 export type OutageKind = 'refuses' | 'unreachable';
 
-/** What an outage cost. */
+/** What was measured during an outage and after it. */
 export interface OutageResult {
   readonly queries: number;
   readonly queriesLost: number;
   readonly membersLost: number;
-  /** Most requests of one zone to the store in the second after its return, without edits. */
+  /** Maximum number of requests of one zone in the second after the outage, not counting edits. */
   readonly requestsOfZone: number;
-  /** From the acceptance of each edit until all nodes hold it. */
+  /** For each edit, time from its acceptance until all nodes hold it, in milliseconds. */
   readonly inForceMs: readonly number[];
   readonly violations: readonly string[];
 }
@@ -101,7 +101,7 @@
   });
 };
 
-/** Sends edits after the store's return, and notes how long each takes once it is accepted. */
+/** Sends edits after the outage and measures how long each takes from acceptance to all nodes. */
 const measureEdits = (simulation: Simulation, seed: number): number[] => {
   const durations: number[] = [];
   const random = createRandom(seed);
@@ -125,7 +125,7 @@
   return durations;
 };
 
-/** Takes the store away for `outageMs` and gives it back. */
+/** Runs an outage of `outageMs` and measures its consequences. */
 export const simulateStoreOutage = (
   seed: number,
   absence: OutageKind,
