--- a/src/core/membership/apply-update.ts
+++ b/src/core/membership/apply-update.ts
@@ -7,13 +7,13 @@
 import type { NodeIdentity } from '../../protocol/node-address.js';
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
-import { CHANGES_OF_RETURN } from './bounds.js';
+import { CHANGES_PER_REVIVAL } from './bounds.js';
 import { writeMember } from './change-member.js';
-import { armGossip, gossipUrgently } from './gossip.js';
+import { armGossip, sendUrgentGossip } from './gossip.js';
 import { getSelf } from './self-identity.js';
 import type { Member } from './member.js';
 import { addressKey } from './state.js';
-import { declareDead, endSuspicion, suspectByHearsay } from './suspicion.js';
+import { declareDead, endSuspicion, suspectReported } from './suspicion.js';
 
 const STATE_RANK: Readonly<Record<MemberState, number>> = {
   alive: 0,
@@ -34,10 +34,10 @@
   const self = getSelf(state);
   const incarnation = Math.max(above, self.identity.incarnation) + 1;
   writeMember(state.membership, { ...self.identity, incarnation }, self.state, at);
-  return gossipUrgently(state, at);
+  return sendUrgentGossip(state, at);
 };
 
-const warnOfDouble = (state: CoreState, identity: NodeIdentity): Effect[] =>
+const warnOfDuplicateName = (state: CoreState, identity: NodeIdentity): Effect[] =>
   addressKey(identity.address) === addressKey(state.self.address)
     ? []
     : [
@@ -52,14 +52,15 @@
 /** Takes what is said of this node itself; refutes it when it is wrong. */
 const applyToSelf = (state: CoreState, update: MemberUpdate, at: number): Effect[] => {
   const { incarnation } = getSelf(state).identity;
-  const said = update.identity.incarnation;
-  const wrong = said > incarnation || (said === incarnation && update.state !== ownState(state));
-  const harmless = said === incarnation && update.state === 'alive';
+  const reported = update.identity.incarnation;
+  const wrong =
+    reported > incarnation || (reported === incarnation && update.state !== ownState(state));
+  const harmless = reported === incarnation && update.state === 'alive';
   if (!wrong || harmless) {
     return [];
   }
   state.counters.suspicions_refuted += 1;
-  return [...warnOfDouble(state, update.identity), ...raiseIncarnation(state, said, at)];
+  return [...warnOfDuplicateName(state, update.identity), ...raiseIncarnation(state, reported, at)];
 };
 
 /** A younger process at the address of an older member has replaced it. */
@@ -82,20 +83,20 @@
   ];
   const { membership } = state;
   if (membership.dead.has(update.identity.node)) {
-    membership.pullChanges += CHANGES_OF_RETURN;
+    membership.changesSincePull += CHANGES_PER_REVIVAL;
   }
   writeMember(membership, update.identity, update.state, at);
-  membership.doubtful.delete(update.identity.node);
+  membership.disputed.delete(update.identity.node);
   return effects;
 };
 
-const applyNews = (state: CoreState, update: MemberUpdate, at: number): Effect[] => {
+const applyNewerUpdate = (state: CoreState, update: MemberUpdate, at: number): Effect[] => {
   switch (update.state) {
     case 'alive':
     case 'leaving':
       return applyAlive(state, update, at);
     case 'suspect':
-      return suspectByHearsay(state, update.identity, at);
+      return suspectReported(state, update.identity, at);
     case 'dead':
       return declareDead(state, update.identity, at);
   }
@@ -111,7 +112,7 @@
   if (held === undefined ? update.state === 'dead' : !isNewer(update, held)) {
     return [];
   }
-  return [...applyNews(state, update, at), ...armGossip(state, at)];
+  return [...applyNewerUpdate(state, update, at), ...armGossip(state, at)];
 };
 
 /** Takes a message's sender as proof that it is alive, if that is news. */
--- a/src/core/membership/change-member.ts
+++ b/src/core/membership/change-member.ts
@@ -1,9 +1,9 @@
 /** The one place where records of the member table change, with all that is kept about them. */
 import type { MemberState } from '../../protocol/membership-messages.js';
 import type { NodeIdentity } from '../../protocol/node-address.js';
-import { xorIntoTable } from './member-table.js';
-import { amendRing } from './ring.js';
-import { dropRumour } from './rumour-queue.js';
+import { toggleMemberHash } from './member-table.js';
+import { updateRing } from './ring.js';
+import { removeRumour } from './rumour-queue.js';
 import { queueRumour } from './rumours.js';
 import type { Member } from './member.js';
 import { addressKey, createMember, type MembershipState } from './state.js';
@@ -11,14 +11,14 @@
 const isLive = (state: MemberState | undefined): boolean =>
   state === 'alive' || state === 'suspect';
 
-const forgetAddress = (membership: MembershipState, identity: NodeIdentity): void => {
+const removeAddress = (membership: MembershipState, identity: NodeIdentity): void => {
   const key = addressKey(identity.address);
   if (membership.addresses.get(key) === identity.node) {
     membership.addresses.delete(key);
   }
 };
 
-const movedTo = (before: NodeIdentity, after: NodeIdentity): boolean =>
+const hasMoved = (before: NodeIdentity, after: NodeIdentity): boolean =>
   addressKey(before.address) !== addressKey(after.address) || before.zone !== after.zone;
 
 const addMember = (
@@ -33,7 +33,7 @@
 };
 
 /** Rumours of leaving back ends are told again, for the sake of a process that has just begun. */
-const tellLeavingAgain = (membership: MembershipState): void => {
+const respreadLeavingReplicas = (membership: MembershipState): void => {
   for (const [replica, rumour] of membership.leavingReplicas) {
     rumour.sent = 0;
     membership.leavingToSpread.add(replica);
@@ -44,7 +44,7 @@
   const isRingCurrent = membership.ringVersion === membership.viewVersion;
   membership.viewVersion += 1;
   if (isRingCurrent) {
-    amendRing(membership, member, isLive(member.state));
+    updateRing(membership, member, isLive(member.state));
   }
 };
 
@@ -60,13 +60,13 @@
 ): Member => {
   const held = membership.members.get(identity.node);
   const wasLive = isLive(held?.state);
-  const moved = held !== undefined && movedTo(held.identity, identity);
+  const moved = held !== undefined && hasMoved(held.identity, identity);
   if (held !== undefined) {
-    xorIntoTable(membership.buckets, held);
-    forgetAddress(membership, held.identity);
+    toggleMemberHash(membership.buckets, held);
+    removeAddress(membership, held.identity);
   }
   if (isLive(state) && held?.identity.incarnation !== identity.incarnation) {
-    tellLeavingAgain(membership);
+    respreadLeavingReplicas(membership);
   }
   const member = held ?? addMember(membership, identity, state, at);
   member.identity = identity;
@@ -74,7 +74,7 @@
     member.state = state;
     member.since = at;
   }
-  xorIntoTable(membership.buckets, member);
+  toggleMemberHash(membership.buckets, member);
   if (state === 'dead') {
     membership.dead.add(identity.node);
   } else {
@@ -85,16 +85,16 @@
     changeView(membership, member);
   }
   membership.changedAt = at;
-  membership.pullChanges += 1;
+  membership.changesSincePull += 1;
   queueRumour(membership, identity.node);
   return member;
 };
 
 /** Drops a member from the table. It must be dead. */
-export const forgetMember = (membership: MembershipState, member: Member): void => {
+export const removeMember = (membership: MembershipState, member: Member): void => {
   membership.members.delete(member.identity.node);
   membership.dead.delete(member.identity.node);
-  dropRumour(membership.rumours, member.identity.node);
+  removeRumour(membership.rumours, member.identity.node);
   membership.suspicions.delete(member.identity.node);
-  membership.doubtful.delete(member.identity.node);
+  membership.disputed.delete(member.identity.node);
 };
--- a/src/core/membership/digest.ts
+++ b/src/core/membership/digest.ts
@@ -4,9 +4,7 @@
 import { hashTable } from './member-table.js';
 
 /** The digest of the configuration and the hash of the member table. */
-export const describeHoldings = (
-  state: CoreState,
-): Required<Pick<Piggyback, 'digest' | 'table'>> => ({
+export const createDigest = (state: CoreState): Required<Pick<Piggyback, 'digest' | 'table'>> => ({
   digest: {
     revision: state.configuration.revision,
     serving: state.phase !== 'starting',
--- a/src/core/membership/join.ts
+++ b/src/core/membership/join.ts
@@ -4,7 +4,7 @@
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
 import {
-  HINTS_LIMIT,
+  MAX_HINTS,
   JOIN_RETRY_MS,
   JOIN_TIMEOUT_MS,
   PROBE_INTERVAL_MS,
@@ -15,7 +15,7 @@
 import { pingAddress } from './probes.js';
 import { queueRumour } from './rumours.js';
 import { addressKey, type MembershipState } from './state.js';
-import { pullTable } from './table-exchange.js';
+import { requestTable } from './table-exchange.js';
 import { armTick } from './tick.js';
 
 const JOIN_TIMER = { purpose: 'membership-join', subject: '' } as const;
@@ -27,7 +27,7 @@
 const listMissingSeeds = (state: CoreState): PeerAddress[] =>
   state.seeds.filter((seed) => !state.membership.addresses.has(addressKey(seed)));
 
-const drawSeeds = (state: CoreState, seeds: readonly PeerAddress[]): PeerAddress[] => {
+const sampleSeeds = (state: CoreState, seeds: readonly PeerAddress[]): PeerAddress[] => {
   const start = seeds.length === 0 ? 0 : state.random.nextBelow(seeds.length);
   return [...seeds.slice(start), ...seeds.slice(0, start)].slice(0, SEEDS_AT_ONCE);
 };
@@ -41,18 +41,18 @@
   at - membership.pulledAt < JOIN_RETRY_MS;
 
 /** Asks a member for its table, or the seeds whether they are there. */
-const askToJoin = (state: CoreState, at: number): Effect[] => {
+const requestJoin = (state: CoreState, at: number): Effect[] => {
   const { membership } = state;
   const known = listRing(membership).filter((member) => member.identity.node !== state.self.node);
   const member = known[state.random.nextBelow(Math.max(1, known.length))];
   const mayPull = member !== undefined && !isPulling(membership, at);
-  const pull = mayPull ? [pullTable(state, member.identity, at)] : [];
-  const seeds = drawSeeds(state, listMissingSeeds(state));
+  const pull = mayPull ? [requestTable(state, member.identity, at)] : [];
+  const seeds = sampleSeeds(state, listMissingSeeds(state));
   return [...pull, ...seeds.map((seed) => pingAddress(state, seed, at))];
 };
 
 /** The process has started. */
-export const beginJoin = (state: CoreState, at: number): Effect[] => {
+export const startJoin = (state: CoreState, at: number): Effect[] => {
   const { membership } = state;
   membership.joinDeadline = at + JOIN_TIMEOUT_MS;
   membership.rejoinAt = at + REJOIN_INTERVAL_MS;
@@ -61,7 +61,7 @@
   return [
     armTick(membership, at + state.random.nextBelow(PROBE_INTERVAL_MS)),
     armJoin(at + JOIN_RETRY_MS),
-    ...askToJoin(state, at),
+    ...requestJoin(state, at),
     ...armGossip(state, at),
   ];
 };
@@ -70,7 +70,7 @@
   const { membership } = state;
   const scale = Math.max(1, membership.members.size / MEMBERS_PER_REJOIN_INTERVAL);
   membership.rejoinAt = at + REJOIN_INTERVAL_MS * scale;
-  const seeds = drawSeeds(state, listMissingSeeds(state));
+  const seeds = sampleSeeds(state, listMissingSeeds(state));
   const machines: Effect[] = isAlone(membership) ? [{ type: 'read-machines' }] : [];
   return [
     armJoin(membership.rejoinAt),
@@ -80,7 +80,7 @@
 };
 
 /** The timer of joining has fired. */
-export const continueJoin = (state: CoreState, at: number): Effect[] => {
+export const handleJoinTimer = (state: CoreState, at: number): Effect[] => {
   const { membership } = state;
   if (membership.joined) {
     return rejoin(state, at);
@@ -90,22 +90,22 @@
     return rejoin(state, at);
   }
   const retryAt = isPulling(membership, at) ? membership.pulledAt : at;
-  return [armJoin(retryAt + JOIN_RETRY_MS), ...askToJoin(state, at)];
+  return [armJoin(retryAt + JOIN_RETRY_MS), ...requestJoin(state, at)];
 };
 
 /** Asks the first peer that answers for its table. */
-export const joinThrough = (state: CoreState, at: number): Effect[] => {
+export const requestTableIfJoining = (state: CoreState, at: number): Effect[] => {
   const { membership } = state;
   const isWaiting = !membership.joined || membership.pulledAt === Number.NEGATIVE_INFINITY;
   const isDue = isWaiting && !isPulling(membership, at);
-  return isDue && !isAlone(membership) ? askToJoin(state, at) : [];
+  return isDue && !isAlone(membership) ? requestJoin(state, at) : [];
 };
 
 /** Takes the platform's machine list as hints of whom to ask. */
-export const takeMachines = (state: CoreState, machines: readonly Machine[]): void => {
+export const handleMachinesRead = (state: CoreState, machines: readonly Machine[]): void => {
   const { membership } = state;
   membership.hints = machines
     .map(({ host, port }) => ({ host, port }))
     .filter((address) => !membership.addresses.has(addressKey(address)))
-    .slice(0, HINTS_LIMIT);
+    .slice(0, MAX_HINTS);
 };
--- a/src/core/membership/member-table.ts
+++ b/src/core/membership/member-table.ts
@@ -6,7 +6,7 @@
  * whatever the order in which they heard of them. Suspicion is left out: it passes by itself.
  */
 import { hash32 } from '../hash.js';
-import { LEAST_BUCKETS_SENT, MEMBERS_PER_BUCKET_SENT, TABLE_BUCKETS } from './bounds.js';
+import { MIN_BUCKETS_SENT, MEMBERS_PER_BUCKET_SENT, TABLE_BUCKETS } from './bounds.js';
 import type { Member } from './member.js';
 
 /** The bucket of a member, of `count` buckets. */
@@ -30,7 +30,7 @@
  * where that costs less than the members of a bucket that are sent for nothing.
  */
 export const countBucketsToSend = (members: number): number => {
-  let count = LEAST_BUCKETS_SENT;
+  let count = MIN_BUCKETS_SENT;
   while (count < TABLE_BUCKETS && count * MEMBERS_PER_BUCKET_SENT < members) {
     count *= 2;
   }
@@ -43,7 +43,7 @@
 };
 
 /** Adds a member to the hashes, or takes it out again when it is in them. */
-export const xorIntoTable = (buckets: Uint32Array, member: Member): void => {
+export const toggleMemberHash = (buckets: Uint32Array, member: Member): void => {
   if (member.state === 'dead') {
     return;
   }
--- a/src/core/membership/messages.ts
+++ b/src/core/membership/messages.ts
@@ -8,16 +8,16 @@
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
 import { applySender, applyUpdate } from './apply-update.js';
-import { describeHoldings } from './digest.js';
+import { createDigest } from './digest.js';
 import { endProbe, probeForPeer } from './probes.js';
-import { takeReplicaRumours } from './replica-rumours.js';
+import { applyReplicaRumours } from './replica-rumours.js';
 import { armGossip } from './gossip.js';
-import { putFirst, takePiggyback } from './rumours.js';
+import { prependUpdate, createPiggyback } from './rumours.js';
 import type { Member } from './member.js';
 import type { Probe } from './state.js';
 import { compareTables } from './table-exchange.js';
 
-const noteHoldings = (state: CoreState, message: MembershipMessage): void => {
+const recordDigest = (state: CoreState, message: MembershipMessage): void => {
   const member = state.membership.members.get(message.sender.node);
   if (member !== undefined && message.digest !== undefined) {
     member.revision = message.digest.revision;
@@ -26,34 +26,34 @@
 };
 
 /** Takes what rides on a datagram besides its purpose. */
-const takePiggybackOf = (state: CoreState, message: MembershipMessage, at: number): Effect[] => {
+const handlePiggyback = (state: CoreState, message: MembershipMessage, at: number): Effect[] => {
   const { sender, updates } = message;
-  const saysOfItself = updates.some((update) => update.identity.node === sender.node);
-  const effects = saysOfItself ? [] : applySender(state, sender, at);
+  const includesSender = updates.some((update) => update.identity.node === sender.node);
+  const effects = includesSender ? [] : applySender(state, sender, at);
   for (const update of updates) {
     effects.push(...applyUpdate(state, update, at));
   }
-  takeReplicaRumours(state, message.leaving ?? [], at);
-  noteHoldings(state, message);
+  applyReplicaRumours(state, message.leaving ?? [], at);
+  recordDigest(state, message);
   if (message.table !== undefined) {
     effects.push(...compareTables(state, sender, message.table, at));
   }
   return [...effects, ...armGossip(state, at)];
 };
 
-const acknowledge = (state: CoreState, ping: Ping, at: number): Effect => ({
+const createAcknowledgement = (state: CoreState, ping: Ping, at: number): Effect => ({
   type: 'send-datagram',
   to: ping.sender.address,
   message: {
     type: 'acknowledgement',
     subject: state.self.node,
     sequence: ping.sequence,
-    ...takePiggyback(state, at, ping.sender.node),
-    ...describeHoldings(state),
+    ...createPiggyback(state, at, ping.sender.node),
+    ...createDigest(state),
   },
 });
 
-const probeOnRequest = (state: CoreState, request: PingRequest, at: number): Effect[] => {
+const handlePingRequest = (state: CoreState, request: PingRequest, at: number): Effect[] => {
   const target = state.membership.members.get(request.target);
   const requester = { address: request.sender.address, sequence: request.sequence };
   return target === undefined || target.identity.node === state.self.node
@@ -61,7 +61,7 @@
     : probeForPeer(state, target, requester, at);
 };
 
-const passOn = (
+const forwardAcknowledgement = (
   state: CoreState,
   requester: NonNullable<Probe['requester']>,
   subject: Member,
@@ -73,11 +73,11 @@
     type: 'acknowledgement',
     subject: subject.identity.node,
     sequence: requester.sequence,
-    ...putFirst(takePiggyback(state, at, undefined), subject),
+    ...prependUpdate(createPiggyback(state, at, undefined), subject),
   },
 });
 
-const takeAcknowledgement = (state: CoreState, ack: Acknowledgement, at: number): Effect[] => {
+const handleAcknowledgement = (state: CoreState, ack: Acknowledgement, at: number): Effect[] => {
   const { membership } = state;
   const probe = membership.probes.get(ack.sequence);
   const subject = membership.members.get(ack.subject);
@@ -85,14 +85,17 @@
     return [];
   }
   if (probe.requester !== undefined) {
-    return [...endProbe(state, ack.sequence), passOn(state, probe.requester, subject, at)];
+    return [
+      ...endProbe(state, ack.sequence),
+      forwardAcknowledgement(state, probe.requester, subject, at),
+    ];
   }
   const stillSuspected = probe.stage === 'confirm' && membership.suspicions.has(ack.subject);
   return stillSuspected ? [] : endProbe(state, ack.sequence);
 };
 
 /** Handles one datagram. */
-export const takeDatagram = (
+export const handleDatagram = (
   state: CoreState,
   message: MembershipMessage,
   at: number,
@@ -100,14 +103,14 @@
   if (message.sender.node === state.self.node) {
     return [];
   }
-  const effects = takePiggybackOf(state, message, at);
+  const effects = handlePiggyback(state, message, at);
   switch (message.type) {
     case 'ping':
-      return [...effects, acknowledge(state, message, at)];
+      return [...effects, createAcknowledgement(state, message, at)];
     case 'ping-request':
-      return [...effects, ...probeOnRequest(state, message, at)];
+      return [...effects, ...handlePingRequest(state, message, at)];
     case 'acknowledgement':
-      return [...effects, ...takeAcknowledgement(state, message, at)];
+      return [...effects, ...handleAcknowledgement(state, message, at)];
     case 'gossip':
       return effects;
   }
--- a/src/core/membership/pause.ts
+++ b/src/core/membership/pause.ts
@@ -5,24 +5,24 @@
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
 import { raiseIncarnation } from './apply-update.js';
-import { PAUSE_NOTICED_MS } from './bounds.js';
-import { restartProbes } from './probes.js';
+import { PAUSE_THRESHOLD_MS } from './bounds.js';
+import { extendProbes } from './probes.js';
 import { getSelfIdentity } from './self-identity.js';
-import { putOffSuspicions } from './suspicion.js';
+import { postponeSuspicions } from './suspicion.js';
 import { armTick } from './tick.js';
 
 /** Notices that this node has not run for a while; to be called before anything else. */
-export const noticePause = (state: CoreState, at: number): Effect[] => {
+export const detectPause = (state: CoreState, at: number): Effect[] => {
   const { membership } = state;
   const gap = at - membership.tickDueAt;
-  if (gap < PAUSE_NOTICED_MS) {
+  if (gap < PAUSE_THRESHOLD_MS) {
     return [];
   }
   state.counters.pauses_noticed += 1;
   return [
     armTick(membership, at),
-    ...restartProbes(state, at),
-    ...putOffSuspicions(state, at),
+    ...extendProbes(state, at),
+    ...postponeSuspicions(state, at),
     ...raiseIncarnation(state, getSelfIdentity(state).incarnation, at),
     {
       type: 'write-log',
--- a/src/core/membership/probes.ts
+++ b/src/core/membership/probes.ts
@@ -9,14 +9,14 @@
   INDIRECT_PEERS,
   INDIRECT_TIMEOUT_MS,
   LATE_TIMER_MS,
-  PROBES_LIMIT,
+  MAX_PROBES,
 } from './bounds.js';
-import { describeHoldings } from './digest.js';
-import { drawMembers } from './gossip.js';
-import { putFirst, takePiggyback } from './rumours.js';
+import { createDigest } from './digest.js';
+import { sampleMembers } from './gossip.js';
+import { prependUpdate, createPiggyback } from './rumours.js';
 import type { Member } from './member.js';
 import type { Probe } from './state.js';
-import { declareDead, suspectAsWitness } from './suspicion.js';
+import { declareDead, suspectUnreachable } from './suspicion.js';
 
 const probeTimer = (sequence: number) =>
   ({ purpose: 'membership-probe-timeout', subject: String(sequence) }) as const;
@@ -27,7 +27,7 @@
   at: probe.dueAt,
 });
 
-const takeSequence = (state: CoreState): number => {
+const allocateSequence = (state: CoreState): number => {
   state.membership.nextSequence += 1;
   return state.membership.nextSequence;
 };
@@ -44,8 +44,8 @@
   message: {
     type: 'ping',
     sequence,
-    ...takePiggyback(state, at, receiver),
-    ...describeHoldings(state),
+    ...createPiggyback(state, at, receiver),
+    ...createDigest(state),
   },
 });
 
@@ -54,11 +54,11 @@
 
 /** Sends a ping that nobody waits for: what its receiver answers is news in itself. */
 export const pingMember = (state: CoreState, member: Member, at: number): Effect =>
-  sendPing(state, member, takeSequence(state), at);
+  sendPing(state, member, allocateSequence(state), at);
 
 /** Pings whoever listens at an address. */
 export const pingAddress = (state: CoreState, address: PeerAddress, at: number): Effect =>
-  createPing(state, address, undefined, takeSequence(state), at);
+  createPing(state, address, undefined, allocateSequence(state), at);
 
 const isProbed = (state: CoreState, node: NodeId): boolean => {
   for (const probe of state.membership.probes.values()) {
@@ -71,10 +71,10 @@
 
 const addProbe = (state: CoreState, member: Member, probe: Probe, at: number): Effect[] => {
   const { membership } = state;
-  if (membership.probes.size >= PROBES_LIMIT) {
+  if (membership.probes.size >= MAX_PROBES) {
     return [];
   }
-  const sequence = takeSequence(state);
+  const sequence = allocateSequence(state);
   membership.probes.set(sequence, probe);
   return [sendPing(state, member, sequence, at), armProbe(sequence, probe)];
 };
@@ -99,10 +99,15 @@
   return addProbe(state, member, { target: node, stage: 'direct', dueAt, requester }, at);
 };
 
-const askPeers = (state: CoreState, sequence: number, target: NodeId, at: number): Effect[] => {
+const requestIndirectProbes = (
+  state: CoreState,
+  sequence: number,
+  target: NodeId,
+  at: number,
+): Effect[] => {
   const suspect = state.membership.members.get(target);
-  return drawMembers(state, INDIRECT_PEERS, target).map((peer) => {
-    const piggyback = takePiggyback(state, at, peer.identity.node);
+  return sampleMembers(state, INDIRECT_PEERS, target).map((peer) => {
+    const piggyback = createPiggyback(state, at, peer.identity.node);
     return {
       type: 'send-datagram',
       to: peer.identity.address,
@@ -110,7 +115,7 @@
         type: 'ping-request',
         sequence,
         target,
-        ...(suspect === undefined ? piggyback : putFirst(piggyback, suspect)),
+        ...(suspect === undefined ? piggyback : prependUpdate(piggyback, suspect)),
       },
     };
   });
@@ -125,10 +130,10 @@
 ): Effect[] => {
   probe.stage = stage;
   probe.dueAt = at + (stage === 'indirect' ? INDIRECT_TIMEOUT_MS : CONFIRM_INTERVAL_MS);
-  return [armProbe(sequence, probe), ...askPeers(state, sequence, probe.target, at)];
+  return [armProbe(sequence, probe), ...requestIndirectProbes(state, sequence, probe.target, at)];
 };
 
-const confirmSuspect = (
+const reprobeSuspect = (
   state: CoreState,
   sequence: number,
   probe: Probe,
@@ -156,8 +161,8 @@
     state.membership.probes.delete(sequence);
     return declareDead(state, member.identity, at);
   }
-  const suspected = suspectAsWitness(state, probe.target, at);
-  return [...suspected, ...confirmSuspect(state, sequence, probe, member, at)];
+  const suspected = suspectUnreachable(state, probe.target, at);
+  return [...suspected, ...reprobeSuspect(state, sequence, probe, member, at)];
 };
 
 /** A stage of a probe has run out without an acknowledgement. */
@@ -182,7 +187,7 @@
     case 'indirect':
       return failProbe(state, sequence, probe, member, at);
     case 'confirm':
-      return confirmSuspect(state, sequence, probe, member, at);
+      return reprobeSuspect(state, sequence, probe, member, at);
   }
 };
 
@@ -193,7 +198,7 @@
 };
 
 /** Gives the probes in flight their full time again: this node did not run. */
-export const restartProbes = (state: CoreState, at: number): Effect[] => {
+export const extendProbes = (state: CoreState, at: number): Effect[] => {
   const effects: Effect[] = [];
   for (const [sequence, probe] of state.membership.probes) {
     probe.dueAt = at + DIRECT_TIMEOUT_MS;
--- a/src/core/membership/reducer.ts
+++ b/src/core/membership/reducer.ts
@@ -9,17 +9,17 @@
 import type { Event, LinkMessageArrived, TimerFired } from '../event.js';
 import { identifier, type NodeId } from '../identifiers.js';
 import type { CoreState } from '../state.js';
-import { gossipRound } from './gossip.js';
-import { beginJoin, continueJoin, joinThrough, takeMachines } from './join.js';
+import { runGossipRound } from './gossip.js';
+import { startJoin, handleJoinTimer, requestTableIfJoining, handleMachinesRead } from './join.js';
 import { announceLeaving } from './leave.js';
-import { takeDatagram } from './messages.js';
-import { noticePause } from './pause.js';
+import { handleDatagram } from './messages.js';
+import { detectPause } from './pause.js';
 import { expireProbe, probeMember } from './probes.js';
 import { expireSuspicion } from './suspicion.js';
-import { answerPull, takePageOf } from './table-exchange.js';
+import { handlePull, handlePage } from './table-exchange.js';
 import { tickMembership } from './tick.js';
 
-const takeTimer = (state: CoreState, { key, at }: TimerFired): Effect[] => {
+const handleTimer = (state: CoreState, { key, at }: TimerFired): Effect[] => {
   switch (key.purpose) {
     case 'membership-probe':
       return tickMembership(state, at);
@@ -28,27 +28,27 @@
     case 'membership-suspicion':
       return expireSuspicion(state, identifier<NodeId>(key.subject), at);
     case 'membership-gossip':
-      return gossipRound(state, at);
+      return runGossipRound(state, at);
     case 'membership-join':
-      return continueJoin(state, at);
+      return handleJoinTimer(state, at);
     default:
       return [];
   }
 };
 
-const takeLinkMessage = (state: CoreState, { message, at }: LinkMessageArrived): Effect[] => {
+const handleLinkMessage = (state: CoreState, { message, at }: LinkMessageArrived): Effect[] => {
   switch (message.type) {
     case 'membership-pull':
-      return answerPull(state, message, at);
+      return handlePull(state, message, at);
     case 'membership-page':
-      return takePageOf(state, message, at);
+      return handlePage(state, message, at);
     default:
       return [];
   }
 };
 
 /** A link that breaks is a reason to look at once whether its other end lives. */
-const probeAfterLoss = (state: CoreState, peer: NodeId, at: number): Effect[] => {
+const handleLinkLost = (state: CoreState, peer: NodeId, at: number): Effect[] => {
   const member = state.membership.members.get(peer);
   const isLive = member?.state === 'alive' || member?.state === 'suspect';
   return member !== undefined && isLive ? probeMember(state, member, at) : [];
@@ -57,19 +57,22 @@
 const reduceEvent = (state: CoreState, event: Event): Effect[] => {
   switch (event.type) {
     case 'started':
-      return beginJoin(state, event.at);
+      return startJoin(state, event.at);
     case 'stop-requested':
       return announceLeaving(state, event.at);
     case 'timer-fired':
-      return takeTimer(state, event);
+      return handleTimer(state, event);
     case 'datagram-arrived':
-      return [...takeDatagram(state, event.message, event.at), ...joinThrough(state, event.at)];
+      return [
+        ...handleDatagram(state, event.message, event.at),
+        ...requestTableIfJoining(state, event.at),
+      ];
     case 'link-message-arrived':
-      return takeLinkMessage(state, event);
+      return handleLinkMessage(state, event);
     case 'link-lost':
-      return probeAfterLoss(state, event.peer, event.at);
+      return handleLinkLost(state, event.peer, event.at);
     case 'machines-read':
-      takeMachines(state, event.machines);
+      handleMachinesRead(state, event.machines);
       return [];
     default:
       return [];
@@ -78,6 +81,6 @@
 
 /** Handles an event of the membership slice. */
 export const reduceMembership = (state: CoreState, event: Event): Effect[] => {
-  const paused = noticePause(state, event.at);
+  const paused = detectPause(state, event.at);
   return [...paused, ...reduceEvent(state, event)];
 };
--- a/src/core/membership/replica-rumours.ts
+++ b/src/core/membership/replica-rumours.ts
@@ -8,11 +8,11 @@
 import type { Effect } from '../effect.js';
 import type { ReplicaId } from '../identifiers.js';
 import type { CoreState } from '../state.js';
-import { LEAVING_HOLDS_MS, LEAVING_LIMIT, LEAVING_RENEWAL_MS } from './bounds.js';
+import { LEAVING_VALIDITY_MS, MAX_LEAVING_REPLICAS, LEAVING_RENEWAL_MS } from './bounds.js';
 import { armGossip } from './gossip.js';
 import type { MembershipState } from './state.js';
 
-const forgetLapsed = (membership: MembershipState, at: number): void => {
+const removeExpired = (membership: MembershipState, at: number): void => {
   for (const [replica, rumour] of membership.leavingReplicas) {
     if (rumour.until <= at) {
       membership.leavingReplicas.delete(replica);
@@ -21,26 +21,31 @@
   }
 };
 
-const makeRoom = (membership: MembershipState, at: number): void => {
-  if (membership.leavingReplicas.size < LEAVING_LIMIT) {
+const ensureCapacity = (membership: MembershipState, at: number): void => {
+  if (membership.leavingReplicas.size < MAX_LEAVING_REPLICAS) {
     return;
   }
-  forgetLapsed(membership, at);
+  removeExpired(membership, at);
   const oldest = membership.leavingReplicas.keys().next();
-  if (membership.leavingReplicas.size >= LEAVING_LIMIT && !oldest.done) {
+  if (membership.leavingReplicas.size >= MAX_LEAVING_REPLICAS && !oldest.done) {
     membership.leavingReplicas.delete(oldest.value);
     membership.leavingToSpread.delete(oldest.value);
   }
 };
 
-const noteUntil = (state: CoreState, replica: ReplicaId, until: number, at: number): boolean => {
+const recordLeavingUntil = (
+  state: CoreState,
+  replica: ReplicaId,
+  until: number,
+  at: number,
+): boolean => {
   const { membership } = state;
   const known = membership.leavingReplicas.get(replica);
   const addsLittle = known !== undefined && until - Math.max(known.until, at) < LEAVING_RENEWAL_MS;
   if (until <= at || addsLittle) {
     return false;
   }
-  makeRoom(membership, at);
+  ensureCapacity(membership, at);
   membership.leavingReplicas.set(replica, { until, sent: 0 });
   membership.leavingToSpread.add(replica);
   state.counters.replicas_noted_leaving += 1;
@@ -48,7 +53,7 @@
 };
 
 /** How long `replica` is still held to be leaving, in milliseconds from `at`; 0 when it is not. */
-export const leavingForMs = (state: CoreState, replica: ReplicaId, at: number): number => {
+export const remainingLeavingMs = (state: CoreState, replica: ReplicaId, at: number): number => {
   const { leavingReplicas } = state.membership;
   const rumour = leavingReplicas.size > 0 ? leavingReplicas.get(replica) : undefined;
   return rumour === undefined ? 0 : Math.max(0, rumour.until - at);
@@ -56,32 +61,32 @@
 
 /** True when a sign was seen here or by a peer that `replica` takes no new work; `at` is now. */
 export const isReplicaLeaving = (state: CoreState, replica: ReplicaId, at: number): boolean =>
-  leavingForMs(state, replica, at) > 0;
+  remainingLeavingMs(state, replica, at) > 0;
 
 /**
  * Notes a sign that `replica` is leaving, whichever it is, and spreads it to all nodes. Cheap to
  * call for each sign: those that add nothing are dropped. The effects must be carried out.
  *
- * @param holdsMs - how long the sign holds; less when it is a feeder's knowledge of an earlier one
+ * @param validityMs - how long the sign holds; less when it is a feeder's knowledge of an earlier one
  */
-export const noteReplicaLeaving = (
+export const recordReplicaLeaving = (
   state: CoreState,
   replica: ReplicaId,
   at: number,
-  holdsMs = LEAVING_HOLDS_MS,
+  validityMs = LEAVING_VALIDITY_MS,
 ): Effect[] => {
-  noteUntil(state, replica, at + Math.min(holdsMs, LEAVING_HOLDS_MS), at);
+  recordLeavingUntil(state, replica, at + Math.min(validityMs, LEAVING_VALIDITY_MS), at);
   return armGossip(state, at);
 };
 
 /** Takes rumours about leaving back ends from a peer. */
-export const takeReplicaRumours = (
+export const applyReplicaRumours = (
   state: CoreState,
   rumours: readonly LeavingReplica[],
   at: number,
 ): void => {
   for (const { replica, remainingMs } of rumours) {
-    const bounded = Math.min(remainingMs, LEAVING_HOLDS_MS);
-    noteUntil(state, replica, at + bounded, at);
+    const bounded = Math.min(remainingMs, LEAVING_VALIDITY_MS);
+    recordLeavingUntil(state, replica, at + bounded, at);
   }
 };
--- a/src/core/membership/ring.ts
+++ b/src/core/membership/ring.ts
@@ -21,7 +21,7 @@
 };
 
 /** The place of `member` in the ring, or where it would be. */
-const findPlaceOf = (ring: readonly Member[], member: Member): number => {
+const findPositionOf = (ring: readonly Member[], member: Member): number => {
   let low = 0;
   let high = ring.length;
   while (low < high) {
@@ -40,9 +40,9 @@
  * Puts one member into the ring or takes it out, for a view that differs from the ring's in this
  * member only: sorting all of them anew for each change is dear when hundreds change.
  */
-export const amendRing = (membership: MembershipState, member: Member, isLive: boolean): void => {
+export const updateRing = (membership: MembershipState, member: Member, isLive: boolean): void => {
   const { ring } = membership;
-  const place = findPlaceOf(ring, member);
+  const place = findPositionOf(ring, member);
   const isIn = ring[place] === member;
   if (isLive && !isIn) {
     ring.splice(place, 0, member);
@@ -52,7 +52,7 @@
   membership.ringVersion = membership.viewVersion;
 };
 
-const findPlace = (ring: readonly Member[], ringHash: number): number => {
+const findPositionAfter = (ring: readonly Member[], ringHash: number): number => {
   let low = 0;
   let high = ring.length;
   while (low < high) {
@@ -73,7 +73,7 @@
   if (self === undefined || ring.length === 0) {
     return undefined;
   }
-  const start = findPlace(ring, self.ringHash);
+  const start = findPositionAfter(ring, self.ringHash);
   for (let step = 0; step < ring.length; step += 1) {
     const candidate = ring[(start + step) % ring.length];
     if (candidate !== undefined && candidate !== self) {
--- a/src/core/membership/rumour-queue.ts
+++ b/src/core/membership/rumour-queue.ts
@@ -3,7 +3,7 @@
  * heard already, however much of that there is.
  */
 import type { NodeId } from '../identifiers.js';
-import { RUMOURS_LIMIT } from './bounds.js';
+import { MAX_RUMOURS } from './bounds.js';
 
 /** Rumours about members, one for each. */
 export interface RumourQueue {
@@ -17,7 +17,7 @@
 export const createRumourQueue = (): RumourQueue => ({ sent: new Map(), levels: [] });
 
 /** Takes a rumour out. */
-export const dropRumour = (queue: RumourQueue, node: NodeId): void => {
+export const removeRumour = (queue: RumourQueue, node: NodeId): void => {
   const sent = queue.sent.get(node);
   if (sent !== undefined) {
     queue.sent.delete(node);
@@ -25,7 +25,7 @@
   }
 };
 
-const putAt = (queue: RumourQueue, node: NodeId, sent: number): void => {
+const insertAt = (queue: RumourQueue, node: NodeId, sent: number): void => {
   while (queue.levels.length <= sent) {
     queue.levels.push(new Set());
   }
@@ -33,10 +33,10 @@
   queue.levels[sent]?.add(node);
 };
 
-const dropMostSent = (queue: RumourQueue): void => {
+const removeMostSent = (queue: RumourQueue): void => {
   for (let level = queue.levels.length - 1; level >= 0; level -= 1) {
     for (const node of queue.levels[level] ?? []) {
-      dropRumour(queue, node);
+      removeRumour(queue, node);
       return;
     }
   }
@@ -44,22 +44,27 @@
 
 /** Adds a rumour that nobody has heard yet, in place of any about the same member. */
 export const addRumour = (queue: RumourQueue, node: NodeId): void => {
-  dropRumour(queue, node);
-  if (queue.sent.size >= RUMOURS_LIMIT) {
-    dropMostSent(queue);
+  removeRumour(queue, node);
+  if (queue.sent.size >= MAX_RUMOURS) {
+    removeMostSent(queue);
   }
-  putAt(queue, node, 0);
+  insertAt(queue, node, 0);
 };
 
 /** Counts a rumour as sent `times` more; it is dropped when it has been sent `limit` times. */
-export const countSent = (queue: RumourQueue, node: NodeId, times: number, limit: number): void => {
+export const recordSends = (
+  queue: RumourQueue,
+  node: NodeId,
+  times: number,
+  limit: number,
+): void => {
   const sent = queue.sent.get(node);
   if (sent === undefined) {
     return;
   }
-  dropRumour(queue, node);
+  removeRumour(queue, node);
   if (sent + times < limit) {
-    putAt(queue, node, sent + times);
+    insertAt(queue, node, sent + times);
   }
 };
 
--- a/src/core/membership/rumours.ts
+++ b/src/core/membership/rumours.ts
@@ -12,11 +12,11 @@
 import type { CoreState } from '../state.js';
 import {
   LEAVING_PER_MESSAGE,
-  RUMOUR_BYTES,
+  MAX_RUMOUR_BYTES,
   RUMOUR_SENDS_FACTOR,
-  SENDS_OF_AGREEMENT,
+  SENDS_PER_EQUAL_TABLE,
 } from './bounds.js';
-import { addRumour, countSent, listRumours } from './rumour-queue.js';
+import { addRumour, recordSends, listRumours } from './rumour-queue.js';
 import { getSelf } from './self-identity.js';
 import type { Member } from './member.js';
 import type { MembershipState } from './state.js';
@@ -25,7 +25,7 @@
 const RUMOUR_FRAME_BYTES = 84;
 
 /** How often each rumour is sent by each node. */
-const countSends = (membership: MembershipState): number =>
+const getSendLimit = (membership: MembershipState): number =>
   Math.ceil(RUMOUR_SENDS_FACTOR * Math.log(membership.members.size + 1));
 
 /** Queues the present record of `node` to be spread, in place of any rumour about it before. */
@@ -34,14 +34,14 @@
 };
 
 /** A peer has the same table: it has heard what is queued, but for suspicions, which pass. */
-export const noteAgreement = (membership: MembershipState): void => {
+export const recordEqualTable = (membership: MembershipState): void => {
   if (membership.rumours.sent.size === 0) {
     return;
   }
-  const sends = countSends(membership);
+  const sends = getSendLimit(membership);
   for (const node of [...listRumours(membership.rumours)]) {
     if (membership.members.get(node)?.state !== 'suspect') {
-      countSent(membership.rumours, node, SENDS_OF_AGREEMENT, sends);
+      recordSends(membership.rumours, node, SENDS_PER_EQUAL_TABLE, sends);
     }
   }
 };
@@ -60,7 +60,7 @@
 };
 
 /** What the receiver must hear first: that it is held to be other than alive. */
-const listAboutReceiver = (membership: MembershipState, receiver: NodeId | undefined) => {
+const listReceiverUpdate = (membership: MembershipState, receiver: NodeId | undefined) => {
   const member = receiver === undefined ? undefined : membership.members.get(receiver);
   if (member === undefined || member.state === 'alive') {
     return [];
@@ -68,9 +68,12 @@
   return [{ identity: member.identity, state: member.state }];
 };
 
-const takeUpdates = (membership: MembershipState, receiver: NodeId | undefined): MemberUpdate[] => {
-  const updates: MemberUpdate[] = listAboutReceiver(membership, receiver);
-  const sends = countSends(membership);
+const selectUpdates = (
+  membership: MembershipState,
+  receiver: NodeId | undefined,
+): MemberUpdate[] => {
+  const updates: MemberUpdate[] = listReceiverUpdate(membership, receiver);
+  const sends = getSendLimit(membership);
   const chosen: NodeId[] = [];
   let bytes = updates.reduce((sum, update) => sum + estimateRumourBytes(update.identity), 0);
   for (const node of listRumours(membership.rumours)) {
@@ -79,23 +82,23 @@
       continue;
     }
     bytes += estimateRumourBytes(update.identity);
-    if (bytes > RUMOUR_BYTES) {
+    if (bytes > MAX_RUMOUR_BYTES) {
       break;
     }
     updates.push(update);
     chosen.push(node);
   }
   for (const node of chosen) {
-    countSent(membership.rumours, node, 1, sends);
+    recordSends(membership.rumours, node, 1, sends);
   }
   return updates;
 };
 
-const takeLeaving = (membership: MembershipState, at: number): LeavingReplica[] => {
-  const taken: LeavingReplica[] = [];
-  const sends = countSends(membership);
+const selectLeavingReplicas = (membership: MembershipState, at: number): LeavingReplica[] => {
+  const selected: LeavingReplica[] = [];
+  const sends = getSendLimit(membership);
   for (const replica of membership.leavingToSpread) {
-    if (taken.length >= LEAVING_PER_MESSAGE) {
+    if (selected.length >= LEAVING_PER_MESSAGE) {
       break;
     }
     const rumour = membership.leavingReplicas.get(replica);
@@ -103,16 +106,16 @@
     if (rumour === undefined || rumour.until <= at) {
       continue;
     }
-    taken.push({ replica, remainingMs: Math.round(rumour.until - at) });
+    selected.push({ replica, remainingMs: Math.round(rumour.until - at) });
     rumour.sent += 1;
   }
-  for (const { replica } of taken) {
+  for (const { replica } of selected) {
     const rumour = membership.leavingReplicas.get(replica);
     if (rumour !== undefined && rumour.sent < sends) {
       membership.leavingToSpread.add(replica);
     }
   }
-  return taken;
+  return selected;
 };
 
 /** True while there is anything left to spread. */
@@ -120,7 +123,7 @@
   membership.rumours.sent.size > 0 || membership.leavingToSpread.size > 0;
 
 /** Puts the record of `member` first, so that the receiver is sure to hear of it. */
-export const putFirst = (piggyback: Piggyback, member: Member): Piggyback => ({
+export const prependUpdate = (piggyback: Piggyback, member: Member): Piggyback => ({
   ...piggyback,
   updates: [
     { identity: member.identity, state: member.state },
@@ -132,16 +135,16 @@
  * Takes the rumours that ride on one datagram to `receiver` (absent when it is not known). A node
  * that is leaving says so first in each.
  */
-export const takePiggyback = (
+export const createPiggyback = (
   state: CoreState,
   at: number,
   receiver: NodeId | undefined,
 ): Piggyback => {
   const { membership } = state;
   const self = getSelf(state);
-  const updates = takeUpdates(membership, receiver);
-  const leaving = takeLeaving(membership, at);
+  const updates = selectUpdates(membership, receiver);
+  const leaving = selectLeavingReplicas(membership, at);
   const base = { sender: self.identity, updates };
   const piggyback = leaving.length === 0 ? base : { ...base, leaving };
-  return self.state === 'alive' ? piggyback : putFirst(piggyback, self);
+  return self.state === 'alive' ? piggyback : prependUpdate(piggyback, self);
 };
--- a/src/core/membership/state.ts
+++ b/src/core/membership/state.ts
@@ -5,7 +5,7 @@
 import type { NodeId, ReplicaId } from '../identifiers.js';
 import { TABLE_BUCKETS } from './bounds.js';
 import type { Member } from './member.js';
-import { xorIntoTable } from './member-table.js';
+import { toggleMemberHash } from './member-table.js';
 import { createRumourQueue, type RumourQueue } from './rumour-queue.js';
 
 /** A back end that takes no new work. */
@@ -30,7 +30,7 @@
 /** A suspicion that becomes a death when it is not refuted. */
 export interface Suspicion {
   /** This node itself saw the probe fail. */
-  witness: boolean;
+  observed: boolean;
   /** When the member is declared dead. */
   dueAt: number;
 }
@@ -68,14 +68,14 @@
   /** Members that are dead but not forgotten yet. */
   readonly dead: Set<NodeId>;
   /** Held dead here, but told alive with the same incarnation. */
-  readonly doubtful: Set<NodeId>;
+  readonly disputed: Set<NodeId>;
   /** Addresses from the machine list that are not known as members. */
   hints: PeerAddress[];
   /** When seeds that are not members are asked again. */
   rejoinAt: number;
   pulledAt: number;
   /** Changes of the table since the last exchange began. */
-  pullChanges: number;
+  changesSincePull: number;
 }
 
 /** Creates a member's record. */
@@ -95,7 +95,7 @@
 export const createMembershipState = (self: NodeIdentity): MembershipState => {
   const member = createMember(self, 'alive', 0);
   const buckets = new Uint32Array(TABLE_BUCKETS);
-  xorIntoTable(buckets, member);
+  toggleMemberHash(buckets, member);
   return {
     members: new Map([[self.node, member]]),
     viewVersion: 1,
@@ -117,10 +117,10 @@
     ringVersion: 0,
     round: [],
     dead: new Set(),
-    doubtful: new Set(),
+    disputed: new Set(),
     hints: [],
     rejoinAt: 0,
     pulledAt: Number.NEGATIVE_INFINITY,
-    pullChanges: 0,
+    changesSincePull: 0,
   };
 };
--- a/src/core/membership/suspicion.ts
+++ b/src/core/membership/suspicion.ts
@@ -7,9 +7,9 @@
 import type { Effect } from '../effect.js';
 import type { NodeId } from '../identifiers.js';
 import type { CoreState } from '../state.js';
-import { HEARSAY_SUSPICION_MS, LATE_TIMER_MS, WITNESS_SUSPICION_MS } from './bounds.js';
+import { REPORTED_SUSPICION_MS, LATE_TIMER_MS, OBSERVED_SUSPICION_MS } from './bounds.js';
 import { writeMember } from './change-member.js';
-import { armGossip, gossipUrgently } from './gossip.js';
+import { armGossip, sendUrgentGossip } from './gossip.js';
 import type { MembershipState, Suspicion } from './state.js';
 
 const armSuspicion = (node: NodeId, suspicion: Suspicion): Effect => ({
@@ -25,32 +25,28 @@
     : [];
 
 /** Suspects a member of which a peer said so. */
-export const suspectByHearsay = (
-  state: CoreState,
-  identity: NodeIdentity,
-  at: number,
-): Effect[] => {
+export const suspectReported = (state: CoreState, identity: NodeIdentity, at: number): Effect[] => {
   const { membership } = state;
   writeMember(membership, identity, 'suspect', at);
-  const suspicion = { witness: false, dueAt: at + HEARSAY_SUSPICION_MS };
+  const suspicion = { observed: false, dueAt: at + REPORTED_SUSPICION_MS };
   membership.suspicions.set(identity.node, suspicion);
   return [armSuspicion(identity.node, suspicion)];
 };
 
 /** Suspects a member that this node and its peers could not reach. */
-export const suspectAsWitness = (state: CoreState, node: NodeId, at: number): Effect[] => {
+export const suspectUnreachable = (state: CoreState, node: NodeId, at: number): Effect[] => {
   const { membership } = state;
   const member = membership.members.get(node);
   const known = membership.suspicions.get(node);
-  if (member === undefined || known?.witness === true) {
+  if (member === undefined || known?.observed === true) {
     return [];
   }
   if (member.state === 'alive') {
     state.counters.members_suspected += 1;
     writeMember(membership, member.identity, 'suspect', at);
   }
-  const dueAt = Math.min(at + WITNESS_SUSPICION_MS, known?.dueAt ?? Number.POSITIVE_INFINITY);
-  const suspicion = { witness: true, dueAt };
+  const dueAt = Math.min(at + OBSERVED_SUSPICION_MS, known?.dueAt ?? Number.POSITIVE_INFINITY);
+  const suspicion = { observed: true, dueAt };
   membership.suspicions.set(node, suspicion);
   return [armSuspicion(node, suspicion), ...armGossip(state, at)];
 };
@@ -64,7 +60,7 @@
     return effects;
   }
   writeMember(membership, identity, 'dead', at);
-  membership.doubtful.delete(identity.node);
+  membership.disputed.delete(identity.node);
   return [...effects, ...armGossip(state, at)];
 };
 
@@ -77,14 +73,14 @@
     return [];
   }
   if (at - suspicion.dueAt > LATE_TIMER_MS) {
-    suspicion.dueAt = at + (suspicion.witness ? WITNESS_SUSPICION_MS : HEARSAY_SUSPICION_MS);
+    suspicion.dueAt = at + (suspicion.observed ? OBSERVED_SUSPICION_MS : REPORTED_SUSPICION_MS);
     return [armSuspicion(node, suspicion)];
   }
   state.counters.members_declared_dead += 1;
   const effects = declareDead(state, member.identity, at);
   return [
     ...effects,
-    ...gossipUrgently(state, at),
+    ...sendUrgentGossip(state, at),
     {
       type: 'write-log',
       level: 'info',
@@ -95,10 +91,10 @@
 };
 
 /** Puts all suspicions off: this node did not run, so that refutations may be waiting. */
-export const putOffSuspicions = (state: CoreState, at: number): Effect[] => {
+export const postponeSuspicions = (state: CoreState, at: number): Effect[] => {
   const effects: Effect[] = [];
   for (const [node, suspicion] of state.membership.suspicions) {
-    suspicion.dueAt = at + (suspicion.witness ? WITNESS_SUSPICION_MS : HEARSAY_SUSPICION_MS);
+    suspicion.dueAt = at + (suspicion.observed ? OBSERVED_SUSPICION_MS : REPORTED_SUSPICION_MS);
     effects.push(armSuspicion(node, suspicion));
   }
   return effects;
--- a/src/core/membership/table-exchange.ts
+++ b/src/core/membership/table-exchange.ts
@@ -19,8 +19,8 @@
   QUIET_BEFORE_PULL_MS,
 } from './bounds.js';
 import { bucketOf, canFoldTo, countBucketsToSend, foldBuckets, hashTable } from './member-table.js';
-import { dropRumour } from './rumour-queue.js';
-import { noteAgreement } from './rumours.js';
+import { removeRumour } from './rumour-queue.js';
+import { recordEqualTable } from './rumours.js';
 import { getSelfIdentity } from './self-identity.js';
 import type { Member } from './member.js';
 import type { MembershipState } from './state.js';
@@ -46,16 +46,16 @@
 };
 
 /** Begins an exchange with `peer`: of the whole table when this node knows nobody. */
-export const pullTable = (state: CoreState, peer: NodeIdentity, at: number): Effect => {
+export const requestTable = (state: CoreState, peer: NodeIdentity, at: number): Effect => {
   state.membership.pulledAt = at;
-  state.membership.pullChanges = 0;
+  state.membership.changesSincePull = 0;
   state.counters.member_tables_pulled += 1;
   return sendPull(state, peer, listBuckets(state), FIRST_PAGE);
 };
 
 const isPullDue = (membership: MembershipState, at: number): boolean => {
   const sincePull = at - membership.pulledAt;
-  if (membership.pullChanges >= BUSY_PULL_CHANGES) {
+  if (membership.changesSincePull >= BUSY_PULL_CHANGES) {
     return sincePull >= BUSY_PULL_INTERVAL_MS;
   }
   return sincePull >= PULL_INTERVAL_MS && at - membership.changedAt >= QUIET_BEFORE_PULL_MS;
@@ -70,10 +70,10 @@
 ): Effect[] => {
   const { membership } = state;
   if (table === hashTable(membership.buckets)) {
-    noteAgreement(membership);
+    recordEqualTable(membership);
     return [];
   }
-  return membership.joined && isPullDue(membership, at) ? [pullTable(state, peer, at)] : [];
+  return membership.joined && isPullDue(membership, at) ? [requestTable(state, peer, at)] : [];
 };
 
 const listDiffering = (membership: MembershipState, pull: MembershipPull): Member[] => {
@@ -88,7 +88,7 @@
     .sort((a, b) => a.ringHash - b.ringHash);
 };
 
-const takePage = (members: readonly Member[]): Member[] => {
+const selectPage = (members: readonly Member[]): Member[] => {
   const last = members[PAGE_MEMBERS - 1];
   return last === undefined
     ? [...members]
@@ -96,10 +96,10 @@
 };
 
 /** Answers a peer's pull with one page. */
-export const answerPull = (state: CoreState, pull: MembershipPull, at: number): Effect[] => {
+export const handlePull = (state: CoreState, pull: MembershipPull, at: number): Effect[] => {
   const effects = applySender(state, pull.sender, at);
   const differing = listDiffering(state.membership, pull);
-  const members = takePage(differing);
+  const members = selectPage(differing);
   const last = members.at(-1);
   const isLast = members.length === differing.length || last === undefined;
   const message: MembershipPage = {
@@ -113,36 +113,36 @@
 };
 
 /** A death told by a table may be the other half's error: it is taken as a suspicion. */
-const soften = (update: MemberUpdate): MemberUpdate =>
+const deadToSuspect = (update: MemberUpdate): MemberUpdate =>
   update.state === 'dead' ? { identity: update.identity, state: 'suspect' } : update;
 
-const isDoubtful = (held: Member | undefined, update: MemberUpdate): boolean =>
+const isDisputed = (held: Member | undefined, update: MemberUpdate): boolean =>
   held?.state === 'dead' &&
   update.state === 'alive' &&
   update.identity.incarnation === held.identity.incarnation;
 
-const takeRecord = (state: CoreState, update: MemberUpdate, at: number): Effect[] => {
+const applyRecord = (state: CoreState, update: MemberUpdate, at: number): Effect[] => {
   const { membership } = state;
   const { node } = update.identity;
   const held = membership.members.get(node);
   if (held === undefined && update.state === 'dead') {
     return [];
   }
-  if (isDoubtful(held, update)) {
-    membership.doubtful.add(node);
+  if (isDisputed(held, update)) {
+    membership.disputed.add(node);
     return [];
   }
   const before = membership.changedAt;
   const hadRumour = membership.rumours.sent.has(node);
-  const effects = applyUpdate(state, soften(update), at);
+  const effects = applyUpdate(state, deadToSuspect(update), at);
   if (membership.rumours.sent.has(node) && !hadRumour) {
-    forgetRumourOfTable(state, update, before);
+    suppressTableRumour(state, update, before);
   }
   return effects;
 };
 
 /** What a table told is in other tables too: only suspicions and this node's own word are spread. */
-const forgetRumourOfTable = (
+const suppressTableRumour = (
   state: CoreState,
   update: MemberUpdate,
   changedBefore: number,
@@ -150,17 +150,17 @@
   const { membership } = state;
   const { node } = update.identity;
   if (node !== state.self.node && update.state !== 'dead' && update.state !== 'suspect') {
-    dropRumour(membership.rumours, node);
+    removeRumour(membership.rumours, node);
     membership.changedAt = changedBefore;
   }
 };
 
 /** Takes one page of a peer's table; asks for the next one, if any. */
-export const takePageOf = (state: CoreState, page: MembershipPage, at: number): Effect[] => {
+export const handlePage = (state: CoreState, page: MembershipPage, at: number): Effect[] => {
   const { membership } = state;
   const effects = applySender(state, page.sender, at);
   for (const update of page.updates) {
-    effects.push(...takeRecord(state, update, at));
+    effects.push(...applyRecord(state, update, at));
   }
   if (page.next === undefined) {
     membership.joined = true;
--- a/src/core/membership/tick.ts
+++ b/src/core/membership/tick.ts
@@ -5,12 +5,12 @@
 import type { CoreState } from '../state.js';
 import {
   DEAD_PINGS_PER_SECOND,
-  DOUBTFUL_PER_TICK,
-  FORGET_DEAD_MS,
+  DISPUTED_PER_TICK,
+  DEAD_RETENTION_MS,
   HINTS_PER_TICK,
   PROBE_INTERVAL_MS,
 } from './bounds.js';
-import { forgetMember } from './change-member.js';
+import { removeMember } from './change-member.js';
 import { pingAddress, pingMember, probeMember } from './probes.js';
 import { findSuccessor, listRing } from './ring.js';
 import type { Member } from './member.js';
@@ -82,13 +82,13 @@
   return member === undefined ? [] : [pingMember(state, member, at)];
 };
 
-const pingDoubtful = (state: CoreState, at: number): Effect[] => {
+const pingDisputed = (state: CoreState, at: number): Effect[] => {
   const effects: Effect[] = [];
-  for (const node of state.membership.doubtful) {
-    if (effects.length >= DOUBTFUL_PER_TICK) {
+  for (const node of state.membership.disputed) {
+    if (effects.length >= DISPUTED_PER_TICK) {
       break;
     }
-    state.membership.doubtful.delete(node);
+    state.membership.disputed.delete(node);
     const member = state.membership.members.get(node);
     if (member?.state === 'dead') {
       effects.push(pingMember(state, member, at));
@@ -108,11 +108,11 @@
     .map((address) => pingAddress(state, address, at));
 };
 
-const forgetOldDead = (membership: MembershipState, at: number): void => {
+const removeExpiredDead = (membership: MembershipState, at: number): void => {
   for (const node of membership.dead) {
     const member = membership.members.get(node);
-    if (member !== undefined && at - member.since >= FORGET_DEAD_MS) {
-      forgetMember(membership, member);
+    if (member !== undefined && at - member.since >= DEAD_RETENTION_MS) {
+      removeMember(membership, member);
     }
   }
 };
@@ -121,13 +121,13 @@
 export const tickMembership = (state: CoreState, at: number): Effect[] => {
   const { membership } = state;
   membership.ticks += 1;
-  forgetOldDead(membership, at);
+  removeExpiredDead(membership, at);
   const dueAt = Math.max(membership.tickDueAt + PROBE_INTERVAL_MS, at + PROBE_INTERVAL_MS / 2);
   return [
     armTick(membership, dueAt),
     ...probeNext(state, at),
     ...pingDead(state, at),
-    ...pingDoubtful(state, at),
+    ...pingDisputed(state, at),
     ...pingHints(state, at),
   ];
 };
--- a/src/core/query/record-outcome.ts
+++ b/src/core/query/record-outcome.ts
@@ -1,7 +1,7 @@
 /** Feeds the ends of attempts into what this node observes of replicas. */
 import type { AttemptOutcome, LegResult } from '../../protocol/leg-messages.js';
 import type { Effect } from '../effect.js';
-import { noteReplicaLeaving } from '../membership/replica-rumours.js';
+import { recordReplicaLeaving } from '../membership/replica-rumours.js';
 import type { CoreState } from '../state.js';
 import type { AttemptRecord } from './active-query.js';
 import { addRatio } from './latency-histogram.js';
@@ -38,7 +38,7 @@
   const timing = { latencyMs, queuedMs, serviceMs, backlogMs };
   recordAnswer(observed, timing, answer.load, status.slots, at);
   if (answer.leaving === true) {
-    effects.push(...noteReplicaLeaving(state, status.replica, at));
+    effects.push(...recordReplicaLeaving(state, status.replica, at));
   }
 };
 
@@ -84,7 +84,7 @@
     case 'leaving': {
       const { retryAfterMs } = outcome as Extract<Failed, { type: 'not-run' }>;
       recordNeutral(observed);
-      effects.push(...noteReplicaLeaving(state, status.replica, at, retryAfterMs));
+      effects.push(...recordReplicaLeaving(state, status.replica, at, retryAfterMs));
       break;
     }
     case 'connect-failed':
--- a/src/core/replica/leaving-replicas.ts
+++ b/src/core/replica/leaving-replicas.ts
@@ -4,7 +4,7 @@
  */
 import type { AttemptOutcome } from '../../protocol/leg-messages.js';
 import type { Effect } from '../effect.js';
-import { leavingForMs, noteReplicaLeaving } from '../membership/replica-rumours.js';
+import { remainingLeavingMs, recordReplicaLeaving } from '../membership/replica-rumours.js';
 import type { CoreState } from '../state.js';
 import { reportNotRun } from './report-result.js';
 import type { HeldAttempt, ReplicaFeed } from './state.js';
@@ -23,7 +23,7 @@
   effects: Effect[],
 ): void => {
   if (saysLeaving(outcome)) {
-    effects.push(...noteReplicaLeaving(state, held.leg.replica, at));
+    effects.push(...recordReplicaLeaving(state, held.leg.replica, at));
   }
 };
 
@@ -37,7 +37,7 @@
   held: Pick<HeldAttempt, 'coordinator' | 'leg' | 'arrivedAt'>,
   at: number,
 ): boolean => {
-  const heldFor = leavingForMs(state, held.leg.replica, at);
+  const heldFor = remainingLeavingMs(state, held.leg.replica, at);
   if (heldFor === 0 && feed.status.lifecycle !== 'leaving') {
     return false;
   }
--- a/test/membership/membership.test.ts
+++ b/test/membership/membership.test.ts
@@ -4,7 +4,7 @@
 const ZONES = ['bole', 'arada', 'kirkos', 'yeka'];
 const SEEDS = [1, 2, 3, 4, 5];
 
-const startWhole = (seed: number, count = 12, lossShare = 0.01): VirtualCluster => {
+const startCluster = (seed: number, count = 12, lossShare = 0.01): VirtualCluster => {
   const cluster = new VirtualCluster({ seed, lossShare });
   cluster.startMany(count, ZONES);
   cluster.runUntil(() => cluster.isWhole(), 5_000);
@@ -26,16 +26,16 @@
   });
 
   it.each(SEEDS)('knows a killed node dead everywhere within 5 s (seed %i)', (seed) => {
-    const cluster = startWhole(seed);
+    const cluster = startCluster(seed);
     for (const id of ['node-3', 'node-7', 'node-0']) {
       cluster.kill(id);
-      const took = cluster.runUntil(() => isDeadEverywhere(cluster, id), 10_000);
-      expect(took).toBeLessThanOrEqual(5_000);
+      const durationMs = cluster.runUntil(() => isDeadEverywhere(cluster, id), 10_000);
+      expect(durationMs).toBeLessThanOrEqual(5_000);
     }
   });
 
   it.each(SEEDS)('declares no live node dead for pauses under 1 s (seed %i)', (seed) => {
-    const cluster = startWhole(seed);
+    const cluster = startCluster(seed);
     for (let round = 0; round < 30; round += 1) {
       cluster.pause(`node-${round % 12}`, 400 + ((round * 97) % 599));
       cluster.pause(`node-${(round * 5 + 3) % 12}`, 300 + ((round * 61) % 699));
@@ -46,7 +46,7 @@
   });
 
   it('does not declare others dead when it wakes after a long pause, and is taken back', () => {
-    const cluster = startWhole(7);
+    const cluster = startCluster(7);
     cluster.pause('node-4', 20_000);
     cluster.run(10_000);
     const others = cluster.running().filter((node) => node.id !== 'node-4');
@@ -58,7 +58,7 @@
   });
 
   it('suspects a node that does not answer, and believes its refutation', () => {
-    const cluster = startWhole(8);
+    const cluster = startCluster(8);
     const observer = cluster.node('node-1');
     const incarnation = () =>
       [...observer.state.membership.members.values()].find(
@@ -72,7 +72,7 @@
   });
 
   it('takes a machine back that restarts under its old name and address', () => {
-    const cluster = startWhole(9);
+    const cluster = startCluster(9);
     cluster.kill('node-6');
     cluster.run(200);
     cluster.start({ id: 'node-6', zone: 'kirkos', port: 9_006, seeds: [9_000] });
@@ -80,7 +80,7 @@
   });
 
   it('replaces a member by a younger one with another name at its address', () => {
-    const cluster = startWhole(10);
+    const cluster = startCluster(10);
     cluster.kill('node-6');
     cluster.start({ id: 'node-6b', zone: 'kirkos', port: 9_006, seeds: [9_000] });
     cluster.nodes.delete('node-6');
@@ -91,7 +91,7 @@
   });
 
   it('refutes what is left of a former life whose clock was ahead', () => {
-    const cluster = startWhole(11);
+    const cluster = startCluster(11);
     cluster.kill('node-2');
     cluster.runUntil(() => isDeadEverywhere(cluster, 'node-2'), 6_000);
     const clockAheadMs = -3_600_000;
@@ -102,7 +102,7 @@
   it.each(SEEDS)(
     'finds itself whole within 5 s after a cut between zones heals (seed %i)',
     (seed) => {
-      const cluster = startWhole(seed);
+      const cluster = startCluster(seed);
       for (const far of ['kirkos', 'yeka']) {
         cluster.cut('bole', far);
         cluster.cut('arada', far);
@@ -117,7 +117,7 @@
   );
 
   it('keeps members alive that can be reached through a third zone only', () => {
-    const cluster = startWhole(12);
+    const cluster = startCluster(12);
     cluster.cut('bole', 'arada');
     cluster.run(60_000);
     expect(countDeclaredDead(cluster)).toBe(0);
@@ -151,7 +151,7 @@
   });
 
   it('announces a planned stop within a second, and ends', () => {
-    const cluster = startWhole(13);
+    const cluster = startCluster(13);
     cluster.stop('node-8');
     const others = cluster.running().filter((node) => node.id !== 'node-8');
     const knows = () =>
@@ -162,7 +162,7 @@
   });
 
   it('grows the version of the view with the set of live members, and only then', () => {
-    const cluster = startWhole(14);
+    const cluster = startCluster(14);
     const { membership } = cluster.node('node-1').state;
     const before = membership.viewVersion;
     cluster.run(10_000);
@@ -173,7 +173,7 @@
   });
 
   it('joins by the machine list when no seed is left', () => {
-    const cluster = startWhole(15);
+    const cluster = startCluster(15);
     cluster.store.machines.push({
       id: 'node-1',
       host: '127.0.0.1',
--- a/test/membership/ring.test.ts
+++ b/test/membership/ring.test.ts
@@ -35,10 +35,10 @@
             listRing(membership);
           }
         }
-        const amended = [...listRing(membership)];
-        const anew = [...listRing({ ...membership, ringVersion: -1 })];
-        expect(amended).toEqual(anew);
-        expect(new Set(amended).size).toBe(amended.length);
+        const updated = [...listRing(membership)];
+        const rebuilt = [...listRing({ ...membership, ringVersion: -1 })];
+        expect(updated).toEqual(rebuilt);
+        expect(new Set(updated).size).toBe(updated.length);
       }),
       { seed: SEED, numRuns: 300 },
     );
--- a/test/membership/table-exchange.test.ts
+++ b/test/membership/table-exchange.test.ts
@@ -2,7 +2,7 @@
 import type { Effect } from '../../src/core/effect.js';
 import { identifier, type NodeId } from '../../src/core/identifiers.js';
 import { addressKey, createMember } from '../../src/core/membership/state.js';
-import { xorIntoTable } from '../../src/core/membership/member-table.js';
+import { toggleMemberHash } from '../../src/core/membership/member-table.js';
 import { step } from '../../src/core/reducer.js';
 import { type CoreState, createCoreState } from '../../src/core/state.js';
 import type {
@@ -25,13 +25,13 @@
   createCoreState({ self: identityOf(index), seeds: [identityOf(0).address], seed: index });
 
 /** Lets a node know members `from` up to, not including, `to`. */
-const fill = ({ membership, self }: CoreState, from: number, to: number): void => {
+const addMembers = ({ membership, self }: CoreState, from: number, to: number): void => {
   for (let index = from; index < to; index += 1) {
     const member = createMember(identityOf(index), 'alive', 0);
     if (member.identity.node !== self.node) {
       membership.members.set(member.identity.node, member);
       membership.addresses.set(addressKey(member.identity.address), member.identity.node);
-      xorIntoTable(membership.buckets, member);
+      toggleMemberHash(membership.buckets, member);
     }
   }
   membership.viewVersion += 1;
@@ -52,7 +52,7 @@
 const alive = (identity: NodeIdentity): MemberUpdate => ({ identity, state: 'alive' });
 
 /** A node that has just started and has heard of a seed, which it has asked for its table. */
-const beginToJoin = (): CoreState => {
+const startJoining = (): CoreState => {
   const state = createNode(1);
   step(state, { type: 'started', at: START_MS });
   const effects = step(state, {
@@ -75,7 +75,7 @@
 
 describe('joining', () => {
   it('asks nobody else while a table arrives page by page', () => {
-    const state = beginToJoin();
+    const state = startJoining();
     const next = step(state, {
       type: 'link-message-arrived',
       at: START_MS + 250,
@@ -92,16 +92,16 @@
   });
 
   it('asks again when no page has come, and only for what it lacks', () => {
-    const state = beginToJoin();
+    const state = startJoining();
     expect(listPulls(retryJoin(state, START_MS + 320))).toHaveLength(1);
     const late = createNode(1);
-    fill(late, 0, 500);
+    addMembers(late, 0, 500);
     late.membership.joined = false;
     late.membership.joinDeadline = START_MS + 1_500;
     const [again] = listPulls(retryJoin(late, START_MS + 600));
     expect(again).toMatchObject({ after: -1 });
     const other = createNode(2);
-    fill(other, 0, 500);
+    addMembers(other, 0, 500);
     const answer = step(other, {
       type: 'link-message-arrived',
       at: START_MS + 610,
@@ -114,21 +114,21 @@
 
 describe('an exchange of tables', () => {
   const exchange = (size: number, lacked: number) => {
-    const asking = createNode(1);
-    const asked = createNode(2);
-    fill(asking, 0, size - lacked);
-    fill(asked, 0, size);
-    asking.membership.changedAt = Number.NEGATIVE_INFINITY;
-    const ping = step(asking, {
+    const requester = createNode(1);
+    const responder = createNode(2);
+    addMembers(requester, 0, size - lacked);
+    addMembers(responder, 0, size);
+    requester.membership.changedAt = Number.NEGATIVE_INFINITY;
+    const ping = step(requester, {
       type: 'datagram-arrived',
       at: START_MS,
-      message: { type: 'gossip', sender: asked.self, updates: [], table: 1 },
+      message: { type: 'gossip', sender: responder.self, updates: [], table: 1 },
     });
     const [pull] = listPulls(ping);
-    const answer = step(asked, {
+    const answer = step(responder, {
       type: 'link-message-arrived',
       at: START_MS + 1,
-      from: asking.self.node,
+      from: requester.self.node,
       message: pull as MembershipLinkMessage,
     });
     const [page] = listSent(answer);
--- a/test/replica/leaving.test.ts
+++ b/test/replica/leaving.test.ts
@@ -1,7 +1,10 @@
 import { describe, expect, it } from 'vitest';
 import type { Effect } from '../../src/core/effect.js';
 import type { NodeId } from '../../src/core/identifiers.js';
-import { isReplicaLeaving, noteReplicaLeaving } from '../../src/core/membership/replica-rumours.js';
+import {
+  isReplicaLeaving,
+  recordReplicaLeaving,
+} from '../../src/core/membership/replica-rumours.js';
 import { step } from '../../src/core/reducer.js';
 import type { LegAttempt, LegContext } from '../../src/protocol/leg-messages.js';
 import { ENSEMBLE, VirtualTier, type VirtualReplica } from '../query/virtual-tier.js';
@@ -15,7 +18,7 @@
   new VirtualTier({ zones: ['bole', 'arada'], nodesPerZone: 1, services: 1, slots: 1 });
 
 const note = (tier: VirtualTier): void => {
-  noteReplicaLeaving(tier.state(FEEDER), findLeaving(tier).status.replica, tier.now);
+  recordReplicaLeaving(tier.state(FEEDER), findLeaving(tier).status.replica, tier.now);
 };
 
 const isKnown = (tier: VirtualTier, node: NodeId): boolean =>
