--- a/src/core/membership/apply-update.ts
+++ b/src/core/membership/apply-update.ts
@@ -1,7 +1,7 @@
 /**
- * Rules by which rumours change the member table. A greater incarnation wins; within one
- * incarnation dead wins over leaving, leaving over suspect, suspect over alive. Only the node itself
- * raises its incarnation, which is how it refutes what is said of it.
+ * Rules for applying rumours to the member table. A greater incarnation wins; within one
+ * incarnation, dead overrides leaving, leaving overrides suspect, and suspect overrides alive. Only
+ * the node itself raises its incarnation, to refute rumours about it.
  */
 import type { MemberState, MemberUpdate } from '../../protocol/membership-messages.js';
 import type { NodeIdentity } from '../../protocol/node-address.js';
@@ -29,7 +29,7 @@
 
 const ownState = (state: CoreState): MemberState => getSelf(state).state;
 
-/** Raises this node's incarnation above `above`, and tells others at once. */
+/** Raises this node's incarnation above `above` and gossips it at once. */
 export const raiseIncarnation = (state: CoreState, above: number, at: number): Effect[] => {
   const self = getSelf(state);
   const incarnation = Math.max(above, self.identity.incarnation) + 1;
@@ -49,7 +49,7 @@
         },
       ];
 
-/** Takes what is said of this node itself; refutes it when it is wrong. */
+/** Handles a rumour about this node itself; refutes it if it is wrong. */
 const applyToSelf = (state: CoreState, update: MemberUpdate, at: number): Effect[] => {
   const { incarnation } = getSelf(state).identity;
   const reported = update.identity.incarnation;
@@ -63,7 +63,7 @@
   return [...warnOfDuplicateName(state, update.identity), ...raiseIncarnation(state, reported, at)];
 };
 
-/** A younger process at the address of an older member has replaced it. */
+/** Declares a member dead if a newer process under another name uses its address. */
 const replaceAtAddress = (state: CoreState, update: MemberUpdate, at: number): Effect[] => {
   const { membership } = state;
   const holder = membership.addresses.get(addressKey(update.identity.address));
@@ -102,7 +102,7 @@
   }
 };
 
-/** Applies one rumour; returns nothing when it is no news. */
+/** Applies one rumour; returns no effects when it is not newer than the record held. */
 export const applyUpdate = (state: CoreState, update: MemberUpdate, at: number): Effect[] => {
   const { node } = update.identity;
   if (node === state.self.node) {
@@ -115,6 +115,6 @@
   return [...applyNewerUpdate(state, update, at), ...armGossip(state, at)];
 };
 
-/** Takes a message's sender as proof that it is alive, if that is news. */
+/** Records that the sender of a message is alive, if its record is older. */
 export const applySender = (state: CoreState, sender: NodeIdentity, at: number): Effect[] =>
   applyUpdate(state, { identity: sender, state: 'alive' }, at);
--- a/src/core/membership/change-member.ts
+++ b/src/core/membership/change-member.ts
@@ -1,4 +1,4 @@
-/** The one place where records of the member table change, with all that is kept about them. */
+/** Changes records of the member table and all data derived from them; nothing else does. */
 import type { MemberState } from '../../protocol/membership-messages.js';
 import type { NodeIdentity } from '../../protocol/node-address.js';
 import { toggleMemberHash } from './member-table.js';
@@ -32,7 +32,7 @@
   return member;
 };
 
-/** Rumours of leaving back ends are told again, for the sake of a process that has just begun. */
+/** Spreads rumours of leaving replicas again, so that a process that has just started gets them. */
 const respreadLeavingReplicas = (membership: MembershipState): void => {
   for (const [replica, rumour] of membership.leavingReplicas) {
     rumour.sent = 0;
@@ -49,8 +49,8 @@
 };
 
 /**
- * Writes what is now known of a member, and queues the rumour of it. Grows the view's version when
- * the set of live members has changed.
+ * Writes the record of a member and queues a rumour about it. Increments the version of the view
+ * when the set of live members, or the address or zone of one, has changed.
  */
 export const writeMember = (
   membership: MembershipState,
@@ -90,7 +90,7 @@
   return member;
 };
 
-/** Drops a member from the table. It must be dead. */
+/** Removes a dead member from the table. */
 export const removeMember = (membership: MembershipState, member: Member): void => {
   membership.members.delete(member.identity.node);
   membership.dead.delete(member.identity.node);
--- a/src/core/membership/digest.ts
+++ b/src/core/membership/digest.ts
@@ -1,9 +1,9 @@
-/** What a node holds, as it rides on each ping and acknowledgement. */
+/** The digest of a node, sent with each ping and acknowledgement. */
 import type { Piggyback } from '../../protocol/membership-messages.js';
 import type { CoreState } from '../state.js';
 import { hashTable } from './member-table.js';
 
-/** The digest of the configuration and the hash of the member table. */
+/** Creates the digest of the configuration and the hash of the member table. */
 export const createDigest = (state: CoreState): Required<Pick<Piggyback, 'digest' | 'table'>> => ({
   digest: {
     revision: state.configuration.revision,
--- a/src/core/membership/gossip.ts
+++ b/src/core/membership/gossip.ts
@@ -1,4 +1,4 @@
-/** Rounds of gossip: rumours to a few random members, while there are any to spread. */
+/** Rounds of gossip: send rumours to a few random members while there are any to spread. */
 import type { Effect } from '../effect.js';
 import type { NodeId } from '../identifiers.js';
 import type { CoreState } from '../state.js';
@@ -9,7 +9,7 @@
 
 const GOSSIP_TIMER = { purpose: 'membership-gossip', subject: '' } as const;
 
-/** Draws up to `count` different live members other than this node and `except`. */
+/** Samples up to `count` distinct live members other than this node and `except`. */
 export const sampleMembers = (state: CoreState, count: number, except?: NodeId): Member[] => {
   const ring = listRing(state.membership);
   const sampled = new Set<Member>();
@@ -24,14 +24,14 @@
   return [...sampled];
 };
 
-/** Sends the rumours of now to one member. */
+/** Creates the datagram with the current rumours for one member. */
 const createGossip = (state: CoreState, at: number, member: Member): Effect => ({
   type: 'send-datagram',
   to: member.identity.address,
   message: { type: 'gossip', ...createPiggyback(state, at, member.identity.node) },
 });
 
-/** Sees to it that rounds of gossip go on while there are rumours. */
+/** Schedules the next round of gossip if there are rumours and none is scheduled. */
 export const armGossip = (state: CoreState, at: number): Effect[] => {
   if (state.membership.gossiping || !hasRumours(state.membership)) {
     return [];
@@ -45,14 +45,14 @@
     hasRumours(state.membership) ? [createGossip(state, at, member)] : [],
   );
 
-/** One round of gossip. */
+/** Runs one round of gossip. */
 export const runGossipRound = (state: CoreState, at: number): Effect[] => {
   state.membership.gossiping = false;
   const effects = sendGossip(state, at, GOSSIP_PEERS);
   return [...effects, ...armGossip(state, at)];
 };
 
-/** Tells more members at once: for refutations and planned stops. */
+/** Sends rumours to more members at once, for refutations and planned stops. */
 export const sendUrgentGossip = (state: CoreState, at: number): Effect[] => [
   ...sendGossip(state, at, URGENT_GOSSIP_PEERS),
   ...armGossip(state, at),
--- a/src/core/membership/join.ts
+++ b/src/core/membership/join.ts
@@ -1,4 +1,4 @@
-/** Joining: seeds first, then the platform's machine list; neither is trusted, only asked. */
+/** Joining through the seeds, then through the machine list; both only supply addresses to ping. */
 import type { Machine } from '../../catalog/store-object.js';
 import type { PeerAddress } from '../../protocol/node-address.js';
 import type { Effect } from '../effect.js';
@@ -19,9 +19,9 @@
 import { armTick } from './tick.js';
 
 const JOIN_TIMER = { purpose: 'membership-join', subject: '' } as const;
-/** Members for each of which seeds are asked again that much less often. */
+/** The rejoin interval grows in proportion to the number of members divided by this. */
 const MEMBERS_PER_REJOIN_INTERVAL = 100;
-/** Seeds asked at once. */
+/** Number of seeds pinged at once. */
 const SEEDS_AT_ONCE = 5;
 
 const listMissingSeeds = (state: CoreState): PeerAddress[] =>
@@ -36,11 +36,11 @@
 
 const isAlone = (membership: MembershipState): boolean => listRing(membership).length <= 1;
 
-/** True while pages of a table arrive, or the first one may still come. */
+/** True while pages of a table arrive or the first one is awaited. */
 const isPulling = (membership: MembershipState, at: number): boolean =>
   at - membership.pulledAt < JOIN_RETRY_MS;
 
-/** Asks a member for its table, or the seeds whether they are there. */
+/** Requests the table of a known member, if any, and pings seeds that are not members yet. */
 const requestJoin = (state: CoreState, at: number): Effect[] => {
   const { membership } = state;
   const known = listRing(membership).filter((member) => member.identity.node !== state.self.node);
@@ -51,7 +51,7 @@
   return [...pull, ...seeds.map((seed) => pingAddress(state, seed, at))];
 };
 
-/** The process has started. */
+/** Starts joining when the process has started. */
 export const startJoin = (state: CoreState, at: number): Effect[] => {
   const { membership } = state;
   membership.joinDeadline = at + JOIN_TIMEOUT_MS;
@@ -79,7 +79,7 @@
   ];
 };
 
-/** The timer of joining has fired. */
+/** Handles the join timer: repeats the requests, or continues alone after the deadline. */
 export const handleJoinTimer = (state: CoreState, at: number): Effect[] => {
   const { membership } = state;
   if (membership.joined) {
@@ -93,7 +93,7 @@
   return [armJoin(retryAt + JOIN_RETRY_MS), ...requestJoin(state, at)];
 };
 
-/** Asks the first peer that answers for its table. */
+/** While joining, requests the member table once a peer has answered. */
 export const requestTableIfJoining = (state: CoreState, at: number): Effect[] => {
   const { membership } = state;
   const isWaiting = !membership.joined || membership.pulledAt === Number.NEGATIVE_INFINITY;
@@ -101,7 +101,7 @@
   return isDue && !isAlone(membership) ? requestJoin(state, at) : [];
 };
 
-/** Takes the platform's machine list as hints of whom to ask. */
+/** Records the unknown addresses of the platform's machine list, to be pinged. */
 export const handleMachinesRead = (state: CoreState, machines: readonly Machine[]): void => {
   const { membership } = state;
   membership.hints = machines
--- a/src/core/membership/leave.ts
+++ b/src/core/membership/leave.ts
@@ -1,4 +1,4 @@
-/** A planned stop, told to others before the work ends and once more when it has ended. */
+/** Announces a planned stop: first that the node is leaving, then that it has ended. */
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
 import { URGENT_GOSSIP_PEERS } from './bounds.js';
@@ -6,13 +6,13 @@
 import { sampleMembers, sendUrgentGossip } from './gossip.js';
 import { getSelfIdentity } from './self-identity.js';
 
-/** Announces that this node takes no new work. */
+/** Announces that this node accepts no new work. */
 export const announceLeaving = (state: CoreState, at: number): Effect[] => {
   writeMember(state.membership, getSelfIdentity(state), 'leaving', at);
   return sendUrgentGossip(state, at);
 };
 
-/** Tells some members that this node has ended; they spread it. */
+/** Announces to some members that this node has ended; they spread it. */
 export const announceEnd = (state: CoreState): Effect[] => {
   const sender = getSelfIdentity(state);
   return sampleMembers(state, URGENT_GOSSIP_PEERS).map((member) => ({
--- a/src/core/membership/member-table.ts
+++ b/src/core/membership/member-table.ts
@@ -1,22 +1,22 @@
 /**
- * Hashes of the member table, kept up to date with each change.
+ * Hashes of the member table, updated incrementally with each change.
  *
- * The table is cut into buckets by the hash of the node. A bucket's hash is the exclusive or over
- * its members that are not dead, so that two nodes with the same members have the same hashes
- * whatever the order in which they heard of them. Suspicion is left out: it passes by itself.
+ * The table is divided into buckets by the hash of the node. A bucket's hash is the exclusive or
+ * over its members that are not dead, so nodes with the same members have the same hashes
+ * regardless of the order of changes. Suspicions are excluded because they are temporary.
  */
 import { hash32 } from '../hash.js';
 import { MIN_BUCKETS_SENT, MEMBERS_PER_BUCKET_SENT, TABLE_BUCKETS } from './bounds.js';
 import type { Member } from './member.js';
 
-/** The bucket of a member, of `count` buckets. */
+/** Returns the bucket of a member among `count` buckets. */
 export const bucketOf = (member: Pick<Member, 'ringHash'>, count = TABLE_BUCKETS): number =>
   member.ringHash % count;
 
-/** True when hashes of `count` buckets can be had by folding those that are kept. */
+/** True when the hashes of `count` buckets can be computed by folding those stored. */
 export const canFoldTo = (count: number): boolean => count > 0 && TABLE_BUCKETS % count === 0;
 
-/** The hashes of `count` buckets, each made of those kept that fall together. */
+/** Computes the hashes of `count` buckets by combining the stored ones. */
 export const foldBuckets = (buckets: Uint32Array, count: number): Uint32Array => {
   const folded = new Uint32Array(count);
   buckets.forEach((hash, bucket) => {
@@ -26,8 +26,8 @@
 };
 
 /**
- * How many buckets to send for a table of `members`: as many as find those that differ one by one,
- * where that costs less than the members of a bucket that are sent for nothing.
+ * Returns how many bucket hashes to send for a table of `members`. More hashes make the buckets
+ * smaller, so that fewer members that do not differ are sent with those that do.
  */
 export const countBucketsToSend = (members: number): number => {
   let count = MIN_BUCKETS_SENT;
@@ -42,7 +42,7 @@
   return hash32(`${member.identity.node}|${member.identity.incarnation}|${kind}`);
 };
 
-/** Adds a member to the hashes, or takes it out again when it is in them. */
+/** Adds a member to the hashes, or removes it when it is included already. */
 export const toggleMemberHash = (buckets: Uint32Array, member: Member): void => {
   if (member.state === 'dead') {
     return;
@@ -51,7 +51,7 @@
   buckets[bucket] = ((buckets[bucket] ?? 0) ^ hashMember(member)) >>> 0;
 };
 
-/** One hash over the whole table. */
+/** Computes one hash over the whole table. */
 export const hashTable = (buckets: Uint32Array): number => {
   let hash = 0;
   for (const bucket of buckets) {
--- a/src/core/membership/member.ts
+++ b/src/core/membership/member.ts
@@ -1,17 +1,17 @@
-/** A member as this node knows it. */
+/** The record of a member in the member table of this node. */
 import type { MemberState } from '../../protocol/membership-messages.js';
 import type { NodeIdentity } from '../../protocol/node-address.js';
 
-/** One known member. */
+/** One known member. Times are on the monotonic clock of this node. */
 export interface Member {
   identity: NodeIdentity;
   state: MemberState;
-  /** When the state last changed here. */
+  /** When the state last changed at this node. */
   since: number;
-  /** The newest revision of the configuration the member is known to hold; 0 when not known. */
+  /** Newest configuration revision the member is known to hold; 0 when unknown. */
   revision: number;
-  /** The member is known to serve. */
+  /** True when the last digest of the member said that it serves. */
   serving: boolean;
-  /** Place on the ring of probes. */
+  /** Position on the probe ring. */
   readonly ringHash: number;
 }
--- a/src/core/membership/messages.ts
+++ b/src/core/membership/messages.ts
@@ -1,4 +1,4 @@
-/** What a node does with each datagram of membership. */
+/** Handlers of the membership datagrams. */
 import type {
   Acknowledgement,
   MembershipMessage,
@@ -25,7 +25,7 @@
   }
 };
 
-/** Takes what rides on a datagram besides its purpose. */
+/** Handles the data piggybacked on a datagram: rumours, digest and table hash. */
 const handlePiggyback = (state: CoreState, message: MembershipMessage, at: number): Effect[] => {
   const { sender, updates } = message;
   const includesSender = updates.some((update) => update.identity.node === sender.node);
--- a/src/core/membership/pause.ts
+++ b/src/core/membership/pause.ts
@@ -1,6 +1,6 @@
 /**
- * A node that was paused finds out from the gap on its own clock. Its timers prove nothing about
- * peers then, and peers may have suspected it.
+ * Detection of process pauses by a gap on the node's own clock. After a pause, expired timers say
+ * nothing about peers, and peers may have suspected this node.
  */
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
@@ -11,7 +11,7 @@
 import { postponeSuspicions } from './suspicion.js';
 import { armTick } from './tick.js';
 
-/** Notices that this node has not run for a while; to be called before anything else. */
+/** Detects a pause of this process and recovers from it; must run before the event is handled. */
 export const detectPause = (state: CoreState, at: number): Effect[] => {
   const { membership } = state;
   const gap = at - membership.tickDueAt;
--- a/src/core/membership/probes.ts
+++ b/src/core/membership/probes.ts
@@ -1,4 +1,6 @@
-/** Probes: a ping, then pings through peers, then suspicion; a suspect is probed until it ends. */
+/**
+ * Probes: a direct ping, then pings through peers, then suspicion, during which probes continue.
+ */
 import type { PeerAddress } from '../../protocol/node-address.js';
 import type { Effect } from '../effect.js';
 import type { NodeId } from '../identifiers.js';
@@ -52,11 +54,11 @@
 const sendPing = (state: CoreState, { identity }: Member, sequence: number, at: number): Effect =>
   createPing(state, identity.address, identity.node, sequence, at);
 
-/** Sends a ping that nobody waits for: what its receiver answers is news in itself. */
+/** Sends a ping without a timeout; the acknowledgement carries the state of the receiver. */
 export const pingMember = (state: CoreState, member: Member, at: number): Effect =>
   sendPing(state, member, allocateSequence(state), at);
 
-/** Pings whoever listens at an address. */
+/** Pings an address whose node is not known. */
 export const pingAddress = (state: CoreState, address: PeerAddress, at: number): Effect =>
   createPing(state, address, undefined, allocateSequence(state), at);
 
@@ -79,7 +81,7 @@
   return [sendPing(state, member, sequence, at), armProbe(sequence, probe)];
 };
 
-/** Probes a member, unless it is being probed. */
+/** Probes a member unless a probe of it is in flight. */
 export const probeMember = (state: CoreState, member: Member, at: number): Effect[] => {
   const { node } = member.identity;
   return isProbed(state, node)
@@ -87,7 +89,7 @@
     : addProbe(state, member, { target: node, stage: 'direct', dueAt: at + DIRECT_TIMEOUT_MS }, at);
 };
 
-/** Probes a member because a peer asked; the acknowledgement is passed on to the peer. */
+/** Probes a member on behalf of a peer; the acknowledgement is forwarded to the peer. */
 export const probeForPeer = (
   state: CoreState,
   member: Member,
@@ -165,7 +167,7 @@
   return [...suspected, ...reprobeSuspect(state, sequence, probe, member, at)];
 };
 
-/** A stage of a probe has run out without an acknowledgement. */
+/** Handles the timeout of a probe stage: starts the next stage, or suspects the member. */
 export const expireProbe = (state: CoreState, sequence: number, at: number): Effect[] => {
   const { membership } = state;
   const probe = membership.probes.get(sequence);
@@ -191,13 +193,13 @@
   }
 };
 
-/** Ends a probe that has been answered. */
+/** Ends a probe that was acknowledged. */
 export const endProbe = (state: CoreState, sequence: number): Effect[] => {
   state.membership.probes.delete(sequence);
   return [{ type: 'cancel-timer', key: probeTimer(sequence) }];
 };
 
-/** Gives the probes in flight their full time again: this node did not run. */
+/** Restarts the timeout of all probes in flight after a pause of this process. */
 export const extendProbes = (state: CoreState, at: number): Effect[] => {
   const effects: Effect[] = [];
   for (const [sequence, probe] of state.membership.probes) {
--- a/src/core/membership/reducer.ts
+++ b/src/core/membership/reducer.ts
@@ -1,9 +1,9 @@
 /**
- * The membership slice: who is alive, as nodes tell each other.
+ * The membership slice: a gossip protocol that tracks which nodes are alive.
  *
- * A member is probed directly, then through others; suspected before it is declared dead; and
- * refutes a suspicion by raising its incarnation. Rumours ride on the probes. No machine is set
- * aside for this, and the cost for each node is the same however many there are.
+ * A member is probed directly, then through peers; it is suspected before it is declared dead, and
+ * refutes a suspicion by raising its incarnation. Rumours are piggybacked on probes. The protocol
+ * needs no dedicated machine, and its cost per node does not depend on the number of nodes.
  */
 import type { Effect } from '../effect.js';
 import type { Event, LinkMessageArrived, TimerFired } from '../event.js';
@@ -47,7 +47,7 @@
   }
 };
 
-/** A link that breaks is a reason to look at once whether its other end lives. */
+/** Probes a peer at once after its link was lost. */
 const handleLinkLost = (state: CoreState, peer: NodeId, at: number): Effect[] => {
   const member = state.membership.members.get(peer);
   const isLive = member?.state === 'alive' || member?.state === 'suspect';
--- a/src/core/membership/replica-rumours.ts
+++ b/src/core/membership/replica-rumours.ts
@@ -1,8 +1,7 @@
 /**
- * Back ends that are leaving, as nodes tell each other. A sign seen by one node (a refusal, a
- * header, a status object) reaches all others with the rumours of membership, so that they send no
- * new work although the platform's list still lags. A rumour lapses by itself: a back end that
- * returns under its old name is used again.
+ * Rumours of leaving replicas. A sign seen by one node (a refusal, a header, a status object) is
+ * spread with the membership rumours, so that no node sends new work although the platform's list
+ * lags behind. A rumour expires, so that a replica that returns under its old name is used again.
  */
 import type { LeavingReplica } from '../../protocol/membership-messages.js';
 import type { Effect } from '../effect.js';
@@ -52,22 +51,25 @@
   return true;
 };
 
-/** How long `replica` is still held to be leaving, in milliseconds from `at`; 0 when it is not. */
+/**
+ * Returns how long `replica` still counts as leaving, in milliseconds from `at`; 0 if it does not.
+ */
 export const remainingLeavingMs = (state: CoreState, replica: ReplicaId, at: number): number => {
   const { leavingReplicas } = state.membership;
   const rumour = leavingReplicas.size > 0 ? leavingReplicas.get(replica) : undefined;
   return rumour === undefined ? 0 : Math.max(0, rumour.until - at);
 };
 
-/** True when a sign was seen here or by a peer that `replica` takes no new work; `at` is now. */
+/** True when this node or a peer saw a sign that `replica` accepts no new work; `at` is now. */
 export const isReplicaLeaving = (state: CoreState, replica: ReplicaId, at: number): boolean =>
   remainingLeavingMs(state, replica, at) > 0;
 
 /**
- * Notes a sign that `replica` is leaving, whichever it is, and spreads it to all nodes. Cheap to
- * call for each sign: those that add nothing are dropped. The effects must be carried out.
+ * Records a sign of any kind that `replica` is leaving, and spreads it to all nodes. Cheap to call
+ * for each sign, because signs that add nothing are dropped. The effects must be carried out.
  *
- * @param validityMs - how long the sign holds; less when it is a feeder's knowledge of an earlier one
+ * @param validityMs - how long the sign is valid, in milliseconds; less if a feeder reports an
+ * earlier sign
  */
 export const recordReplicaLeaving = (
   state: CoreState,
@@ -79,7 +81,7 @@
   return armGossip(state, at);
 };
 
-/** Takes rumours about leaving back ends from a peer. */
+/** Applies rumours of leaving replicas from a peer. */
 export const applyReplicaRumours = (
   state: CoreState,
   rumours: readonly LeavingReplica[],
--- a/src/core/membership/ring.ts
+++ b/src/core/membership/ring.ts
@@ -1,6 +1,6 @@
 /**
- * The ring of probes: live members in the order of their hashes. Each node probes its successor, so
- * that each member is probed by one peer each second whatever their number.
+ * The probe ring: live members in the order of their hashes. Each node probes its successor, so
+ * that each member is probed by one peer each second regardless of their number.
  */
 import type { CoreState } from '../state.js';
 import type { Member } from './member.js';
@@ -9,7 +9,7 @@
 const compareOnRing = (a: Member, b: Member): number =>
   a.ringHash - b.ringHash || (a.identity.node < b.identity.node ? -1 : 1);
 
-/** Live members, suspected ones among them, by their place on the ring; cached for each view. */
+/** Lists live members, including suspected ones, in ring order; cached for each view. */
 export const listRing = (membership: MembershipState): readonly Member[] => {
   if (membership.ringVersion !== membership.viewVersion) {
     membership.ring = [...membership.members.values()]
@@ -20,7 +20,7 @@
   return membership.ring;
 };
 
-/** The place of `member` in the ring, or where it would be. */
+/** Returns the index of `member` in the ring, or the index at which it would be inserted. */
 const findPositionOf = (ring: readonly Member[], member: Member): number => {
   let low = 0;
   let high = ring.length;
@@ -37,8 +37,8 @@
 };
 
 /**
- * Puts one member into the ring or takes it out, for a view that differs from the ring's in this
- * member only: sorting all of them anew for each change is dear when hundreds change.
+ * Inserts one member into the ring or removes it, for a view that differs from the ring's in this
+ * member only. Sorting the whole ring for each change is expensive when hundreds of members change.
  */
 export const updateRing = (membership: MembershipState, member: Member, isLive: boolean): void => {
   const { ring } = membership;
@@ -66,7 +66,7 @@
   return low;
 };
 
-/** The next live member after this node on the ring; undefined when there is no other. */
+/** Returns the next live member after this node on the ring; undefined when there is none. */
 export const findSuccessor = (state: CoreState): Member | undefined => {
   const ring = listRing(state.membership);
   const self = state.membership.members.get(state.self.node);
--- a/src/core/membership/rumour-queue.ts
+++ b/src/core/membership/rumour-queue.ts
@@ -1,22 +1,22 @@
 /**
- * Rumours waiting to be spread, those sent least often first: news is not held up by what most have
- * heard already, however much of that there is.
+ * Queue of rumours to be spread, those sent least often first, so that new rumours are not delayed
+ * by old ones that most nodes have received.
  */
 import type { NodeId } from '../identifiers.js';
 import { MAX_RUMOURS } from './bounds.js';
 
-/** Rumours about members, one for each. */
+/** Rumours about members, at most one per member. */
 export interface RumourQueue {
-  /** How often each has been sent. */
+  /** Number of times each rumour has been sent. */
   readonly sent: Map<NodeId, number>;
-  /** By how often they have been sent. */
+  /** Rumours grouped by the number of times they have been sent. */
   readonly levels: Set<NodeId>[];
 }
 
 /** Creates an empty queue. */
 export const createRumourQueue = (): RumourQueue => ({ sent: new Map(), levels: [] });
 
-/** Takes a rumour out. */
+/** Removes a rumour. */
 export const removeRumour = (queue: RumourQueue, node: NodeId): void => {
   const sent = queue.sent.get(node);
   if (sent !== undefined) {
@@ -42,7 +42,7 @@
   }
 };
 
-/** Adds a rumour that nobody has heard yet, in place of any about the same member. */
+/** Adds a new rumour, which replaces any other about the same member. */
 export const addRumour = (queue: RumourQueue, node: NodeId): void => {
   removeRumour(queue, node);
   if (queue.sent.size >= MAX_RUMOURS) {
@@ -51,7 +51,7 @@
   insertAt(queue, node, 0);
 };
 
-/** Counts a rumour as sent `times` more; it is dropped when it has been sent `limit` times. */
+/** Adds `times` to the sends of a rumour; removes it when they reach `limit`. */
 export const recordSends = (
   queue: RumourQueue,
   node: NodeId,
@@ -68,7 +68,7 @@
   }
 };
 
-/** All rumours, those sent least often first. The queue must not change meanwhile. */
+/** Iterates over all rumours, those sent least often first. The queue must not change meanwhile. */
 export function* listRumours(queue: RumourQueue): Generator<NodeId> {
   for (const level of queue.levels) {
     yield* level;
--- a/src/core/membership/rumours.ts
+++ b/src/core/membership/rumours.ts
@@ -1,6 +1,6 @@
 /**
- * Rumours waiting to be spread. Each is sent a bounded number of times, which grows with the
- * logarithm of the number of members, and rides on whatever datagram goes out.
+ * Rumours to be spread, piggybacked on all outgoing datagrams. Each is sent a bounded number of
+ * times, which grows with the logarithm of the number of members.
  */
 import type {
   LeavingReplica,
@@ -21,19 +21,19 @@
 import type { Member } from './member.js';
 import type { MembershipState } from './state.js';
 
-/** Bytes of an encoded rumour besides the names in it. */
+/** Size of an encoded rumour without the names in it, in bytes. */
 const RUMOUR_FRAME_BYTES = 84;
 
-/** How often each rumour is sent by each node. */
+/** Returns how many times each node sends each rumour. */
 const getSendLimit = (membership: MembershipState): number =>
   Math.ceil(RUMOUR_SENDS_FACTOR * Math.log(membership.members.size + 1));
 
-/** Queues the present record of `node` to be spread, in place of any rumour about it before. */
+/** Queues the current record of `node` to be spread, in place of any earlier rumour about it. */
 export const queueRumour = (membership: MembershipState, node: NodeId): void => {
   addRumour(membership.rumours, node);
 };
 
-/** A peer has the same table: it has heard what is queued, but for suspicions, which pass. */
+/** Counts the queued rumours as received by a peer with an equal table, except suspicions. */
 export const recordEqualTable = (membership: MembershipState): void => {
   if (membership.rumours.sent.size === 0) {
     return;
@@ -46,7 +46,7 @@
   }
 };
 
-/** Bytes, at most, that a rumour takes in a datagram. */
+/** Estimates the maximum size of a rumour in a datagram, in bytes. */
 const estimateRumourBytes = (identity: NodeIdentity): number =>
   RUMOUR_FRAME_BYTES +
   identity.node.length +
@@ -59,7 +59,7 @@
   return member === undefined ? undefined : { identity: member.identity, state: member.state };
 };
 
-/** What the receiver must hear first: that it is held to be other than alive. */
+/** Returns the update about the receiver, sent first, if this node does not hold it alive. */
 const listReceiverUpdate = (membership: MembershipState, receiver: NodeId | undefined) => {
   const member = receiver === undefined ? undefined : membership.members.get(receiver);
   if (member === undefined || member.state === 'alive') {
@@ -118,11 +118,11 @@
   return selected;
 };
 
-/** True while there is anything left to spread. */
+/** True while there are rumours to spread. */
 export const hasRumours = (membership: MembershipState): boolean =>
   membership.rumours.sent.size > 0 || membership.leavingToSpread.size > 0;
 
-/** Puts the record of `member` first, so that the receiver is sure to hear of it. */
+/** Puts the record of `member` first, so that it is certainly part of the datagram. */
 export const prependUpdate = (piggyback: Piggyback, member: Member): Piggyback => ({
   ...piggyback,
   updates: [
@@ -132,8 +132,8 @@
 });
 
 /**
- * Takes the rumours that ride on one datagram to `receiver` (absent when it is not known). A node
- * that is leaving says so first in each.
+ * Selects the rumours for one datagram to `receiver` (undefined when unknown) and counts them as
+ * sent. A node that is not alive, for example leaving, puts its own record first.
  */
 export const createPiggyback = (
   state: CoreState,
--- a/src/core/membership/self-identity.ts
+++ b/src/core/membership/self-identity.ts
@@ -1,9 +1,11 @@
-/** This node's identity with its incarnation of now, which grows when the node refutes a rumour. */
+/**
+ * This node's identity with its current incarnation, which grows when the node refutes a rumour.
+ */
 import type { NodeIdentity } from '../../protocol/node-address.js';
 import type { CoreState } from '../state.js';
 import type { Member } from './member.js';
 
-/** This node's own record. */
+/** Returns this node's own record. */
 export const getSelf = (state: CoreState): Member => {
   const self = state.membership.members.get(state.self.node);
   if (self === undefined) {
@@ -12,5 +14,5 @@
   return self;
 };
 
-/** This node's identity as it is told to others. */
+/** Returns this node's identity as it is sent to others. */
 export const getSelfIdentity = (state: CoreState): NodeIdentity => getSelf(state).identity;
--- a/src/core/membership/state.ts
+++ b/src/core/membership/state.ts
@@ -1,4 +1,4 @@
-/** State of membership: who is known, and in which state. */
+/** State of the membership slice: the known members and their states. */
 import type { MemberState } from '../../protocol/membership-messages.js';
 import type { NodeIdentity, PeerAddress } from '../../protocol/node-address.js';
 import { hash32 } from '../hash.js';
@@ -8,44 +8,47 @@
 import { toggleMemberHash } from './member-table.js';
 import { createRumourQueue, type RumourQueue } from './rumour-queue.js';
 
-/** A back end that takes no new work. */
+/** A replica that accepts no new work. */
 export interface ReplicaRumour {
-  /** The rumour holds until then, on this node's clock. */
+  /** When the rumour expires, on this node's clock. */
   until: number;
-  /** How often it has been sent. */
+  /** Number of times it has been sent. */
   sent: number;
 }
 
-/** A probe that awaits its acknowledgement. */
+/** A probe whose acknowledgement is awaited. */
 export interface Probe {
   readonly target: NodeId;
-  /** `indirect` once peers have been asked; `confirm` for a suspect probed again. */
+  /** `indirect` once peers have been asked; `confirm` while a suspect is probed again. */
   stage: 'direct' | 'indirect' | 'confirm';
-  /** When the current stage is given up. */
+  /** When the current stage times out. */
   dueAt: number;
-  /** Set when the probe is on behalf of another node. */
+  /** The node on whose behalf the probe is sent, if any. */
   readonly requester?: { readonly address: PeerAddress; readonly sequence: number };
 }
 
-/** A suspicion that becomes a death when it is not refuted. */
+/** A suspicion; the member is declared dead unless it is refuted. */
 export interface Suspicion {
-  /** This node itself saw the probe fail. */
+  /** True when this node's own probe failed; false when a peer reported the suspicion. */
   observed: boolean;
   /** When the member is declared dead. */
   dueAt: number;
 }
 
-/** All members known, this node among them. */
+/** State of the membership slice. Times are on the monotonic clock of this node. */
 export interface MembershipState {
+  /** All known members, including this node. */
   readonly members: Map<NodeId, Member>;
-  /** Grows with each change of the set of live members, so that derived roles can be cached. */
+  /**
+   * Incremented with each change of the set of live members, so that derived roles can be cached.
+   */
   viewVersion: number;
-  /** A peer has given this node its member table, or none could be reached. */
+  /** A peer has sent its member table, or none could be reached. */
   joined: boolean;
   joinDeadline: number;
-  /** By `host:port`: who listens there. */
+  /** The node at each address, by `host:port`. */
   readonly addresses: Map<string, NodeId>;
-  /** Hashes of the parts of the table; see `member-table.ts`. */
+  /** Hashes of the buckets of the table; see `member-table.ts`. */
   readonly buckets: Uint32Array;
   /** When the table last changed. */
   changedAt: number;
@@ -57,24 +60,25 @@
   readonly probes: Map<number, Probe>;
   nextSequence: number;
   readonly suspicions: Map<NodeId, Suspicion>;
-  /** When the next tick of probing is due. */
+  /** When the next tick is due. */
   tickDueAt: number;
   ticks: number;
-  /** Members by ring hash, for the view `ringVersion`. */
+  /** Live members by ring hash, for the view version `ringVersion`. */
   ring: Member[];
   ringVersion: number;
   /** Members still to be probed in this round, in random order. */
   round: NodeId[];
-  /** Members that are dead but not forgotten yet. */
+  /** Dead members that have not been removed yet. */
   readonly dead: Set<NodeId>;
-  /** Held dead here, but told alive with the same incarnation. */
+  /** Members dead at this node but alive with the same incarnation in a peer's table. */
   readonly disputed: Set<NodeId>;
-  /** Addresses from the machine list that are not known as members. */
+  /** Addresses from the machine list that belong to no known member. */
   hints: PeerAddress[];
-  /** When seeds that are not members are asked again. */
+  /** When seeds that are not members are pinged again. */
   rejoinAt: number;
+  /** When the last exchange was requested, or its last page was received. */
   pulledAt: number;
-  /** Changes of the table since the last exchange began. */
+  /** Changes of the table since the last exchange was requested. */
   changesSincePull: number;
 }
 
@@ -91,7 +95,7 @@
 /** Formats an address as the key of `addresses`. */
 export const addressKey = (address: PeerAddress): string => `${address.host}:${address.port}`;
 
-/** Creates the state of a node that knows itself only. */
+/** Creates the state of a node that knows only itself. */
 export const createMembershipState = (self: NodeIdentity): MembershipState => {
   const member = createMember(self, 'alive', 0);
   const buckets = new Uint32Array(TABLE_BUCKETS);
--- a/src/core/membership/suspicion.ts
+++ b/src/core/membership/suspicion.ts
@@ -1,7 +1,7 @@
 /**
- * Suspicion before death. The node that saw a probe fail (the witness) probes its suspect again and
- * again and declares it dead when no answer comes in time; the others wait longer, for the word of
- * the witness, so that a refutation has to reach the witnesses only.
+ * Suspicions, which precede a declaration of death. The node whose own probe failed (the observer)
+ * keeps probing the suspect and declares it dead if no answer arrives in time. The other nodes wait
+ * longer, for the result of the observer, so that a refutation has to reach the observers only.
  */
 import type { NodeIdentity } from '../../protocol/node-address.js';
 import type { Effect } from '../effect.js';
@@ -24,7 +24,7 @@
     ? [{ type: 'cancel-timer', key: { purpose: 'membership-suspicion', subject: node } }]
     : [];
 
-/** Suspects a member of which a peer said so. */
+/** Suspects a member that a peer reported as suspect. */
 export const suspectReported = (state: CoreState, identity: NodeIdentity, at: number): Effect[] => {
   const { membership } = state;
   writeMember(membership, identity, 'suspect', at);
@@ -33,7 +33,7 @@
   return [armSuspicion(identity.node, suspicion)];
 };
 
-/** Suspects a member that this node and its peers could not reach. */
+/** Suspects a member that neither this node nor its peers could reach. */
 export const suspectUnreachable = (state: CoreState, node: NodeId, at: number): Effect[] => {
   const { membership } = state;
   const member = membership.members.get(node);
@@ -51,7 +51,7 @@
   return [armSuspicion(node, suspicion), ...armGossip(state, at)];
 };
 
-/** Declares a member dead, and tells others. */
+/** Declares a member dead and spreads that as a rumour. */
 export const declareDead = (state: CoreState, identity: NodeIdentity, at: number): Effect[] => {
   const { membership } = state;
   const held = membership.members.get(identity.node);
@@ -64,7 +64,7 @@
   return [...effects, ...armGossip(state, at)];
 };
 
-/** A suspicion has run out. */
+/** Handles the timeout of a suspicion: declares the member dead. */
 export const expireSuspicion = (state: CoreState, node: NodeId, at: number): Effect[] => {
   const { membership } = state;
   const suspicion = membership.suspicions.get(node);
@@ -90,7 +90,7 @@
   ];
 };
 
-/** Puts all suspicions off: this node did not run, so that refutations may be waiting. */
+/** Restarts the timeout of all suspicions after a process pause, as refutations may be queued. */
 export const postponeSuspicions = (state: CoreState, at: number): Effect[] => {
   const effects: Effect[] = [];
   for (const [node, suspicion] of state.membership.suspicions) {
--- a/src/core/membership/table-exchange.ts
+++ b/src/core/membership/table-exchange.ts
@@ -1,6 +1,6 @@
 /**
- * Exchange of member tables over links: whole for a joining node, else of the buckets that differ.
- * It evens out what rumours have missed, and brings two halves together after a cut.
+ * Exchange of member tables over links: the whole table for a joining node, else the buckets that
+ * differ. It repairs what rumours missed and merges the two sides after a network partition.
  */
 import type {
   MembershipPage,
@@ -39,13 +39,13 @@
   message: { type: 'membership-pull', sender: getSelfIdentity(state), buckets, after },
 });
 
-/** A node that knows nobody asks for the whole table, any other for what differs from its own. */
+/** Lists the bucket hashes to send; empty, for the whole table, if no other member is known. */
 const listBuckets = ({ membership }: CoreState): number[] => {
   const { members, buckets } = membership;
   return members.size <= 1 ? [] : [...foldBuckets(buckets, countBucketsToSend(members.size))];
 };
 
-/** Begins an exchange with `peer`: of the whole table when this node knows nobody. */
+/** Starts an exchange with `peer`, of the whole table if no other member is known. */
 export const requestTable = (state: CoreState, peer: NodeIdentity, at: number): Effect => {
   state.membership.pulledAt = at;
   state.membership.changesSincePull = 0;
@@ -61,7 +61,7 @@
   return sincePull >= PULL_INTERVAL_MS && at - membership.changedAt >= QUIET_BEFORE_PULL_MS;
 };
 
-/** Begins an exchange when a peer's table differs and rumours have had time to even it out. */
+/** Starts an exchange when a peer's table differs although rumours have had time to align them. */
 export const compareTables = (
   state: CoreState,
   peer: NodeIdentity,
@@ -95,7 +95,7 @@
     : members.filter((member) => member.ringHash <= last.ringHash);
 };
 
-/** Answers a peer's pull with one page. */
+/** Answers a pull of a peer with one page. */
 export const handlePull = (state: CoreState, pull: MembershipPull, at: number): Effect[] => {
   const effects = applySender(state, pull.sender, at);
   const differing = listDiffering(state.membership, pull);
@@ -112,7 +112,9 @@
   return [...effects, { type: 'send-link', to: node, address, message }];
 };
 
-/** A death told by a table may be the other half's error: it is taken as a suspicion. */
+/**
+ * Turns a death into a suspicion: after a partition, the other side may have declared it in error.
+ */
 const deadToSuspect = (update: MemberUpdate): MemberUpdate =>
   update.state === 'dead' ? { identity: update.identity, state: 'suspect' } : update;
 
@@ -141,7 +143,10 @@
   return effects;
 };
 
-/** What a table told is in other tables too: only suspicions and this node's own word are spread. */
+/**
+ * Drops the rumour of a record that came with a table, as other tables have it as well; suspicions
+ * and this node's own record are still spread.
+ */
 const suppressTableRumour = (
   state: CoreState,
   update: MemberUpdate,
@@ -155,7 +160,7 @@
   }
 };
 
-/** Takes one page of a peer's table; asks for the next one, if any. */
+/** Applies one page of a peer's table and requests the next one, if any. */
 export const handlePage = (state: CoreState, page: MembershipPage, at: number): Effect[] => {
   const { membership } = state;
   const effects = applySender(state, page.sender, at);
--- a/src/core/membership/tick.ts
+++ b/src/core/membership/tick.ts
@@ -1,4 +1,4 @@
-/** The tick of membership: probes, and pings to those that may have come back. */
+/** The periodic tick of membership: probes, and pings to members that may be reachable again. */
 import type { PeerAddress } from '../../protocol/node-address.js';
 import type { Effect } from '../effect.js';
 import type { NodeId } from '../identifiers.js';
@@ -41,7 +41,7 @@
   return nodes;
 };
 
-/** The next member of the round, which begins anew in another order when it is over. */
+/** Returns the next member of the round; starts a new round in another order when it is over. */
 const nextInRound = (state: CoreState): Member | undefined => {
   const { membership } = state;
   if (membership.round.length === 0) {
@@ -69,7 +69,7 @@
   return node === undefined ? undefined : membership.members.get(node);
 };
 
-/** Now and then pings a dead member, as often over all nodes together whatever their number. */
+/** Pings a dead member at random, at a rate over all nodes that does not depend on their number. */
 const pingDead = (state: CoreState, at: number): Effect[] => {
   const { membership } = state;
   if (membership.dead.size === 0) {
@@ -117,7 +117,7 @@
   }
 };
 
-/** One tick. */
+/** Runs one tick. */
 export const tickMembership = (state: CoreState, at: number): Effect[] => {
   const { membership } = state;
   membership.ticks += 1;
--- a/src/core/membership/view.ts
+++ b/src/core/membership/view.ts
@@ -1,10 +1,10 @@
-/** The view: live members, and the roles derived from it by rendezvous hashing. */
+/** The view: the live members and the order derived from them by rendezvous hashing. */
 import type { NodeIdentity } from '../../protocol/node-address.js';
 import { hash32 } from '../hash.js';
 import type { ZoneName } from '../identifiers.js';
 import type { MembershipState } from './state.js';
 
-/** Members that may be given work: alive or suspected, not leaving, not dead. */
+/** Lists the members that may receive work: alive or suspected, neither leaving nor dead. */
 export const listLiveMembers = (membership: MembershipState): NodeIdentity[] => {
   const live: NodeIdentity[] = [];
   for (const member of membership.members.values()) {
@@ -15,13 +15,13 @@
   return live;
 };
 
-/** Live members of one zone. */
+/** Lists the live members of one zone. */
 export const listZoneMembers = (membership: MembershipState, zone: ZoneName): NodeIdentity[] =>
   listLiveMembers(membership).filter((identity) => identity.zone === zone);
 
 /**
- * Orders `candidates` by rendezvous hash for `subject`, first choice first. All who hold the same
- * view get the same order; a member that comes or goes moves only its own subjects.
+ * Orders `candidates` by rendezvous hash for `subject`, first choice first. All nodes with the same
+ * view get the same order; a member that joins or leaves moves only the subjects assigned to it.
  */
 export const rankByRendezvous = (
   candidates: readonly NodeIdentity[],
--- a/test/membership/leaving-replicas.test.ts
+++ b/test/membership/leaving-replicas.test.ts
@@ -26,7 +26,7 @@
     .running()
     .filter((node) => isReplicaLeaving(node.state, REPLICA, cluster.now + node.clockOffset)).length;
 
-describe('a back end that leaves', () => {
+describe('a leaving replica', () => {
   it.each(SEEDS)('is known at every node within 2 s of the first sign (seed %i)', (seed) => {
     const cluster = startCluster(seed);
     recordLeaving(cluster, 'node-4');
@@ -34,7 +34,7 @@
     expect(durationMs).toBeLessThanOrEqual(2_000);
   });
 
-  it('is used again when no sign has come for a while', () => {
+  it('is used again when its rumour has expired', () => {
     const cluster = startCluster(6);
     recordLeaving(cluster, 'node-4');
     cluster.run(25_000);
@@ -43,7 +43,7 @@
     expect(countInformedNodes(cluster)).toBe(0);
   });
 
-  it('is kept in mind while signs go on, and spread again', () => {
+  it('is still known everywhere while further signs are recorded', () => {
     const cluster = startCluster(7);
     for (let round = 0; round < 6; round += 1) {
       recordLeaving(cluster, 'node-4');
--- a/test/membership/membership.test.ts
+++ b/test/membership/membership.test.ts
@@ -19,13 +19,13 @@
   cluster.running().reduce((sum, node) => sum + node.state.counters.members_declared_dead, 0);
 
 describe('membership', () => {
-  it.each(SEEDS)('brings 12 nodes together through three seeds (seed %i)', (seed) => {
+  it.each(SEEDS)('joins 12 nodes through three seeds (seed %i)', (seed) => {
     const cluster = new VirtualCluster({ seed, lossShare: 0.01 });
     cluster.startMany(12, ZONES);
     expect(cluster.runUntil(() => cluster.isWhole(), 5_000)).toBeLessThan(3_000);
   });
 
-  it.each(SEEDS)('knows a killed node dead everywhere within 5 s (seed %i)', (seed) => {
+  it.each(SEEDS)('declares a killed node dead on all nodes within 5 s (seed %i)', (seed) => {
     const cluster = startCluster(seed);
     for (const id of ['node-3', 'node-7', 'node-0']) {
       cluster.kill(id);
@@ -34,7 +34,7 @@
     }
   });
 
-  it.each(SEEDS)('declares no live node dead for pauses under 1 s (seed %i)', (seed) => {
+  it.each(SEEDS)('declares no live node dead after pauses under 1 s (seed %i)', (seed) => {
     const cluster = startCluster(seed);
     for (let round = 0; round < 30; round += 1) {
       cluster.pause(`node-${round % 12}`, 400 + ((round * 97) % 599));
@@ -45,7 +45,7 @@
     expect(cluster.isWhole()).toBe(true);
   });
 
-  it('does not declare others dead when it wakes after a long pause, and is taken back', () => {
+  it('accepts a node again after a long pause, and that node declares no other dead', () => {
     const cluster = startCluster(7);
     cluster.pause('node-4', 20_000);
     cluster.run(10_000);
@@ -57,7 +57,7 @@
     expect(cluster.node('node-4').state.counters.pauses_noticed).toBe(1);
   });
 
-  it('suspects a node that does not answer, and believes its refutation', () => {
+  it('suspects a node that does not answer, and accepts its refutation', () => {
     const cluster = startCluster(8);
     const observer = cluster.node('node-1');
     const incarnation = () =>
@@ -71,7 +71,7 @@
     expect(incarnation()).toBeGreaterThan(before);
   });
 
-  it('takes a machine back that restarts under its old name and address', () => {
+  it('accepts a node again that restarts under its old name and address', () => {
     const cluster = startCluster(9);
     cluster.kill('node-6');
     cluster.run(200);
@@ -79,7 +79,7 @@
     expect(cluster.runUntil(() => cluster.isWhole(), 5_000)).toBeLessThan(3_000);
   });
 
-  it('replaces a member by a younger one with another name at its address', () => {
+  it('replaces a member by a newer process with another name at its address', () => {
     const cluster = startCluster(10);
     cluster.kill('node-6');
     cluster.start({ id: 'node-6b', zone: 'kirkos', port: 9_006, seeds: [9_000] });
@@ -90,7 +90,7 @@
     expect(others.every((node) => cluster.stateOf(node, 'node-6') === 'dead')).toBe(true);
   });
 
-  it('refutes what is left of a former life whose clock was ahead', () => {
+  it('refutes rumours of an earlier incarnation whose clock was ahead', () => {
     const cluster = startCluster(11);
     cluster.kill('node-2');
     cluster.runUntil(() => isDeadEverywhere(cluster, 'node-2'), 6_000);
@@ -100,7 +100,7 @@
   });
 
   it.each(SEEDS)(
-    'finds itself whole within 5 s after a cut between zones heals (seed %i)',
+    'has all members alive within 5 s after a partition between zones heals (seed %i)',
     (seed) => {
       const cluster = startCluster(seed);
       for (const far of ['kirkos', 'yeka']) {
@@ -116,7 +116,7 @@
     },
   );
 
-  it('keeps members alive that can be reached through a third zone only', () => {
+  it('keeps members alive that can only be reached through a third zone', () => {
     const cluster = startCluster(12);
     cluster.cut('bole', 'arada');
     cluster.run(60_000);
@@ -124,11 +124,11 @@
     const suspected = cluster
       .running()
       .reduce((sum, node) => sum + node.state.counters.members_suspected, 0);
-    /* Now and then all three peers asked are on the two sides of the cut. */
+    /* Occasionally all three peers asked are on the two sides of the cut. */
     expect(suspected).toBeLessThan(60);
   });
 
-  it('finds the other half again when no node has a seed on the other side', () => {
+  it('merges a healed partition when no node has a seed on the other side', () => {
     const cluster = new VirtualCluster({ seed: 21, lossShare: 0.01 });
     for (let index = 0; index < 12; index += 1) {
       const isFar = index >= 6;
@@ -150,7 +150,7 @@
     expect(cluster.runUntil(() => cluster.isWhole(), 20_000)).toBeLessThanOrEqual(5_000);
   });
 
-  it('announces a planned stop within a second, and ends', () => {
+  it('announces a planned stop to all nodes within a second, and ends the process', () => {
     const cluster = startCluster(13);
     cluster.stop('node-8');
     const others = cluster.running().filter((node) => node.id !== 'node-8');
@@ -161,7 +161,7 @@
     expect(cluster.node('node-8').running).toBe(false);
   });
 
-  it('grows the version of the view with the set of live members, and only then', () => {
+  it('increments the version of the view only when the set of live members changes', () => {
     const cluster = startCluster(14);
     const { membership } = cluster.node('node-1').state;
     const before = membership.viewVersion;
@@ -172,7 +172,7 @@
     expect(membership.viewVersion).toBe(before + 1);
   });
 
-  it('joins by the machine list when no seed is left', () => {
+  it('joins through the machine list when no seed is reachable', () => {
     const cluster = startCluster(15);
     cluster.store.machines.push({
       id: 'node-1',
@@ -185,7 +185,7 @@
     expect(cluster.runUntil(() => cluster.isWhole(), 15_000)).toBeLessThan(10_000);
   });
 
-  it('keeps datagrams under 1,200 bytes, also when many nodes start at once', () => {
+  it('keeps datagrams under 1,200 bytes even when many nodes start at once', () => {
     const cluster = new VirtualCluster({ seed: 16, lossShare: 0.01, measure: true });
     cluster.startMany(60, ['swansea-hall-north', 'llanelli-hall-west']);
     cluster.run(5_000);
--- a/test/membership/ring.test.ts
+++ b/test/membership/ring.test.ts
@@ -24,8 +24,8 @@
   looks: fc.boolean(),
 });
 
-describe('the ring of probes', () => {
-  it('holds the live members in order whatever is written, as one built anew does', () => {
+describe('the probe ring', () => {
+  it('holds the live members in the same order as a rebuilt ring after any sequence of writes', () => {
     fc.assert(
       fc.property(fc.array(write, { maxLength: 60 }), (writes) => {
         const membership = createMembershipState(identityOf(0, 1));
--- a/test/membership/table-exchange.test.ts
+++ b/test/membership/table-exchange.test.ts
@@ -24,7 +24,7 @@
 const createNode = (index: number): CoreState =>
   createCoreState({ self: identityOf(index), seeds: [identityOf(0).address], seed: index });
 
-/** Lets a node know members `from` up to, not including, `to`. */
+/** Adds the members from index `from` up to, but not including, `to` to a node's table. */
 const addMembers = ({ membership, self }: CoreState, from: number, to: number): void => {
   for (let index = from; index < to; index += 1) {
     const member = createMember(identityOf(index), 'alive', 0);
@@ -51,7 +51,7 @@
 
 const alive = (identity: NodeIdentity): MemberUpdate => ({ identity, state: 'alive' });
 
-/** A node that has just started and has heard of a seed, which it has asked for its table. */
+/** Creates a node that has just started, got an answer of a seed and requested its table. */
 const startJoining = (): CoreState => {
   const state = createNode(1);
   step(state, { type: 'started', at: START_MS });
@@ -74,7 +74,7 @@
   step(state, { type: 'timer-fired', at, key: { purpose: 'membership-join', subject: '' } });
 
 describe('joining', () => {
-  it('asks nobody else while a table arrives page by page', () => {
+  it('requests no other table while pages arrive', () => {
     const state = startJoining();
     const next = step(state, {
       type: 'link-message-arrived',
@@ -91,7 +91,7 @@
     expect(listPulls(retryJoin(state, START_MS + 300))).toEqual([]);
   });
 
-  it('asks again when no page has come, and only for what it lacks', () => {
+  it('repeats the request when no page has arrived, and gets only the members it lacks', () => {
     const state = startJoining();
     expect(listPulls(retryJoin(state, START_MS + 320))).toHaveLength(1);
     const late = createNode(1);
@@ -112,7 +112,7 @@
   });
 });
 
-describe('an exchange of tables', () => {
+describe('a table exchange', () => {
   const exchange = (size: number, lacked: number) => {
     const requester = createNode(1);
     const responder = createNode(2);
@@ -135,7 +135,7 @@
     return { pull, page };
   };
 
-  it('carries little besides the members that differ', () => {
+  it('sends few members besides those that differ', () => {
     const { page } = exchange(1_000, 10);
     const updates = page?.type === 'membership-page' ? page.updates : [];
     const names = updates.map(({ identity }) => identity.node);
@@ -145,7 +145,7 @@
     expect(updates.length).toBeLessThanOrEqual(40);
   });
 
-  it('sends no more hashes than it saves', () => {
+  it('sends the minimum number of hashes for a small table', () => {
     const { pull } = exchange(12, 1);
     expect(pull?.type === 'membership-pull' && pull.buckets.length).toBe(64);
   });
