--- a/src/core/configuration/apply-objects.ts
+++ b/src/core/configuration/apply-objects.ts
@@ -43,16 +43,16 @@
 /** Applies the `objects` that are newer than those held; returns their number. */
 export const applyObjects = (state: CoreState, objects: readonly StoreObject[]): number => {
   const { configuration } = state;
-  const taken: ObjectChange[] = [];
+  const changes: ObjectChange[] = [];
   for (const object of objects.map(trimHistory)) {
     const held = configuration.objects.get(object.name);
     if (isNewer(object, held)) {
       configuration.objects.set(object.name, object);
-      taken.push({ held, object });
+      changes.push({ held, object });
     } else if (object.revision !== held?.revision) {
       state.counters.configuration_older_refused += 1;
     }
   }
-  updateOrRebuild(state, taken);
-  return taken.length;
+  updateOrRebuild(state, changes);
+  return changes.length;
 };
--- a/src/core/editing/bounds.ts
+++ b/src/core/editing/bounds.ts
@@ -19,4 +19,4 @@
 /** Longest wait before a write without an answer is read back once more, in milliseconds. */
 export const READ_BACK_LIMIT_MS = 2_000;
 /** Legs of a service a node must have seen before it warns by their mean time. */
-export const TRUSTED_LEGS = 20;
+export const MIN_LEGS_FOR_MEAN = 20;
--- a/src/core/editing/decide-agreement-edit.ts
+++ b/src/core/editing/decide-agreement-edit.ts
@@ -14,7 +14,7 @@
 /** Most by which the shares may miss 1, for shares such as a third. */
 const SUM_TOLERANCE = 1e-9;
 /** Fewest partners an agreement is made between. */
-const FEWEST_PARTNERS = 2;
+const MIN_PARTNERS = 2;
 
 const errorAt = (place: string, problem: string): Finding => ({
   severity: 'error',
@@ -22,7 +22,7 @@
   problem,
 });
 
-const findWrongShares = (
+const findShareErrors = (
   shares: readonly PoolShare[],
   partners: readonly PartnerId[],
 ): Finding[] => {
@@ -41,7 +41,7 @@
   for (const partner of partners.filter((each) => !named.has(each))) {
     findings.push(errorAt(`${PLACE} share of ${partner}`, 'is missing'));
   }
-  if (named.size < FEWEST_PARTNERS) {
+  if (named.size < MIN_PARTNERS) {
     findings.push(errorAt(PLACE, 'needs the shares of two partners or more'));
   }
   const sum = shares.reduce((total, { share }) => total + share, 0);
@@ -63,7 +63,7 @@
  * The agreement is small and seldom changed: an edit of it stands only on the very version that the
  * operator saw, so that nothing is agreed to unseen.
  */
-const refuseUnseen =
+const requireSeenVersion =
   <Action>(decide: DecideAction<Action>): DecideAction<Action> =>
   (edit, action, agreement, context) => {
     const version = context.object?.version ?? 0;
@@ -72,7 +72,7 @@
       : refuseWith(PLACE, `was changed since version ${edit.seenVersion}`, `version ${version}`);
   };
 
-const sameShares = (left: readonly PoolShare[], right: readonly PoolShare[]): boolean => {
+const hasEqualShares = (left: readonly PoolShare[], right: readonly PoolShare[]): boolean => {
   const shares = new Map(left.map(({ partner, share }) => [partner, share]));
   return (
     left.length === right.length &&
@@ -119,7 +119,7 @@
   context: EditContext,
 ): Finding[] => {
   const known = [...context.partners, ...agreement.shares.map(({ partner }) => partner)];
-  const findings = findWrongShares(action.shares, [...new Set(known)]);
+  const findings = findShareErrors(action.shares, [...new Set(known)]);
   if (!action.shares.some(({ partner }) => partner === edit.partner)) {
     findings.push(errorAt(`${PLACE} share of ${edit.partner}`, 'is missing'));
   }
@@ -145,7 +145,7 @@
 };
 
 /** Decides a proposal; it takes the place of the same partner's earlier one. */
-export const decideProposal = refuseUnseen(propose);
+export const decideProposal = requireSeenVersion(propose);
 
 const approve: DecideAction<ActionOf<'approve-agreement'>> = (edit, action, agreement, context) => {
   const place = `${PLACE} proposal ${action.proposal}`;
@@ -153,7 +153,7 @@
   if (found === undefined) {
     return refuseWith(place, 'does not stand, or no longer');
   }
-  if (!sameShares(found.shares, action.shares)) {
+  if (!hasEqualShares(found.shares, action.shares)) {
     return refuseWith(place, 'has other shares than those approved');
   }
   if (!listApprovers(found, agreement, context).has(edit.partner)) {
@@ -165,4 +165,4 @@
 };
 
 /** Decides an approval, which names the shares that the operator saw. */
-export const decideApproval = refuseUnseen(approve);
+export const decideApproval = requireSeenVersion(approve);
--- a/src/core/editing/decide-edit.ts
+++ b/src/core/editing/decide-edit.ts
@@ -7,7 +7,7 @@
 import { decideKeysEdit } from './decide-keys-edit.js';
 import { decideSheetEdit } from './decide-sheet-edit.js';
 import { refuseWith, type EditContext, type EditDecision } from './edit-decision.js';
-import { digestEdit, findRecord, mayBeForgotten } from './edit-history.js';
+import { digestEdit, findRecord, mayBeTruncated } from './edit-history.js';
 
 /** The object an edit changes. It follows from the edit's own partner: no other can be named. */
 export const objectOfEdit = (edit: EditRequest): ObjectName =>
@@ -63,7 +63,7 @@
     const problem = `stands at version ${version}, before version ${edit.seenVersion} that the edit saw`;
     return refuseWith(place, problem);
   }
-  if (mayBeForgotten(history, edit.seenVersion)) {
+  if (mayBeTruncated(history, edit.seenVersion)) {
     const oldest = history[0]?.sheetVersion ?? 0;
     const problem = `the edit saw version ${edit.seenVersion} of ${place}, and the history begins at version ${oldest}`;
     return { type: 'expired', problem };
--- a/src/core/editing/decide-keys-edit.ts
+++ b/src/core/editing/decide-keys-edit.ts
@@ -8,7 +8,7 @@
 /** A SHA-256 in lower-case hexadecimal. */
 const SHA256_PATTERN = /^[0-9a-f]{64}$/;
 
-const findWrongKeys = (keys: readonly KeyRecord[], place: string): Finding[] => {
+const findKeyErrors = (keys: readonly KeyRecord[], place: string): Finding[] => {
   const findings: Finding[] = [];
   const seen = new Set<string>();
   for (const key of keys) {
@@ -47,7 +47,7 @@
       `version ${version}`,
     );
   }
-  const findings = findWrongKeys(action.keys, place);
+  const findings = findKeyErrors(action.keys, place);
   if (findings.length > 0) {
     return { type: 'refused', findings };
   }
--- a/src/core/editing/decide-sheet-edit.ts
+++ b/src/core/editing/decide-sheet-edit.ts
@@ -9,7 +9,7 @@
 import { appendRecord } from './edit-history.js';
 import { findConflicts, keyOfChange } from './find-conflicts.js';
 
-const findForeign = (change: RowChange, edit: EditRequest, place: string): Finding[] =>
+const findForeignRow = (change: RowChange, edit: EditRequest, place: string): Finding[] =>
   change.type === 'remove' || change.row.partner === edit.partner
     ? []
     : [
@@ -21,7 +21,7 @@
         },
       ];
 
-const findDoubled = (changes: readonly RowChange[], place: string): Finding[] => {
+const findDuplicateChanges = (changes: readonly RowChange[], place: string): Finding[] => {
   const seen = new Set<string>();
   const findings: Finding[] = [];
   for (const change of changes) {
@@ -35,7 +35,7 @@
   return findings;
 };
 
-const findAbsent = (
+const findAbsentRows = (
   changes: readonly RowChange[],
   rows: ReadonlyMap<string, SheetRow>,
   place: string,
@@ -51,18 +51,18 @@
     }));
 
 /** The rows that changes are about, as far as they stand, by `route/kind`. */
-const findStanding = (
+const findCurrentRows = (
   rows: readonly SheetRow[],
   changes: readonly RowChange[],
 ): ReadonlyMap<string, SheetRow> => {
-  const standing = new Map<string, SheetRow>();
+  const currentRows = new Map<string, SheetRow>();
   for (const change of changes) {
     const found = findRow(rows, change.type === 'set' ? change.row : change);
     if (found !== undefined) {
-      standing.set(keyOfChange(change), found);
+      currentRows.set(keyOfChange(change), found);
     }
   }
-  return standing;
+  return currentRows;
 };
 
 const applyChanges = (
@@ -88,11 +88,11 @@
   const place = `sheet/${edit.partner}`;
   const { changes } = action;
   const ordered = orderRows(sheet.rows);
-  const rows = findStanding(ordered, changes);
+  const rows = findCurrentRows(ordered, changes);
   const malformed = [
-    ...changes.flatMap((change) => findForeign(change, edit, place)),
-    ...findDoubled(changes, place),
-    ...findAbsent(changes, rows, place),
+    ...changes.flatMap((change) => findForeignRow(change, edit, place)),
+    ...findDuplicateChanges(changes, place),
+    ...findAbsentRows(changes, rows, place),
   ];
   if (malformed.length > 0) {
     return { type: 'refused', findings: malformed };
--- a/src/core/editing/edit-flow.ts
+++ b/src/core/editing/edit-flow.ts
@@ -27,7 +27,7 @@
   FAILURE_BACKOFF_LIMIT_MS,
   READ_BACK_BASE_MS,
   READ_BACK_LIMIT_MS,
-  TRUSTED_LEGS,
+  MIN_LEGS_FOR_MEAN,
 } from './bounds.js';
 import { decideEdit } from './decide-edit.js';
 import type { EditContext, EditDecision } from './edit-decision.js';
@@ -54,20 +54,20 @@
 const retryTimer = (key: string): TimerKey => ({ purpose: 'editing-retry', subject: key });
 
 /** Names a request to the store that is made for an edit. */
-export const numberRequest = (state: CoreState, progress: EditInProgress): StoreRequestId => {
+export const createRequest = (state: CoreState, progress: EditInProgress): StoreRequestId => {
   state.editing.requests += 1;
   const request = identifier<StoreRequestId>(`edit-${state.editing.requests}`);
   state.editing.byRequest.set(request, progress);
   return request;
 };
 
-const nextRequest = (state: CoreState, progress: EditInProgress): StoreRequestId => {
-  progress.request = numberRequest(state, progress);
+const startRequest = (state: CoreState, progress: EditInProgress): StoreRequestId => {
+  progress.request = createRequest(state, progress);
   return progress.request;
 };
 
 /** Forgets the requests under way; an answer to them that still comes is ignored. */
-export const dropRequest = (state: CoreState, progress: EditInProgress): void => {
+export const discardRequests = (state: CoreState, progress: EditInProgress): void => {
   for (const request of [progress.request, progress.readBack]) {
     if (request !== undefined) {
       state.editing.byRequest.delete(request);
@@ -78,7 +78,7 @@
 };
 
 /** Notes what is in force as a read is sent: the store must not show less. */
-export const noteHeld = (state: CoreState, progress: EditInProgress): void => {
+export const recordHeldObject = (state: CoreState, progress: EditInProgress): void => {
   const held = state.configuration.objects.get(progress.objectName);
   if (held === undefined) {
     delete progress.heldAtRead;
@@ -93,8 +93,8 @@
     progress.problem = 'the store has not answered';
   }
   progress.stage = 'reading';
-  noteHeld(state, progress);
-  const request = nextRequest(state, progress);
+  recordHeldObject(state, progress);
+  const request = startRequest(state, progress);
   return [{ type: 'read-object', request, name: progress.objectName }];
 };
 
@@ -132,7 +132,7 @@
   progress: EditInProgress,
   outcome: EditOutcome,
 ): Effect[] => {
-  dropRequest(state, progress);
+  discardRequests(state, progress);
   state.editing.inProgress.delete(progress.key);
   state.counters[OUTCOME_COUNTERS[outcome.type]] += 1;
   const answers = progress.calls.map((call): Effect => ({
@@ -158,7 +158,7 @@
   attempt: number,
   bounds: { readonly base: number; readonly limit: number },
 ): Effect[] => {
-  dropRequest(state, progress);
+  discardRequests(state, progress);
   progress.stage = 'backing-off';
   state.counters.edit_retries += 1;
   const ceiling = Math.min(bounds.limit, bounds.base * 2 ** (attempt - 1));
@@ -208,13 +208,13 @@
 };
 
 /** The mean leg of a service as this node saw it, once it has seen enough of them. */
-const findMeanLeg = (
+const findMeanLegLatency = (
   state: CoreState,
   partner: PartnerId,
   service: ServiceName,
 ): number | undefined => {
   const seen = state.query.observations.services.get(`${partner}/${service}`);
-  return seen !== undefined && seen.samples >= TRUSTED_LEGS ? seen.latencyMs : undefined;
+  return seen !== undefined && seen.samples >= MIN_LEGS_FOR_MEAN ? seen.latencyMs : undefined;
 };
 
 const createContext = (
@@ -229,12 +229,12 @@
     statuses === undefined
       ? undefined
       : listBackendServices(statuses.values(), layouts.get(partner), (service) =>
-          findMeanLeg(state, partner, service),
+          findMeanLegLatency(state, partner, service),
         );
   return { object, services: known, partners: listPartners(state) };
 };
 
-const finishDecided = (
+const finishWithDecision = (
   state: CoreState,
   progress: EditInProgress,
   decision: Exclude<EditDecision, { readonly type: 'write' }>,
@@ -278,7 +278,7 @@
   progress.expectedVersion = version;
   progress.findings = decision.findings;
   progress.readBacks = 0;
-  const request = nextRequest(state, progress);
+  const request = startRequest(state, progress);
   const { objectName: name } = progress;
   const { content } = decision;
   return [
@@ -296,7 +296,7 @@
   const inForce = state.configuration.objects.get(progress.objectName);
   const decision = decideEdit(progress.edit, createContext(state, progress, inForce));
   if (decision.type === 'applied') {
-    return finishDecided(state, progress, decision, inForce);
+    return finishWithDecision(state, progress, decision, inForce);
   }
   const { edit } = progress.edit;
   const sentence = `Nothing is written over an older store: ${problem}.`;
@@ -321,7 +321,7 @@
   object: StoreObject | undefined,
   at: number,
 ): Effect[] => {
-  dropRequest(state, progress);
+  discardRequests(state, progress);
   progress.failures = 0;
   const older = findOlderStore(progress.heldAtRead, object) ?? describeOlderStore(state);
   if (older !== undefined) {
@@ -336,5 +336,5 @@
     const problem = 'an earlier write of it may still take effect';
     return finishEdit(state, progress, { type: 'unknown', edit: progress.edit.edit, problem });
   }
-  return finishDecided(state, progress, decision, object);
+  return finishWithDecision(state, progress, decision, object);
 };
--- a/src/core/editing/edit-history.ts
+++ b/src/core/editing/edit-history.ts
@@ -23,7 +23,7 @@
  * versions are still recorded. A history that was given back to a store that lost it has the edits
  * that nodes hold, and may be as short as that.
  */
-export const mayBeForgotten = (history: readonly EditRecord[], seenVersion: number): boolean => {
+export const mayBeTruncated = (history: readonly EditRecord[], seenVersion: number): boolean => {
   const oldest = history[0];
   return (
     history.length >= SPREAD_HISTORY_LIMIT &&
--- a/src/core/editing/find-conflicts.ts
+++ b/src/core/editing/find-conflicts.ts
@@ -7,7 +7,7 @@
 export const keyOfChange = (change: RowChange): string =>
   change.type === 'set' ? rowKey(change.row) : rowKey(change);
 
-const mayTouch = (record: EditRecord, key: string): boolean =>
+const mayAffect = (record: EditRecord, key: string): boolean =>
   record.moreRows !== undefined || record.rows.includes(key);
 
 /**
@@ -15,11 +15,11 @@
  * that creates a row conflicts then: otherwise two deliveries of one edit, one of which came while
  * the row stood, would be told different outcomes.
  */
-const hasComeAndGone = (
+const mayHaveExisted = (
   key: string,
   history: readonly EditRecord[],
   seenVersion: number,
-): boolean => history.some((record) => record.sheetVersion > seenVersion && mayTouch(record, key));
+): boolean => history.some((record) => record.sheetVersion > seenVersion && mayAffect(record, key));
 
 const isBasedOnCurrent = (
   change: RowChange,
@@ -28,7 +28,7 @@
   seenVersion: number,
 ): boolean =>
   current === undefined
-    ? change.basedOn === 0 && !hasComeAndGone(keyOfChange(change), history, seenVersion)
+    ? change.basedOn === 0 && !mayHaveExisted(keyOfChange(change), history, seenVersion)
     : change.basedOn === current.rowVersion;
 
 /**
--- a/src/core/editing/read-back.ts
+++ b/src/core/editing/read-back.ts
@@ -14,8 +14,8 @@
 import {
   backOffAfterContention,
   finishEdit,
-  noteHeld,
-  numberRequest,
+  recordHeldObject,
+  createRequest,
   scheduleReadBack,
 } from './edit-flow.js';
 import { findRecord } from './edit-history.js';
@@ -23,7 +23,7 @@
 import type { EditInProgress } from './state.js';
 
 /** Tells the edit as accepted if it stands in the history of `object`; undefined if it doesn't. */
-const acceptIfStanding = (
+const acceptIfRecorded = (
   state: CoreState,
   progress: EditInProgress,
   object: StoreObject,
@@ -40,14 +40,14 @@
 };
 
 /** The write under way has had no answer for a while: reads the object. */
-export const readBack = (state: CoreState, progress: EditInProgress): Effect[] => {
-  noteHeld(state, progress);
+export const startReadBack = (state: CoreState, progress: EditInProgress): Effect[] => {
+  recordHeldObject(state, progress);
   progress.readBacks += 1;
-  progress.readBack = numberRequest(state, progress);
+  progress.readBack = createRequest(state, progress);
   return [{ type: 'read-object', request: progress.readBack, name: progress.objectName }];
 };
 
-const forgetReadBack = (state: CoreState, progress: EditInProgress): void => {
+const clearReadBack = (state: CoreState, progress: EditInProgress): void => {
   if (progress.readBack !== undefined) {
     state.editing.byRequest.delete(progress.readBack);
     delete progress.readBack;
@@ -55,25 +55,29 @@
 };
 
 /** The read failed; the answer to the write may still come. */
-export const failReadBack = (state: CoreState, progress: EditInProgress, at: number): Effect[] => {
-  forgetReadBack(state, progress);
+export const handleReadBackFailure = (
+  state: CoreState,
+  progress: EditInProgress,
+  at: number,
+): Effect[] => {
+  clearReadBack(state, progress);
   return [scheduleReadBack(state, progress, at)];
 };
 
 /** Takes the object as it stands while the write has no answer. */
-export const takeReadBack = (
+export const handleReadBack = (
   state: CoreState,
   progress: EditInProgress,
   object: StoreObject | undefined,
   at: number,
 ): Effect[] => {
-  forgetReadBack(state, progress);
+  clearReadBack(state, progress);
   const older = findOlderStore(progress.heldAtRead, object) ?? describeOlderStore(state);
   const isPast = object !== undefined && object.version > progress.expectedVersion;
   if (older !== undefined || !isPast) {
     return [scheduleReadBack(state, progress, at)];
   }
-  const accepted = acceptIfStanding(state, progress, object);
+  const accepted = acceptIfRecorded(state, progress, object);
   if (accepted !== undefined) {
     return accepted;
   }
@@ -81,14 +85,14 @@
   return backOffAfterContention(state, progress, at);
 };
 
-const settle = (state: CoreState, progress: EditInProgress): Effect[] => {
-  const isOpen = progress.stage === 'writing' || progress.unresolvedVersion !== undefined;
+const settleEdit = (state: CoreState, progress: EditInProgress): Effect[] => {
+  const isUnresolved = progress.stage === 'writing' || progress.unresolvedVersion !== undefined;
   const held = state.configuration.objects.get(progress.objectName);
-  return isOpen && held !== undefined ? (acceptIfStanding(state, progress, held) ?? []) : [];
+  return isUnresolved && held !== undefined ? (acceptIfRecorded(state, progress, held) ?? []) : [];
 };
 
 /** What is in force has changed: looks whether an edit stands in it whose write has no answer. */
-export const settleByWhatIsInForce = (state: CoreState): Effect[] => {
+export const settleFromConfiguration = (state: CoreState): Effect[] => {
   const first = [...state.editing.queues.values()].flatMap((queue) => queue.slice(0, 1));
-  return first.flatMap((progress) => settle(state, progress));
+  return first.flatMap((progress) => settleEdit(state, progress));
 };
--- a/src/core/editing/reducer.ts
+++ b/src/core/editing/reducer.ts
@@ -19,12 +19,17 @@
   backOffAfterFailure,
   continueWithObject,
   deadlineTimer,
-  dropRequest,
+  discardRequests,
   finishEdit,
   readObject,
 } from './edit-flow.js';
 import { digestEdit } from './edit-history.js';
-import { failReadBack, readBack, settleByWhatIsInForce, takeReadBack } from './read-back.js';
+import {
+  handleReadBackFailure,
+  startReadBack,
+  settleFromConfiguration,
+  handleReadBack,
+} from './read-back.js';
 import type { EditInProgress } from './state.js';
 
 const answer = (event: EditRequested, outcome: EditOutcome): Effect[] => [
@@ -32,10 +37,10 @@
 ];
 
 /** The edit was not looked at; whether it was applied earlier is not known. */
-const answerUntried = (event: EditRequested, problem: string): Effect[] =>
+const answerNotProcessed = (event: EditRequested, problem: string): Effect[] =>
   answer(event, { type: 'unknown', edit: event.edit.edit, problem: `not tried: ${problem}` });
 
-const joinEdit = (progress: EditInProgress, event: EditRequested): Effect[] => {
+const attachCall = (progress: EditInProgress, event: EditRequested): Effect[] => {
   if (progress.digest !== digestEdit(event.edit)) {
     const place = `edit ${event.edit.edit}`;
     const problem = 'its id belongs to another edit';
@@ -43,7 +48,7 @@
     return answer(event, { type: 'refused', edit: event.edit.edit, findings });
   }
   if (progress.calls.length >= CALLS_PER_EDIT_LIMIT) {
-    return answerUntried(event, 'too many deliveries of this edit wait already');
+    return answerNotProcessed(event, 'too many deliveries of this edit wait already');
   }
   progress.calls.push(event.call);
   return [];
@@ -63,18 +68,18 @@
   return queue.length === 1 ? [deadline, ...readObject(state, progress)] : [deadline];
 };
 
-const takeEdit = (state: CoreState, event: EditRequested): Effect[] => {
+const handleEditRequested = (state: CoreState, event: EditRequested): Effect[] => {
   const { edit, call, at } = event;
   const key = `${edit.partner}/${edit.edit}`;
   const running = state.editing.inProgress.get(key);
   if (running !== undefined) {
-    return joinEdit(running, event);
+    return attachCall(running, event);
   }
   if (state.phase !== 'serving') {
-    return answerUntried(event, `the node is ${state.phase}`);
+    return answerNotProcessed(event, `the node is ${state.phase}`);
   }
   if (state.editing.inProgress.size >= EDITS_IN_PROGRESS_LIMIT) {
-    return answerUntried(event, 'the node works on too many edits already');
+    return answerNotProcessed(event, 'the node works on too many edits already');
   }
   const progress: EditInProgress = {
     key,
@@ -93,21 +98,21 @@
   return queueEdit(state, progress, at);
 };
 
-const takeRead = (state: CoreState, event: ObjectRead): Effect[] => {
+const handleObjectRead = (state: CoreState, event: ObjectRead): Effect[] => {
   const progress = state.editing.byRequest.get(event.request);
   if (progress === undefined) {
     return [];
   }
   const { object, at } = event;
-  const told = sendStoreHintsIfNewer(state, object?.revision ?? 0, at);
+  const hints = sendStoreHintsIfNewer(state, object?.revision ?? 0, at);
   const isReadBack = event.request === progress.readBack;
   const next = isReadBack
-    ? takeReadBack(state, progress, object, at)
+    ? handleReadBack(state, progress, object, at)
     : continueWithObject(state, progress, object, at);
-  return [...next, ...told];
+  return [...next, ...hints];
 };
 
-const takeWritten = (state: CoreState, event: ObjectWritten): Effect[] => {
+const handleObjectWritten = (state: CoreState, event: ObjectWritten): Effect[] => {
   const progress = state.editing.byRequest.get(event.request);
   if (progress === undefined) {
     return [];
@@ -115,41 +120,41 @@
   const { edit } = progress.edit;
   const { version, revision } = event;
   const { findings } = progress;
-  const told = sendStoreHintsIfNewer(state, revision, event.at);
+  const hints = sendStoreHintsIfNewer(state, revision, event.at);
   const outcome: EditOutcome = { type: 'accepted', edit, version, revision, findings };
-  return [...finishEdit(state, progress, outcome), ...told];
+  return [...finishEdit(state, progress, outcome), ...hints];
 };
 
-const takeWriteRefused = (state: CoreState, event: ObjectWriteRefused): Effect[] => {
+const handleWriteRefused = (state: CoreState, event: ObjectWriteRefused): Effect[] => {
   const progress = state.editing.byRequest.get(event.request);
   return progress === undefined ? [] : backOffAfterContention(state, progress, event.at);
 };
 
-const takeFailure = (state: CoreState, event: ObjectRequestFailed): Effect[] => {
+const handleObjectRequestFailed = (state: CoreState, event: ObjectRequestFailed): Effect[] => {
   const progress = state.editing.byRequest.get(event.request);
   if (progress === undefined) {
     return [];
   }
   return event.request === progress.readBack
-    ? failReadBack(state, progress, event.at)
+    ? handleReadBackFailure(state, progress, event.at)
     : backOffAfterFailure(state, progress, event.at, event.problem);
 };
 
-const tryAgain = (state: CoreState, progress: EditInProgress): Effect[] => {
+const retryEdit = (state: CoreState, progress: EditInProgress): Effect[] => {
   if (progress.stage === 'writing') {
-    return readBack(state, progress);
+    return startReadBack(state, progress);
   }
-  dropRequest(state, progress);
+  discardRequests(state, progress);
   return readObject(state, progress);
 };
 
-const takeTimer = (state: CoreState, key: TimerKey): Effect[] => {
+const handleTimer = (state: CoreState, key: TimerKey): Effect[] => {
   const progress = state.editing.inProgress.get(key.subject);
   if (progress === undefined) {
     return [];
   }
   if (key.purpose === 'editing-retry') {
-    return tryAgain(state, progress);
+    return retryEdit(state, progress);
   }
   const { edit } = progress.edit;
   return finishEdit(state, progress, { type: 'unknown', edit, problem: progress.problem });
@@ -159,20 +164,20 @@
 export const reduceEditing = (state: CoreState, event: Event): Effect[] => {
   switch (event.type) {
     case 'edit-requested':
-      return takeEdit(state, event);
+      return handleEditRequested(state, event);
     case 'object-read':
-      return takeRead(state, event);
+      return handleObjectRead(state, event);
     case 'object-written':
-      return takeWritten(state, event);
+      return handleObjectWritten(state, event);
     case 'object-write-refused':
-      return takeWriteRefused(state, event);
+      return handleWriteRefused(state, event);
     case 'object-request-failed':
-      return takeFailure(state, event);
+      return handleObjectRequestFailed(state, event);
     case 'timer-fired':
-      return takeTimer(state, event.key);
+      return handleTimer(state, event.key);
     case 'store-changed':
     case 'link-message-arrived':
-      return settleByWhatIsInForce(state);
+      return settleFromConfiguration(state);
     default:
       return [];
   }
--- a/test/configuration/store-outage.test.ts
+++ b/test/configuration/store-outage.test.ts
@@ -12,8 +12,8 @@
     ['unreachable', 2],
   ])(
     'loses no query and no member, and causes at most two requests per zone in the second after it (%s, seed %i)',
-    (absence, seed) => {
-      const result = simulateStoreOutage(seed, absence, OUTAGE_MS);
+    (kind, seed) => {
+      const result = simulateStoreOutage(seed, kind, OUTAGE_MS);
       expect(result.queries).toBeGreaterThan(OUTAGE_MS / 1_000);
       expect(result.queriesLost).toBe(0);
       expect(result.membersLost).toBe(0);
--- a/test/configuration/store-outage.ts
+++ b/test/configuration/store-outage.ts
@@ -128,7 +128,7 @@
 /** Runs an outage of `outageMs` and measures its consequences. */
 export const simulateStoreOutage = (
   seed: number,
-  absence: OutageKind,
+  kind: OutageKind,
   outageMs: number,
 ): OutageResult => {
   const { simulation, checker } = createTier(seed);
@@ -148,10 +148,10 @@
     },
   });
   sendQueries(simulation, outageMs + AFTER_MS);
-  setStoreOutage(simulation, absence, true);
+  setStoreOutage(simulation, kind, true);
   simulation.runFor(outageMs);
   const returnedAt = simulation.now;
-  setStoreOutage(simulation, absence, false);
+  setStoreOutage(simulation, kind, false);
   const inForceMs = measureEdits(simulation, seed);
   simulation.runFor(AFTER_MS + 10_000);
   const counts = new Map<string, number>();
--- a/test/editing/edit-fuzz.test.ts
+++ b/test/editing/edit-fuzz.test.ts
@@ -153,8 +153,8 @@
         for (const { by, id, seen, action: wanted } of sequence) {
           const others = PARTNERS.filter((each) => each !== by);
           const before = JSON.stringify(others.map((each) => rowsOf(world, each)));
-          const drawn = createEdit(wanted, { edit: `e-${id}`, partner: by, seenVersion: seen });
-          const outcome = world.edit(id % 2, resolveVersions(world, drawn));
+          const generated = createEdit(wanted, { edit: `e-${id}`, partner: by, seenVersion: seen });
+          const outcome = world.edit(id % 2, resolveVersions(world, generated));
           outcomes.set(outcome.type, (outcomes.get(outcome.type) ?? 0) + 1);
           const reasons = reasonsOf(outcome);
           expect(reasons.length).toBeGreaterThan(0);
--- a/test/editing/editing-world.ts
+++ b/test/editing/editing-world.ts
@@ -15,7 +15,7 @@
 import type { EditOutcome, EditRequest } from '../../src/table/edit.js';
 
 /** How the way to the store misbehaves; shares are 0 to 1. */
-export interface StoreWay {
+export interface StoreLink {
   /** Requests lost before they reach the store. */
   readonly requestLost: number;
   /** Answers lost after the request took effect. */
@@ -24,7 +24,7 @@
   readonly late: number;
 }
 
-export const GOOD_WAY: StoreWay = { requestLost: 0, answerLost: 0, late: 0 };
+export const RELIABLE_LINK: StoreLink = { requestLost: 0, answerLost: 0, late: 0 };
 
 /** A request to the store without an answer is given up after this long. */
 export const STORE_TIMEOUT_MS = 400;
@@ -55,7 +55,7 @@
   readonly random: Random;
   readonly nodes: WorldNode[];
   readonly logs: string[] = [];
-  way: StoreWay = GOOD_WAY;
+  link: StoreLink = RELIABLE_LINK;
   /** Nodes are told what the store has changed. */
   watching = true;
   /** Names of the effects that were carried out on the store. */
@@ -67,7 +67,7 @@
   private readonly waiting = new Map<CallId, WaitingCall>();
   private order = 0;
   private calls = 0;
-  private lives = 0;
+  private processCount = 0;
 
   constructor(private readonly options: WorldOptions) {
     this.random = createRandom(options.seed);
@@ -159,8 +159,8 @@
       address: { host: '127.0.0.1', port: 1 + index },
       incarnation: 1,
     };
-    this.lives += 1;
-    const seed = this.options.seed * 100 + this.lives;
+    this.processCount += 1;
+    const seed = this.options.seed * 100 + this.processCount;
     const core = createCoreState({ self, seeds: [], seed });
     return { core, timers: new Map(), pausedUntil: 0 };
   }
@@ -175,7 +175,7 @@
       return;
     }
     const effects = this.options.step(target.core, event);
-    effects.forEach((effect) => this.carryOut(target, effect));
+    effects.forEach((effect) => this.runEffect(target, effect));
   }
 
   private answer(call: CallId, outcome: EditOutcome): void {
@@ -184,7 +184,7 @@
     waiting?.done(outcome);
   }
 
-  private carryOut(target: WorldNode, effect: Effect): void {
+  private runEffect(target: WorldNode, effect: Effect): void {
     switch (effect.type) {
       case 'answer-operator':
         this.answer(effect.call, effect.outcome);
@@ -197,14 +197,14 @@
         break;
       case 'read-object':
         this.storeEffects.push(effect.type);
-        this.reach(target, effect.request, () => {
+        this.callStore(target, effect.request, () => {
           const object = this.store.read(effect.name);
           return object === undefined ? { type: 'object-read' } : { type: 'object-read', object };
         });
         break;
       case 'write-object':
         this.storeEffects.push(effect.type);
-        this.reach(target, effect.request, () => this.write(effect));
+        this.callStore(target, effect.request, () => this.write(effect));
         break;
       case 'write-log':
         this.logs.push(effect.sentence);
@@ -240,10 +240,10 @@
   }
 
   /** Carries a request to the store and its answer back, as the way allows. */
-  private reach(
+  private callStore(
     target: WorldNode,
     request: Extract<Effect, { type: 'read-object' }>['request'],
-    act: () => object | undefined,
+    execute: () => object | undefined,
   ): void {
     const fail = (): void => {
       this.unanswered += 1;
@@ -251,18 +251,18 @@
       this.dispatch(target, { ...failed, at: this.now });
     };
     const luck = this.random.next();
-    const { requestLost, late, answerLost } = this.way;
+    const { requestLost, late, answerLost } = this.link;
     if (this.store.currentFaults.down || luck < requestLost) {
       this.after(STORE_TIMEOUT_MS, fail);
       return;
     }
     if (luck < requestLost + late) {
       this.after(STORE_TIMEOUT_MS, fail);
-      this.after(LATE_MS, act);
+      this.after(LATE_MS, execute);
       return;
     }
     this.after(1 + this.random.nextBelow(15), () => {
-      const answer = act();
+      const answer = execute();
       if (answer === undefined || this.random.next() < answerLost) {
         this.after(STORE_TIMEOUT_MS, fail);
         return;
--- a/test/editing/editing.test.ts
+++ b/test/editing/editing.test.ts
@@ -2,7 +2,7 @@
 import {
   EDIT_DEADLINE_MS,
   EDITS_IN_PROGRESS_LIMIT,
-  TRUSTED_LEGS,
+  MIN_LEGS_FOR_MEAN,
 } from '../../src/core/editing/bounds.js';
 import { identifier } from '../../src/core/identifiers.js';
 import { step } from '../../src/core/reducer.js';
@@ -10,7 +10,7 @@
 import { buildInitialObjects } from '../../src/deployments/initial-objects.js';
 import type { EditOutcome } from '../../src/table/edit.js';
 import { HISTORY_LIMIT, type Sheet } from '../../src/table/sheet.js';
-import { EditingWorld, GOOD_WAY, sheetName } from './editing-world.js';
+import { EditingWorld, RELIABLE_LINK, sheetName } from './editing-world.js';
 import { createEdit, editRows, removeRow, setRow } from './edits.js';
 
 const createWorld = (seed = 1): EditingWorld => new EditingWorld({ nodes: 3, seed, step });
@@ -125,13 +125,13 @@
     services?.set('ensemble/booking-desk-1', {
       latencyMs: 31,
       unqueuedMs: 31,
-      samples: TRUSTED_LEGS,
+      samples: MIN_LEGS_FOR_MEAN,
     });
     expect(columns(world.edit(0, edit('b')))).toEqual(['concurrentLimit', 'deadlineMs']);
     services?.set('ensemble/booking-desk-1', {
       latencyMs: 31,
       unqueuedMs: 31,
-      samples: TRUSTED_LEGS - 1,
+      samples: MIN_LEGS_FOR_MEAN - 1,
     });
     expect(columns(world.edit(0, edit('c')))).toEqual(['concurrentLimit']);
   });
@@ -224,11 +224,11 @@
 
   it('may take a write late without the edit standing twice', () => {
     const world = createWorld(3);
-    world.way = { ...GOOD_WAY, late: 1 };
+    world.link = { ...RELIABLE_LINK, late: 1 };
     const outcomes: EditOutcome[] = [];
     world.send(0, editRows([setRow({})]), (each) => outcomes.push(each));
     world.run(() => world.now > 1_500);
-    world.way = GOOD_WAY;
+    world.link = RELIABLE_LINK;
     settle(world);
     expect(outcomes).toMatchObject([{ type: 'accepted', version: 1 }]);
     expect(sheetOf(world).history).toHaveLength(1);
--- a/test/editing/race.ts
+++ b/test/editing/race.ts
@@ -15,17 +15,17 @@
 const OPERATORS_PER_PARTNER = 2;
 const KINDS = ['page', 'answer', 'swap', 'book'] as const;
 const NODES = 4;
-const THINK_MS = 60;
+const MAX_THINK_MS = 60;
 const FOREIGN_SHARE = 0.03;
 const REMOVE_SHARE = 0.15;
-const DOUBLED_SHARE = 0.1;
+const DUPLICATE_SHARE = 0.1;
 /** When the store goes down and comes back, in milliseconds; longer than a node waits for it. */
 const OUTAGE = { from: 20_000, until: 45_000 } as const;
 
-const SILENCE_MS = 1_000;
-const DISTURB_EVERY_MS = 3_000;
-const DISTURB_UNTIL_MS = 90_000;
-const LONGEST_PAUSE_MS = 4_000;
+const WATCH_OUTAGE_MS = 1_000;
+const FAULT_INTERVAL_MS = 3_000;
+const FAULTS_UNTIL_MS = 90_000;
+const MAX_PAUSE_MS = 4_000;
 
 /** One edit of the race with everything that was said of it. */
 interface RacedEdit {
@@ -54,13 +54,17 @@
 };
 
 /** What an operator sees at a node, which may lag behind the store. */
-const seenAt = (world: EditingWorld, node: number, partner: string) => {
+const readSheetAt = (world: EditingWorld, node: number, partner: string) => {
   const held = world.nodes[node]?.core.configuration.objects.get(sheetName(partner));
   const rows = held?.content.type === 'sheet' ? held.content.sheet.rows : [];
   return { version: held?.version ?? 0, rows };
 };
 
-const drawChange = (world: EditingWorld, rows: readonly SheetRow[], partner: string): RowChange => {
+const generateChange = (
+  world: EditingWorld,
+  rows: readonly SheetRow[],
+  partner: string,
+): RowChange => {
   const { random } = world;
   const kind = KINDS[random.nextBelow(KINDS.length)] ?? 'page';
   const current = rows.find((each) => each.row.kind === kind);
@@ -84,7 +88,7 @@
   world.send(node, raced.edit, (outcome) => {
     raced.outcomes.push(outcome);
     if (outcome.type === 'unknown') {
-      const wait = 1 + world.random.nextBelow(THINK_MS);
+      const wait = 1 + world.random.nextBelow(MAX_THINK_MS);
       world.after(wait, () => sendUntilFinal(world, raced, (node + 1) % NODES, done));
     } else {
       done();
@@ -105,8 +109,8 @@
       return;
     }
     const node = random.nextBelow(NODES);
-    const seen = seenAt(world, node, partner);
-    const change = drawChange(world, seen.rows, partner);
+    const seen = readSheetAt(world, node, partner);
+    const change = generateChange(world, seen.rows, partner);
     const edit = editRows([change], {
       edit: `${operator}-${index}`,
       partner,
@@ -115,30 +119,30 @@
     });
     const raced: RacedEdit = { edit, outcomes: [] };
     edits.push(raced);
-    if (random.next() < DOUBLED_SHARE) {
+    if (random.next() < DUPLICATE_SHARE) {
       sendUntilFinal(world, raced, (node + 1) % NODES, () => undefined);
     }
     sendUntilFinal(world, raced, node, () =>
-      world.after(random.nextBelow(THINK_MS), () => next(index + 1)),
+      world.after(random.nextBelow(MAX_THINK_MS), () => next(index + 1)),
     );
   };
-  world.after(random.nextBelow(THINK_MS), () => next(0));
+  world.after(random.nextBelow(MAX_THINK_MS), () => next(0));
 };
 
 /** Nodes are replaced and paused in turn, some while they carry out edits. */
-const disturbNodes = (world: EditingWorld): void => {
-  for (let at = DISTURB_EVERY_MS; at < DISTURB_UNTIL_MS; at += DISTURB_EVERY_MS) {
+const injectNodeFaults = (world: EditingWorld): void => {
+  for (let at = FAULT_INTERVAL_MS; at < FAULTS_UNTIL_MS; at += FAULT_INTERVAL_MS) {
     world.after(at, () => world.restart(world.random.nextBelow(NODES)));
-    const pause = 200 + world.random.nextBelow(LONGEST_PAUSE_MS);
+    const pause = 200 + world.random.nextBelow(MAX_PAUSE_MS);
     world.after(at / 2, () => world.pause(world.random.nextBelow(NODES), pause));
   }
 };
 
 /** For half of the time no node is told of changes, so that a lost answer must be read back. */
-const silenceWatches = (world: EditingWorld): void => {
-  for (let at = SILENCE_MS; at < DISTURB_UNTIL_MS; at += 2 * SILENCE_MS) {
+const injectWatchOutages = (world: EditingWorld): void => {
+  for (let at = WATCH_OUTAGE_MS; at < FAULTS_UNTIL_MS; at += 2 * WATCH_OUTAGE_MS) {
     world.after(at, () => (world.watching = false));
-    world.after(at + SILENCE_MS, () => (world.watching = true));
+    world.after(at + WATCH_OUTAGE_MS, () => (world.watching = true));
   }
 };
 
@@ -189,10 +193,10 @@
       }
     }
   }
-  const stands = new Map(sheet.rows.map((each) => [rowKey(each.row), each]));
+  const actual = new Map(sheet.rows.map((each) => [rowKey(each.row), each]));
   const sorted = (all: ReadonlyMap<string, SheetRow>): string =>
     JSON.stringify([...all].sort(([left], [right]) => (left < right ? -1 : 1)));
-  if (sorted(stands) !== sorted(rows)) {
+  if (sorted(actual) !== sorted(rows)) {
     violations.push(`the rows of ${sheet.partner} are not what its history made`);
   }
   if (sheet.rows.some(({ row }) => row.partner !== sheet.partner)) {
@@ -204,7 +208,7 @@
 /** Runs a race of `count` edits. */
 export const runRace = (run: typeof step, seed: number, count: number): RaceResult => {
   const world = new EditingWorld({ nodes: NODES, seed, step: run });
-  world.way = { requestLost: 0.03, late: 0.02, answerLost: 0.1 };
+  world.link = { requestLost: 0.03, late: 0.02, answerLost: 0.1 };
   const edits: RacedEdit[] = [];
   const each = count / (PARTNERS.length * OPERATORS_PER_PARTNER);
   for (const partner of PARTNERS) {
@@ -212,8 +216,8 @@
       runOperator(world, partner, `${partner}-operator-${index}`, each, edits);
     }
   }
-  disturbNodes(world);
-  silenceWatches(world);
+  injectNodeFaults(world);
+  injectWatchOutages(world);
   world.after(OUTAGE.from, () => world.store.setFaults({ down: true }));
   world.after(OUTAGE.until, () => world.store.setFaults({ down: false }));
   world.run(() => false);
--- a/test/editing/read-back.test.ts
+++ b/test/editing/read-back.test.ts
@@ -3,10 +3,10 @@
 import type { EditOutcome } from '../../src/table/edit.js';
 import {
   EditingWorld,
-  GOOD_WAY,
+  RELIABLE_LINK,
   sheetName,
   STORE_TIMEOUT_MS,
-  type StoreWay,
+  type StoreLink,
 } from './editing-world.js';
 import { editRows, setRow } from './edits.js';
 
@@ -21,25 +21,25 @@
 
 /** Sends an edit and runs until its outcome; tells how long that took. */
 const edit = (world: EditingWorld, wanted: ReturnType<typeof editRows>): [EditOutcome, number] => {
-  const began = world.now;
+  const startedAt = world.now;
   const outcome = world.edit(0, wanted);
-  return [outcome, world.now - began];
+  return [outcome, world.now - startedAt];
 };
 
 /** Runs until the write has been sent, which goes the way `way`; the read has been sent already. */
-const loseNextWrite = (world: EditingWorld, way: StoreWay): void => {
-  world.way = way;
+const runUntilWriteSent = (world: EditingWorld, link: StoreLink): void => {
+  world.link = link;
   world.run(() => world.storeEffects.includes('write-object'));
-  world.way = GOOD_WAY;
+  world.link = RELIABLE_LINK;
 };
 
 describe('a write whose answer is lost', () => {
   it.each(SEEDS)('is known by what is in force before it times out (seed %i)', (seed) => {
     const world = createWorld(seed);
     world.store.setFaults({ loseAnswerShare: 1 });
-    const [outcome, took] = edit(world, editRows([setRow({})]));
+    const [outcome, durationMs] = edit(world, editRows([setRow({})]));
     expect(outcome).toMatchObject({ type: 'accepted', version: 1, revision: 1 });
-    expect(took).toBeLessThan(100);
+    expect(durationMs).toBeLessThan(100);
     expect(historyOf(world)).toEqual(['e-1']);
   });
 
@@ -47,9 +47,9 @@
     const world = createWorld(seed);
     world.watching = false;
     world.store.setFaults({ loseAnswerShare: 1 });
-    const [outcome, took] = edit(world, editRows([setRow({})]));
+    const [outcome, durationMs] = edit(world, editRows([setRow({})]));
     expect(outcome).toMatchObject({ type: 'accepted', version: 1, revision: 1 });
-    expect(took).toBeLessThan(STORE_TIMEOUT_MS);
+    expect(durationMs).toBeLessThan(STORE_TIMEOUT_MS);
     expect(historyOf(world)).toEqual(['e-1']);
   });
 
@@ -58,7 +58,7 @@
     world.watching = false;
     const outcomes: EditOutcome[] = [];
     world.send(0, editRows([setRow({})], { edit: 'e-1' }), (each) => outcomes.push(each));
-    loseNextWrite(world, { ...GOOD_WAY, requestLost: 1 });
+    runUntilWriteSent(world, { ...RELIABLE_LINK, requestLost: 1 });
     const other = editRows([setRow({ kind: 'swap' })], { edit: 'e-2' });
     world.send(1, other, (each) => outcomes.push(each));
     world.run(() => outcomes.length === 2);
@@ -72,7 +72,7 @@
     world.watching = false;
     const outcomes: EditOutcome[] = [];
     world.send(0, editRows([setRow({})]), (each) => outcomes.push(each));
-    loseNextWrite(world, { ...GOOD_WAY, late: 1 });
+    runUntilWriteSent(world, { ...RELIABLE_LINK, late: 1 });
     world.run(() => outcomes.length > 0);
     expect(outcomes).toMatchObject([{ type: 'accepted', version: 1 }]);
     world.run(() => false);
