--- a/src/core/editing/bounds.ts
+++ b/src/core/editing/bounds.ts
@@ -1,22 +1,24 @@
-/** Bounds of the editing slice. */
+/** Limits and intervals of the editing slice. */
 
-/** Longest a node works on an edit, in milliseconds; then its fate is told as unknown. */
+/** Maximum time a node works on an edit, in milliseconds; the outcome is then `unknown`. */
 export const EDIT_DEADLINE_MS = 20_000;
-/** Most edits a node works on at once. */
+/** Maximum number of edits in progress at a node. */
 export const EDITS_IN_PROGRESS_LIMIT = 64;
-/** Most deliveries of one edit that wait for its outcome together. */
+/** Maximum number of calls that wait for the outcome of the same edit. */
 export const CALLS_PER_EDIT_LIMIT = 16;
-/** Longest wait before the first retry after a failure of the store, in milliseconds. */
+/** Maximum delay before the first retry after a store failure, in milliseconds. */
 export const FAILURE_BACKOFF_BASE_MS = 200;
-/** Longest wait before any retry after a failure of the store, in milliseconds. */
+/** Maximum delay before any retry after a store failure, in milliseconds. */
 export const FAILURE_BACKOFF_LIMIT_MS = 5_000;
-/** Longest wait before the first retry after a refused compare-and-set, in milliseconds. */
+/** Maximum delay before the first retry after a refused compare-and-set, in milliseconds. */
 export const CONTENTION_BACKOFF_BASE_MS = 10;
-/** Longest wait before any retry after a refused compare-and-set, in milliseconds. */
+/** Maximum delay before any retry after a refused compare-and-set, in milliseconds. */
 export const CONTENTION_BACKOFF_LIMIT_MS = 500;
-/** A write without an answer is read back after at most this long, in milliseconds; then it doubles. */
+/**
+ * Maximum delay before an unanswered write is first read back, in milliseconds; doubles each time.
+ */
 export const READ_BACK_BASE_MS = 250;
-/** Longest wait before a write without an answer is read back once more, in milliseconds. */
+/** Maximum delay before any read-back of an unanswered write, in milliseconds. */
 export const READ_BACK_LIMIT_MS = 2_000;
-/** Legs of a service a node must have seen before it warns by their mean time. */
+/** Minimum number of observed legs of a service before warnings use their mean latency. */
 export const MIN_LEGS_FOR_MEAN = 20;
--- a/src/core/editing/decide-agreement-edit.ts
+++ b/src/core/editing/decide-agreement-edit.ts
@@ -1,6 +1,6 @@
 /**
  * Decides proposals and approvals of the agreement. A proposal comes into force only when every
- * partner concerned has approved that same proposal, by name and by value.
+ * partner concerned has approved this proposal, identified by its name and its shares.
  */
 import type { Agreement, AgreementProposal, PoolShare } from '../../table/agreement.js';
 import type { EditRequest } from '../../table/edit.js';
@@ -11,9 +11,9 @@
 import { appendRecord } from './edit-history.js';
 
 const PLACE = 'agreement';
-/** Most by which the shares may miss 1, for shares such as a third. */
+/** Maximum deviation of the sum of shares from 1, to allow shares such as one third. */
 const SUM_TOLERANCE = 1e-9;
-/** Fewest partners an agreement is made between. */
+/** Minimum number of partners of an agreement. */
 const MIN_PARTNERS = 2;
 
 const errorAt = (place: string, problem: string): Finding => ({
@@ -51,7 +51,7 @@
   return findings;
 };
 
-/** Decides one action on the agreement as it stands. */
+/** Decides one action on the current agreement. */
 type DecideAction<Action> = (
   edit: EditRequest,
   action: Action,
@@ -60,8 +60,8 @@
 ) => EditDecision;
 
 /**
- * The agreement is small and seldom changed: an edit of it stands only on the very version that the
- * operator saw, so that nothing is agreed to unseen.
+ * Refuses an edit unless the agreement still has the version that the operator saw, so that nobody
+ * approves something unseen. This is acceptable because the agreement is small and rarely changed.
  */
 const requireSeenVersion =
   <Action>(decide: DecideAction<Action>): DecideAction<Action> =>
@@ -80,7 +80,7 @@
   );
 };
 
-/** Partners whose approval a proposal needs: those it names, and those that stand in force. */
+/** Lists the partners whose approval a proposal needs: those it names and all existing ones. */
 const listApprovers = (
   proposal: AgreementProposal,
   agreement: Agreement,
@@ -144,7 +144,7 @@
   return writeAgreement(agreement, proposal, history, context);
 };
 
-/** Decides a proposal; it takes the place of the same partner's earlier one. */
+/** Decides a proposal, which replaces an earlier one of the same partner. */
 export const decideProposal = requireSeenVersion(propose);
 
 const approve: DecideAction<ActionOf<'approve-agreement'>> = (edit, action, agreement, context) => {
@@ -164,5 +164,5 @@
   return writeAgreement(agreement, { ...found, approvedBy }, history, context);
 };
 
-/** Decides an approval, which names the shares that the operator saw. */
+/** Decides an approval, which contains the shares that the operator saw. */
 export const decideApproval = requireSeenVersion(approve);
--- a/src/core/editing/decide-edit.ts
+++ b/src/core/editing/decide-edit.ts
@@ -9,7 +9,9 @@
 import { refuseWith, type EditContext, type EditDecision } from './edit-decision.js';
 import { digestEdit, findRecord, mayBeTruncated } from './edit-history.js';
 
-/** The object an edit changes. It follows from the edit's own partner: no other can be named. */
+/**
+ * Returns the name of the object an edit changes, derived from its partner, never chosen freely.
+ */
 export const objectOfEdit = (edit: EditRequest): ObjectName =>
   match(edit.action.type)
     .with('change-rows', () => identifier<ObjectName>(`sheet/${edit.partner}`))
@@ -44,7 +46,7 @@
   'approve-agreement': 'agreement',
 } as const;
 
-/** Decides `edit`, first of all whether it stands already. */
+/** Decides `edit`; checks first whether it has been applied already. */
 export const decideEdit = (edit: EditRequest, context: EditContext): EditDecision => {
   const place = objectOfEdit(edit);
   const { object } = context;
--- a/src/core/editing/decide-keys-edit.ts
+++ b/src/core/editing/decide-keys-edit.ts
@@ -1,11 +1,11 @@
-/** Decides a replacement of a partner's keys. */
+/** Decides replacements of a partner's keys. */
 import type { EditRequest } from '../../table/edit.js';
 import type { Finding } from '../../table/finding.js';
 import type { KeyRecord, PartnerKeys } from '../../table/partner-keys.js';
 import { refuseWith, type ActionOf, type EditContext, type EditDecision } from './edit-decision.js';
 import { appendRecord } from './edit-history.js';
 
-/** A SHA-256 in lower-case hexadecimal. */
+/** A SHA-256 hash in lower-case hexadecimal. */
 const SHA256_PATTERN = /^[0-9a-f]{64}$/;
 
 const findKeyErrors = (keys: readonly KeyRecord[], place: string): Finding[] => {
@@ -29,7 +29,7 @@
   return findings;
 };
 
-/** Decides a replacement of keys against `keys`, the ones that stand. */
+/** Decides a replacement of `keys`, the current ones. */
 export const decideKeysEdit = (
   edit: EditRequest,
   action: ActionOf<'replace-keys'>,
--- a/src/core/editing/decide-sheet-edit.ts
+++ b/src/core/editing/decide-sheet-edit.ts
@@ -1,4 +1,6 @@
-/** Decides an edit of rows: rebases it onto the sheet as it stands, or says what is in its way. */
+/**
+ * Decides edits of rows: rebases them onto the current sheet, or returns the errors or conflicts.
+ */
 import type { EditRequest, RowChange } from '../../table/edit.js';
 import type { Finding } from '../../table/finding.js';
 import { rowPlace } from '../../table/row-key.js';
@@ -50,7 +52,7 @@
       problem: 'cannot be removed: there is no such row',
     }));
 
-/** The rows that changes are about, as far as they stand, by `route/kind`. */
+/** Finds the existing rows that the changes refer to, by `route/kind`. */
 const findCurrentRows = (
   rows: readonly SheetRow[],
   changes: readonly RowChange[],
@@ -78,7 +80,7 @@
   return replaceRows(rows, new Set(removed), changed);
 };
 
-/** Decides a change of rows against `sheet`, which stands at the version of `context.object`. */
+/** Decides a change of rows against `sheet`, the content of `context.object`. */
 export const decideSheetEdit = (
   edit: EditRequest,
   action: ActionOf<'change-rows'>,
--- a/src/core/editing/edit-flow.ts
+++ b/src/core/editing/edit-flow.ts
@@ -1,10 +1,10 @@
 /**
- * Carries an edit out at the store: read, decide, write by compare-and-set, and again when the
- * object moved or the store failed, until there is an outcome or the deadline has passed.
+ * Applies an edit to the store: read, decide and write by compare-and-set, repeated when the object
+ * changed or the store failed, until there is an outcome or the deadline has passed.
  *
  * A write whose answer is lost is resolved by the next read, see `read-back.ts`: if it took effect,
- * the edit's id stands in the history. Only what follows from a read, or from what is in force, is
- * told as final; all else is `unknown`.
+ * the history contains the edit's id. An outcome is final only if it follows from an answer of the
+ * store or from the configuration in force; otherwise it is `unknown`.
  */
 import { match } from 'ts-pattern';
 import type { StoreObject } from '../../catalog/store-object.js';
@@ -44,16 +44,16 @@
   unknown: 'edits_unknown',
 } as const;
 
-/** Key of the timer that ends an edit's work. */
+/** Key of the timer for the deadline of an edit. */
 export const deadlineTimer = (key: string): TimerKey => ({
   purpose: 'editing-deadline',
   subject: key,
 });
 
-/** Key of the timer after which an edit is tried again. */
+/** Key of the timer after which an edit is retried or its write is read back. */
 const retryTimer = (key: string): TimerKey => ({ purpose: 'editing-retry', subject: key });
 
-/** Names a request to the store that is made for an edit. */
+/** Allocates and registers the id of a store request for an edit. */
 export const createRequest = (state: CoreState, progress: EditInProgress): StoreRequestId => {
   state.editing.requests += 1;
   const request = identifier<StoreRequestId>(`edit-${state.editing.requests}`);
@@ -66,7 +66,7 @@
   return progress.request;
 };
 
-/** Forgets the requests under way; an answer to them that still comes is ignored. */
+/** Discards the requests in progress; answers that arrive later are ignored. */
 export const discardRequests = (state: CoreState, progress: EditInProgress): void => {
   for (const request of [progress.request, progress.readBack]) {
     if (request !== undefined) {
@@ -77,7 +77,7 @@
   delete progress.readBack;
 };
 
-/** Notes what is in force as a read is sent: the store must not show less. */
+/** Records the object in force when a read is sent; the object read must not be older. */
 export const recordHeldObject = (state: CoreState, progress: EditInProgress): void => {
   const held = state.configuration.objects.get(progress.objectName);
   if (held === undefined) {
@@ -126,7 +126,7 @@
     .exhaustive();
 };
 
-/** Tells all who wait for the edit its outcome, and starts the next edit of the same object. */
+/** Answers all calls that wait for the edit, and starts the next edit of the same object. */
 export const finishEdit = (
   state: CoreState,
   progress: EditInProgress,
@@ -150,7 +150,7 @@
   ];
 };
 
-/** Tries again after a jittered wait that grows with `attempt`, counted from 1. */
+/** Retries after a jittered delay that grows with `attempt`, counted from 1. */
 const backOff = (
   state: CoreState,
   progress: EditInProgress,
@@ -166,7 +166,7 @@
   return [{ type: 'set-timer', key: retryTimer(progress.key), at: at + wait }];
 };
 
-/** The store failed, or did not answer: what was asked of it may have taken effect. */
+/** Backs off after the store failed or did not answer; a write may have taken effect. */
 export const backOffAfterFailure = (
   state: CoreState,
   progress: EditInProgress,
@@ -182,7 +182,7 @@
   return backOff(state, progress, at, progress.failures, bounds);
 };
 
-/** Somebody else wrote the object first. */
+/** Backs off after another write of the object came first. */
 export const backOffAfterContention = (
   state: CoreState,
   progress: EditInProgress,
@@ -207,7 +207,7 @@
   return [...partners];
 };
 
-/** The mean leg of a service as this node saw it, once it has seen enough of them. */
+/** Returns the mean leg latency of a service at this node, once it has observed enough legs. */
 const findMeanLegLatency = (
   state: CoreState,
   partner: PartnerId,
@@ -256,7 +256,7 @@
   return finishEdit(state, progress, outcome);
 };
 
-/** The write under way is read back after a jittered wait that grows, unless its answer is first. */
+/** Schedules a read-back of the write in progress, after a jittered delay that grows. */
 export const scheduleReadBack = (
   state: CoreState,
   progress: EditInProgress,
@@ -287,7 +287,10 @@
   ];
 };
 
-/** An edit that comes again and is in force was accepted, whatever the store has forgotten. */
+/**
+ * Refuses an edit because the store is older, unless the edit is already part of the object in
+ * force.
+ */
 const refuseOlderStore = (
   state: CoreState,
   progress: EditInProgress,
@@ -314,7 +317,7 @@
   ];
 };
 
-/** Goes on with an edit whose object has been read. */
+/** Decides an edit whose object has been read, and writes the object or finishes the edit. */
 export const continueWithObject = (
   state: CoreState,
   progress: EditInProgress,
--- a/src/core/editing/edit-history.ts
+++ b/src/core/editing/edit-history.ts
@@ -1,4 +1,6 @@
-/** The history of an object: which edits made it, and what it says of one that comes again. */
+/**
+ * The history of an object: the edits applied to it, by which repeated deliveries are recognised.
+ */
 import type { EditRequest } from '../../table/edit.js';
 import {
   HISTORY_LIMIT,
@@ -9,19 +11,19 @@
 import { hash32 } from '../hash.js';
 import type { EditId } from '../identifiers.js';
 
-/** Hashes what an edit does, so that another edit under its id is told apart. */
+/** Hashes the content of an edit, to detect another edit with the same id. */
 export const digestEdit = (edit: EditRequest): number =>
   hash32(JSON.stringify([edit.partner, edit.action]));
 
-/** Finds an edit, newest first. */
+/** Finds the newest record of an edit. */
 export const findRecord = (history: readonly EditRecord[], edit: EditId): EditRecord | undefined =>
   history.findLast((record) => record.edit === edit);
 
 /**
- * Whether an edit that saw `seenVersion` may have been applied and dropped from the history since.
- * It can only have produced a later version than it saw, so it is safe to apply while all later
- * versions are still recorded. A history that was given back to a store that lost it has the edits
- * that nodes hold, and may be as short as that.
+ * True when an edit that saw `seenVersion` may have been applied and then dropped from the history.
+ * It can only have produced a version later than the one it saw, so it is safe to apply while all
+ * later versions are recorded. The limit is that of the histories held by nodes, because a restored
+ * store may have got its history back from a node.
  */
 export const mayBeTruncated = (history: readonly EditRecord[], seenVersion: number): boolean => {
   const oldest = history[0];
@@ -32,7 +34,7 @@
   );
 };
 
-/** Adds the record of `edit`, which makes the object's `version`; the oldest falls out. */
+/** Appends the record of `edit`, which creates `version` of the object; drops the oldest record. */
 export const appendRecord = (
   history: readonly EditRecord[],
   edit: EditRequest,
--- a/src/core/editing/find-conflicts.ts
+++ b/src/core/editing/find-conflicts.ts
@@ -1,9 +1,9 @@
-/** Conflicts: changes based on a row that has been written or removed since. */
+/** Conflicts: changes based on a row that has been written or removed in the meantime. */
 import type { EditConflict, EditRequest, RowChange } from '../../table/edit.js';
 import { rowKey } from '../../table/row-key.js';
 import type { EditRecord, SheetRow } from '../../table/sheet.js';
 
-/** `route/kind` of the row that a change is about. */
+/** Returns the key, `route/kind`, of the row that a change refers to. */
 export const keyOfChange = (change: RowChange): string =>
   change.type === 'set' ? rowKey(change.row) : rowKey(change);
 
@@ -11,9 +11,9 @@
   record.moreRows !== undefined || record.rows.includes(key);
 
 /**
- * Whether a row that does not stand has, or may have, come and gone since `seenVersion`. A change
- * that creates a row conflicts then: otherwise two deliveries of one edit, one of which came while
- * the row stood, would be told different outcomes.
+ * True when a row that does not exist has, or may have, been created and removed since
+ * `seenVersion`. A change that creates the row then conflicts. Otherwise two deliveries of one edit
+ * could have different outcomes, if one of them arrived while the row existed.
  */
 const mayHaveExisted = (
   key: string,
@@ -32,10 +32,10 @@
     : change.basedOn === current.rowVersion;
 
 /**
- * Lists the changes that are not based on the row as it stands. Once an edit conflicts, it always
- * will: row versions only grow, and what the history no longer holds is told as expired.
+ * Lists the changes that are not based on the current row. An edit that conflicts once always will,
+ * because row versions only grow and edits older than the history are answered as expired.
  *
- * @param rows - the rows that stand, by `route/kind`
+ * @param rows - the current rows, by `route/kind`
  */
 export const findConflicts = (
   edit: EditRequest,
--- a/src/core/editing/find-older-store.ts
+++ b/src/core/editing/find-older-store.ts
@@ -1,4 +1,4 @@
-/** Recognises a store that shows less than this node has already in force. */
+/** Detects a store that is older than what this node has in force. */
 import type { StoreObject } from '../../catalog/store-object.js';
 import { HISTORY_LIMIT } from '../../table/sheet.js';
 import { historyOf } from '../../table/spread-history.js';
@@ -15,10 +15,10 @@
 };
 
 /**
- * Says in which way `read` is older than `held`, or undefined when it is not.
+ * Describes in which way `read` is older than `held`; returns undefined when it is not.
  *
  * @param held - the object in force at this node when the read was sent
- * @param read - what the store answered; undefined when it has no such object
+ * @param read - the object read from the store; undefined when it does not exist
  */
 export const findOlderStore = (
   held: StoreObject | undefined,
--- a/src/core/editing/read-back.ts
+++ b/src/core/editing/read-back.ts
@@ -1,10 +1,10 @@
 /**
- * Learns what became of a write while its answer is missing, rather than wait for its time-out: from
- * what the watch has brought into force, or from a read of the object.
+ * Determines the result of an unanswered write before it times out: from the configuration in
+ * force, or by reading the object.
  *
- * The edit's id in the history says that the write took effect. Where the object stands past the
- * version that the write expects and lacks the id, it never will. While it stands at that version,
- * nothing is known yet.
+ * If the history contains the edit's id, the write took effect. If the object has a later version
+ * than the write expects but lacks the id, the write never will. If the object still has that
+ * version, the result is not known yet.
  */
 import type { StoreObject } from '../../catalog/store-object.js';
 import { historyOf } from '../../table/spread-history.js';
@@ -22,7 +22,7 @@
 import { findOlderStore } from './find-older-store.js';
 import type { EditInProgress } from './state.js';
 
-/** Tells the edit as accepted if it stands in the history of `object`; undefined if it doesn't. */
+/** Finishes the edit as accepted if the history of `object` contains it; else returns undefined. */
 const acceptIfRecorded = (
   state: CoreState,
   progress: EditInProgress,
@@ -39,7 +39,7 @@
   return finishEdit(state, progress, { type: 'accepted', edit, version, revision, findings });
 };
 
-/** The write under way has had no answer for a while: reads the object. */
+/** Reads the object while a write is unanswered. */
 export const startReadBack = (state: CoreState, progress: EditInProgress): Effect[] => {
   recordHeldObject(state, progress);
   progress.readBacks += 1;
@@ -54,7 +54,7 @@
   }
 };
 
-/** The read failed; the answer to the write may still come. */
+/** Handles a failed read-back; the answer to the write may still arrive. */
 export const handleReadBackFailure = (
   state: CoreState,
   progress: EditInProgress,
@@ -64,7 +64,7 @@
   return [scheduleReadBack(state, progress, at)];
 };
 
-/** Takes the object as it stands while the write has no answer. */
+/** Handles the object read back while a write is unanswered. */
 export const handleReadBack = (
   state: CoreState,
   progress: EditInProgress,
@@ -91,7 +91,7 @@
   return isUnresolved && held !== undefined ? (acceptIfRecorded(state, progress, held) ?? []) : [];
 };
 
-/** What is in force has changed: looks whether an edit stands in it whose write has no answer. */
+/** Finishes edits with an unanswered write that are part of the changed configuration in force. */
 export const settleFromConfiguration = (state: CoreState): Effect[] => {
   const first = [...state.editing.queues.values()].flatMap((queue) => queue.slice(0, 1));
   return first.flatMap((progress) => settleEdit(state, progress));
--- a/src/core/editing/reducer.ts
+++ b/src/core/editing/reducer.ts
@@ -1,4 +1,4 @@
-/** The editing slice: takes operators' edits and carries them out at the store, one an object. */
+/** The editing slice: applies operators' edits to the store, one at a time for each object. */
 import type { EditOutcome } from '../../table/edit.js';
 import type { Effect } from '../effect.js';
 import type {
@@ -36,7 +36,7 @@
   { type: 'answer-operator', call: event.call, outcome },
 ];
 
-/** The edit was not looked at; whether it was applied earlier is not known. */
+/** Answers an edit that was not processed; it is unknown whether it was applied earlier. */
 const answerNotProcessed = (event: EditRequested, problem: string): Effect[] =>
   answer(event, { type: 'unknown', edit: event.edit.edit, problem: `not tried: ${problem}` });
 
--- a/src/core/editing/state.ts
+++ b/src/core/editing/state.ts
@@ -1,56 +1,56 @@
-/** State of operators' edits that this node is carrying out at the store. */
+/** State of the editing slice: the edits that this node is applying to the store. */
 import type { StoreObject } from '../../catalog/store-object.js';
 import type { EditRequest } from '../../table/edit.js';
 import type { Finding } from '../../table/finding.js';
 import type { CallId, ObjectName, StoreRequestId } from '../identifiers.js';
 
-/** What an edit is waiting for. */
+/** The stage of an edit in progress. */
 export type EditStage = 'queued' | 'reading' | 'writing' | 'backing-off';
 
-/** An edit that has no outcome yet. */
+/** An edit without an outcome. */
 export interface EditInProgress {
   /** `partner/edit`. */
   readonly key: string;
   readonly edit: EditRequest;
   readonly digest: number;
   readonly objectName: ObjectName;
-  /** Deliveries of the edit that wait for its outcome. */
+  /** Calls that wait for the outcome. */
   readonly calls: CallId[];
   stage: EditStage;
-  /** The request to the store that is under way. */
+  /** The store request in progress. */
   request?: StoreRequestId;
-  /** A read of the object that was sent while a write is under way. */
+  /** A read of the object sent while a write is in progress. */
   readBack?: StoreRequestId;
-  /** How often the write under way has been read back. */
+  /** Number of read-backs of the write in progress. */
   readBacks: number;
-  /** The object in force at this node when the read under way was sent. */
+  /** The object in force at this node when the read in progress was sent. */
   heldAtRead?: StoreObject;
-  /** The version that the write under way expects. */
+  /** The version that the write in progress expects. */
   expectedVersion: number;
-  /** The version expected by a write of which no answer came; absent when there is none. */
+  /** The version expected by an earlier write that was not answered; absent when there is none. */
   unresolvedVersion?: number;
-  /** Failures of the store in a row. */
+  /** Consecutive store failures. */
   failures: number;
-  /** Refused compare-and-sets in a row. */
+  /** Consecutive refused compare-and-sets. */
   contentions: number;
-  /** Why the store was last of no help, as a short sentence. */
+  /** Why there is no outcome yet, as a short sentence. */
   problem: string;
-  /** Warnings about what the write under way would make stand. */
+  /** Warnings about the content of the write in progress. */
   findings: readonly Finding[];
 }
 
-/** Edits in progress. */
+/** State of the editing slice. */
 export interface EditingState {
-  /** Requests made to the store since the start; numbers the next one. */
+  /** Number of store requests since the start, used to number the next one. */
   requests: number;
   /** By `partner/edit`. */
   readonly inProgress: Map<string, EditInProgress>;
-  /** For each object, the edits of it in order of arrival; the first one is being worked on. */
+  /** For each object, its edits in order of arrival; the first one is being processed. */
   readonly queues: Map<ObjectName, EditInProgress[]>;
   readonly byRequest: Map<StoreRequestId, EditInProgress>;
 }
 
-/** Creates the state of a node that carries out no edit. */
+/** Creates the state of a node without edits in progress. */
 export const createEditingState = (): EditingState => ({
   requests: 0,
   inProgress: new Map(),
--- a/test/editing/agreement.test.ts
+++ b/test/editing/agreement.test.ts
@@ -54,7 +54,7 @@
   outcome.type === 'refused' ? outcome.findings.map((finding) => finding.problem) : [];
 
 describe('the agreement', () => {
-  it('is in force only when both partners approved the same proposal', () => {
+  it('comes into force only when both partners have approved the same proposal', () => {
     const world = createWorld();
     propose(world, 'ensemble', 'p-1', shares(0.6));
     expect(agreementOf(world).shares).toEqual([]);
@@ -65,7 +65,7 @@
     expect(agreementOf(world).history).toHaveLength(3);
   });
 
-  it('keeps what is in force while a new proposal waits', () => {
+  it('keeps the shares in force while a new proposal is pending', () => {
     const world = createWorld();
     propose(world, 'ensemble', 'p-1', shares(0.6));
     approve(world, 'tawe', 'p-1', shares(0.6));
@@ -73,7 +73,7 @@
     expect(agreementOf(world).shares).toEqual(shares(0.6));
   });
 
-  it('refuses the approval of other shares than the operator saw', () => {
+  it('refuses an approval with other shares than those proposed', () => {
     const world = createWorld();
     propose(world, 'ensemble', 'p-1', shares(0.6));
     const outcome = approve(world, 'tawe', 'p-1', shares(0.5));
@@ -81,7 +81,7 @@
     expect(agreementOf(world).shares).toEqual([]);
   });
 
-  it("keeps a partner's proposal when the other makes one, and replaces its own", () => {
+  it("keeps the other partner's proposal and replaces an earlier one of the same partner", () => {
     const world = createWorld();
     propose(world, 'ensemble', 'p-1', shares(0.6));
     propose(world, 'tawe', 'p-2', shares(0.4));
@@ -92,7 +92,7 @@
     expect(problems(gone)).toEqual(['does not stand, or no longer']);
   });
 
-  it('refuses wrong shares, doubled names and missing partners, all at once', () => {
+  it('reports invalid shares, missing partners and duplicate proposals, with all errors of one edit', () => {
     const world = createWorld();
     const alone = [{ partner: identifier<never>('ensemble'), share: 1.5 }];
     expect(problems(propose(world, 'ensemble', 'p-1', alone))).toEqual([
@@ -106,7 +106,7 @@
     expect(problems(again)).toEqual(['stands already']);
   });
 
-  it('is not agreed to unseen: an edit stands on the version that its operator saw', () => {
+  it('refuses an approval that is based on an earlier version', () => {
     const world = createWorld();
     propose(world, 'ensemble', 'p-1', shares(0.6));
     const seen = versionOf(world);
@@ -116,7 +116,7 @@
     expect(agreementOf(world).shares).toEqual([]);
   });
 
-  it('cannot be approved by a partner it does not concern', () => {
+  it('refuses an approval of a partner that it does not concern', () => {
     const world = createWorld();
     propose(world, 'ensemble', 'p-1', shares(0.6));
     const outcome = approve(world, 'elsewhere', 'p-1', shares(0.6));
--- a/test/editing/edit-fuzz.test.ts
+++ b/test/editing/edit-fuzz.test.ts
@@ -12,16 +12,16 @@
 
 const PARTNERS = ['ensemble', 'tawe'] as const;
 const NAMES = ['a', 'b'] as const;
-/** Stands for the partner of the edit. */
+/** Placeholder for the partner of the edit. */
 const OWN = 'own';
 
 const partner = () => fc.constantFrom(...PARTNERS);
 
-/** Stands for the version that stands when the edit is sent; others are taken as they are. */
+/** Placeholder for the current version when the edit is sent; other values are used unchanged. */
 const CURRENT = 1_000;
 const basedOn = () => fc.oneof({ weight: 4, arbitrary: fc.constant(CURRENT) }, fc.nat({ max: 6 }));
 
-/** Rows with few names, some of another partner, some with a value that no column allows. */
+/** Generates rows with few names, some of another partner, some with a value of the wrong type. */
 const row = (): fc.Arbitrary<RouteRow> =>
   fc
     .tuple(
@@ -117,7 +117,7 @@
   }
 };
 
-/** Puts the versions that stand in place of `CURRENT`. */
+/** Replaces `CURRENT` by the current versions, and `OWN` by the partner of the edit. */
 const resolveVersions = (world: EditingWorld, edit: EditRequest): EditRequest => {
   const object = world.store.read(objectOfEdit(edit));
   const rows = object?.content.type === 'sheet' ? object.content.sheet.rows : [];
@@ -143,8 +143,8 @@
   return content?.type === 'sheet' ? content.sheet.rows.map((each) => each.row) : [];
 };
 
-describe('any edits', () => {
-  it('never crash the core, never write another partner’s rows, never fail without a place', () => {
+describe('arbitrary edits', () => {
+  it('never crash the core, never change rows of another partner, and never fail without a reason', () => {
     const outcomes = new Map<EditOutcome['type'], number>();
     fc.assert(
       fc.property(edits(), fc.integer({ min: 1, max: 1_000 }), (sequence, seed) => {
@@ -165,7 +165,7 @@
       }),
       { seed: 8, numRuns: 600 },
     );
-    // The edits must not all have met the same fate, or the property says little.
+    // The generated edits must cover all of these outcomes.
     expect(outcomes.get('accepted')).toBeGreaterThan(300);
     expect(outcomes.get('refused')).toBeGreaterThan(300);
     expect(outcomes.get('conflict')).toBeGreaterThan(100);
--- a/test/editing/editing-world.ts
+++ b/test/editing/editing-world.ts
@@ -1,4 +1,4 @@
-/** Nodes of the real core before the store model, in virtual time, for tests of editing. */
+/** Simulates nodes that run the real core against the store model, in virtual time. */
 import type { Effect } from '../../src/core/effect.js';
 import type { Event } from '../../src/core/event.js';
 import {
@@ -14,19 +14,19 @@
 import { StoreModel } from '../../src/standins/store-model/store-model.js';
 import type { EditOutcome, EditRequest } from '../../src/table/edit.js';
 
-/** How the way to the store misbehaves; shares are 0 to 1. */
+/** Faults of the link to the store; shares are from 0 to 1. */
 export interface StoreLink {
-  /** Requests lost before they reach the store. */
+  /** Share of requests lost before they reach the store. */
   readonly requestLost: number;
-  /** Answers lost after the request took effect. */
+  /** Share of answers lost after the request took effect. */
   readonly answerLost: number;
-  /** Requests that reach the store only after their time-out. */
+  /** Share of requests that reach the store only after their timeout. */
   readonly late: number;
 }
 
 export const RELIABLE_LINK: StoreLink = { requestLost: 0, answerLost: 0, late: 0 };
 
-/** A request to the store without an answer is given up after this long. */
+/** Timeout of a request to the store. */
 export const STORE_TIMEOUT_MS = 400;
 const LATE_MS = 900;
 const RESTART_MS = 300;
@@ -56,11 +56,11 @@
   readonly nodes: WorldNode[];
   readonly logs: string[] = [];
   link: StoreLink = RELIABLE_LINK;
-  /** Nodes are told what the store has changed. */
+  /** True while nodes receive changes of the store. */
   watching = true;
-  /** Names of the effects that were carried out on the store. */
+  /** Types of the effects executed on the store. */
   readonly storeEffects: string[] = [];
-  /** Requests that a node got no answer to in time. */
+  /** Number of requests that timed out. */
   unanswered = 0;
   now = 0;
   private readonly queue: { at: number; order: number; run: () => void }[] = [];
@@ -77,7 +77,7 @@
     this.run(() => this.nodes.every(({ core }) => core.phase === 'serving'));
   }
 
-  /** Delivers an edit to a node; `done` is told the outcome. */
+  /** Delivers an edit to a node; calls `done` with the outcome. */
   send(node: number, edit: EditRequest, done: (outcome: EditOutcome) => void): void {
     this.calls += 1;
     const call = identifier<CallId>(`call-${this.calls}`);
@@ -92,12 +92,12 @@
     this.run(() => outcomes.length > 0);
     const [outcome] = outcomes;
     if (outcome === undefined) {
-      throw new Error('no outcome');
+      throw new Error('the edit has no outcome');
     }
     return outcome;
   }
 
-  /** A process ends without notice, and another takes its place that knows nothing. */
+  /** Replaces a process without notice by one with an empty state. */
   restart(node: number): void {
     this.nodes[node] = this.createNode(node);
     this.deliverChanges(node, RESTART_MS);
@@ -110,7 +110,7 @@
     }
   }
 
-  /** Stops a process from running for a while; what arrives waits. */
+  /** Pauses a process; events that arrive meanwhile are delivered afterwards. */
   pause(node: number, forMs: number): void {
     const target = this.nodes[node];
     if (target !== undefined) {
@@ -126,7 +126,7 @@
     this.queue.splice(index + 1, 0, entry);
   }
 
-  /** Runs until `done` or until nothing is left to do. */
+  /** Runs until `done` returns true or no events are left. */
   run(done: () => boolean): void {
     while (!done()) {
       const next = this.queue.shift();
@@ -138,7 +138,7 @@
     }
   }
 
-  /** Lets a node take all that changed in the store, now. */
+  /** Delivers all changes of the store to a node after `delay` milliseconds. */
   deliverChanges(node: number, delay: number): void {
     const target = this.nodes[node];
     this.after(delay, () => {
@@ -239,7 +239,7 @@
     return answerLost ? undefined : ({ type: 'object-written', version, revision } as const);
   }
 
-  /** Carries a request to the store and its answer back, as the way allows. */
+  /** Sends a request to the store and its answer back, subject to the faults of the link. */
   private callStore(
     target: WorldNode,
     request: Extract<Effect, { type: 'read-object' }>['request'],
--- a/test/editing/editing.test.ts
+++ b/test/editing/editing.test.ts
@@ -28,7 +28,7 @@
   outcome.type === 'refused' ? outcome.findings.map((finding) => finding.problem) : [];
 
 describe('an edit of rows', () => {
-  it('creates the sheet and records who, when and why', () => {
+  it('creates the sheet and records the operator, the reason and the rows', () => {
     const world = createWorld();
     const outcome = world.edit(0, editRows([setRow({})]));
     expect(outcome).toMatchObject({ type: 'accepted', version: 1, revision: 1, findings: [] });
@@ -38,7 +38,7 @@
     expect(sheetOf(world).rows[0]).toMatchObject({ rowVersion: 1, writtenBy: 'mair' });
   });
 
-  it('rebases onto edits of other rows', () => {
+  it('is rebased onto edits of other rows', () => {
     const world = createWorld();
     world.edit(0, editRows([setRow({})]));
     const stale = editRows([setRow({ kind: 'swap' })], { edit: 'e-2', seenVersion: 0 });
@@ -46,7 +46,7 @@
     expect(sheetOf(world).rows.map(({ row }) => row.kind)).toEqual(['page', 'swap']);
   });
 
-  it('conflicts on the same row, with both values and who wrote them', () => {
+  it('conflicts on the same row, and reports both values and their authors', () => {
     const world = createWorld();
     world.edit(0, editRows([setRow({ weight: 2 })], { operator: 'mair' }));
     const wanted = setRow({ weight: 3 });
@@ -65,7 +65,7 @@
     expect(sheetOf(world).history).toHaveLength(1);
   });
 
-  it('conflicts with a removal, and refuses to remove what never was', () => {
+  it('conflicts with a removal, and is refused if it removes a row that never existed', () => {
     const world = createWorld();
     world.edit(0, editRows([setRow({})]));
     world.edit(0, editRows([removeRow('page', 1)], { edit: 'e-2', seenVersion: 1 }));
@@ -75,7 +75,7 @@
     expect(problems(absent)).toEqual(['cannot be removed: there is no such row']);
   });
 
-  it('conflicts when the row it would create has come and gone since', () => {
+  it('conflicts if the row it creates has been created and removed in the meantime', () => {
     const world = createWorld();
     world.edit(0, editRows([setRow({})]));
     world.edit(0, editRows([removeRow('page', 1)], { edit: 'e-2', seenVersion: 1 }));
@@ -85,7 +85,7 @@
     expect(world.edit(0, fresh).type).toBe('accepted');
   });
 
-  it("refuses rows of another partner, and cannot touch the other's sheet", () => {
+  it('is refused if it contains rows of another partner, and writes nothing', () => {
     const world = createWorld();
     const foreign = editRows([setRow({ partner: 'tawe' })]);
     expect(world.edit(0, foreign)).toMatchObject({
@@ -95,7 +95,7 @@
     expect(world.store.revision).toBe(0);
   });
 
-  it('refuses a sheet with errors whole, and warns of what is doubtful', () => {
+  it('is refused as a whole if a row has errors, and accepted with warnings for questionable values', () => {
     const world = createWorld();
     const mixed = editRows([setRow({}), setRow({ kind: 'swap', weight: -1 })]);
     expect(world.edit(0, mixed)).toMatchObject({
@@ -109,7 +109,7 @@
     });
   });
 
-  it('warns of limits and deadlines by the services and legs that the node knows', () => {
+  it('is accepted with warnings based on the services and legs that the node knows', () => {
     const address = () => ({ host: '127.0.0.1', port: 9 });
     const objects = buildInitialObjects(deploymentsNamed('ensemble'), address);
     const world = new EditingWorld({ nodes: 1, seed: 1, step, objects });
@@ -119,7 +119,7 @@
       outcome.type === 'accepted'
         ? outcome.findings.map(({ place }) => place.replace(/.* column /, ''))
         : [outcome.type];
-    // Each booking-desk has 10 slots and 4 shards: room for 2 queries to all shards at once.
+    // Each booking-desk has 10 slots and 4 shards, enough for 2 concurrent queries to all shards.
     expect(columns(world.edit(0, edit('a')))).toEqual(['concurrentLimit']);
     const services = world.nodes[0]?.core.query.observations.services;
     services?.set('ensemble/booking-desk-1', {
@@ -136,14 +136,14 @@
     expect(columns(world.edit(0, edit('c')))).toEqual(['concurrentLimit']);
   });
 
-  it('refuses a row that one edit changes twice', () => {
+  it('is refused if it changes a row twice', () => {
     const outcome = createWorld().edit(0, editRows([setRow({}), setRow({ weight: 2 })]));
     expect(problems(outcome)).toEqual(['is changed twice by one edit']);
   });
 });
 
 describe('an edit delivered twice', () => {
-  it('stands once and has the same outcome, at once and later, through any node', () => {
+  it('is applied once and has the same outcome at any time through any node', () => {
     const world = createWorld();
     const outcomes: EditOutcome[] = [];
     const edit = editRows([setRow({})]);
@@ -155,7 +155,7 @@
     expect(sheetOf(world).history).toHaveLength(1);
   });
 
-  it('is refused when another edit has its id', () => {
+  it('is refused if another edit has the same id', () => {
     const world = createWorld();
     world.edit(0, editRows([setRow({})]));
     const other = editRows([setRow({ kind: 'swap' })]);
@@ -165,7 +165,7 @@
     expect(problems(second)).toEqual(['its id belongs to another edit']);
   });
 
-  it('expires once the history no longer reaches back to what it saw', () => {
+  it('expires once the history does not reach back to the version it saw', () => {
     const world = createWorld();
     world.edit(0, editRows([setRow({})]));
     world.edit(0, editRows([removeRow('page', 1)], { edit: 'e-2', seenVersion: 1 }));
@@ -181,7 +181,7 @@
       type: 'sheet',
       sheet: { ...sheet, history: filled },
     });
-    // Without the rule the resend would bring the removed row back.
+    // Without this rule the second delivery would create the removed row again.
     const fresh = new EditingWorld({
       nodes: 1,
       seed: 2,
@@ -193,8 +193,8 @@
   });
 });
 
-describe('a store that fails', () => {
-  it('is asked again until it answers, and lost answers are resolved by reading back', () => {
+describe('a failing or older store', () => {
+  it('is retried until it answers, and lost answers are resolved by reading back', () => {
     const world = createWorld();
     world.store.setFaults({ loseAnswerShare: 1 });
     expect(world.edit(0, editRows([setRow({})]))).toMatchObject({ type: 'accepted', version: 1 });
@@ -202,7 +202,7 @@
     expect(sheetOf(world).history).toHaveLength(1);
   });
 
-  it('leaves the outcome unknown after the deadline, and a resend tells it', () => {
+  it('leaves the outcome unknown after the deadline, and a second delivery resolves it', () => {
     const world = createWorld();
     world.store.setFaults({ down: true });
     const edit = editRows([setRow({})]);
@@ -213,7 +213,7 @@
     expect(world.edit(1, edit)).toMatchObject({ type: 'accepted', version: 1 });
   });
 
-  it('is not asked more often than the growing, jittered waits allow', () => {
+  it('is retried with growing, jittered delays', () => {
     const world = createWorld();
     world.store.setFaults({ down: true });
     world.edit(0, editRows([setRow({})]));
@@ -222,7 +222,7 @@
     expect(retries).toBeLessThan(20);
   });
 
-  it('may take a write late without the edit standing twice', () => {
+  it('may execute a write late without applying the edit twice', () => {
     const world = createWorld(3);
     world.link = { ...RELIABLE_LINK, late: 1 };
     const outcomes: EditOutcome[] = [];
@@ -234,7 +234,7 @@
     expect(sheetOf(world).history).toHaveLength(1);
   });
 
-  it('that shows less than is in force is reported and not written over', () => {
+  it('is logged and not overwritten if it is older than the configuration in force', () => {
     const world = createWorld();
     world.edit(0, editRows([setRow({})]));
     world.edit(0, editRows([setRow({ kind: 'swap' })], { edit: 'e-2', seenVersion: 1 }));
@@ -248,7 +248,7 @@
     expect(world.store.revision).toBe(1);
   });
 
-  it('that shows less says nothing against an edit that is in force and comes again', () => {
+  it('does not prevent accepting a repeated edit that is in force', () => {
     const world = createWorld();
     const edit = editRows([setRow({})]);
     world.edit(0, edit);
@@ -258,7 +258,7 @@
     expect(world.store.revision).toBe(0);
   });
 
-  it('that lost an edit and then grew is recognised by its history', () => {
+  it('is detected by its history if it lost an edit and accepted others since', () => {
     const world = createWorld();
     world.edit(0, editRows([setRow({})]));
     world.edit(0, editRows([setRow({ kind: 'swap' })], { edit: 'e-2', seenVersion: 1 }));
@@ -275,14 +275,14 @@
     ]);
   });
 
-  it('that shows less than the operator saw is reported', () => {
+  it('causes a refusal if its version is lower than the one the operator saw', () => {
     const outcome = createWorld().edit(0, editRows([setRow({})], { seenVersion: 4 }));
     expect(problems(outcome)).toEqual(['stands at version 0, before version 4 that the edit saw']);
   });
 });
 
 describe('a node', () => {
-  it('takes a bounded number of edits and says that the others were not tried', () => {
+  it('accepts a bounded number of edits and answers the others as not tried', () => {
     const world = createWorld();
     world.store.setFaults({ down: true });
     const outcomes: EditOutcome[] = [];
@@ -299,12 +299,12 @@
     expect(world.nodes[0]?.core.editing.queues.size).toBe(0);
   });
 
-  it('finishes its edits before a planned stop, and takes no new one', () => {
+  it('finishes its edits before a planned stop, and accepts no new ones', () => {
     const world = createWorld();
     const outcomes: EditOutcome[] = [];
     const core = world.nodes[0]?.core;
     if (core === undefined) {
-      throw new Error('no node');
+      throw new Error('node 0 does not exist');
     }
     world.send(0, editRows([setRow({})]), (each) => outcomes.push(each));
     step(core, { type: 'stop-requested', at: world.now });
@@ -329,7 +329,7 @@
     sha256: 'ab'.repeat(32),
   });
 
-  it('are replaced as a whole, based on the version that stands', () => {
+  it('are replaced as a whole, based on the current version', () => {
     const world = createWorld();
     const keys = [key('mair', 'operator'), key('kiosk', 'caller')];
     const first = createEdit({ type: 'replace-keys', keys, basedOn: 0 });
@@ -338,7 +338,7 @@
     expect(problems(world.edit(0, stale))).toEqual(['was changed by mair since version 0']);
   });
 
-  it('cannot be left without an operator, doubled, or unhashed', () => {
+  it('cannot lack an operator, have duplicate names or be unhashed', () => {
     const keys = [key('kiosk', 'caller'), { ...key('kiosk', 'caller'), sha256: 'secret' }];
     const edit = createEdit({ type: 'replace-keys', keys, basedOn: 0 });
     expect(problems(createWorld().edit(0, edit))).toEqual([
--- a/test/editing/edits.ts
+++ b/test/editing/edits.ts
@@ -1,4 +1,4 @@
-/** Edits for tests. */
+/** Builders of edits for tests. */
 import { identifier } from '../../src/core/identifiers.js';
 import type { EditAction, EditRequest, RowChange } from '../../src/table/edit.js';
 import { createRow, type RowOverrides } from '../table/rows.js';
@@ -10,7 +10,7 @@
   readonly seenVersion?: number;
 }
 
-/** An edit with `action`. */
+/** Creates an edit with `action`. */
 export const createEdit = (action: EditAction, overrides: EditOverrides = {}): EditRequest => ({
   edit: identifier(overrides.edit ?? 'e-1'),
   partner: identifier(overrides.partner ?? 'ensemble'),
@@ -21,14 +21,14 @@
   action,
 });
 
-/** A change that sets a row. */
+/** Creates a change that sets a row. */
 export const setRow = (row: RowOverrides, basedOn = 0): RowChange => ({
   type: 'set',
   row: createRow(row),
   basedOn,
 });
 
-/** A change that removes a row. */
+/** Creates a change that removes a row. */
 export const removeRow = (kind: string, basedOn: number): RowChange => ({
   type: 'remove',
   route: identifier('roster'),
@@ -36,7 +36,7 @@
   basedOn,
 });
 
-/** An edit of rows. */
+/** Creates an edit of rows. */
 export const editRows = (
   changes: readonly RowChange[],
   overrides: EditOverrides = {},
--- a/test/editing/race.test.ts
+++ b/test/editing/race.test.ts
@@ -4,12 +4,12 @@
 
 const EDITS = 1_000;
 
-describe('a race of edits by two operators of each partner', () => {
-  it.each([1, 2, 35])('keeps every promise with a tenth of the answers lost (seed %i)', (seed) => {
+describe('concurrent edits by two operators of each partner', () => {
+  it.each([1, 2, 35])('keep every guarantee with 10% of the answers lost (seed %i)', (seed) => {
     const result = runRace(step, seed, EDITS);
     expect(result.violations).toEqual([]);
     expect(result.edits).toHaveLength(EDITS);
-    // The race must have been one: outcomes of each kind, retries, and no edit left without a word.
+    // The run must cover outcomes of each kind and retries, and every edit must have an outcome.
     expect(result.accepted + result.conflicting + result.refused).toBe(EDITS);
     expect(result.accepted).toBeGreaterThan(EDITS / 4);
     expect(result.conflicting).toBeGreaterThan(EDITS / 50);
@@ -27,7 +27,7 @@
   });
 });
 
-describe('a core with a check dropped', () => {
+describe('a core without one of its checks', () => {
   afterEach(() => {
     vi.doUnmock('../../src/core/editing/edit-history.js');
     vi.doUnmock('../../src/core/editing/find-conflicts.js');
@@ -41,13 +41,13 @@
     return [...runRace(brokenStep, 1, EDITS).violations];
   };
 
-  it('is caught when it does not look for the id of an edit', async () => {
+  it('is detected when it does not look up the id of an edit', async () => {
     const module = '../../src/core/editing/edit-history.js';
     const found = await raceWithout(module, 'findRecord', () => undefined);
     expect(found.some((violation) => violation.includes('stands 1 times'))).toBe(true);
   });
 
-  it('is caught when it does not look for conflicts', async () => {
+  it('is detected when it does not look for conflicts', async () => {
     const module = '../../src/core/editing/find-conflicts.js';
     const found = await raceWithout(module, 'findConflicts', () => []);
     expect(found.some((violation) => violation.includes('had not seen'))).toBe(true);
--- a/test/editing/race.ts
+++ b/test/editing/race.ts
@@ -1,6 +1,7 @@
 /**
- * Two operators of each partner race edits of few rows through different nodes while the store
- * loses answers and nodes are replaced and paused; then an oracle replays the histories and lists every promise that was broken.
+ * Two operators of each partner edit the same few rows concurrently through different nodes, while
+ * the store loses answers and nodes are replaced and paused. An oracle then replays the histories
+ * and lists every violated guarantee.
  */
 import { identifier } from '../../src/core/identifiers.js';
 import type { step } from '../../src/core/reducer.js';
@@ -19,7 +20,7 @@
 const FOREIGN_SHARE = 0.03;
 const REMOVE_SHARE = 0.15;
 const DUPLICATE_SHARE = 0.1;
-/** When the store goes down and comes back, in milliseconds; longer than a node waits for it. */
+/** Outage of the store, in milliseconds; longer than the deadline of an edit. */
 const OUTAGE = { from: 20_000, until: 45_000 } as const;
 
 const WATCH_OUTAGE_MS = 1_000;
@@ -27,17 +28,17 @@
 const FAULTS_UNTIL_MS = 90_000;
 const MAX_PAUSE_MS = 4_000;
 
-/** One edit of the race with everything that was said of it. */
+/** One edit of the race with all its outcomes. */
 interface RacedEdit {
   readonly edit: EditRequest;
   readonly outcomes: EditOutcome[];
 }
 
-/** What a race came to. */
+/** The result of a race. */
 export interface RaceResult {
   readonly edits: readonly RacedEdit[];
   readonly world: EditingWorld;
-  /** Broken promises, each as a sentence; empty when all were kept. */
+  /** Violated guarantees, each as a sentence. */
   readonly violations: readonly string[];
   readonly accepted: number;
   readonly conflicting: number;
@@ -53,7 +54,7 @@
     : { partner: identifier(partner), rows: [], history: [] };
 };
 
-/** What an operator sees at a node, which may lag behind the store. */
+/** Returns the sheet that an operator sees at a node, which may lag behind the store. */
 const readSheetAt = (world: EditingWorld, node: number, partner: string) => {
   const held = world.nodes[node]?.core.configuration.objects.get(sheetName(partner));
   const rows = held?.content.type === 'sheet' ? held.content.sheet.rows : [];
@@ -78,7 +79,7 @@
   return { type: 'set', row: createRow({ partner: owner, kind, weight }), basedOn };
 };
 
-/** Sends an edit until its outcome is final, through another node each time. */
+/** Sends an edit repeatedly, each time through another node, until its outcome is final. */
 const sendUntilFinal = (
   world: EditingWorld,
   raced: RacedEdit,
@@ -129,7 +130,7 @@
   world.after(random.nextBelow(MAX_THINK_MS), () => next(0));
 };
 
-/** Nodes are replaced and paused in turn, some while they carry out edits. */
+/** Replaces and pauses random nodes, some of them with edits in progress. */
 const injectNodeFaults = (world: EditingWorld): void => {
   for (let at = FAULT_INTERVAL_MS; at < FAULTS_UNTIL_MS; at += FAULT_INTERVAL_MS) {
     world.after(at, () => world.restart(world.random.nextBelow(NODES)));
@@ -138,7 +139,7 @@
   }
 };
 
-/** For half of the time no node is told of changes, so that a lost answer must be read back. */
+/** Stops all watches for half of the time, so that lost answers must be read back. */
 const injectWatchOutages = (world: EditingWorld): void => {
   for (let at = WATCH_OUTAGE_MS; at < FAULTS_UNTIL_MS; at += 2 * WATCH_OUTAGE_MS) {
     world.after(at, () => (world.watching = false));
@@ -170,7 +171,7 @@
   return violations;
 };
 
-/** Replays a sheet's history by itself and compares what it gives with the sheet. */
+/** Replays a sheet's history independently and compares the result with the sheet. */
 const checkSheet = (sheet: Sheet, edits: ReadonlyMap<string, RacedEdit>): string[] => {
   const violations: string[] = [];
   const rows = new Map<string, SheetRow>();
--- a/test/editing/read-back.test.ts
+++ b/test/editing/read-back.test.ts
@@ -19,14 +19,14 @@
   return content?.type === 'sheet' ? content.sheet.history.map(({ edit }) => edit) : [];
 };
 
-/** Sends an edit and runs until its outcome; tells how long that took. */
+/** Sends an edit and runs until its outcome; returns it with the duration in milliseconds. */
 const edit = (world: EditingWorld, wanted: ReturnType<typeof editRows>): [EditOutcome, number] => {
   const startedAt = world.now;
   const outcome = world.edit(0, wanted);
   return [outcome, world.now - startedAt];
 };
 
-/** Runs until the write has been sent, which goes the way `way`; the read has been sent already. */
+/** Runs until the write has been sent over `link`; the read must have been sent already. */
 const runUntilWriteSent = (world: EditingWorld, link: StoreLink): void => {
   world.link = link;
   world.run(() => world.storeEffects.includes('write-object'));
@@ -34,26 +34,32 @@
 };
 
 describe('a write whose answer is lost', () => {
-  it.each(SEEDS)('is known by what is in force before it times out (seed %i)', (seed) => {
-    const world = createWorld(seed);
-    world.store.setFaults({ loseAnswerShare: 1 });
-    const [outcome, durationMs] = edit(world, editRows([setRow({})]));
-    expect(outcome).toMatchObject({ type: 'accepted', version: 1, revision: 1 });
-    expect(durationMs).toBeLessThan(100);
-    expect(historyOf(world)).toEqual(['e-1']);
-  });
+  it.each(SEEDS)(
+    'is resolved from the configuration in force before it times out (seed %i)',
+    (seed) => {
+      const world = createWorld(seed);
+      world.store.setFaults({ loseAnswerShare: 1 });
+      const [outcome, durationMs] = edit(world, editRows([setRow({})]));
+      expect(outcome).toMatchObject({ type: 'accepted', version: 1, revision: 1 });
+      expect(durationMs).toBeLessThan(100);
+      expect(historyOf(world)).toEqual(['e-1']);
+    },
+  );
 
-  it.each(SEEDS)('is read back before it times out where no watch tells (seed %i)', (seed) => {
-    const world = createWorld(seed);
-    world.watching = false;
-    world.store.setFaults({ loseAnswerShare: 1 });
-    const [outcome, durationMs] = edit(world, editRows([setRow({})]));
-    expect(outcome).toMatchObject({ type: 'accepted', version: 1, revision: 1 });
-    expect(durationMs).toBeLessThan(STORE_TIMEOUT_MS);
-    expect(historyOf(world)).toEqual(['e-1']);
-  });
+  it.each(SEEDS)(
+    'is read back before it times out if no changes arrive from the watch (seed %i)',
+    (seed) => {
+      const world = createWorld(seed);
+      world.watching = false;
+      world.store.setFaults({ loseAnswerShare: 1 });
+      const [outcome, durationMs] = edit(world, editRows([setRow({})]));
+      expect(outcome).toMatchObject({ type: 'accepted', version: 1, revision: 1 });
+      expect(durationMs).toBeLessThan(STORE_TIMEOUT_MS);
+      expect(historyOf(world)).toEqual(['e-1']);
+    },
+  );
 
-  it('is tried again at once when it was lost and another edit has come first', () => {
+  it('is retried without waiting for the timeout if it was lost and another edit was written first', () => {
     const world = createWorld(1);
     world.watching = false;
     const outcomes: EditOutcome[] = [];
@@ -67,7 +73,7 @@
     expect(world.now).toBeLessThan(STORE_TIMEOUT_MS);
   });
 
-  it('is not given up while it may still take effect', () => {
+  it('is not retried while it may still take effect', () => {
     const world = createWorld(1);
     world.watching = false;
     const outcomes: EditOutcome[] = [];
