--- a/src/core/configuration/take-objects.ts
+++ b/src/core/configuration/apply-objects.ts
@@ -1,17 +1,20 @@
-/** Takes objects into force: newer ones only. */
+/** Puts objects into force if they are newer than those held. */
 import type { StoreContent, StoreObject } from '../../catalog/store-object.js';
 import { trimHistory } from '../../table/spread-history.js';
 import type { CoreState } from '../state.js';
 import { REBUILD_CHANGES } from './bounds.js';
-import { amendInForce, deriveInForce } from './derive-in-force.js';
+import { updateInForce, deriveInForce } from './derive-in-force.js';
 
-/** True for what operators and nodes write by compare-and-set; the platform writes the rest. */
+/**
+ * True for objects that operators and nodes write by compare-and-set; the platform writes the
+ * others.
+ */
 export const isEdited = (content: StoreContent): boolean =>
   content.type !== 'status' && content.type !== 'layout';
 
 /**
- * True when `object` may take the place of `held`. An edited object must be newer by its version as
- * well: a store that lost writes gives out their versions again, under greater revisions.
+ * True when `object` may replace `held`. An edited object needs a newer version as well, because a
+ * store that lost writes reuses their versions under greater revisions.
  */
 export const isNewer = (object: StoreObject, held: StoreObject | undefined): boolean => {
   if (held === undefined) {
@@ -21,35 +24,35 @@
   return object.revision > held.revision && versionGrows;
 };
 
-interface Taken {
+interface ObjectChange {
   readonly held: StoreObject | undefined;
   readonly object: StoreObject;
 }
 
-const amendOrRebuild = (state: CoreState, taken: readonly Taken[]): void => {
+const updateOrRebuild = (state: CoreState, changes: readonly ObjectChange[]): void => {
   const { configuration } = state;
-  if (taken.length >= REBUILD_CHANGES) {
+  if (changes.length >= REBUILD_CHANGES) {
     configuration.inForce = deriveInForce(configuration.objects.values());
     return;
   }
-  for (const { held, object } of taken) {
-    configuration.inForce = amendInForce(configuration.inForce, held, object);
+  for (const { held, object } of changes) {
+    configuration.inForce = updateInForce(configuration.inForce, held, object);
   }
 };
 
-/** Takes those of `objects` that are newer than what is held; returns how many. */
-export const takeObjects = (state: CoreState, objects: readonly StoreObject[]): number => {
+/** Applies the `objects` that are newer than those held; returns their number. */
+export const applyObjects = (state: CoreState, objects: readonly StoreObject[]): number => {
   const { configuration } = state;
-  const taken: Taken[] = [];
+  const changes: ObjectChange[] = [];
   for (const object of objects.map(trimHistory)) {
     const held = configuration.objects.get(object.name);
     if (isNewer(object, held)) {
       configuration.objects.set(object.name, object);
-      taken.push({ held, object });
+      changes.push({ held, object });
     } else if (object.revision !== held?.revision) {
       state.counters.configuration_older_refused += 1;
     }
   }
-  amendOrRebuild(state, taken);
-  return taken.length;
+  updateOrRebuild(state, changes);
+  return changes.length;
 };
--- a/src/core/configuration/push.ts
+++ b/src/core/configuration/push.ts
@@ -1,6 +1,6 @@
 /**
- * Pushes along the tree of ranks: what a reader learns from the store goes to its children in the
- * zone and from them to theirs. What a push misses is pulled, see `pull.ts`.
+ * Pushes changes along a tree of ranks: from the readers of the store to their children in the zone
+ * and on to the children of those. Nodes that miss a push pull the changes, see `pull.ts`.
  */
 import type { StoreObject } from '../../catalog/store-object.js';
 import type { ConfigurationPush } from '../../protocol/configuration-messages.js';
@@ -9,18 +9,18 @@
 import type { CoreState } from '../state.js';
 import { PAGE_BYTES, PAGE_OBJECTS } from './bounds.js';
 import { estimateObjectBytes } from './object-size.js';
-import { pullFrom } from './pull.js';
+import { requestPull } from './pull.js';
 import { expandObjects } from './push-deltas.js';
 import { listChildren } from './readers.js';
-import { becomeReady } from './readiness.js';
-import { takeObjects } from './take-objects.js';
+import { serveIfReady } from './readiness.js';
+import { applyObjects } from './apply-objects.js';
 
-/** What is too large for one message is left to pulls, which come in pages. */
+/** Changes that do not fit are not pushed; peers pull them in pages. */
 const fitsOneMessage = (objects: readonly StoreObject[]): boolean =>
   objects.length <= PAGE_OBJECTS &&
   objects.reduce((sum, { content }) => sum + estimateObjectBytes(content), 0) <= PAGE_BYTES;
 
-/** Passes changes on to this node's children in the tree. */
+/** Sends changes to this node's children in the tree. */
 export const pushToChildren = (
   state: CoreState,
   changes: Omit<ConfigurationPush, 'type'>,
@@ -34,8 +34,8 @@
   return children.map(({ node, address }) => ({ type: 'send-link', to: node, address, message }));
 };
 
-/** Takes a push, if it continues what is held, and passes it on. */
-export const takePush = (
+/** Applies a push that continues the revision held and forwards it; pulls if there is a gap. */
+export const handlePush = (
   state: CoreState,
   from: NodeId,
   push: ConfigurationPush,
@@ -46,13 +46,13 @@
     return [];
   }
   if (push.after > configuration.revision) {
-    return pullFrom(state, from, at);
+    return requestPull(state, from, at);
   }
   const objects = expandObjects(state, push);
   if (objects === undefined) {
-    return pullFrom(state, from, at);
+    return requestPull(state, from, at);
   }
-  takeObjects(state, objects);
+  applyObjects(state, objects);
   configuration.revision = push.through;
-  return [...pushToChildren(state, push), ...becomeReady(state)];
+  return [...pushToChildren(state, push), ...serveIfReady(state)];
 };
--- a/src/core/editing/decide-agreement-edit.ts
+++ b/src/core/editing/decide-agreement-edit.ts
@@ -1,6 +1,6 @@
 /**
  * Decides proposals and approvals of the agreement. A proposal comes into force only when every
- * partner concerned has approved that same proposal, by name and by value.
+ * partner concerned has approved this proposal, identified by its name and its shares.
  */
 import type { Agreement, AgreementProposal, PoolShare } from '../../table/agreement.js';
 import type { EditRequest } from '../../table/edit.js';
@@ -11,10 +11,10 @@
 import { appendRecord } from './edit-history.js';
 
 const PLACE = 'agreement';
-/** Most by which the shares may miss 1, for shares such as a third. */
+/** Maximum deviation of the sum of shares from 1, to allow shares such as one third. */
 const SUM_TOLERANCE = 1e-9;
-/** Fewest partners an agreement is made between. */
-const FEWEST_PARTNERS = 2;
+/** Minimum number of partners of an agreement. */
+const MIN_PARTNERS = 2;
 
 const errorAt = (place: string, problem: string): Finding => ({
   severity: 'error',
@@ -22,7 +22,7 @@
   problem,
 });
 
-const findWrongShares = (
+const findShareErrors = (
   shares: readonly PoolShare[],
   partners: readonly PartnerId[],
 ): Finding[] => {
@@ -41,7 +41,7 @@
   for (const partner of partners.filter((each) => !named.has(each))) {
     findings.push(errorAt(`${PLACE} share of ${partner}`, 'is missing'));
   }
-  if (named.size < FEWEST_PARTNERS) {
+  if (named.size < MIN_PARTNERS) {
     findings.push(errorAt(PLACE, 'needs the shares of two partners or more'));
   }
   const sum = shares.reduce((total, { share }) => total + share, 0);
@@ -51,7 +51,7 @@
   return findings;
 };
 
-/** Decides one action on the agreement as it stands. */
+/** Decides one action on the current agreement. */
 type DecideAction<Action> = (
   edit: EditRequest,
   action: Action,
@@ -60,10 +60,10 @@
 ) => EditDecision;
 
 /**
- * The agreement is small and seldom changed: an edit of it stands only on the very version that the
- * operator saw, so that nothing is agreed to unseen.
+ * Refuses an edit unless the agreement still has the version that the operator saw, so that nobody
+ * approves something unseen. This is acceptable because the agreement is small and rarely changed.
  */
-const refuseUnseen =
+const requireSeenVersion =
   <Action>(decide: DecideAction<Action>): DecideAction<Action> =>
   (edit, action, agreement, context) => {
     const version = context.object?.version ?? 0;
@@ -72,7 +72,7 @@
       : refuseWith(PLACE, `was changed since version ${edit.seenVersion}`, `version ${version}`);
   };
 
-const sameShares = (left: readonly PoolShare[], right: readonly PoolShare[]): boolean => {
+const hasEqualShares = (left: readonly PoolShare[], right: readonly PoolShare[]): boolean => {
   const shares = new Map(left.map(({ partner, share }) => [partner, share]));
   return (
     left.length === right.length &&
@@ -80,7 +80,7 @@
   );
 };
 
-/** Partners whose approval a proposal needs: those it names, and those that stand in force. */
+/** Lists the partners whose approval a proposal needs: those it names and all existing ones. */
 const listApprovers = (
   proposal: AgreementProposal,
   agreement: Agreement,
@@ -119,7 +119,7 @@
   context: EditContext,
 ): Finding[] => {
   const known = [...context.partners, ...agreement.shares.map(({ partner }) => partner)];
-  const findings = findWrongShares(action.shares, [...new Set(known)]);
+  const findings = findShareErrors(action.shares, [...new Set(known)]);
   if (!action.shares.some(({ partner }) => partner === edit.partner)) {
     findings.push(errorAt(`${PLACE} share of ${edit.partner}`, 'is missing'));
   }
@@ -144,8 +144,8 @@
   return writeAgreement(agreement, proposal, history, context);
 };
 
-/** Decides a proposal; it takes the place of the same partner's earlier one. */
-export const decideProposal = refuseUnseen(propose);
+/** Decides a proposal, which replaces an earlier one of the same partner. */
+export const decideProposal = requireSeenVersion(propose);
 
 const approve: DecideAction<ActionOf<'approve-agreement'>> = (edit, action, agreement, context) => {
   const place = `${PLACE} proposal ${action.proposal}`;
@@ -153,7 +153,7 @@
   if (found === undefined) {
     return refuseWith(place, 'does not stand, or no longer');
   }
-  if (!sameShares(found.shares, action.shares)) {
+  if (!hasEqualShares(found.shares, action.shares)) {
     return refuseWith(place, 'has other shares than those approved');
   }
   if (!listApprovers(found, agreement, context).has(edit.partner)) {
@@ -164,5 +164,5 @@
   return writeAgreement(agreement, { ...found, approvedBy }, history, context);
 };
 
-/** Decides an approval, which names the shares that the operator saw. */
-export const decideApproval = refuseUnseen(approve);
+/** Decides an approval, which contains the shares that the operator saw. */
+export const decideApproval = requireSeenVersion(approve);
--- a/src/core/editing/decide-edit.ts
+++ b/src/core/editing/decide-edit.ts
@@ -7,9 +7,11 @@
 import { decideKeysEdit } from './decide-keys-edit.js';
 import { decideSheetEdit } from './decide-sheet-edit.js';
 import { refuseWith, type EditContext, type EditDecision } from './edit-decision.js';
-import { digestEdit, findRecord, mayBeForgotten } from './edit-history.js';
+import { digestEdit, findRecord, mayBeTruncated } from './edit-history.js';
 
-/** The object an edit changes. It follows from the edit's own partner: no other can be named. */
+/**
+ * Returns the name of the object an edit changes, derived from its partner, never chosen freely.
+ */
 export const objectOfEdit = (edit: EditRequest): ObjectName =>
   match(edit.action.type)
     .with('change-rows', () => identifier<ObjectName>(`sheet/${edit.partner}`))
@@ -44,7 +46,7 @@
   'approve-agreement': 'agreement',
 } as const;
 
-/** Decides `edit`, first of all whether it stands already. */
+/** Decides `edit`; checks first whether it has been applied already. */
 export const decideEdit = (edit: EditRequest, context: EditContext): EditDecision => {
   const place = objectOfEdit(edit);
   const { object } = context;
@@ -63,7 +65,7 @@
     const problem = `stands at version ${version}, before version ${edit.seenVersion} that the edit saw`;
     return refuseWith(place, problem);
   }
-  if (mayBeForgotten(history, edit.seenVersion)) {
+  if (mayBeTruncated(history, edit.seenVersion)) {
     const oldest = history[0]?.sheetVersion ?? 0;
     const problem = `the edit saw version ${edit.seenVersion} of ${place}, and the history begins at version ${oldest}`;
     return { type: 'expired', problem };
--- a/src/core/editing/decide-keys-edit.ts
+++ b/src/core/editing/decide-keys-edit.ts
@@ -1,14 +1,14 @@
-/** Decides a replacement of a partner's keys. */
+/** Decides replacements of a partner's keys. */
 import type { EditRequest } from '../../table/edit.js';
 import type { Finding } from '../../table/finding.js';
 import type { KeyRecord, PartnerKeys } from '../../table/partner-keys.js';
 import { refuseWith, type ActionOf, type EditContext, type EditDecision } from './edit-decision.js';
 import { appendRecord } from './edit-history.js';
 
-/** A SHA-256 in lower-case hexadecimal. */
+/** A SHA-256 hash in lower-case hexadecimal. */
 const SHA256_PATTERN = /^[0-9a-f]{64}$/;
 
-const findWrongKeys = (keys: readonly KeyRecord[], place: string): Finding[] => {
+const findKeyErrors = (keys: readonly KeyRecord[], place: string): Finding[] => {
   const findings: Finding[] = [];
   const seen = new Set<string>();
   for (const key of keys) {
@@ -29,7 +29,7 @@
   return findings;
 };
 
-/** Decides a replacement of keys against `keys`, the ones that stand. */
+/** Decides a replacement of `keys`, the current ones. */
 export const decideKeysEdit = (
   edit: EditRequest,
   action: ActionOf<'replace-keys'>,
@@ -47,7 +47,7 @@
       `version ${version}`,
     );
   }
-  const findings = findWrongKeys(action.keys, place);
+  const findings = findKeyErrors(action.keys, place);
   if (findings.length > 0) {
     return { type: 'refused', findings };
   }
--- a/src/core/editing/edit-flow.ts
+++ b/src/core/editing/edit-flow.ts
@@ -1,10 +1,10 @@
 /**
- * Carries an edit out at the store: read, decide, write by compare-and-set, and again when the
- * object moved or the store failed, until there is an outcome or the deadline has passed.
+ * Applies an edit to the store: read, decide and write by compare-and-set, repeated when the object
+ * changed or the store failed, until there is an outcome or the deadline has passed.
  *
  * A write whose answer is lost is resolved by the next read, see `read-back.ts`: if it took effect,
- * the edit's id stands in the history. Only what follows from a read, or from what is in force, is
- * told as final; all else is `unknown`.
+ * the history contains the edit's id. An outcome is final only if it follows from an answer of the
+ * store or from the configuration in force; otherwise it is `unknown`.
  */
 import { match } from 'ts-pattern';
 import type { StoreObject } from '../../catalog/store-object.js';
@@ -27,7 +27,7 @@
   FAILURE_BACKOFF_LIMIT_MS,
   READ_BACK_BASE_MS,
   READ_BACK_LIMIT_MS,
-  TRUSTED_LEGS,
+  MIN_LEGS_FOR_MEAN,
 } from './bounds.js';
 import { decideEdit } from './decide-edit.js';
 import type { EditContext, EditDecision } from './edit-decision.js';
@@ -44,30 +44,30 @@
   unknown: 'edits_unknown',
 } as const;
 
-/** Key of the timer that ends an edit's work. */
+/** Key of the timer for the deadline of an edit. */
 export const deadlineTimer = (key: string): TimerKey => ({
   purpose: 'editing-deadline',
   subject: key,
 });
 
-/** Key of the timer after which an edit is tried again. */
+/** Key of the timer after which an edit is retried or its write is read back. */
 const retryTimer = (key: string): TimerKey => ({ purpose: 'editing-retry', subject: key });
 
-/** Names a request to the store that is made for an edit. */
-export const numberRequest = (state: CoreState, progress: EditInProgress): StoreRequestId => {
+/** Allocates and registers the id of a store request for an edit. */
+export const createRequest = (state: CoreState, progress: EditInProgress): StoreRequestId => {
   state.editing.requests += 1;
   const request = identifier<StoreRequestId>(`edit-${state.editing.requests}`);
   state.editing.byRequest.set(request, progress);
   return request;
 };
 
-const nextRequest = (state: CoreState, progress: EditInProgress): StoreRequestId => {
-  progress.request = numberRequest(state, progress);
+const startRequest = (state: CoreState, progress: EditInProgress): StoreRequestId => {
+  progress.request = createRequest(state, progress);
   return progress.request;
 };
 
-/** Forgets the requests under way; an answer to them that still comes is ignored. */
-export const dropRequest = (state: CoreState, progress: EditInProgress): void => {
+/** Discards the requests in progress; answers that arrive later are ignored. */
+export const discardRequests = (state: CoreState, progress: EditInProgress): void => {
   for (const request of [progress.request, progress.readBack]) {
     if (request !== undefined) {
       state.editing.byRequest.delete(request);
@@ -77,8 +77,8 @@
   delete progress.readBack;
 };
 
-/** Notes what is in force as a read is sent: the store must not show less. */
-export const noteHeld = (state: CoreState, progress: EditInProgress): void => {
+/** Records the object in force when a read is sent; the object read must not be older. */
+export const recordHeldObject = (state: CoreState, progress: EditInProgress): void => {
   const held = state.configuration.objects.get(progress.objectName);
   if (held === undefined) {
     delete progress.heldAtRead;
@@ -93,8 +93,8 @@
     progress.problem = 'the store has not answered';
   }
   progress.stage = 'reading';
-  noteHeld(state, progress);
-  const request = nextRequest(state, progress);
+  recordHeldObject(state, progress);
+  const request = startRequest(state, progress);
   return [{ type: 'read-object', request, name: progress.objectName }];
 };
 
@@ -126,13 +126,13 @@
     .exhaustive();
 };
 
-/** Tells all who wait for the edit its outcome, and starts the next edit of the same object. */
+/** Answers all calls that wait for the edit, and starts the next edit of the same object. */
 export const finishEdit = (
   state: CoreState,
   progress: EditInProgress,
   outcome: EditOutcome,
 ): Effect[] => {
-  dropRequest(state, progress);
+  discardRequests(state, progress);
   state.editing.inProgress.delete(progress.key);
   state.counters[OUTCOME_COUNTERS[outcome.type]] += 1;
   const answers = progress.calls.map((call): Effect => ({
@@ -150,7 +150,7 @@
   ];
 };
 
-/** Tries again after a jittered wait that grows with `attempt`, counted from 1. */
+/** Retries after a jittered delay that grows with `attempt`, counted from 1. */
 const backOff = (
   state: CoreState,
   progress: EditInProgress,
@@ -158,7 +158,7 @@
   attempt: number,
   bounds: { readonly base: number; readonly limit: number },
 ): Effect[] => {
-  dropRequest(state, progress);
+  discardRequests(state, progress);
   progress.stage = 'backing-off';
   state.counters.edit_retries += 1;
   const ceiling = Math.min(bounds.limit, bounds.base * 2 ** (attempt - 1));
@@ -166,7 +166,7 @@
   return [{ type: 'set-timer', key: retryTimer(progress.key), at: at + wait }];
 };
 
-/** The store failed, or did not answer: what was asked of it may have taken effect. */
+/** Backs off after the store failed or did not answer; a write may have taken effect. */
 export const backOffAfterFailure = (
   state: CoreState,
   progress: EditInProgress,
@@ -182,7 +182,7 @@
   return backOff(state, progress, at, progress.failures, bounds);
 };
 
-/** Somebody else wrote the object first. */
+/** Backs off after another write of the object came first. */
 export const backOffAfterContention = (
   state: CoreState,
   progress: EditInProgress,
@@ -207,14 +207,14 @@
   return [...partners];
 };
 
-/** The mean leg of a service as this node saw it, once it has seen enough of them. */
-const findMeanLeg = (
+/** Returns the mean leg latency of a service at this node, once it has observed enough legs. */
+const findMeanLegLatency = (
   state: CoreState,
   partner: PartnerId,
   service: ServiceName,
 ): number | undefined => {
   const seen = state.query.observations.services.get(`${partner}/${service}`);
-  return seen !== undefined && seen.samples >= TRUSTED_LEGS ? seen.latencyMs : undefined;
+  return seen !== undefined && seen.samples >= MIN_LEGS_FOR_MEAN ? seen.latencyMs : undefined;
 };
 
 const createContext = (
@@ -229,12 +229,12 @@
     statuses === undefined
       ? undefined
       : listBackendServices(statuses.values(), layouts.get(partner), (service) =>
-          findMeanLeg(state, partner, service),
+          findMeanLegLatency(state, partner, service),
         );
   return { object, services: known, partners: listPartners(state) };
 };
 
-const finishDecided = (
+const finishWithDecision = (
   state: CoreState,
   progress: EditInProgress,
   decision: Exclude<EditDecision, { readonly type: 'write' }>,
@@ -256,7 +256,7 @@
   return finishEdit(state, progress, outcome);
 };
 
-/** The write under way is read back after a jittered wait that grows, unless its answer is first. */
+/** Schedules a read-back of the write in progress, after a jittered delay that grows. */
 export const scheduleReadBack = (
   state: CoreState,
   progress: EditInProgress,
@@ -278,7 +278,7 @@
   progress.expectedVersion = version;
   progress.findings = decision.findings;
   progress.readBacks = 0;
-  const request = nextRequest(state, progress);
+  const request = startRequest(state, progress);
   const { objectName: name } = progress;
   const { content } = decision;
   return [
@@ -287,7 +287,10 @@
   ];
 };
 
-/** An edit that comes again and is in force was accepted, whatever the store has forgotten. */
+/**
+ * Refuses an edit because the store is older, unless the edit is already part of the object in
+ * force.
+ */
 const refuseOlderStore = (
   state: CoreState,
   progress: EditInProgress,
@@ -296,7 +299,7 @@
   const inForce = state.configuration.objects.get(progress.objectName);
   const decision = decideEdit(progress.edit, createContext(state, progress, inForce));
   if (decision.type === 'applied') {
-    return finishDecided(state, progress, decision, inForce);
+    return finishWithDecision(state, progress, decision, inForce);
   }
   const { edit } = progress.edit;
   const sentence = `Nothing is written over an older store: ${problem}.`;
@@ -314,14 +317,14 @@
   ];
 };
 
-/** Goes on with an edit whose object has been read. */
+/** Decides an edit whose object has been read, and writes the object or finishes the edit. */
 export const continueWithObject = (
   state: CoreState,
   progress: EditInProgress,
   object: StoreObject | undefined,
   at: number,
 ): Effect[] => {
-  dropRequest(state, progress);
+  discardRequests(state, progress);
   progress.failures = 0;
   const older = findOlderStore(progress.heldAtRead, object) ?? describeOlderStore(state);
   if (older !== undefined) {
@@ -336,5 +339,5 @@
     const problem = 'an earlier write of it may still take effect';
     return finishEdit(state, progress, { type: 'unknown', edit: progress.edit.edit, problem });
   }
-  return finishDecided(state, progress, decision, object);
+  return finishWithDecision(state, progress, decision, object);
 };
--- a/src/core/editing/read-back.ts
+++ b/src/core/editing/read-back.ts
@@ -1,10 +1,10 @@
 /**
- * Learns what became of a write while its answer is missing, rather than wait for its time-out: from
- * what the watch has brought into force, or from a read of the object.
+ * Determines the result of an unanswered write before it times out: from the configuration in
+ * force, or by reading the object.
  *
- * The edit's id in the history says that the write took effect. Where the object stands past the
- * version that the write expects and lacks the id, it never will. While it stands at that version,
- * nothing is known yet.
+ * If the history contains the edit's id, the write took effect. If the object has a later version
+ * than the write expects but lacks the id, the write never will. If the object still has that
+ * version, the result is not known yet.
  */
 import type { StoreObject } from '../../catalog/store-object.js';
 import { historyOf } from '../../table/spread-history.js';
@@ -14,16 +14,16 @@
 import {
   backOffAfterContention,
   finishEdit,
-  noteHeld,
-  numberRequest,
+  recordHeldObject,
+  createRequest,
   scheduleReadBack,
 } from './edit-flow.js';
 import { findRecord } from './edit-history.js';
 import { findOlderStore } from './find-older-store.js';
 import type { EditInProgress } from './state.js';
 
-/** Tells the edit as accepted if it stands in the history of `object`; undefined if it doesn't. */
-const acceptIfStanding = (
+/** Finishes the edit as accepted if the history of `object` contains it; else returns undefined. */
+const acceptIfRecorded = (
   state: CoreState,
   progress: EditInProgress,
   object: StoreObject,
@@ -39,41 +39,45 @@
   return finishEdit(state, progress, { type: 'accepted', edit, version, revision, findings });
 };
 
-/** The write under way has had no answer for a while: reads the object. */
-export const readBack = (state: CoreState, progress: EditInProgress): Effect[] => {
-  noteHeld(state, progress);
+/** Reads the object while a write is unanswered. */
+export const startReadBack = (state: CoreState, progress: EditInProgress): Effect[] => {
+  recordHeldObject(state, progress);
   progress.readBacks += 1;
-  progress.readBack = numberRequest(state, progress);
+  progress.readBack = createRequest(state, progress);
   return [{ type: 'read-object', request: progress.readBack, name: progress.objectName }];
 };
 
-const forgetReadBack = (state: CoreState, progress: EditInProgress): void => {
+const clearReadBack = (state: CoreState, progress: EditInProgress): void => {
   if (progress.readBack !== undefined) {
     state.editing.byRequest.delete(progress.readBack);
     delete progress.readBack;
   }
 };
 
-/** The read failed; the answer to the write may still come. */
-export const failReadBack = (state: CoreState, progress: EditInProgress, at: number): Effect[] => {
-  forgetReadBack(state, progress);
+/** Handles a failed read-back; the answer to the write may still arrive. */
+export const handleReadBackFailure = (
+  state: CoreState,
+  progress: EditInProgress,
+  at: number,
+): Effect[] => {
+  clearReadBack(state, progress);
   return [scheduleReadBack(state, progress, at)];
 };
 
-/** Takes the object as it stands while the write has no answer. */
-export const takeReadBack = (
+/** Handles the object read back while a write is unanswered. */
+export const handleReadBack = (
   state: CoreState,
   progress: EditInProgress,
   object: StoreObject | undefined,
   at: number,
 ): Effect[] => {
-  forgetReadBack(state, progress);
+  clearReadBack(state, progress);
   const older = findOlderStore(progress.heldAtRead, object) ?? describeOlderStore(state);
   const isPast = object !== undefined && object.version > progress.expectedVersion;
   if (older !== undefined || !isPast) {
     return [scheduleReadBack(state, progress, at)];
   }
-  const accepted = acceptIfStanding(state, progress, object);
+  const accepted = acceptIfRecorded(state, progress, object);
   if (accepted !== undefined) {
     return accepted;
   }
@@ -81,14 +85,14 @@
   return backOffAfterContention(state, progress, at);
 };
 
-const settle = (state: CoreState, progress: EditInProgress): Effect[] => {
-  const isOpen = progress.stage === 'writing' || progress.unresolvedVersion !== undefined;
+const settleEdit = (state: CoreState, progress: EditInProgress): Effect[] => {
+  const isUnresolved = progress.stage === 'writing' || progress.unresolvedVersion !== undefined;
   const held = state.configuration.objects.get(progress.objectName);
-  return isOpen && held !== undefined ? (acceptIfStanding(state, progress, held) ?? []) : [];
+  return isUnresolved && held !== undefined ? (acceptIfRecorded(state, progress, held) ?? []) : [];
 };
 
-/** What is in force has changed: looks whether an edit stands in it whose write has no answer. */
-export const settleByWhatIsInForce = (state: CoreState): Effect[] => {
+/** Finishes edits with an unanswered write that are part of the changed configuration in force. */
+export const settleFromConfiguration = (state: CoreState): Effect[] => {
   const first = [...state.editing.queues.values()].flatMap((queue) => queue.slice(0, 1));
-  return first.flatMap((progress) => settle(state, progress));
+  return first.flatMap((progress) => settleEdit(state, progress));
 };
--- a/src/core/membership/pause.ts
+++ b/src/core/membership/pause.ts
@@ -1,28 +1,28 @@
 /**
- * A node that was paused finds out from the gap on its own clock. Its timers prove nothing about
- * peers then, and peers may have suspected it.
+ * Detection of process pauses by a gap on the node's own clock. After a pause, expired timers say
+ * nothing about peers, and peers may have suspected this node.
  */
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
 import { raiseIncarnation } from './apply-update.js';
-import { PAUSE_NOTICED_MS } from './bounds.js';
-import { restartProbes } from './probes.js';
+import { PAUSE_THRESHOLD_MS } from './bounds.js';
+import { extendProbes } from './probes.js';
 import { getSelfIdentity } from './self-identity.js';
-import { putOffSuspicions } from './suspicion.js';
+import { postponeSuspicions } from './suspicion.js';
 import { armTick } from './tick.js';
 
-/** Notices that this node has not run for a while; to be called before anything else. */
-export const noticePause = (state: CoreState, at: number): Effect[] => {
+/** Detects a pause of this process and recovers from it; must run before the event is handled. */
+export const detectPause = (state: CoreState, at: number): Effect[] => {
   const { membership } = state;
   const gap = at - membership.tickDueAt;
-  if (gap < PAUSE_NOTICED_MS) {
+  if (gap < PAUSE_THRESHOLD_MS) {
     return [];
   }
   state.counters.pauses_noticed += 1;
   return [
     armTick(membership, at),
-    ...restartProbes(state, at),
-    ...putOffSuspicions(state, at),
+    ...extendProbes(state, at),
+    ...postponeSuspicions(state, at),
     ...raiseIncarnation(state, getSelfIdentity(state).incarnation, at),
     {
       type: 'write-log',
--- a/src/core/membership/probes.ts
+++ b/src/core/membership/probes.ts
@@ -1,4 +1,6 @@
-/** Probes: a ping, then pings through peers, then suspicion; a suspect is probed until it ends. */
+/**
+ * Probes: a direct ping, then pings through peers, then suspicion, during which probes continue.
+ */
 import type { PeerAddress } from '../../protocol/node-address.js';
 import type { Effect } from '../effect.js';
 import type { NodeId } from '../identifiers.js';
@@ -9,14 +11,14 @@
   INDIRECT_PEERS,
   INDIRECT_TIMEOUT_MS,
   LATE_TIMER_MS,
-  PROBES_LIMIT,
+  MAX_PROBES,
 } from './bounds.js';
-import { describeHoldings } from './digest.js';
-import { drawMembers } from './gossip.js';
-import { putFirst, takePiggyback } from './rumours.js';
+import { createDigest } from './digest.js';
+import { sampleMembers } from './gossip.js';
+import { prependUpdate, createPiggyback } from './rumours.js';
 import type { Member } from './member.js';
 import type { Probe } from './state.js';
-import { declareDead, suspectAsWitness } from './suspicion.js';
+import { declareDead, suspectUnreachable } from './suspicion.js';
 
 const probeTimer = (sequence: number) =>
   ({ purpose: 'membership-probe-timeout', subject: String(sequence) }) as const;
@@ -27,7 +29,7 @@
   at: probe.dueAt,
 });
 
-const takeSequence = (state: CoreState): number => {
+const allocateSequence = (state: CoreState): number => {
   state.membership.nextSequence += 1;
   return state.membership.nextSequence;
 };
@@ -44,21 +46,21 @@
   message: {
     type: 'ping',
     sequence,
-    ...takePiggyback(state, at, receiver),
-    ...describeHoldings(state),
+    ...createPiggyback(state, at, receiver),
+    ...createDigest(state),
   },
 });
 
 const sendPing = (state: CoreState, { identity }: Member, sequence: number, at: number): Effect =>
   createPing(state, identity.address, identity.node, sequence, at);
 
-/** Sends a ping that nobody waits for: what its receiver answers is news in itself. */
+/** Sends a ping without a timeout; the acknowledgement carries the state of the receiver. */
 export const pingMember = (state: CoreState, member: Member, at: number): Effect =>
-  sendPing(state, member, takeSequence(state), at);
+  sendPing(state, member, allocateSequence(state), at);
 
-/** Pings whoever listens at an address. */
+/** Pings an address whose node is not known. */
 export const pingAddress = (state: CoreState, address: PeerAddress, at: number): Effect =>
-  createPing(state, address, undefined, takeSequence(state), at);
+  createPing(state, address, undefined, allocateSequence(state), at);
 
 const isProbed = (state: CoreState, node: NodeId): boolean => {
   for (const probe of state.membership.probes.values()) {
@@ -71,15 +73,15 @@
 
 const addProbe = (state: CoreState, member: Member, probe: Probe, at: number): Effect[] => {
   const { membership } = state;
-  if (membership.probes.size >= PROBES_LIMIT) {
+  if (membership.probes.size >= MAX_PROBES) {
     return [];
   }
-  const sequence = takeSequence(state);
+  const sequence = allocateSequence(state);
   membership.probes.set(sequence, probe);
   return [sendPing(state, member, sequence, at), armProbe(sequence, probe)];
 };
 
-/** Probes a member, unless it is being probed. */
+/** Probes a member unless a probe of it is in flight. */
 export const probeMember = (state: CoreState, member: Member, at: number): Effect[] => {
   const { node } = member.identity;
   return isProbed(state, node)
@@ -87,7 +89,7 @@
     : addProbe(state, member, { target: node, stage: 'direct', dueAt: at + DIRECT_TIMEOUT_MS }, at);
 };
 
-/** Probes a member because a peer asked; the acknowledgement is passed on to the peer. */
+/** Probes a member on behalf of a peer; the acknowledgement is forwarded to the peer. */
 export const probeForPeer = (
   state: CoreState,
   member: Member,
@@ -99,10 +101,15 @@
   return addProbe(state, member, { target: node, stage: 'direct', dueAt, requester }, at);
 };
 
-const askPeers = (state: CoreState, sequence: number, target: NodeId, at: number): Effect[] => {
+const requestIndirectProbes = (
+  state: CoreState,
+  sequence: number,
+  target: NodeId,
+  at: number,
+): Effect[] => {
   const suspect = state.membership.members.get(target);
-  return drawMembers(state, INDIRECT_PEERS, target).map((peer) => {
-    const piggyback = takePiggyback(state, at, peer.identity.node);
+  return sampleMembers(state, INDIRECT_PEERS, target).map((peer) => {
+    const piggyback = createPiggyback(state, at, peer.identity.node);
     return {
       type: 'send-datagram',
       to: peer.identity.address,
@@ -110,7 +117,7 @@
         type: 'ping-request',
         sequence,
         target,
-        ...(suspect === undefined ? piggyback : putFirst(piggyback, suspect)),
+        ...(suspect === undefined ? piggyback : prependUpdate(piggyback, suspect)),
       },
     };
   });
@@ -125,10 +132,10 @@
 ): Effect[] => {
   probe.stage = stage;
   probe.dueAt = at + (stage === 'indirect' ? INDIRECT_TIMEOUT_MS : CONFIRM_INTERVAL_MS);
-  return [armProbe(sequence, probe), ...askPeers(state, sequence, probe.target, at)];
+  return [armProbe(sequence, probe), ...requestIndirectProbes(state, sequence, probe.target, at)];
 };
 
-const confirmSuspect = (
+const reprobeSuspect = (
   state: CoreState,
   sequence: number,
   probe: Probe,
@@ -156,11 +163,11 @@
     state.membership.probes.delete(sequence);
     return declareDead(state, member.identity, at);
   }
-  const suspected = suspectAsWitness(state, probe.target, at);
-  return [...suspected, ...confirmSuspect(state, sequence, probe, member, at)];
+  const suspected = suspectUnreachable(state, probe.target, at);
+  return [...suspected, ...reprobeSuspect(state, sequence, probe, member, at)];
 };
 
-/** A stage of a probe has run out without an acknowledgement. */
+/** Handles the timeout of a probe stage: starts the next stage, or suspects the member. */
 export const expireProbe = (state: CoreState, sequence: number, at: number): Effect[] => {
   const { membership } = state;
   const probe = membership.probes.get(sequence);
@@ -182,18 +189,18 @@
     case 'indirect':
       return failProbe(state, sequence, probe, member, at);
     case 'confirm':
-      return confirmSuspect(state, sequence, probe, member, at);
+      return reprobeSuspect(state, sequence, probe, member, at);
   }
 };
 
-/** Ends a probe that has been answered. */
+/** Ends a probe that was acknowledged. */
 export const endProbe = (state: CoreState, sequence: number): Effect[] => {
   state.membership.probes.delete(sequence);
   return [{ type: 'cancel-timer', key: probeTimer(sequence) }];
 };
 
-/** Gives the probes in flight their full time again: this node did not run. */
-export const restartProbes = (state: CoreState, at: number): Effect[] => {
+/** Restarts the timeout of all probes in flight after a pause of this process. */
+export const extendProbes = (state: CoreState, at: number): Effect[] => {
   const effects: Effect[] = [];
   for (const [sequence, probe] of state.membership.probes) {
     probe.dueAt = at + DIRECT_TIMEOUT_MS;
--- a/src/core/membership/rumours.ts
+++ b/src/core/membership/rumours.ts
@@ -1,6 +1,6 @@
 /**
- * Rumours waiting to be spread. Each is sent a bounded number of times, which grows with the
- * logarithm of the number of members, and rides on whatever datagram goes out.
+ * Rumours to be spread, piggybacked on all outgoing datagrams. Each is sent a bounded number of
+ * times, which grows with the logarithm of the number of members.
  */
 import type {
   LeavingReplica,
@@ -12,41 +12,41 @@
 import type { CoreState } from '../state.js';
 import {
   LEAVING_PER_MESSAGE,
-  RUMOUR_BYTES,
+  MAX_RUMOUR_BYTES,
   RUMOUR_SENDS_FACTOR,
-  SENDS_OF_AGREEMENT,
+  SENDS_PER_EQUAL_TABLE,
 } from './bounds.js';
-import { addRumour, countSent, listRumours } from './rumour-queue.js';
+import { addRumour, recordSends, listRumours } from './rumour-queue.js';
 import { getSelf } from './self-identity.js';
 import type { Member } from './member.js';
 import type { MembershipState } from './state.js';
 
-/** Bytes of an encoded rumour besides the names in it. */
+/** Size of an encoded rumour without the names in it, in bytes. */
 const RUMOUR_FRAME_BYTES = 84;
 
-/** How often each rumour is sent by each node. */
-const countSends = (membership: MembershipState): number =>
+/** Returns how many times each node sends each rumour. */
+const getSendLimit = (membership: MembershipState): number =>
   Math.ceil(RUMOUR_SENDS_FACTOR * Math.log(membership.members.size + 1));
 
-/** Queues the present record of `node` to be spread, in place of any rumour about it before. */
+/** Queues the current record of `node` to be spread, in place of any earlier rumour about it. */
 export const queueRumour = (membership: MembershipState, node: NodeId): void => {
   addRumour(membership.rumours, node);
 };
 
-/** A peer has the same table: it has heard what is queued, but for suspicions, which pass. */
-export const noteAgreement = (membership: MembershipState): void => {
+/** Counts the queued rumours as received by a peer with an equal table, except suspicions. */
+export const recordEqualTable = (membership: MembershipState): void => {
   if (membership.rumours.sent.size === 0) {
     return;
   }
-  const sends = countSends(membership);
+  const sends = getSendLimit(membership);
   for (const node of [...listRumours(membership.rumours)]) {
     if (membership.members.get(node)?.state !== 'suspect') {
-      countSent(membership.rumours, node, SENDS_OF_AGREEMENT, sends);
+      recordSends(membership.rumours, node, SENDS_PER_EQUAL_TABLE, sends);
     }
   }
 };
 
-/** Bytes, at most, that a rumour takes in a datagram. */
+/** Estimates the maximum size of a rumour in a datagram, in bytes. */
 const estimateRumourBytes = (identity: NodeIdentity): number =>
   RUMOUR_FRAME_BYTES +
   identity.node.length +
@@ -59,8 +59,8 @@
   return member === undefined ? undefined : { identity: member.identity, state: member.state };
 };
 
-/** What the receiver must hear first: that it is held to be other than alive. */
-const listAboutReceiver = (membership: MembershipState, receiver: NodeId | undefined) => {
+/** Returns the update about the receiver, sent first, if this node does not hold it alive. */
+const listReceiverUpdate = (membership: MembershipState, receiver: NodeId | undefined) => {
   const member = receiver === undefined ? undefined : membership.members.get(receiver);
   if (member === undefined || member.state === 'alive') {
     return [];
@@ -68,9 +68,12 @@
   return [{ identity: member.identity, state: member.state }];
 };
 
-const takeUpdates = (membership: MembershipState, receiver: NodeId | undefined): MemberUpdate[] => {
-  const updates: MemberUpdate[] = listAboutReceiver(membership, receiver);
-  const sends = countSends(membership);
+const selectUpdates = (
+  membership: MembershipState,
+  receiver: NodeId | undefined,
+): MemberUpdate[] => {
+  const updates: MemberUpdate[] = listReceiverUpdate(membership, receiver);
+  const sends = getSendLimit(membership);
   const chosen: NodeId[] = [];
   let bytes = updates.reduce((sum, update) => sum + estimateRumourBytes(update.identity), 0);
   for (const node of listRumours(membership.rumours)) {
@@ -79,23 +82,23 @@
       continue;
     }
     bytes += estimateRumourBytes(update.identity);
-    if (bytes > RUMOUR_BYTES) {
+    if (bytes > MAX_RUMOUR_BYTES) {
       break;
     }
     updates.push(update);
     chosen.push(node);
   }
   for (const node of chosen) {
-    countSent(membership.rumours, node, 1, sends);
+    recordSends(membership.rumours, node, 1, sends);
   }
   return updates;
 };
 
-const takeLeaving = (membership: MembershipState, at: number): LeavingReplica[] => {
-  const taken: LeavingReplica[] = [];
-  const sends = countSends(membership);
+const selectLeavingReplicas = (membership: MembershipState, at: number): LeavingReplica[] => {
+  const selected: LeavingReplica[] = [];
+  const sends = getSendLimit(membership);
   for (const replica of membership.leavingToSpread) {
-    if (taken.length >= LEAVING_PER_MESSAGE) {
+    if (selected.length >= LEAVING_PER_MESSAGE) {
       break;
     }
     const rumour = membership.leavingReplicas.get(replica);
@@ -103,24 +106,24 @@
     if (rumour === undefined || rumour.until <= at) {
       continue;
     }
-    taken.push({ replica, remainingMs: Math.round(rumour.until - at) });
+    selected.push({ replica, remainingMs: Math.round(rumour.until - at) });
     rumour.sent += 1;
   }
-  for (const { replica } of taken) {
+  for (const { replica } of selected) {
     const rumour = membership.leavingReplicas.get(replica);
     if (rumour !== undefined && rumour.sent < sends) {
       membership.leavingToSpread.add(replica);
     }
   }
-  return taken;
+  return selected;
 };
 
-/** True while there is anything left to spread. */
+/** True while there are rumours to spread. */
 export const hasRumours = (membership: MembershipState): boolean =>
   membership.rumours.sent.size > 0 || membership.leavingToSpread.size > 0;
 
-/** Puts the record of `member` first, so that the receiver is sure to hear of it. */
-export const putFirst = (piggyback: Piggyback, member: Member): Piggyback => ({
+/** Puts the record of `member` first, so that it is certainly part of the datagram. */
+export const prependUpdate = (piggyback: Piggyback, member: Member): Piggyback => ({
   ...piggyback,
   updates: [
     { identity: member.identity, state: member.state },
@@ -129,19 +132,19 @@
 });
 
 /**
- * Takes the rumours that ride on one datagram to `receiver` (absent when it is not known). A node
- * that is leaving says so first in each.
+ * Selects the rumours for one datagram to `receiver` (undefined when unknown) and counts them as
+ * sent. A node that is not alive, for example leaving, puts its own record first.
  */
-export const takePiggyback = (
+export const createPiggyback = (
   state: CoreState,
   at: number,
   receiver: NodeId | undefined,
 ): Piggyback => {
   const { membership } = state;
   const self = getSelf(state);
-  const updates = takeUpdates(membership, receiver);
-  const leaving = takeLeaving(membership, at);
+  const updates = selectUpdates(membership, receiver);
+  const leaving = selectLeavingReplicas(membership, at);
   const base = { sender: self.identity, updates };
   const piggyback = leaving.length === 0 ? base : { ...base, leaving };
-  return self.state === 'alive' ? piggyback : putFirst(piggyback, self);
+  return self.state === 'alive' ? piggyback : prependUpdate(piggyback, self);
 };
--- a/src/core/membership/suspicion.ts
+++ b/src/core/membership/suspicion.ts
@@ -1,15 +1,15 @@
 /**
- * Suspicion before death. The node that saw a probe fail (the witness) probes its suspect again and
- * again and declares it dead when no answer comes in time; the others wait longer, for the word of
- * the witness, so that a refutation has to reach the witnesses only.
+ * Suspicions, which precede a declaration of death. The node whose own probe failed (the observer)
+ * keeps probing the suspect and declares it dead if no answer arrives in time. The other nodes wait
+ * longer, for the result of the observer, so that a refutation has to reach the observers only.
  */
 import type { NodeIdentity } from '../../protocol/node-address.js';
 import type { Effect } from '../effect.js';
 import type { NodeId } from '../identifiers.js';
 import type { CoreState } from '../state.js';
-import { HEARSAY_SUSPICION_MS, LATE_TIMER_MS, WITNESS_SUSPICION_MS } from './bounds.js';
+import { REPORTED_SUSPICION_MS, LATE_TIMER_MS, OBSERVED_SUSPICION_MS } from './bounds.js';
 import { writeMember } from './change-member.js';
-import { armGossip, gossipUrgently } from './gossip.js';
+import { armGossip, sendUrgentGossip } from './gossip.js';
 import type { MembershipState, Suspicion } from './state.js';
 
 const armSuspicion = (node: NodeId, suspicion: Suspicion): Effect => ({
@@ -24,38 +24,34 @@
     ? [{ type: 'cancel-timer', key: { purpose: 'membership-suspicion', subject: node } }]
     : [];
 
-/** Suspects a member of which a peer said so. */
-export const suspectByHearsay = (
-  state: CoreState,
-  identity: NodeIdentity,
-  at: number,
-): Effect[] => {
+/** Suspects a member that a peer reported as suspect. */
+export const suspectReported = (state: CoreState, identity: NodeIdentity, at: number): Effect[] => {
   const { membership } = state;
   writeMember(membership, identity, 'suspect', at);
-  const suspicion = { witness: false, dueAt: at + HEARSAY_SUSPICION_MS };
+  const suspicion = { observed: false, dueAt: at + REPORTED_SUSPICION_MS };
   membership.suspicions.set(identity.node, suspicion);
   return [armSuspicion(identity.node, suspicion)];
 };
 
-/** Suspects a member that this node and its peers could not reach. */
-export const suspectAsWitness = (state: CoreState, node: NodeId, at: number): Effect[] => {
+/** Suspects a member that neither this node nor its peers could reach. */
+export const suspectUnreachable = (state: CoreState, node: NodeId, at: number): Effect[] => {
   const { membership } = state;
   const member = membership.members.get(node);
   const known = membership.suspicions.get(node);
-  if (member === undefined || known?.witness === true) {
+  if (member === undefined || known?.observed === true) {
     return [];
   }
   if (member.state === 'alive') {
     state.counters.members_suspected += 1;
     writeMember(membership, member.identity, 'suspect', at);
   }
-  const dueAt = Math.min(at + WITNESS_SUSPICION_MS, known?.dueAt ?? Number.POSITIVE_INFINITY);
-  const suspicion = { witness: true, dueAt };
+  const dueAt = Math.min(at + OBSERVED_SUSPICION_MS, known?.dueAt ?? Number.POSITIVE_INFINITY);
+  const suspicion = { observed: true, dueAt };
   membership.suspicions.set(node, suspicion);
   return [armSuspicion(node, suspicion), ...armGossip(state, at)];
 };
 
-/** Declares a member dead, and tells others. */
+/** Declares a member dead and spreads that as a rumour. */
 export const declareDead = (state: CoreState, identity: NodeIdentity, at: number): Effect[] => {
   const { membership } = state;
   const held = membership.members.get(identity.node);
@@ -64,11 +60,11 @@
     return effects;
   }
   writeMember(membership, identity, 'dead', at);
-  membership.doubtful.delete(identity.node);
+  membership.disputed.delete(identity.node);
   return [...effects, ...armGossip(state, at)];
 };
 
-/** A suspicion has run out. */
+/** Handles the timeout of a suspicion: declares the member dead. */
 export const expireSuspicion = (state: CoreState, node: NodeId, at: number): Effect[] => {
   const { membership } = state;
   const suspicion = membership.suspicions.get(node);
@@ -77,14 +73,14 @@
     return [];
   }
   if (at - suspicion.dueAt > LATE_TIMER_MS) {
-    suspicion.dueAt = at + (suspicion.witness ? WITNESS_SUSPICION_MS : HEARSAY_SUSPICION_MS);
+    suspicion.dueAt = at + (suspicion.observed ? OBSERVED_SUSPICION_MS : REPORTED_SUSPICION_MS);
     return [armSuspicion(node, suspicion)];
   }
   state.counters.members_declared_dead += 1;
   const effects = declareDead(state, member.identity, at);
   return [
     ...effects,
-    ...gossipUrgently(state, at),
+    ...sendUrgentGossip(state, at),
     {
       type: 'write-log',
       level: 'info',
@@ -94,11 +90,11 @@
   ];
 };
 
-/** Puts all suspicions off: this node did not run, so that refutations may be waiting. */
-export const putOffSuspicions = (state: CoreState, at: number): Effect[] => {
+/** Restarts the timeout of all suspicions after a process pause, as refutations may be queued. */
+export const postponeSuspicions = (state: CoreState, at: number): Effect[] => {
   const effects: Effect[] = [];
   for (const [node, suspicion] of state.membership.suspicions) {
-    suspicion.dueAt = at + (suspicion.witness ? WITNESS_SUSPICION_MS : HEARSAY_SUSPICION_MS);
+    suspicion.dueAt = at + (suspicion.observed ? OBSERVED_SUSPICION_MS : REPORTED_SUSPICION_MS);
     effects.push(armSuspicion(node, suspicion));
   }
   return effects;
--- a/src/core/membership/table-exchange.ts
+++ b/src/core/membership/table-exchange.ts
@@ -1,6 +1,6 @@
 /**
- * Exchange of member tables over links: whole for a joining node, else of the buckets that differ.
- * It evens out what rumours have missed, and brings two halves together after a cut.
+ * Exchange of member tables over links: the whole table for a joining node, else the buckets that
+ * differ. It repairs what rumours missed and merges the two sides after a network partition.
  */
 import type {
   MembershipPage,
@@ -19,8 +19,8 @@
   QUIET_BEFORE_PULL_MS,
 } from './bounds.js';
 import { bucketOf, canFoldTo, countBucketsToSend, foldBuckets, hashTable } from './member-table.js';
-import { dropRumour } from './rumour-queue.js';
-import { noteAgreement } from './rumours.js';
+import { removeRumour } from './rumour-queue.js';
+import { recordEqualTable } from './rumours.js';
 import { getSelfIdentity } from './self-identity.js';
 import type { Member } from './member.js';
 import type { MembershipState } from './state.js';
@@ -39,29 +39,29 @@
   message: { type: 'membership-pull', sender: getSelfIdentity(state), buckets, after },
 });
 
-/** A node that knows nobody asks for the whole table, any other for what differs from its own. */
+/** Lists the bucket hashes to send; empty, for the whole table, if no other member is known. */
 const listBuckets = ({ membership }: CoreState): number[] => {
   const { members, buckets } = membership;
   return members.size <= 1 ? [] : [...foldBuckets(buckets, countBucketsToSend(members.size))];
 };
 
-/** Begins an exchange with `peer`: of the whole table when this node knows nobody. */
-export const pullTable = (state: CoreState, peer: NodeIdentity, at: number): Effect => {
+/** Starts an exchange with `peer`, of the whole table if no other member is known. */
+export const requestTable = (state: CoreState, peer: NodeIdentity, at: number): Effect => {
   state.membership.pulledAt = at;
-  state.membership.pullChanges = 0;
+  state.membership.changesSincePull = 0;
   state.counters.member_tables_pulled += 1;
   return sendPull(state, peer, listBuckets(state), FIRST_PAGE);
 };
 
 const isPullDue = (membership: MembershipState, at: number): boolean => {
   const sincePull = at - membership.pulledAt;
-  if (membership.pullChanges >= BUSY_PULL_CHANGES) {
+  if (membership.changesSincePull >= BUSY_PULL_CHANGES) {
     return sincePull >= BUSY_PULL_INTERVAL_MS;
   }
   return sincePull >= PULL_INTERVAL_MS && at - membership.changedAt >= QUIET_BEFORE_PULL_MS;
 };
 
-/** Begins an exchange when a peer's table differs and rumours have had time to even it out. */
+/** Starts an exchange when a peer's table differs although rumours have had time to align them. */
 export const compareTables = (
   state: CoreState,
   peer: NodeIdentity,
@@ -70,10 +70,10 @@
 ): Effect[] => {
   const { membership } = state;
   if (table === hashTable(membership.buckets)) {
-    noteAgreement(membership);
+    recordEqualTable(membership);
     return [];
   }
-  return membership.joined && isPullDue(membership, at) ? [pullTable(state, peer, at)] : [];
+  return membership.joined && isPullDue(membership, at) ? [requestTable(state, peer, at)] : [];
 };
 
 const listDiffering = (membership: MembershipState, pull: MembershipPull): Member[] => {
@@ -88,18 +88,18 @@
     .sort((a, b) => a.ringHash - b.ringHash);
 };
 
-const takePage = (members: readonly Member[]): Member[] => {
+const selectPage = (members: readonly Member[]): Member[] => {
   const last = members[PAGE_MEMBERS - 1];
   return last === undefined
     ? [...members]
     : members.filter((member) => member.ringHash <= last.ringHash);
 };
 
-/** Answers a peer's pull with one page. */
-export const answerPull = (state: CoreState, pull: MembershipPull, at: number): Effect[] => {
+/** Answers a pull of a peer with one page. */
+export const handlePull = (state: CoreState, pull: MembershipPull, at: number): Effect[] => {
   const effects = applySender(state, pull.sender, at);
   const differing = listDiffering(state.membership, pull);
-  const members = takePage(differing);
+  const members = selectPage(differing);
   const last = members.at(-1);
   const isLast = members.length === differing.length || last === undefined;
   const message: MembershipPage = {
@@ -112,37 +112,42 @@
   return [...effects, { type: 'send-link', to: node, address, message }];
 };
 
-/** A death told by a table may be the other half's error: it is taken as a suspicion. */
-const soften = (update: MemberUpdate): MemberUpdate =>
+/**
+ * Turns a death into a suspicion: after a partition, the other side may have declared it in error.
+ */
+const deadToSuspect = (update: MemberUpdate): MemberUpdate =>
   update.state === 'dead' ? { identity: update.identity, state: 'suspect' } : update;
 
-const isDoubtful = (held: Member | undefined, update: MemberUpdate): boolean =>
+const isDisputed = (held: Member | undefined, update: MemberUpdate): boolean =>
   held?.state === 'dead' &&
   update.state === 'alive' &&
   update.identity.incarnation === held.identity.incarnation;
 
-const takeRecord = (state: CoreState, update: MemberUpdate, at: number): Effect[] => {
+const applyRecord = (state: CoreState, update: MemberUpdate, at: number): Effect[] => {
   const { membership } = state;
   const { node } = update.identity;
   const held = membership.members.get(node);
   if (held === undefined && update.state === 'dead') {
     return [];
   }
-  if (isDoubtful(held, update)) {
-    membership.doubtful.add(node);
+  if (isDisputed(held, update)) {
+    membership.disputed.add(node);
     return [];
   }
   const before = membership.changedAt;
   const hadRumour = membership.rumours.sent.has(node);
-  const effects = applyUpdate(state, soften(update), at);
+  const effects = applyUpdate(state, deadToSuspect(update), at);
   if (membership.rumours.sent.has(node) && !hadRumour) {
-    forgetRumourOfTable(state, update, before);
+    suppressTableRumour(state, update, before);
   }
   return effects;
 };
 
-/** What a table told is in other tables too: only suspicions and this node's own word are spread. */
-const forgetRumourOfTable = (
+/**
+ * Drops the rumour of a record that came with a table, as other tables have it as well; suspicions
+ * and this node's own record are still spread.
+ */
+const suppressTableRumour = (
   state: CoreState,
   update: MemberUpdate,
   changedBefore: number,
@@ -150,17 +155,17 @@
   const { membership } = state;
   const { node } = update.identity;
   if (node !== state.self.node && update.state !== 'dead' && update.state !== 'suspect') {
-    dropRumour(membership.rumours, node);
+    removeRumour(membership.rumours, node);
     membership.changedAt = changedBefore;
   }
 };
 
-/** Takes one page of a peer's table; asks for the next one, if any. */
-export const takePageOf = (state: CoreState, page: MembershipPage, at: number): Effect[] => {
+/** Applies one page of a peer's table and requests the next one, if any. */
+export const handlePage = (state: CoreState, page: MembershipPage, at: number): Effect[] => {
   const { membership } = state;
   const effects = applySender(state, page.sender, at);
   for (const update of page.updates) {
-    effects.push(...takeRecord(state, update, at));
+    effects.push(...applyRecord(state, update, at));
   }
   if (page.next === undefined) {
     membership.joined = true;
--- a/test/configuration/store-return.ts
+++ b/test/configuration/store-outage.ts
@@ -1,4 +1,4 @@
-/** A tier of today's size whose store is away for long and comes back, in virtual time. */
+/** Simulates a long store outage and recovery for a tier of production size, in virtual time. */
 import { identifier } from '../../src/core/identifiers.js';
 import type { QueryRequest } from '../../src/core/query/query-request.js';
 import { createRandom } from '../../src/core/random.js';
@@ -19,17 +19,17 @@
 const EDITS = 6;
 const AFTER_MS = 20_000;
 
-/** How the store is away: it refuses connections, or nothing reaches it. */
-export type Absence = 'refuses' | 'unreachable';
+/** Kind of outage: the store refuses connections, or is unreachable. */
+export type OutageKind = 'refuses' | 'unreachable';
 
-/** What an outage cost. */
-export interface StoreReturn {
+/** What was measured during an outage and after it. */
+export interface OutageResult {
   readonly queries: number;
   readonly queriesLost: number;
   readonly membersLost: number;
-  /** Most requests of one zone to the store in the second after its return, without edits. */
+  /** Maximum number of requests of one zone in the second after the outage, not counting edits. */
   readonly requestsOfZone: number;
-  /** From the acceptance of each edit until all nodes hold it. */
+  /** For each edit, time from its acceptance until all nodes hold it, in milliseconds. */
   readonly inForceMs: readonly number[];
   readonly violations: readonly string[];
 }
@@ -59,10 +59,10 @@
   ...new Set([...simulation.nodes.values()].map(({ placement }) => String(placement.zone))),
 ];
 
-const setAway = (simulation: Simulation, absence: Absence, isAway: boolean): void => {
-  if (absence === 'refuses') {
-    simulation.store.setFaults({ down: isAway });
-  } else if (isAway) {
+const setStoreOutage = (simulation: Simulation, kind: OutageKind, isDown: boolean): void => {
+  if (kind === 'refuses') {
+    simulation.store.setFaults({ down: isDown });
+  } else if (isDown) {
     listZones(simulation).forEach((zone) => {
       simulation.network.reachability.cutZones(zone, 'platform');
     });
@@ -101,15 +101,15 @@
   });
 };
 
-/** Sends edits after the store's return, and notes how long each takes once it is accepted. */
-const watchEdits = (simulation: Simulation, seed: number): number[] => {
-  const took: number[] = [];
+/** Sends edits after the outage and measures how long each takes from acceptance to all nodes. */
+const measureEdits = (simulation: Simulation, seed: number): number[] => {
+  const durations: number[] = [];
   const random = createRandom(seed);
   const nodes = [...simulation.nodes.keys()];
   const check = (record: EditCallRecord): void => {
     const { outcome, endedAt } = record;
     if (outcome?.type === 'accepted' && isInForce(simulation, outcome.revision)) {
-      took.push(simulation.now - (endedAt ?? 0));
+      durations.push(simulation.now - (endedAt ?? 0));
     } else {
       simulation.after(10, () => {
         check(record);
@@ -122,11 +122,15 @@
       check(sendEdit(simulation, node, index));
     });
   }
-  return took;
+  return durations;
 };
 
-/** Takes the store away for `outageMs` and gives it back. */
-export const loseStore = (seed: number, absence: Absence, outageMs: number): StoreReturn => {
+/** Runs an outage of `outageMs` and measures its consequences. */
+export const simulateStoreOutage = (
+  seed: number,
+  kind: OutageKind,
+  outageMs: number,
+): OutageResult => {
   const { simulation, checker } = createTier(seed);
   const zones: { readonly at: number; readonly zone: string }[] = [];
   let membersLost = 0;
@@ -144,11 +148,11 @@
     },
   });
   sendQueries(simulation, outageMs + AFTER_MS);
-  setAway(simulation, absence, true);
+  setStoreOutage(simulation, kind, true);
   simulation.runFor(outageMs);
   const returnedAt = simulation.now;
-  setAway(simulation, absence, false);
-  const inForceMs = watchEdits(simulation, seed);
+  setStoreOutage(simulation, kind, false);
+  const inForceMs = measureEdits(simulation, seed);
   simulation.runFor(AFTER_MS + 10_000);
   const counts = new Map<string, number>();
   for (const { zone, at } of zones) {
--- a/test/editing/editing-world.ts
+++ b/test/editing/editing-world.ts
@@ -1,4 +1,4 @@
-/** Nodes of the real core before the store model, in virtual time, for tests of editing. */
+/** Simulates nodes that run the real core against the store model, in virtual time. */
 import type { Effect } from '../../src/core/effect.js';
 import type { Event } from '../../src/core/event.js';
 import {
@@ -14,19 +14,19 @@
 import { StoreModel } from '../../src/standins/store-model/store-model.js';
 import type { EditOutcome, EditRequest } from '../../src/table/edit.js';
 
-/** How the way to the store misbehaves; shares are 0 to 1. */
-export interface StoreWay {
-  /** Requests lost before they reach the store. */
+/** Faults of the link to the store; shares are from 0 to 1. */
+export interface StoreLink {
+  /** Share of requests lost before they reach the store. */
   readonly requestLost: number;
-  /** Answers lost after the request took effect. */
+  /** Share of answers lost after the request took effect. */
   readonly answerLost: number;
-  /** Requests that reach the store only after their time-out. */
+  /** Share of requests that reach the store only after their timeout. */
   readonly late: number;
 }
 
-export const GOOD_WAY: StoreWay = { requestLost: 0, answerLost: 0, late: 0 };
+export const RELIABLE_LINK: StoreLink = { requestLost: 0, answerLost: 0, late: 0 };
 
-/** A request to the store without an answer is given up after this long. */
+/** Timeout of a request to the store. */
 export const STORE_TIMEOUT_MS = 400;
 const LATE_MS = 900;
 const RESTART_MS = 300;
@@ -55,19 +55,19 @@
   readonly random: Random;
   readonly nodes: WorldNode[];
   readonly logs: string[] = [];
-  way: StoreWay = GOOD_WAY;
-  /** Nodes are told what the store has changed. */
+  link: StoreLink = RELIABLE_LINK;
+  /** True while nodes receive changes of the store. */
   watching = true;
-  /** Names of the effects that were carried out on the store. */
+  /** Types of the effects executed on the store. */
   readonly storeEffects: string[] = [];
-  /** Requests that a node got no answer to in time. */
+  /** Number of requests that timed out. */
   unanswered = 0;
   now = 0;
   private readonly queue: { at: number; order: number; run: () => void }[] = [];
   private readonly waiting = new Map<CallId, WaitingCall>();
   private order = 0;
   private calls = 0;
-  private lives = 0;
+  private processCount = 0;
 
   constructor(private readonly options: WorldOptions) {
     this.random = createRandom(options.seed);
@@ -77,7 +77,7 @@
     this.run(() => this.nodes.every(({ core }) => core.phase === 'serving'));
   }
 
-  /** Delivers an edit to a node; `done` is told the outcome. */
+  /** Delivers an edit to a node; calls `done` with the outcome. */
   send(node: number, edit: EditRequest, done: (outcome: EditOutcome) => void): void {
     this.calls += 1;
     const call = identifier<CallId>(`call-${this.calls}`);
@@ -92,12 +92,12 @@
     this.run(() => outcomes.length > 0);
     const [outcome] = outcomes;
     if (outcome === undefined) {
-      throw new Error('no outcome');
+      throw new Error('the edit has no outcome');
     }
     return outcome;
   }
 
-  /** A process ends without notice, and another takes its place that knows nothing. */
+  /** Replaces a process without notice by one with an empty state. */
   restart(node: number): void {
     this.nodes[node] = this.createNode(node);
     this.deliverChanges(node, RESTART_MS);
@@ -110,7 +110,7 @@
     }
   }
 
-  /** Stops a process from running for a while; what arrives waits. */
+  /** Pauses a process; events that arrive meanwhile are delivered afterwards. */
   pause(node: number, forMs: number): void {
     const target = this.nodes[node];
     if (target !== undefined) {
@@ -126,7 +126,7 @@
     this.queue.splice(index + 1, 0, entry);
   }
 
-  /** Runs until `done` or until nothing is left to do. */
+  /** Runs until `done` returns true or no events are left. */
   run(done: () => boolean): void {
     while (!done()) {
       const next = this.queue.shift();
@@ -138,7 +138,7 @@
     }
   }
 
-  /** Lets a node take all that changed in the store, now. */
+  /** Delivers all changes of the store to a node after `delay` milliseconds. */
   deliverChanges(node: number, delay: number): void {
     const target = this.nodes[node];
     this.after(delay, () => {
@@ -159,8 +159,8 @@
       address: { host: '127.0.0.1', port: 1 + index },
       incarnation: 1,
     };
-    this.lives += 1;
-    const seed = this.options.seed * 100 + this.lives;
+    this.processCount += 1;
+    const seed = this.options.seed * 100 + this.processCount;
     const core = createCoreState({ self, seeds: [], seed });
     return { core, timers: new Map(), pausedUntil: 0 };
   }
@@ -175,7 +175,7 @@
       return;
     }
     const effects = this.options.step(target.core, event);
-    effects.forEach((effect) => this.carryOut(target, effect));
+    effects.forEach((effect) => this.runEffect(target, effect));
   }
 
   private answer(call: CallId, outcome: EditOutcome): void {
@@ -184,7 +184,7 @@
     waiting?.done(outcome);
   }
 
-  private carryOut(target: WorldNode, effect: Effect): void {
+  private runEffect(target: WorldNode, effect: Effect): void {
     switch (effect.type) {
       case 'answer-operator':
         this.answer(effect.call, effect.outcome);
@@ -197,14 +197,14 @@
         break;
       case 'read-object':
         this.storeEffects.push(effect.type);
-        this.reach(target, effect.request, () => {
+        this.callStore(target, effect.request, () => {
           const object = this.store.read(effect.name);
           return object === undefined ? { type: 'object-read' } : { type: 'object-read', object };
         });
         break;
       case 'write-object':
         this.storeEffects.push(effect.type);
-        this.reach(target, effect.request, () => this.write(effect));
+        this.callStore(target, effect.request, () => this.write(effect));
         break;
       case 'write-log':
         this.logs.push(effect.sentence);
@@ -239,11 +239,11 @@
     return answerLost ? undefined : ({ type: 'object-written', version, revision } as const);
   }
 
-  /** Carries a request to the store and its answer back, as the way allows. */
-  private reach(
+  /** Sends a request to the store and its answer back, subject to the faults of the link. */
+  private callStore(
     target: WorldNode,
     request: Extract<Effect, { type: 'read-object' }>['request'],
-    act: () => object | undefined,
+    execute: () => object | undefined,
   ): void {
     const fail = (): void => {
       this.unanswered += 1;
@@ -251,18 +251,18 @@
       this.dispatch(target, { ...failed, at: this.now });
     };
     const luck = this.random.next();
-    const { requestLost, late, answerLost } = this.way;
+    const { requestLost, late, answerLost } = this.link;
     if (this.store.currentFaults.down || luck < requestLost) {
       this.after(STORE_TIMEOUT_MS, fail);
       return;
     }
     if (luck < requestLost + late) {
       this.after(STORE_TIMEOUT_MS, fail);
-      this.after(LATE_MS, act);
+      this.after(LATE_MS, execute);
       return;
     }
     this.after(1 + this.random.nextBelow(15), () => {
-      const answer = act();
+      const answer = execute();
       if (answer === undefined || this.random.next() < answerLost) {
         this.after(STORE_TIMEOUT_MS, fail);
         return;
--- a/test/membership/ring.test.ts
+++ b/test/membership/ring.test.ts
@@ -24,8 +24,8 @@
   looks: fc.boolean(),
 });
 
-describe('the ring of probes', () => {
-  it('holds the live members in order whatever is written, as one built anew does', () => {
+describe('the probe ring', () => {
+  it('holds the live members in the same order as a rebuilt ring after any sequence of writes', () => {
     fc.assert(
       fc.property(fc.array(write, { maxLength: 60 }), (writes) => {
         const membership = createMembershipState(identityOf(0, 1));
@@ -35,10 +35,10 @@
             listRing(membership);
           }
         }
-        const amended = [...listRing(membership)];
-        const anew = [...listRing({ ...membership, ringVersion: -1 })];
-        expect(amended).toEqual(anew);
-        expect(new Set(amended).size).toBe(amended.length);
+        const updated = [...listRing(membership)];
+        const rebuilt = [...listRing({ ...membership, ringVersion: -1 })];
+        expect(updated).toEqual(rebuilt);
+        expect(new Set(updated).size).toBe(updated.length);
       }),
       { seed: SEED, numRuns: 300 },
     );
