--- a/src/gateway/requests/broken-attempts.ts
+++ b/src/gateway/requests/broken-attempts.ts
@@ -158,8 +158,8 @@
   return request.crashes >= URGENT_CRASHES && request.answeredLegs === 0;
 };
 
-/** Records a crash for a fingerprint; `updateKnowledge` publishes it to the other gateways. */
-const recordCrash = (
+/** Records a crash for a fingerprint; `updateHistory` publishes it to the other gateways. */
+const recordAndPublishCrash = (
   state: GatewayState,
   fingerprint: Fingerprint,
   crash: Crash,
@@ -172,11 +172,15 @@
   return updateHistory(state, fingerprint, after, { from, isUrgent }, at);
 };
 
-const applyBrokenRunCrash = (state: GatewayState, run: BrokenAttempt, at: number): GatewayEffect[] => {
+const applyBrokenRunCrash = (
+  state: GatewayState,
+  run: BrokenAttempt,
+  at: number,
+): GatewayEffect[] => {
   const isStriking = countCrash(state, run, at);
   const { fingerprint, knownRounds, sentAt } = run.attempt;
   const crash = { knownRounds, sentAt, crashedAt: run.brokenAt };
-  return recordCrash(state, fingerprint, crash, isStriking, at);
+  return recordAndPublishCrash(state, fingerprint, crash, isStriking, at);
 };
 
 const applyUnawaitedRunCrash = (
@@ -184,7 +188,7 @@
   { fingerprint, knownRounds, sentAt }: UnawaitedRun,
   at: number,
 ): GatewayEffect[] =>
-  recordCrash(state, fingerprint, { knownRounds, sentAt, crashedAt: at }, false, at);
+  recordAndPublishCrash(state, fingerprint, { knownRounds, sentAt, crashedAt: at }, false, at);
 
 /** Removes and returns the unawaited runs of a replica that has ended; none for a draining one, which ends as planned. */
 const removeUnawaitedRuns = (
--- a/src/gateway/requests/check-subqueries.ts
+++ b/src/gateway/requests/check-subqueries.ts
@@ -35,7 +35,8 @@
   ).length;
   const { receivedAt, route, acknowledgedSubqueries } = request;
   const waitMs = Math.max(
-    route.objectiveMs * MOSTLY_SILENT_WAIT_SHARE, overdueAfterMs(state.feederDelay),
+    route.objectiveMs * MOSTLY_SILENT_WAIT_SHARE,
+    overdueAfterMs(state.feederDelay),
   );
   return acknowledgedSubqueries >= silent || at >= receivedAt + waitMs;
 };
