--- a/src/core/keepers/choose-keepers.ts
+++ b/src/core/keepers/choose-keepers.ts
@@ -32,7 +32,7 @@
 const majorityOf = (count: number): number => Math.floor(count / 2) + 1;
 
 /** Most keepers of a full set in one zone, so that the others are a majority. */
-const MOST_PER_ZONE = KEEPERS_PER_SUBJECT - majorityOf(KEEPERS_PER_SUBJECT);
+const MAX_PER_ZONE = KEEPERS_PER_SUBJECT - majorityOf(KEEPERS_PER_SUBJECT);
 
 /** The rings of each roster; a roster never changes. */
 const rings = new WeakMap<KeeperRoster, RosterRings>();
@@ -44,8 +44,8 @@
     .map(({ keeper }) => keeper);
 
 /** True when a full set of the ring's keepers outlives the loss of any one zone. */
-const canLoseAnyZone = (ring: Ring): boolean =>
-  takeSpread(ring, 0, KEEPERS_PER_SUBJECT, MOST_PER_ZONE).length === KEEPERS_PER_SUBJECT;
+const survivesZoneLoss = (ring: Ring): boolean =>
+  selectSpread(ring, 0, KEEPERS_PER_SUBJECT, MAX_PER_ZONE).length === KEEPERS_PER_SUBJECT;
 
 const buildRings = ({ keepers, homes = [] }: KeeperRoster): RosterRings => {
   const whole = buildRing(keepers);
@@ -54,7 +54,7 @@
       partner,
       whole.filter(({ zone }) => zones.includes(zone)),
     ])
-    .filter(([, ring]) => canLoseAnyZone(ring));
+    .filter(([, ring]) => survivesZoneLoss(ring));
   return { whole, homes: new Map(homeRings) };
 };
 
@@ -65,18 +65,18 @@
 };
 
 /** Walks the ring from `start` and takes `count` keepers, at most `perZone` of each zone. */
-const takeSpread = (ring: Ring, start: number, count: number, perZone: number): NodeId[] => {
-  const taken: NodeId[] = [];
+const selectSpread = (ring: Ring, start: number, count: number, perZone: number): NodeId[] => {
+  const selected: NodeId[] = [];
   const inZone = new Map<ZoneName, number>();
-  for (let step = 0; step < ring.length && taken.length < count; step += 1) {
+  for (let step = 0; step < ring.length && selected.length < count; step += 1) {
     const keeper = ring[(start + step) % ring.length] as Keeper;
-    const already = inZone.get(keeper.zone) ?? 0;
-    if (already < perZone) {
-      inZone.set(keeper.zone, already + 1);
-      taken.push(keeper.node);
+    const countInZone = inZone.get(keeper.zone) ?? 0;
+    if (countInZone < perZone) {
+      inZone.set(keeper.zone, countInZone + 1);
+      selected.push(keeper.node);
     }
   }
-  return taken;
+  return selected;
 };
 
 /** The keepers of a subject of `partner` out of `roster`, spread over zones as evenly as they allow. */
@@ -89,10 +89,10 @@
   const count = Math.min(KEEPERS_PER_SUBJECT, ring.length);
   const start = ring.length === 0 ? 0 : hash32(subject) % ring.length;
   let perZone = 1;
-  let nodes = takeSpread(ring, start, count, perZone);
+  let nodes = selectSpread(ring, start, count, perZone);
   while (nodes.length < count) {
     perZone += 1;
-    nodes = takeSpread(ring, start, count, perZone);
+    nodes = selectSpread(ring, start, count, perZone);
   }
   return { nodes, majority: majorityOf(count) };
 };
--- a/src/core/keepers/find-roster.ts
+++ b/src/core/keepers/find-roster.ts
@@ -11,10 +11,10 @@
 export const wallTimeAt = (state: CoreState, at: number): number => state.keepers.wallOffset + at;
 
 /** Forgets rosters of periods long past, so that the table stays bounded. */
-const forgetPastRosters = (reliedOn: Map<number, KeeperRoster>, period: number): void => {
-  for (const past of reliedOn.keys()) {
+const removePastRosters = (usedRosters: Map<number, KeeperRoster>, period: number): void => {
+  for (const past of usedRosters.keys()) {
     if (past < period - ROSTER_SLOTS) {
-      reliedOn.delete(past);
+      usedRosters.delete(past);
     }
   }
 };
@@ -29,7 +29,7 @@
  * True when both give each subject the same processes; a store that was restored may show a roster
  * anew.
  */
-const namesSameKeepers = (a: KeeperRoster, b: KeeperRoster): boolean =>
+const hasSameKeepers = (a: KeeperRoster, b: KeeperRoster): boolean =>
   hasSameHomes(a, b) &&
   a.keepers.length === b.keepers.length &&
   a.keepers.every(({ node, incarnation }, index) => {
@@ -43,16 +43,16 @@
  */
 export const findRoster = (state: CoreState, period: number): KeeperRoster | undefined => {
   const held = state.configuration.inForce.rosters.get(period);
-  const { reliedOn } = state.keepers;
-  const known = reliedOn.get(period);
+  const { usedRosters } = state.keepers;
+  const known = usedRosters.get(period);
   if (held === undefined || held === known) {
     return held;
   }
-  if (known !== undefined && !namesSameKeepers(known, held)) {
+  if (known !== undefined && !hasSameKeepers(known, held)) {
     return undefined;
   }
-  forgetPastRosters(reliedOn, period);
-  reliedOn.set(period, held);
+  removePastRosters(usedRosters, period);
+  usedRosters.set(period, held);
   return held;
 };
 
--- a/src/core/keepers/first-member.ts
+++ b/src/core/keepers/first-member.ts
@@ -7,10 +7,10 @@
 /** The first of `nodes` for `subject`; `otherwise` when there are none. */
 export const findFirstOf = (
   nodes: readonly NodeId[],
-  otherwise: NodeId,
+  fallback: NodeId,
   subject: string,
 ): NodeId => {
-  let first = otherwise;
+  let first = fallback;
   let firstWeight = -1;
   for (const node of nodes) {
     const weight = hash32(`${node}|${subject}`);
--- a/src/core/keepers/reducer.ts
+++ b/src/core/keepers/reducer.ts
@@ -13,7 +13,7 @@
   at: at + ROSTER_CHECK_MS,
 });
 
-const begin = (state: CoreState, at: number): Effect[] => {
+const handleStarted = (state: CoreState, at: number): Effect[] => {
   state.keepers.startedAt = at;
   state.keepers.startIncarnation = state.self.incarnation;
   state.keepers.wallOffset = state.self.incarnation - at;
@@ -24,7 +24,7 @@
 export const reduceKeepers = (state: CoreState, event: Event): Effect[] => {
   switch (event.type) {
     case 'started':
-      return begin(state, event.at);
+      return handleStarted(state, event.at);
     case 'timer-fired':
       return event.key.purpose === 'keepers-roster'
         ? [...writeMissingRoster(state, event.at), scheduleCheck(event.at)]
--- a/src/core/keepers/state.ts
+++ b/src/core/keepers/state.ts
@@ -16,7 +16,7 @@
   /** Time of the last write of a roster, and the period written. */
   lastWrite: { readonly at: number; readonly period: number } | undefined;
   /** The rosters this process has relied on, by period. */
-  readonly reliedOn: Map<number, KeeperRoster>;
+  readonly usedRosters: Map<number, KeeperRoster>;
 }
 
 /** Creates the state of a node that has not started yet. */
@@ -26,5 +26,5 @@
   startIncarnation: 0,
   writer: undefined,
   lastWrite: undefined,
-  reliedOn: new Map(),
+  usedRosters: new Map(),
 });
--- a/src/core/keepers/write-roster.ts
+++ b/src/core/keepers/write-roster.ts
@@ -52,7 +52,7 @@
 };
 
 /** Rosters of this period and the next are written at once, later ones one by one. */
-const mayWriteNow = (state: CoreState, period: number, current: number, at: number): boolean => {
+const isWriteDue = (state: CoreState, period: number, current: number, at: number): boolean => {
   const { lastWrite, startedAt } = state.keepers;
   if (at < startedAt + ROSTER_SETTLE_MS) {
     return false;
@@ -75,19 +75,19 @@
 };
 
 /** The home of each partner, as this node sees it now; all nodes go by what is written. */
-const composeHomes = (state: CoreState): PartnerHome[] =>
+const listHomes = (state: CoreState): PartnerHome[] =>
   [...state.configuration.inForce.services]
     .map(([partner, services]) => ({ partner, zones: listZones(services.values()) }))
     .sort((a, b) => (a.partner < b.partner ? -1 : 1));
 
-const composeRoster = (state: CoreState, period: number): KeeperRoster => {
+const buildRoster = (state: CoreState, period: number): KeeperRoster => {
   const ranked = rankByRendezvous(listLiveMembers(state.membership), `roster|${period}`);
   const keepers = ranked.slice(0, MAX_ROSTER_SIZE).map((identity): Keeper => ({
     node: identity.node,
     zone: identity.zone,
     incarnation: identity.incarnation,
   }));
-  return { period, keepers, homes: composeHomes(state) };
+  return { period, keepers, homes: listHomes(state) };
 };
 
 const createRoster = (state: CoreState, period: number): Effect[] => {
@@ -102,7 +102,7 @@
       request: identifier<StoreRequestId>(`${name}#${period}`),
       name,
       expectedVersion: held?.version ?? 0,
-      content: { type: 'keepers', roster: composeRoster(state, period) },
+      content: { type: 'keepers', roster: buildRoster(state, period) },
     },
   ];
 };
@@ -114,7 +114,7 @@
   if (period === undefined || state.phase !== 'serving' || !isWriter(state)) {
     return [];
   }
-  if (!mayRequestFromStore(state, at) || !mayWriteNow(state, period, current, at)) {
+  if (!mayRequestFromStore(state, at) || !isWriteDue(state, period, current, at)) {
     return [];
   }
   state.keepers.lastWrite = { at, period };
--- a/src/core/lifecycle/reducer.ts
+++ b/src/core/lifecycle/reducer.ts
@@ -13,7 +13,7 @@
  * How long a stopping node stays at least while it has peers, in milliseconds, so that all of them
  * have heard of it before it is gone.
  */
-const STOP_LINGER_MS = 1_000;
+const MIN_STOP_MS = 1_000;
 
 /** A check that comes later than this after the one before shows that the process was paused. */
 const STOP_CHECK_LATE_MS = 4 * STOP_CHECK_MS;
@@ -26,7 +26,7 @@
   state.editing.inProgress.size === 0;
 
 const isAnnounced = (state: CoreState, at: number): boolean =>
-  listRing(state.membership).length === 0 || at - getSelf(state).since >= STOP_LINGER_MS;
+  listRing(state.membership).length === 0 || at - getSelf(state).since >= MIN_STOP_MS;
 
 /** A process that has just woken may have requests it has not read yet: it looks once more. */
 const wasPaused = (state: CoreState, at: number): boolean => {
--- a/src/core/reducer.ts
+++ b/src/core/reducer.ts
@@ -38,7 +38,7 @@
   slices.flatMap((slice) => slice(state, event));
 
 /** What is in force may settle an edit whose write has no answer. */
-const reduceInForce: Slice = (state, event) =>
+const reduceConfigurationMessage: Slice = (state, event) =>
   runSlices([reduceConfiguration, reduceEditing], state, event);
 
 const sliceOfTimer = (event: TimerFired): Slice =>
@@ -75,7 +75,7 @@
   match(event.message.type)
     .with(P.union('leg-batch', 'leg-cancel'), () => reduceReplica)
     .with('leg-results', () => reduceQuery)
-    .with(P.union('configuration-push', 'configuration-page'), () => reduceInForce)
+    .with(P.union('configuration-push', 'configuration-page'), () => reduceConfigurationMessage)
     .with(P.union('configuration-pull', 'store-answered'), () => reduceConfiguration)
     .with(P.union('membership-pull', 'membership-page'), () => reduceMembership)
     .with(
@@ -123,7 +123,7 @@
     .exhaustive();
 
 /** The slice of the events that come for each query or each leg: they go past the match. */
-const sliceOfFrequent = (event: Event): Slice | undefined => {
+const sliceOfFrequentEvent = (event: Event): Slice | undefined => {
   switch (event.type) {
     case 'attempts-ended':
       return reduceReplica;
@@ -141,7 +141,7 @@
  * and ends of legs go past the match, which would cost as much as all the rest of an end.
  */
 export const step = (state: CoreState, event: Event): Effect[] => {
-  const slice = sliceOfFrequent(event) ?? dispatch;
+  const slice = sliceOfFrequentEvent(event) ?? dispatch;
   const effects = slice(state, event);
   flushResults(state, event.at, effects);
   return effects;
--- a/test/keepers/homes.test.ts
+++ b/test/keepers/homes.test.ts
@@ -64,7 +64,7 @@
 };
 
 /** Most keepers of any one subject that stand in one zone. */
-const mostInAZone = (roster: KeeperRoster, partner: PartnerId): number =>
+const maxPerZone = (roster: KeeperRoster, partner: PartnerId): number =>
   Math.max(
     ...subjects.flatMap((subject) => {
       const zones = zonesOf(chooseKeepers(roster, partner, subject).nodes);
@@ -104,7 +104,12 @@
   },
 });
 
-const take = (state: CoreState, name: string, content: StoreContent, revision: number): void => {
+const applyObject = (
+  state: CoreState,
+  name: string,
+  content: StoreContent,
+  revision: number,
+): void => {
   const object: StoreObject = {
     name: identifier<ObjectName>(name),
     version: revision,
@@ -115,10 +120,10 @@
   step(state, { type: 'store-changed', at: 0, after, through: revision, objects: [object] });
 };
 
-const takeRoster = (state: CoreState, roster: KeeperRoster, revision: number): void =>
-  take(state, rosterObjectName(PERIOD), { type: 'keepers', roster }, revision);
+const applyRoster = (state: CoreState, roster: KeeperRoster, revision: number): void =>
+  applyObject(state, rosterObjectName(PERIOD), { type: 'keepers', roster }, revision);
 
-const keepersAsked = (state: CoreState, key: string): readonly NodeId[] | undefined => {
+const requestedKeepers = (state: CoreState, key: string): readonly NodeId[] | undefined => {
   const request = identifier<RequestId>(key);
   requestClaim(state, request, TAWE, key, 10);
   return state.once.own.get(request)?.keepers.nodes;
@@ -130,7 +135,7 @@
   it('stand in its home zones, at most two in one, when those hold five so', () => {
     const roster = rosterOf(() => 2, homes);
     expect(zonesUsed(roster, TAWE)).toEqual([...HALLS].sort());
-    expect(mostInAZone(roster, TAWE)).toBe(2);
+    expect(maxPerZone(roster, TAWE)).toBe(2);
     expect(zonesUsed(roster, ENSEMBLE)).toEqual([...ZONES].sort());
   });
 
@@ -145,7 +150,7 @@
     (_, count, zones) => {
       const roster = rosterOf(count, [homeOf(TAWE, zones)]);
       const wide = rosterOf(count, []);
-      expect(mostInAZone(roster, TAWE)).toBe(1);
+      expect(maxPerZone(roster, TAWE)).toBe(1);
       for (const subject of subjects) {
         const set = chooseKeepers(roster, TAWE, subject);
         expect(set).toEqual(chooseKeepers(wide, TAWE, subject));
@@ -166,22 +171,22 @@
     const roster = rosterOf(() => 2, homes);
     const far = startNode('bole');
     const near = startNode('neath');
-    const blind = startNode('yeka');
-    take(far, 'status/tawe/desk', statusOf(TAWE, 'desk', ['bole', 'arada', 'kirkos']), 1);
-    take(near, 'status/tawe/desk', statusOf(TAWE, 'desk', HALLS), 1);
+    const uninformed = startNode('yeka');
+    applyObject(far, 'status/tawe/desk', statusOf(TAWE, 'desk', ['bole', 'arada', 'kirkos']), 1);
+    applyObject(near, 'status/tawe/desk', statusOf(TAWE, 'desk', HALLS), 1);
     for (const zone of HALLS) {
       const identity = identityOf(`${zone}/1`, zone);
       near.membership.members.set(identity.node, createMember(identity, 'alive', 0));
       far.membership.members.set(identity.node, createMember(identity, 'dead', 0));
     }
-    [far, near, blind].forEach((state) => takeRoster(state, roster, 2));
+    [far, near, uninformed].forEach((state) => applyRoster(state, roster, 2));
     for (let number = 0; number < 50; number += 1) {
       const key = createIdempotencyKey(WALL, createRandom(number).next);
-      const asked = keepersAsked(near, key);
+      const asked = requestedKeepers(near, key);
       expect(asked).toHaveLength(5);
       expect(zonesOf(asked ?? []).filter((zone) => !HALLS.includes(zone))).toEqual([]);
-      expect(keepersAsked(far, key)).toEqual(asked);
-      expect(keepersAsked(blind, key)).toEqual(asked);
+      expect(requestedKeepers(far, key)).toEqual(asked);
+      expect(requestedKeepers(uninformed, key)).toEqual(asked);
     }
   });
 });
@@ -189,9 +194,9 @@
 describe('a roster', () => {
   it('records the zones of each partner as its writer sees them, in one order', () => {
     const state = startNode('bole');
-    take(state, 'status/tawe/b', statusOf(TAWE, 'b', ['swansea', 'neath']), 1);
-    take(state, 'status/ensemble/a', statusOf(ENSEMBLE, 'a', ['yeka', 'bole']), 2);
-    take(state, 'status/tawe/a', statusOf(TAWE, 'a', ['neath', 'llanelli']), 3);
+    applyObject(state, 'status/tawe/b', statusOf(TAWE, 'b', ['swansea', 'neath']), 1);
+    applyObject(state, 'status/ensemble/a', statusOf(ENSEMBLE, 'a', ['yeka', 'bole']), 2);
+    applyObject(state, 'status/tawe/a', statusOf(TAWE, 'a', ['neath', 'llanelli']), 3);
     const effects = step(state, {
       type: 'timer-fired',
       at: 2_000,
@@ -212,11 +217,11 @@
   it('is not followed when it turns up again with other homes', () => {
     const state = startNode('bole');
     const first = rosterOf(() => 2, [homeOf(TAWE, HALLS)]);
-    takeRoster(state, first, 1);
+    applyRoster(state, first, 1);
     expect(findRoster(state, PERIOD)).toBeDefined();
-    takeRoster(state, { ...first, homes: [homeOf(TAWE, ['bole', ...HALLS])] }, 2);
+    applyRoster(state, { ...first, homes: [homeOf(TAWE, ['bole', ...HALLS])] }, 2);
     expect(findRoster(state, PERIOD)).toBeUndefined();
-    takeRoster(state, { ...first }, 3);
+    applyRoster(state, { ...first }, 3);
     expect(findRoster(state, PERIOD)).toBeDefined();
   });
 
--- a/test/keepers/roster.test.ts
+++ b/test/keepers/roster.test.ts
@@ -29,7 +29,7 @@
   return state;
 };
 
-const takeRoster = (state: CoreState, roster: KeeperRoster, revision: number): void => {
+const applyRoster = (state: CoreState, roster: KeeperRoster, revision: number): void => {
   step(state, {
     type: 'store-changed',
     at: 0,
@@ -84,17 +84,17 @@
 
   it('are followed when a restored store shows them anew', () => {
     const state = startNode('bole/1', WALL);
-    takeRoster(state, rosterOf(2_000, ['bole/1']), 5);
+    applyRoster(state, rosterOf(2_000, ['bole/1']), 5);
     expect(findRoster(state, 2_000)).toBeDefined();
-    takeRoster(state, rosterOf(2_000, ['bole/1']), 9);
+    applyRoster(state, rosterOf(2_000, ['bole/1']), 9);
     expect(findRoster(state, 2_000)?.keepers).toHaveLength(1);
   });
 
   it('are not followed when a second one turns up for the same period', () => {
     const state = startNode('bole/1', WALL);
-    takeRoster(state, rosterOf(2_000, ['bole/1']), 5);
+    applyRoster(state, rosterOf(2_000, ['bole/1']), 5);
     expect(findRoster(state, 2_000)?.keepers).toHaveLength(1);
-    takeRoster(state, rosterOf(2_000, ['bole/2']), 9);
+    applyRoster(state, rosterOf(2_000, ['bole/2']), 9);
     expect(findRoster(state, 2_000)).toBeUndefined();
   });
 
