--- a/src/core/binary-heap.ts
+++ b/src/core/binary-heap.ts
@@ -1,18 +1,20 @@
-/** A binary heap. Items that come neither before nor after each other leave it in no set order. */
+/** A binary heap. The order of items that compare as equal is not specified. */
 
-/** Items of which the first can be seen and taken: both in a time that grows with the logarithm. */
+/**
+ * A priority queue: reads its first item in constant time, adds and removes in logarithmic time.
+ */
 export class BinaryHeap<Item extends object> {
   private readonly items: Item[] = [];
 
   /** @param isBefore - whether `left` leaves the heap before `right`; a strict order */
   constructor(private readonly isBefore: (left: Item, right: Item) => boolean) {}
 
-  /** Items in the heap. */
+  /** Number of items in the heap. */
   get size(): number {
     return this.items.length;
   }
 
-  /** The item that `pop` takes next; undefined when the heap is empty. */
+  /** The item that `pop` removes next; undefined when the heap is empty. */
   get first(): Item | undefined {
     return this.items[0];
   }
@@ -33,7 +35,7 @@
     items[place] = item;
   }
 
-  /** Takes the first item. */
+  /** Removes and returns the first item; undefined when the heap is empty. */
   pop(): Item | undefined {
     const { items } = this;
     const first = items[0];
@@ -49,7 +51,7 @@
     this.items.length = 0;
   }
 
-  /** Removes the items that `keep` is false for. */
+  /** Removes the items for which `keep` returns false. */
   retain(keep: (item: Item) => boolean): void {
     const kept = this.items.filter(keep);
     this.clear();
--- a/src/core/counters.ts
+++ b/src/core/counters.ts
@@ -1,6 +1,9 @@
-/** Counters that the core keeps; the operator port shows them as metrics. */
+/** Counters of the core, which the operator port exposes as metrics. */
 
-/** What each counter counts; each only grows. The reference of metrics is made from this table. */
+/**
+ * Descriptions of the counters, which only grow. The metrics reference is generated from this
+ * table.
+ */
 export const COUNTER_DESCRIPTIONS = {
   queries_accepted: 'Queries that passed the early checks and were planned.',
   queries_answered: 'Queries answered with a result, whole or partial.',
@@ -41,15 +44,15 @@
   edit_retries: 'Times an edit was tried again after a failure or a refused compare-and-set.',
 } as const;
 
-/** A counter's name. */
+/** The name of a counter. */
 export type CounterName = keyof typeof COUNTER_DESCRIPTIONS;
 
-/** Names of all counters. */
+/** The names of all counters. */
 export const COUNTER_NAMES = Object.keys(COUNTER_DESCRIPTIONS) as readonly CounterName[];
 
 /** The counters of one core. */
 export type Counters = Record<CounterName, number>;
 
-/** Creates counters that all stand at 0. */
+/** Creates counters that are all 0. */
 export const createCounters = (): Counters =>
   Object.fromEntries(COUNTER_NAMES.map((name) => [name, 0])) as Counters;
--- a/src/core/effect.ts
+++ b/src/core/effect.ts
@@ -1,4 +1,4 @@
-/** Every effect the core can ask of its driver. Effects are data; the driver carries them out. */
+/** All effects the core can request from its driver. Effects are data; the driver executes them. */
 import type { ReplicaStatus } from '../catalog/partner-index.js';
 import type { LegAttempt, LegContext } from '../protocol/leg-messages.js';
 import type { MembershipMessage } from '../protocol/membership-messages.js';
@@ -17,32 +17,34 @@
   readonly outcome: QueryOutcome;
 }
 
-/** Sends an attempt to a replica; ends in `attempts-ended`, always, also when cancelled. */
+/** Sends an attempt to a replica; always ends in `attempts-ended`, even when cancelled. */
 export interface SendAttempt {
   readonly type: 'send-attempt';
   readonly context: LegContext;
   readonly leg: LegAttempt;
   readonly replica: ReplicaStatus;
-  /** Time left, in milliseconds; the driver gives up then with `timed-out`. */
+  /** Time left, in milliseconds; the driver then ends the attempt with `timed-out`. */
   readonly remainingMs: number;
-  /** Connections this node may hold to the replica. */
+  /** Maximum number of connections of this node to the replica. */
   readonly connections: number;
 }
 
-/** Tells the replica that an attempt is no longer wanted. */
+/** Cancels an attempt at the replica because its result is no longer needed. */
 export interface CancelAttempt {
   readonly type: 'cancel-attempt';
   readonly attempt: AttemptId;
 }
 
-/** Closes connections to a replica that is gone or no longer fed by this node. */
+/**
+ * Closes the connections to a replica that is gone or to which this node sends no more attempts.
+ */
 export interface CloseReplica {
   readonly type: 'close-replica';
   readonly host: string;
   readonly port: number;
 }
 
-/** Sends a message over the link to a peer; may end in `link-lost`. */
+/** Sends a message over the link to a peer; may result in `link-lost`. */
 export interface SendLink {
   readonly type: 'send-link';
   readonly to: NodeId;
@@ -57,48 +59,53 @@
   readonly message: MembershipMessage;
 }
 
-/** Sets a timer to fire at `at` on the node's monotonic clock; replaces one under the same key. */
+/**
+ * Sets a timer that fires at `at` on the node's monotonic clock; replaces one with the same key.
+ */
 export interface SetTimer {
   readonly type: 'set-timer';
   readonly key: TimerKey;
   readonly at: number;
 }
 
-/** Cancels a timer; no matter if it is not set. */
+/** Cancels a timer; has no effect if it is not set. */
 export interface CancelTimer {
   readonly type: 'cancel-timer';
   readonly key: TimerKey;
 }
 
-/** Starts to watch the store for changes after `after`, in place of any watch before. */
+/** Watches the store for changes after revision `after`; replaces an earlier watch. */
 export interface WatchStore {
   readonly type: 'watch-store';
   readonly after: number;
 }
 
-/** Ends the watch of the store. */
+/** Stops the watch of the store. */
 export interface UnwatchStore {
   readonly type: 'unwatch-store';
 }
 
-/** Reads the platform's machine list once. */
+/** Reads the platform's machine list once; ends in `machines-read` or `store-failed`. */
 export interface ReadMachines {
   readonly type: 'read-machines';
 }
 
-/** Reads one object of the store; ends in `object-read` or `object-request-failed`. */
+/** Reads one object from the store; ends in `object-read` or `object-request-failed`. */
 export interface ReadObject {
   readonly type: 'read-object';
   readonly request: StoreRequestId;
   readonly name: ObjectName;
 }
 
-/** Compare-and-set of one object; ends in `object-written`, `-write-refused` or `-request-failed`. */
+/**
+ * Writes one object by compare-and-set; ends in `object-written`, `-write-refused` or
+ * `-request-failed`.
+ */
 export interface WriteObject {
   readonly type: 'write-object';
   readonly request: StoreRequestId;
   readonly name: ObjectName;
-  /** The version that must stand; 0 to create. */
+  /** The version that the object must have; 0 to create it. */
   readonly expectedVersion: number;
   readonly content: StoreContent;
 }
@@ -110,7 +117,7 @@
   readonly outcome: EditOutcome;
 }
 
-/** Parts of the core that log; each has a fixed prefix. */
+/** Parts of the core that write logs; each has a fixed prefix. */
 export type LogPart =
   | 'query'
   | 'replica'
@@ -122,7 +129,7 @@
   | 'editing'
   | 'lifecycle';
 
-/** Writes a log line: one short sentence. */
+/** Writes a log line that consists of one short sentence. */
 export interface WriteLog {
   readonly type: 'write-log';
   readonly level: 'debug' | 'info' | 'warn' | 'error';
@@ -130,7 +137,7 @@
   readonly sentence: string;
 }
 
-/** All work is done after a stop was asked for: the process may end. */
+/** Ends the process, after a requested stop when all work is finished. */
 export interface EndProcess {
   readonly type: 'end-process';
 }
--- a/src/core/event.ts
+++ b/src/core/event.ts
@@ -1,5 +1,5 @@
 /**
- * Every event the core can take. Each carries `at`, the time in milliseconds on the monotonic clock
+ * All events the core handles. Each carries `at`, the time in milliseconds on the monotonic clock
  * of the node; the core reads no other clock.
  */
 import type { Machine, StoreObject } from '../catalog/store-object.js';
@@ -17,13 +17,13 @@
   readonly at: number;
 }
 
-/** The operator or the platform asks the node to stop; requests in progress are finished. */
+/** The operator or the platform has requested a stop; requests in progress are finished. */
 export interface StopRequested {
   readonly type: 'stop-requested';
   readonly at: number;
 }
 
-/** A timer has run out. */
+/** A timer has expired. */
 export interface TimerFired {
   readonly type: 'timer-fired';
   readonly at: number;
@@ -38,14 +38,14 @@
   readonly query: QueryRequest;
 }
 
-/** A caller has gone away before its answer. */
+/** A caller has disconnected before its answer. */
 export interface CallerLeft {
   readonly type: 'caller-left';
   readonly at: number;
   readonly call: CallId;
 }
 
-/** Attempts sent by this node to replicas have ended; several may be reported together. */
+/** Attempts that this node sent to replicas have ended; several may be reported together. */
 export interface AttemptsEnded {
   readonly type: 'attempts-ended';
   readonly at: number;
@@ -60,7 +60,7 @@
   readonly message: LinkMessage;
 }
 
-/** Whatever was sent to a peer and not yet answered may be lost: the link is down. */
+/** The link to a peer is down; messages sent and not yet answered may be lost. */
 export interface LinkLost {
   readonly type: 'link-lost';
   readonly at: number;
@@ -74,7 +74,10 @@
   readonly message: MembershipMessage;
 }
 
-/** Objects were read from the store: all that changed after `after` and up to `through`. */
+/**
+ * Objects were read from the store: all changed after revision `after` up to and including
+ * `through`.
+ */
 export interface StoreChanged {
   readonly type: 'store-changed';
   readonly at: number;
@@ -87,7 +90,7 @@
 export interface StoreFailed {
   readonly type: 'store-failed';
   readonly at: number;
-  /** What was asked; the watch when absent. */
+  /** The kind of request; the watch when absent. */
   readonly request?: 'watch' | 'machines';
   readonly problem: string;
 }
@@ -107,7 +110,7 @@
   readonly edit: EditRequest;
 }
 
-/** An object was read from the store; absent when there is none of that name. */
+/** A read of an object was answered; `object` is absent when the store has none of that name. */
 export interface ObjectRead {
   readonly type: 'object-read';
   readonly at: number;
@@ -124,7 +127,7 @@
   readonly revision: number;
 }
 
-/** A compare-and-set was refused: the object stands at `version` (0 when there is none). */
+/** A compare-and-set was refused: the object has `version`, 0 when it does not exist. */
 export interface ObjectWriteRefused {
   readonly type: 'object-write-refused';
   readonly at: number;
@@ -132,7 +135,9 @@
   readonly version: number;
 }
 
-/** A read or write of one object failed or timed out; a write may have taken effect all the same. */
+/**
+ * A read or write of one object failed or timed out; a write may nevertheless have taken effect.
+ */
 export interface ObjectRequestFailed {
   readonly type: 'object-request-failed';
   readonly at: number;
@@ -140,7 +145,7 @@
   readonly problem: string;
 }
 
-/** Somebody waits until all nodes hold `revision`: the node asks those that are not known to. */
+/** A client waits until all nodes hold `revision`; this node surveys those not known to hold it. */
 export interface RevisionAwaited {
   readonly type: 'revision-awaited';
   readonly at: number;
--- a/src/core/hash.ts
+++ b/src/core/hash.ts
@@ -1,30 +1,30 @@
 /**
- * Non-cryptographic hashing for rendezvous order and key placement: xxHash, 32 bits, over UTF-8.
+ * Non-cryptographic hashing for rendezvous order and key placement: 32-bit xxHash over UTF-8.
  *
- * Written out here because the WebAssembly build of it has to be compiled before the first module that
- * needs it is loaded, at every start of a process. A test compares the two.
+ * Implemented here because the WebAssembly build must be compiled at every start of a process,
+ * before the first module that needs it is loaded. A test compares the two.
  */
 
-/** The primes of the algorithm's specification. */
+/** The primes given in the specification of xxHash. */
 const PRIME_1 = 0x9e3779b1;
 const PRIME_2 = 0x85ebca77;
 const PRIME_3 = 0xc2b2ae3d;
 const PRIME_4 = 0x27d4eb2f;
 const PRIME_5 = 0x165667b1;
 
-/** Bytes that the main loop takes at a time: four lanes of four bytes. */
+/** Number of bytes the main loop processes at a time: four lanes of four bytes. */
 const STRIPE_BYTES = 16;
 const LANE_BYTES = 4;
 
 const encoder = new TextEncoder();
 
-/** Short ASCII texts, nearly all that are hashed, are encoded here: a call to the encoder costs 1 us. */
+/** Short ASCII texts, nearly all that are hashed, skip the encoder, as a call to it costs 1 us. */
 const SHORT_LENGTH = 256;
 const shortBytes = new Uint8Array(SHORT_LENGTH);
 
 const FIRST_NON_ASCII = 0x80;
 
-/** Writes a short ASCII text to `shortBytes`; false when the text is another. */
+/** Writes a short ASCII text to `shortBytes`; returns false for any other text. */
 const encodeShort = (text: string): boolean => {
   if (text.length > SHORT_LENGTH) {
     return false;
@@ -51,7 +51,7 @@
 const mixLane = (accumulator: number, lane: number): number =>
   Math.imul(rotateLeft((accumulator + Math.imul(lane, PRIME_2)) | 0, 13), PRIME_1);
 
-/** Takes all whole stripes of an input that has at least one. */
+/** Hashes all whole stripes of an input that has at least one. */
 const hashStripes = (bytes: Uint8Array, length: number, seed: number): number => {
   let first = (seed + PRIME_1 + PRIME_2) | 0;
   let second = (seed + PRIME_2) | 0;
@@ -68,7 +68,7 @@
   );
 };
 
-/** Takes what is left after the whole stripes. */
+/** Hashes the bytes after the last whole stripe. */
 const hashRest = (bytes: Uint8Array, length: number, begin: number, start: number): number => {
   let hash = begin;
   let offset = start;
@@ -96,11 +96,15 @@
   return avalanche(hashRest(bytes, length, (begin + length) | 0, restAt));
 };
 
-/** Hashes bytes to an unsigned 32-bit integer; the same on every machine and run. */
+/**
+ * Hashes bytes to an unsigned 32-bit integer, which is the same on every machine and in every run.
+ */
 export const hashOfBytes = (bytes: Uint8Array, seed = 0): number =>
   hashBytes(bytes, bytes.length, seed);
 
-/** Hashes `text` to an unsigned 32-bit integer; the same on every machine and run. */
+/**
+ * Hashes `text` to an unsigned 32-bit integer, which is the same on every machine and in every run.
+ */
 export const hash32 = (text: string, seed = 0): number => {
   if (encodeShort(text)) {
     return hashBytes(shortBytes, text.length, seed);
--- a/src/core/identifiers.ts
+++ b/src/core/identifiers.ts
@@ -4,7 +4,7 @@
  */
 type Branded<Name extends string> = string & { readonly __brand: Name };
 
-/** Identifies a node for as long as its process lives at one address, e.g. `bole/node-1`. */
+/** Identifies a node while its process runs at one address, e.g. `bole/node-1`. */
 export type NodeId = Branded<'NodeId'>;
 /** Identifies a partner organisation, e.g. `ensemble`. */
 export type PartnerId = Branded<'PartnerId'>;
@@ -12,7 +12,7 @@
 export type RouteName = Branded<'RouteName'>;
 /** Names a kind of request within a route, e.g. `page`. */
 export type RequestKind = Branded<'RequestKind'>;
-/** Names a back-end service, e.g. `booking-desk-3`. */
+/** Names a backend service, e.g. `booking-desk-3`. */
 export type ServiceName = Branded<'ServiceName'>;
 /** Names a shard of a service in a snapshot's layout, e.g. `booking-desk-3#0`. */
 export type ShardId = Branded<'ShardId'>;
@@ -34,5 +34,5 @@
 /** Identifies a request of this node to the store; local to the process. */
 export type StoreRequestId = Branded<'StoreRequestId'>;
 
-/** Turns a plain string into an identifier of the type asked for; the caller vouches for its form. */
+/** Casts a plain string to an identifier of type `Id`; the caller is responsible for its format. */
 export const identifier = <Id extends Branded<string>>(text: string): Id => text as Id;
--- a/src/core/keepers/choose-keepers.ts
+++ b/src/core/keepers/choose-keepers.ts
@@ -1,17 +1,18 @@
 /**
- * Chooses the keepers of a subject out of a roster: the same ones at every node, since nothing but the
- * roster and the subject decides. They stand in the home zones of the subject's partner where those
- * can lose any one zone, else in all zones.
+ * Chooses the keepers of a subject from a roster. The choice depends only on the roster and the
+ * subject, so that it is the same at every node. The keepers are in the home zones of the subject's
+ * partner if a majority of them survives the loss of any one zone, else they are spread over all
+ * zones.
  */
 import type { Keeper, KeeperRoster } from '../../catalog/keeper-roster.js';
 import { hash32 } from '../hash.js';
 import type { NodeId, PartnerId, ZoneName } from '../identifiers.js';
 import { KEEPERS_PER_SUBJECT } from './keeper-timing.js';
 
-/** The keepers of one subject and how many of them decide. */
+/** The keepers of one subject and the size of a majority. */
 export interface KeeperSet {
   readonly nodes: readonly NodeId[];
-  /** Any two sets of this many keepers share one. */
+  /** Any two sets of this many keepers have one in common. */
   readonly majority: number;
 }
 
@@ -25,16 +26,16 @@
 
 interface RosterRings {
   readonly whole: Ring;
-  /** Of the partners whose home zones hold enough keepers. */
+  /** Rings of the partners whose home zones have enough keepers. */
   readonly homes: ReadonlyMap<PartnerId, Ring>;
 }
 
 const majorityOf = (count: number): number => Math.floor(count / 2) + 1;
 
-/** Most keepers of a full set in one zone, so that the others are a majority. */
+/** Maximum number of keepers of a full set in one zone, so that the others are a majority. */
 const MAX_PER_ZONE = KEEPERS_PER_SUBJECT - majorityOf(KEEPERS_PER_SUBJECT);
 
-/** The rings of each roster; a roster never changes. */
+/** Cache of the rings of each roster; rosters are immutable. */
 const rings = new WeakMap<KeeperRoster, RosterRings>();
 
 const buildRing = (keepers: readonly Keeper[]): Ring =>
@@ -43,7 +44,7 @@
     .sort((a, b) => a.place - b.place || (a.keeper.node < b.keeper.node ? -1 : 1))
     .map(({ keeper }) => keeper);
 
-/** True when a full set of the ring's keepers outlives the loss of any one zone. */
+/** True when the ring yields a full set of which a majority survives the loss of any one zone. */
 const survivesZoneLoss = (ring: Ring): boolean =>
   selectSpread(ring, 0, KEEPERS_PER_SUBJECT, MAX_PER_ZONE).length === KEEPERS_PER_SUBJECT;
 
@@ -64,7 +65,7 @@
   return built.homes.get(partner) ?? built.whole;
 };
 
-/** Walks the ring from `start` and takes `count` keepers, at most `perZone` of each zone. */
+/** Selects up to `count` keepers in ring order from `start`, at most `perZone` of each zone. */
 const selectSpread = (ring: Ring, start: number, count: number, perZone: number): NodeId[] => {
   const selected: NodeId[] = [];
   const inZone = new Map<ZoneName, number>();
@@ -79,7 +80,10 @@
   return selected;
 };
 
-/** The keepers of a subject of `partner` out of `roster`, spread over zones as evenly as they allow. */
+/**
+ * Chooses the keepers of a subject of `partner` from `roster`, spread over zones as evenly as
+ * possible.
+ */
 export const chooseKeepers = (
   roster: KeeperRoster,
   partner: PartnerId,
--- a/src/core/keepers/find-roster.ts
+++ b/src/core/keepers/find-roster.ts
@@ -1,16 +1,16 @@
-/** Finds the roster of a period, and tells what this process can vouch for under it. */
+/** Finds the roster of a period and determines what this process may answer for under it. */
 import { ROSTER_SLOTS, type KeeperRoster, type PartnerHome } from '../../catalog/keeper-roster.js';
 import type { NodeId } from '../identifiers.js';
 import type { CoreState } from '../state.js';
 import { CLOCK_MARGIN_MS, PERIOD_MS } from './keeper-timing.js';
 
-/** The period of a wall-clock time given in milliseconds since 1970. */
+/** Returns the period of a wall-clock time, given in milliseconds since 1970. */
 export const periodOf = (wallTime: number): number => Math.floor(wallTime / PERIOD_MS);
 
-/** The wall-clock time, in milliseconds since 1970, that this node takes `at` for. */
+/** Converts `at` to this node's wall-clock time, in milliseconds since 1970. */
 export const wallTimeAt = (state: CoreState, at: number): number => state.keepers.wallOffset + at;
 
-/** Forgets rosters of periods long past, so that the table stays bounded. */
+/** Removes rosters of past periods, so that the table stays bounded. */
 const removePastRosters = (usedRosters: Map<number, KeeperRoster>, period: number): void => {
   for (const past of usedRosters.keys()) {
     if (past < period - ROSTER_SLOTS) {
@@ -26,8 +26,8 @@
   a.length === b.length && a.every((home, index) => isSameHome(home, b[index]));
 
 /**
- * True when both give each subject the same processes; a store that was restored may show a roster
- * anew.
+ * True when both rosters give each subject the same processes. A restored store may return an equal
+ * roster under another revision.
  */
 const hasSameKeepers = (a: KeeperRoster, b: KeeperRoster): boolean =>
   hasSameHomes(a, b) &&
@@ -38,8 +38,8 @@
   });
 
 /**
- * The roster of `period`; undefined when this node holds none. Another roster for a period that had
- * one before (a store that lost an accepted write) is not followed.
+ * Finds the roster of `period`; undefined when this node holds none, or when it has used a
+ * different one for this period before, which happens if the store lost an accepted write.
  */
 export const findRoster = (state: CoreState, period: number): KeeperRoster | undefined => {
   const held = state.configuration.inForce.rosters.get(period);
@@ -56,13 +56,13 @@
   return held;
 };
 
-/** The newest incarnation under which this process is known to its peers. */
+/** Returns the newest incarnation under which peers know this process. */
 const currentIncarnation = (state: CoreState): number =>
   state.membership.members.get(state.self.node)?.identity.incarnation ?? state.self.incarnation;
 
 /**
- * True when `roster` names this very process: it has then seen all that its node was ever asked
- * under the roster. No clock is involved.
+ * True when `roster` names this process, not another one of the same node. The process has then
+ * received every request sent to its node under the roster. No clock is involved.
  */
 export const isNamedProcess = (state: CoreState, roster: KeeperRoster): boolean => {
   const node: NodeId = state.self.node;
@@ -75,8 +75,8 @@
 };
 
 /**
- * True when nothing at wall-clock time `time` or later can have been asked of an earlier process of
- * this node, which refused whatever lay more than `leadMs` ahead of its clock.
+ * True when no earlier process of this node can have accepted a request for wall-clock time `time`
+ * or later, because each process refuses times more than `leadMs` milliseconds ahead of its clock.
  */
 export const isAfterStart = (state: CoreState, time: number, leadMs: number): boolean =>
   time > state.keepers.startIncarnation + leadMs + CLOCK_MARGIN_MS;
--- a/src/core/keepers/first-member.ts
+++ b/src/core/keepers/first-member.ts
@@ -1,10 +1,10 @@
-/** Finds the first live member by rendezvous for a subject, in one pass and without a sort. */
+/** Finds the first live member by rendezvous hash for a subject, in one pass without sorting. */
 import { hash32 } from '../hash.js';
 import type { NodeId } from '../identifiers.js';
 import { listLiveMembers } from '../membership/view.js';
 import type { CoreState } from '../state.js';
 
-/** The first of `nodes` for `subject`; `otherwise` when there are none. */
+/** Returns the first of `nodes` for `subject`; `fallback` when there are none. */
 export const findFirstOf = (
   nodes: readonly NodeId[],
   fallback: NodeId,
@@ -22,7 +22,7 @@
   return first;
 };
 
-/** The first live member for `subject`; this node when it knows of none. */
+/** Returns the first live member for `subject`; this node when it knows no other. */
 export const findFirstMember = (state: CoreState, subject: string): NodeId =>
   findFirstOf(
     listLiveMembers(state.membership).map(({ node }) => node),
--- a/src/core/keepers/reducer.ts
+++ b/src/core/keepers/reducer.ts
@@ -1,4 +1,4 @@
-/** The keepers slice: keeps rosters written ahead. */
+/** The keepers slice: writes rosters ahead of their periods. */
 import type { Effect } from '../effect.js';
 import type { Event } from '../event.js';
 import type { CoreState } from '../state.js';
--- a/src/core/keepers/write-roster.ts
+++ b/src/core/keepers/write-roster.ts
@@ -1,4 +1,4 @@
-/** Writes rosters into the store, ahead of their periods. */
+/** Writes rosters to the store ahead of their periods. */
 import {
   rosterObjectName,
   type Keeper,
@@ -30,8 +30,8 @@
 };
 
 /**
- * True for one node of a view, the first reader of a zone: a reader knows when the store fails. The
- * zone is looked up anew only when the view has changed.
+ * True for one node of a view, the first reader of the writer zone. A reader is chosen because it
+ * detects failures of the store. The zone is computed again only when the view has changed.
  */
 const isWriter = (state: CoreState): boolean => {
   const { viewVersion } = state.membership;
@@ -41,7 +41,7 @@
   return state.keepers.writer.zone === state.self.zone && findOwnRank(state) === 0;
 };
 
-/** The first period from the current one on that lacks a roster; undefined when none does. */
+/** Returns the first period from `current` on without a roster; undefined when there is none. */
 const findMissingPeriod = (state: CoreState, current: number): number | undefined => {
   for (let period = current; period <= current + PERIODS_AHEAD; period += 1) {
     if (!state.configuration.inForce.rosters.has(period)) {
@@ -51,7 +51,10 @@
   return undefined;
 };
 
-/** Rosters of this period and the next are written at once, later ones one by one. */
+/**
+ * True when a roster may be written: for this and the next period at once, for later ones at
+ * intervals.
+ */
 const isWriteDue = (state: CoreState, period: number, current: number, at: number): boolean => {
   const { lastWrite, startedAt } = state.keepers;
   if (at < startedAt + ROSTER_SETTLE_MS) {
@@ -74,7 +77,9 @@
   return [...zones].sort();
 };
 
-/** The home of each partner, as this node sees it now; all nodes go by what is written. */
+/**
+ * Lists the home of each partner as this node currently sees it; all nodes use the written list.
+ */
 const listHomes = (state: CoreState): PartnerHome[] =>
   [...state.configuration.inForce.services]
     .map(([partner, services]) => ({ partner, zones: listZones(services.values()) }))
@@ -107,7 +112,7 @@
   ];
 };
 
-/** Writes the next missing roster when this node is the one to do so. */
+/** Writes the next missing roster if this node is the writer. */
 export const writeMissingRoster = (state: CoreState, at: number): Effect[] => {
   const current = periodOf(wallTimeAt(state, at));
   const period = findMissingPeriod(state, current);
--- a/src/core/lifecycle/reducer.ts
+++ b/src/core/lifecycle/reducer.ts
@@ -1,4 +1,7 @@
-/** The lifecycle slice: a planned stop refuses new work, finishes what runs, then ends the process. */
+/**
+ * The lifecycle slice: a planned stop refuses new work, finishes work in progress, then ends the
+ * process.
+ */
 import type { Effect } from '../effect.js';
 import type { Event } from '../event.js';
 import { announceEnd } from '../membership/leave.js';
@@ -6,16 +9,19 @@
 import { getSelf } from '../membership/self-identity.js';
 import type { CoreState } from '../state.js';
 
-/** How often a stopping node looks whether its work is done, in milliseconds. */
+/** Interval at which a stopping node checks whether its work is finished, in milliseconds. */
 const STOP_CHECK_MS = 50;
 
 /**
- * How long a stopping node stays at least while it has peers, in milliseconds, so that all of them
- * have heard of it before it is gone.
+ * Minimum time from the announcement of a stop to the end of the process while there are peers, in
+ * milliseconds, so that all of them have received the announcement.
  */
 const MIN_STOP_MS = 1_000;
 
-/** A check that comes later than this after the one before shows that the process was paused. */
+/**
+ * A check later than this after the previous one shows that the process was paused, in
+ * milliseconds.
+ */
 const STOP_CHECK_LATE_MS = 4 * STOP_CHECK_MS;
 
 const STOP_TIMER = { purpose: 'lifecycle-stop', subject: '' } as const;
@@ -28,7 +34,7 @@
 const isAnnounced = (state: CoreState, at: number): boolean =>
   listRing(state.membership).length === 0 || at - getSelf(state).since >= MIN_STOP_MS;
 
-/** A process that has just woken may have requests it has not read yet: it looks once more. */
+/** True after a process pause; there may then be unread requests, so the node checks once more. */
 const wasPaused = (state: CoreState, at: number): boolean => {
   const late = at - state.stopCheckedAt > STOP_CHECK_LATE_MS;
   state.stopCheckedAt = at;
--- a/src/core/random.ts
+++ b/src/core/random.ts
@@ -1,20 +1,22 @@
-/** The seeded generator a core's state holds; the only source of randomness in `core/`. */
+/** The seeded random generator in the state of a core; the only source of randomness in `core/`. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
 const UINT32_RANGE = 0x1_0000_0000;
 
 /** A deterministic stream of random numbers. */
 export interface Random {
-  /** The next number, uniform in [0, 1). */
+  /** Returns the next number, uniform in [0, 1). */
   next(): number;
-  /** The next integer, uniform in [0, bound). `bound` must be at least 1. */
+  /** Returns the next integer, uniform in [0, bound). `bound` must be at least 1. */
   nextBelow(bound: number): number;
 }
 
-/** Numbers thrown away at the start: the first ones still resemble the seed. */
+/**
+ * Number of values discarded at the start, because the first ones still correlate with the seed.
+ */
 const DISCARDED = 16;
 
-/** Spreads the bits of a seed, so that neighbouring seeds give unrelated streams (MurmurHash3). */
+/** Mixes the bits of a seed (MurmurHash3), so that adjacent seeds give unrelated streams. */
 const mixSeed = (seed: number): number => {
   let mixed = seed | 0;
   mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b);
--- a/src/core/reducer.ts
+++ b/src/core/reducer.ts
@@ -2,8 +2,8 @@
  * The reducer over all events. `step` takes one event, updates the state in place and returns the
  * effects in the order in which the driver must carry them out.
  *
- * Each event goes to the slices that care for it, in a fixed order. One ts-pattern match is made for
- * each event and none for each leg: see the slopes in docs/design/01-architecture.md.
+ * Each event is dispatched to the slices that handle it, in a fixed order. There is one ts-pattern
+ * match per event and none per leg; see the slopes in docs/design/01-architecture.md.
  */
 import { match, P } from 'ts-pattern';
 import { reduceAdmission } from './admission/reducer.js';
@@ -37,7 +37,7 @@
 const runSlices = (slices: readonly Slice[], state: CoreState, event: Event): Effect[] =>
   slices.flatMap((slice) => slice(state, event));
 
-/** What is in force may settle an edit whose write has no answer. */
+/** A change of the configuration in force may settle an edit whose write was not answered. */
 const reduceConfigurationMessage: Slice = (state, event) =>
   runSlices([reduceConfiguration, reduceEditing], state, event);
 
@@ -122,7 +122,7 @@
     )
     .exhaustive();
 
-/** The slice of the events that come for each query or each leg: they go past the match. */
+/** Returns the slice of events that occur for each query or leg; these bypass the match. */
 const sliceOfFrequentEvent = (event: Event): Slice | undefined => {
   switch (event.type) {
     case 'attempts-ended':
@@ -137,8 +137,8 @@
 };
 
 /**
- * Takes one event; updates `state` in place and returns the effects to carry out, in order. Queries
- * and ends of legs go past the match, which would cost as much as all the rest of an end.
+ * Handles one event: updates `state` in place and returns the effects to execute, in order. Queries
+ * and ends of legs bypass the match, which would cost as much as the rest of handling such an end.
  */
 export const step = (state: CoreState, event: Event): Effect[] => {
   const slice = sliceOfFrequentEvent(event) ?? dispatch;
--- a/src/core/state.ts
+++ b/src/core/state.ts
@@ -1,4 +1,4 @@
-/** The state of a core: one slice for each concern, owned and updated in place by the reducer. */
+/** The state of a core: one slice per concern, updated in place by the reducer only. */
 import type { NodeIdentity, PeerAddress } from '../protocol/node-address.js';
 import { type AdmissionState, createAdmissionState } from './admission/state.js';
 import { type ConfigurationState, createConfigurationState } from './configuration/state.js';
@@ -12,18 +12,18 @@
 import { createRandom, type Random } from './random.js';
 import { type ReplicaState, createReplicaState } from './replica/state.js';
 
-/** Whether the node takes new work. */
+/** The lifecycle phase; the node accepts new work while it is serving. */
 export type LifecyclePhase = 'starting' | 'serving' | 'stopping' | 'ended';
 
-/** The whole state of a node's core. */
+/** The complete state of a node's core. */
 export interface CoreState {
   readonly self: NodeIdentity;
-  /** Addresses to ask when no member is known yet. */
+  /** Addresses to contact while no member is known. */
   readonly seeds: readonly PeerAddress[];
   readonly random: Random;
   readonly counters: Counters;
   phase: LifecyclePhase;
-  /** When a stopping node last looked whether its work is done; its own monotonic clock. */
+  /** When a stopping node last checked whether its work is finished, on its monotonic clock. */
   stopCheckedAt: number;
   readonly query: QueryState;
   readonly replica: ReplicaState;
@@ -35,17 +35,17 @@
   readonly editing: EditingState;
 }
 
-/** What a core is created from. */
+/** Options for creating the state of a core. */
 export interface CoreOptions {
   readonly self: NodeIdentity;
   readonly seeds: readonly PeerAddress[];
-  /** Seeds the generator; any 32-bit integer. */
+  /** Seed of the random generator; any 32-bit integer. */
   readonly seed: number;
-  /** Switches of the query path that differ from the defaults. */
+  /** Query policy settings that differ from the defaults. */
   readonly policy?: Partial<QueryPolicy>;
 }
 
-/** Creates the state of a node that knows nothing but itself and its seeds. */
+/** Creates the initial state of a node, which knows only itself and its seeds. */
 export const createCoreState = (options: CoreOptions): CoreState => ({
   self: options.self,
   seeds: options.seeds,
--- a/src/core/timer-key.ts
+++ b/src/core/timer-key.ts
@@ -1,6 +1,6 @@
-/** Keys of timers. Setting a timer under a key that is set already replaces it. */
+/** Keys of timers. Setting a timer whose key is already set replaces the earlier timer. */
 
-/** What a timer is for; each slice of the core owns its own purposes. */
+/** The purpose of a timer; each purpose belongs to one slice of the core. */
 export type TimerPurpose =
   | 'query-deadline'
   | 'query-hedge'
@@ -27,9 +27,11 @@
   | 'lifecycle-stop'
   | 'housekeeping';
 
-/** A timer's key. */
+/** The key of a timer. */
 export interface TimerKey {
   readonly purpose: TimerPurpose;
-  /** What it is about: a query, an attempt, a node; empty for a timer of which there is one. */
+  /**
+   * The query, attempt, node or other subject of the timer; empty if there is only one such timer.
+   */
   readonly subject: string;
 }
--- a/test/core/hash.test.ts
+++ b/test/core/hash.test.ts
@@ -5,7 +5,7 @@
 
 const SEED = 20_261_202;
 
-test('hash to the same values as the WebAssembly build of xxHash', async () => {
+test('hash32 returns the same values as the WebAssembly build of xxHash', async () => {
   const { h32 } = await createHasher();
   const seeds = fc.integer({ min: 0, max: 0xffff_ffff });
   const texts = fc.string({ unit: 'binary', maxLength: 100 });
@@ -17,7 +17,7 @@
   );
 });
 
-test('hash the empty text and every length around a stripe', async () => {
+test('hash32 agrees with it on the empty text and all lengths around a stripe', async () => {
   const { h32 } = await createHasher();
   for (let length = 0; length <= 70; length += 1) {
     const text = 'ä0123456789'.repeat(7).slice(0, length);
@@ -26,7 +26,7 @@
   }
 });
 
-test('hash texts longer than the buffer for short ones', async () => {
+test('hash32 agrees with it on texts longer than the buffer for short texts', async () => {
   const { h32 } = await createHasher();
   for (let length = 250; length <= 270; length += 1) {
     const text = 'x'.repeat(length);
--- a/test/keepers/homes.test.ts
+++ b/test/keepers/homes.test.ts
@@ -1,4 +1,6 @@
-/** Keepers in the home zones of a partner: who they are, and what does not change them. */
+/**
+ * Tests of keepers in the home zones of a partner: how they are chosen, and what has no influence.
+ */
 import { describe, expect, it } from 'vitest';
 import {
   type KeeperRoster,
@@ -57,13 +59,13 @@
 
 const subjects = Array.from({ length: 200 }, (_, index) => `key-${index}`);
 
-/** All zones in which `partner` has keepers, over many subjects. */
+/** Lists the zones in which `partner` has keepers, over many subjects. */
 const zonesUsed = (roster: KeeperRoster, partner: PartnerId): string[] => {
   const nodes = subjects.flatMap((subject) => chooseKeepers(roster, partner, subject).nodes);
   return [...new Set(zonesOf(nodes))].sort();
 };
 
-/** Most keepers of any one subject that stand in one zone. */
+/** Returns the maximum number of keepers of one subject in one zone. */
 const maxPerZone = (roster: KeeperRoster, partner: PartnerId): number =>
   Math.max(
     ...subjects.flatMap((subject) => {
@@ -132,7 +134,7 @@
 describe('the keepers of a partner', () => {
   const homes = [homeOf(TAWE, HALLS)];
 
-  it('stand in its home zones, at most two in one, when those hold five so', () => {
+  it('are in its home zones, at most two per zone, if these have enough keepers', () => {
     const roster = rosterOf(() => 2, homes);
     expect(zonesUsed(roster, TAWE)).toEqual([...HALLS].sort());
     expect(maxPerZone(roster, TAWE)).toBe(2);
@@ -146,7 +148,7 @@
     ['has most keepers in one zone', (zone: string) => (zone === 'neath' ? 9 : 1), HALLS],
     ['has zones without a keeper', () => 2, ['cardiff', 'newport', 'barry']],
   ])(
-    'stand in all zones when it %s, so that the loss of a zone stops nobody',
+    'are in all zones if it %s, so that a majority survives the loss of a zone',
     (_, count, zones) => {
       const roster = rosterOf(count, [homeOf(TAWE, zones)]);
       const wide = rosterOf(count, []);
@@ -158,7 +160,7 @@
     },
   );
 
-  it('are the present ones under a roster that names no homes', () => {
+  it('are in all zones under a roster without homes', () => {
     const named = rosterOf(() => 2, []);
     const plain: KeeperRoster = { period: named.period, keepers: named.keepers };
     expect(zonesUsed(plain, TAWE)).toEqual([...ZONES].sort());
@@ -167,7 +169,7 @@
     }
   });
 
-  it('are the same at nodes whose members and service statuses differ', () => {
+  it('are the same at nodes with different members and service statuses', () => {
     const roster = rosterOf(() => 2, homes);
     const far = startNode('bole');
     const near = startNode('neath');
@@ -192,7 +194,7 @@
 });
 
 describe('a roster', () => {
-  it('records the zones of each partner as its writer sees them, in one order', () => {
+  it('contains the zones of each partner as its writer sees them, sorted', () => {
     const state = startNode('bole');
     applyObject(state, 'status/tawe/b', statusOf(TAWE, 'b', ['swansea', 'neath']), 1);
     applyObject(state, 'status/ensemble/a', statusOf(ENSEMBLE, 'a', ['yeka', 'bole']), 2);
@@ -214,7 +216,7 @@
     });
   });
 
-  it('is not followed when it turns up again with other homes', () => {
+  it('is not used if it is replaced by one with other homes for the same period', () => {
     const state = startNode('bole');
     const first = rosterOf(() => 2, [homeOf(TAWE, HALLS)]);
     applyRoster(state, first, 1);
@@ -225,7 +227,7 @@
     expect(findRoster(state, PERIOD)).toBeDefined();
   });
 
-  it('is refused when its homes have the wrong shape', () => {
+  it('is refused if its homes have the wrong shape', () => {
     const objectOf = (homes: unknown): unknown => ({
       name: rosterObjectName(PERIOD),
       version: 1,
--- a/test/keepers/roster.test.ts
+++ b/test/keepers/roster.test.ts
@@ -58,7 +58,7 @@
 const isWrite = (effect: Effect): effect is WriteObject => effect.type === 'write-object';
 
 describe('rosters of keepers', () => {
-  it('are written once the view has settled, and not again while the write is under way', () => {
+  it('are written after a settling time, and not again while the write is in progress', () => {
     const state = startNode('bole/1', WALL);
     step(state, { type: 'store-changed', at: 1, after: 0, through: 1, objects: [] });
     const check = (at: number): WriteObject[] =>
@@ -74,7 +74,7 @@
     expect(check(8_000)).toHaveLength(1);
   });
 
-  it('name a process by its incarnation: neither an earlier nor a later one is meant', () => {
+  it('name a process by its incarnation, and no earlier or later process of the node', () => {
     const roster = rosterOf(2_000, ['bole/1', 'bole/2'], WALL);
     expect(isNamedProcess(startNode('bole/1', WALL), roster)).toBe(true);
     expect(isNamedProcess(startNode('bole/1', WALL + 1), roster)).toBe(false);
@@ -82,7 +82,7 @@
     expect(isNamedProcess(startNode('bole/3', WALL), roster)).toBe(false);
   });
 
-  it('are followed when a restored store shows them anew', () => {
+  it('are used if a restored store returns them under another revision', () => {
     const state = startNode('bole/1', WALL);
     applyRoster(state, rosterOf(2_000, ['bole/1']), 5);
     expect(findRoster(state, 2_000)).toBeDefined();
@@ -90,7 +90,7 @@
     expect(findRoster(state, 2_000)?.keepers).toHaveLength(1);
   });
 
-  it('are not followed when a second one turns up for the same period', () => {
+  it('are not used if a second, different one appears for the same period', () => {
     const state = startNode('bole/1', WALL);
     applyRoster(state, rosterOf(2_000, ['bole/1']), 5);
     expect(findRoster(state, 2_000)?.keepers).toHaveLength(1);
@@ -98,7 +98,7 @@
     expect(findRoster(state, 2_000)).toBeUndefined();
   });
 
-  it('give each subject five keepers spread over zones, the same ones in any order', () => {
+  it('give each subject five keepers spread over zones, regardless of the order of the roster', () => {
     const names = Array.from({ length: 12 }, (_, index) => `node-${index}`);
     const roster = rosterOf(1, names);
     const reversed = { ...roster, keepers: [...roster.keepers].reverse() };
