--- a/src/core/configuration/bounds.ts
+++ b/src/core/configuration/bounds.ts
@@ -2,7 +2,7 @@
 
 /** Number of nodes in each zone that watch the store. */
 export const READERS_PER_ZONE = 2;
-/** How often a serving node checks whether its role has changed. */
+/** How often a node that has begun to serve checks whether its role has changed. */
 export const ROLE_CHECK_MS = 500;
 /** How often a starting node checks whether its role has changed. */
 export const START_CHECK_MS = 50;
--- a/src/core/configuration/older-store.ts
+++ b/src/core/configuration/older-store.ts
@@ -68,10 +68,10 @@
 const listLostItems = (state: CoreState, through: number): RestoreItem[] => {
   const edited = listEdited(state);
   const lost = edited.filter((object) => object.revision > through);
-  const untouched = edited
+  const rewritten = edited
     .slice(0, 1)
     .map(({ name, version }) => ({ name, aboveVersion: version }));
-  return lost.length > 0 ? lost.map(toItem) : untouched;
+  return lost.length > 0 ? lost.map(toItem) : rewritten;
 };
 
 /** Staggers zones and the readers of a zone, so that normally a single reader does the restore. */
@@ -164,9 +164,9 @@
   object.version > item.aboveVersion && object.revision > older.inForce;
 
 const removeRestored = (older: OlderStore, objects: readonly StoreObject[]): void => {
-  const standing = new Map(objects.map((object) => [object.name, object]));
+  const storedByName = new Map(objects.map((object) => [object.name, object]));
   const kept = older.queue.filter((item) => {
-    const object = standing.get(item.name);
+    const object = storedByName.get(item.name);
     return object === undefined || !isRestored(older, item, object);
   });
   older.queue.splice(0, older.queue.length, ...kept);
--- a/test/configuration/configuration.test.ts
+++ b/test/configuration/configuration.test.ts
@@ -50,10 +50,10 @@
       const cluster = startServing(seed);
       let worst = 0;
       for (let edit = 0; edit < 100; edit += 1) {
-        const victim = `node-${(edit * 7) % 12}`;
+        const killedNode = `node-${(edit * 7) % 12}`;
         const failsNow = edit % 4 === 0;
         if (failsNow) {
-          cluster.kill(victim);
+          cluster.kill(killedNode);
         }
         const { revision } = cluster.store.write(SHEET, sheetOf('ensemble', edit));
         worst = Math.max(
@@ -64,7 +64,7 @@
         if (failsNow) {
           const index = (edit * 7) % 12;
           const zone = ZONES[index % 4] as string;
-          const place = { id: victim, zone, port: 9_000 + index, seeds: [9_000, 9_001, 9_002] };
+          const place = { id: killedNode, zone, port: 9_000 + index, seeds: [9_000, 9_001, 9_002] };
           cluster.start(place);
           cluster.run(3_000);
         }
@@ -97,11 +97,11 @@
       cluster.store.write(`status/ensemble/${name}`, statusOf('ensemble', name, 8));
     }
     cluster.startMany(12, ZONES);
-    const took = cluster.runUntil(
+    const durationMs = cluster.runUntil(
       () => cluster.running().every((node) => node.state.phase === 'serving'),
       10_000,
     );
-    expect(took).toBeLessThan(5_000);
+    expect(durationMs).toBeLessThan(5_000);
     const services = cluster
       .running()
       .map((node) => node.state.configuration.inForce.services.get(identifier('ensemble'))?.size);
--- a/test/configuration/store-hint.test.ts
+++ b/test/configuration/store-hint.test.ts
@@ -36,11 +36,11 @@
     cluster.runUntil(() => outcomes.length > 0, 1_000);
     const [outcome] = outcomes;
     const revision = outcome?.type === 'accepted' ? outcome.revision : Number.POSITIVE_INFINITY;
-    const took = cluster.runUntil(
+    const durationMs = cluster.runUntil(
       () => cluster.running().every(({ state }) => state.configuration.revision >= revision),
       40_000,
     );
-    expect(took).toBeLessThanOrEqual(1_000);
+    expect(durationMs).toBeLessThanOrEqual(1_000);
     // Each of the two readers of a zone retries once; hints cause no further requests.
     const watches = cluster.storeRequests.filter(
       ({ at, type }) => at >= returned && at <= returned + 1_000 && type === 'watch-store',
--- a/test/configuration/store-outage.ts
+++ b/test/configuration/store-outage.ts
@@ -85,8 +85,8 @@
 const sendEdit = (simulation: Simulation, node: string, index: number): EditCallRecord => {
   const object = simulation.store.model.read('sheet/ensemble');
   const rows = object?.content.type === 'sheet' ? object.content.sheet.rows : [];
-  const standing = rows[index % rows.length];
-  const row: RouteRow = { ...(standing?.row as RouteRow), weight: 2 + index };
+  const current = rows[index % rows.length];
+  const row: RouteRow = { ...(current?.row as RouteRow), weight: 2 + index };
   return simulation.edit(node, {
     edit: identifier(`edit-${index}`),
     partner: identifier('ensemble'),
@@ -96,7 +96,7 @@
     writtenAt: index,
     action: {
       type: 'change-rows',
-      changes: [{ type: 'set', row, basedOn: standing?.rowVersion ?? 0 }],
+      changes: [{ type: 'set', row, basedOn: current?.rowVersion ?? 0 }],
     },
   });
 };
--- a/test/core/hash.test.ts
+++ b/test/core/hash.test.ts
@@ -17,7 +17,7 @@
   );
 });
 
-test('hash32 agrees with it on the empty text and all lengths around a stripe', async () => {
+test('hash32 agrees with the WebAssembly build on the empty text and all lengths around a stripe', async () => {
   const { h32 } = await createHasher();
   for (let length = 0; length <= 70; length += 1) {
     const text = 'ä0123456789'.repeat(7).slice(0, length);
@@ -26,7 +26,7 @@
   }
 });
 
-test('hash32 agrees with it on texts longer than the buffer for short texts', async () => {
+test('hash32 agrees with the WebAssembly build on texts longer than the buffer for short texts', async () => {
   const { h32 } = await createHasher();
   for (let length = 250; length <= 270; length += 1) {
     const text = 'x'.repeat(length);
--- a/test/editing/agreement.test.ts
+++ b/test/editing/agreement.test.ts
@@ -86,13 +86,13 @@
     propose(world, 'ensemble', 'p-1', shares(0.6));
     propose(world, 'tawe', 'p-2', shares(0.4));
     propose(world, 'ensemble', 'p-3', shares(0.5));
-    const standing = agreementOf(world).proposals?.map(({ proposal }) => proposal);
-    expect(standing).toEqual(['p-2', 'p-3']);
+    const proposals = agreementOf(world).proposals?.map(({ proposal }) => proposal);
+    expect(proposals).toEqual(['p-2', 'p-3']);
     const gone = approve(world, 'tawe', 'p-1', shares(0.6));
     expect(problems(gone)).toEqual(['does not stand, or no longer']);
   });
 
-  it('reports invalid shares, missing partners and duplicate proposals, with all errors of one edit', () => {
+  it('reports all invalid shares and missing partners of an edit, and refuses a duplicate proposal name', () => {
     const world = createWorld();
     const alone = [{ partner: identifier<never>('ensemble'), share: 1.5 }];
     expect(problems(propose(world, 'ensemble', 'p-1', alone))).toEqual([
--- a/test/editing/editing-world.ts
+++ b/test/editing/editing-world.ts
@@ -250,13 +250,13 @@
       const failed = { type: 'object-request-failed', request, problem: 'timed out' } as const;
       this.dispatch(target, { ...failed, at: this.now });
     };
-    const luck = this.random.next();
+    const roll = this.random.next();
     const { requestLost, late, answerLost } = this.link;
-    if (this.store.currentFaults.down || luck < requestLost) {
+    if (this.store.currentFaults.down || roll < requestLost) {
       this.after(STORE_TIMEOUT_MS, fail);
       return;
     }
-    if (luck < requestLost + late) {
+    if (roll < requestLost + late) {
       this.after(STORE_TIMEOUT_MS, fail);
       this.after(LATE_MS, execute);
       return;
--- a/test/editing/editing.test.ts
+++ b/test/editing/editing.test.ts
@@ -248,7 +248,7 @@
     expect(world.store.revision).toBe(1);
   });
 
-  it('does not prevent accepting a repeated edit that is in force', () => {
+  it('does not prevent a repeated edit that is in force from being accepted', () => {
     const world = createWorld();
     const edit = editRows([setRow({})]);
     world.edit(0, edit);
--- a/test/editing/read-back.test.ts
+++ b/test/editing/read-back.test.ts
@@ -73,7 +73,7 @@
     expect(world.now).toBeLessThan(STORE_TIMEOUT_MS);
   });
 
-  it('is not retried while it may still take effect', () => {
+  it('is not abandoned while it may still take effect', () => {
     const world = createWorld(1);
     world.watching = false;
     const outcomes: EditOutcome[] = [];
