--- a/src/core/keepers/choose-keepers.ts
+++ b/src/core/keepers/choose-keepers.ts
@@ -1,17 +1,18 @@
 /**
- * Chooses the keepers of a subject out of a roster: the same ones at every node, since nothing but the
- * roster and the subject decides. They stand in the home zones of the subject's partner where those
- * can lose any one zone, else in all zones.
+ * Chooses the keepers of a subject from a roster. The choice depends only on the roster and the
+ * subject, so that it is the same at every node. The keepers are in the home zones of the subject's
+ * partner if a majority of them survives the loss of any one zone, else they are spread over all
+ * zones.
  */
 import type { Keeper, KeeperRoster } from '../../catalog/keeper-roster.js';
 import { hash32 } from '../hash.js';
 import type { NodeId, PartnerId, ZoneName } from '../identifiers.js';
 import { KEEPERS_PER_SUBJECT } from './keeper-timing.js';
 
-/** The keepers of one subject and how many of them decide. */
+/** The keepers of one subject and the size of a majority. */
 export interface KeeperSet {
   readonly nodes: readonly NodeId[];
-  /** Any two sets of this many keepers share one. */
+  /** Any two sets of this many keepers have one in common. */
   readonly majority: number;
 }
 
@@ -25,16 +26,16 @@
 
 interface RosterRings {
   readonly whole: Ring;
-  /** Of the partners whose home zones hold enough keepers. */
+  /** Rings of the partners whose home zones have enough keepers. */
   readonly homes: ReadonlyMap<PartnerId, Ring>;
 }
 
 const majorityOf = (count: number): number => Math.floor(count / 2) + 1;
 
-/** Most keepers of a full set in one zone, so that the others are a majority. */
-const MOST_PER_ZONE = KEEPERS_PER_SUBJECT - majorityOf(KEEPERS_PER_SUBJECT);
+/** Maximum number of keepers of a full set in one zone, so that the others are a majority. */
+const MAX_PER_ZONE = KEEPERS_PER_SUBJECT - majorityOf(KEEPERS_PER_SUBJECT);
 
-/** The rings of each roster; a roster never changes. */
+/** Cache of the rings of each roster; rosters are immutable. */
 const rings = new WeakMap<KeeperRoster, RosterRings>();
 
 const buildRing = (keepers: readonly Keeper[]): Ring =>
@@ -43,9 +44,9 @@
     .sort((a, b) => a.place - b.place || (a.keeper.node < b.keeper.node ? -1 : 1))
     .map(({ keeper }) => keeper);
 
-/** True when a full set of the ring's keepers outlives the loss of any one zone. */
-const canLoseAnyZone = (ring: Ring): boolean =>
-  takeSpread(ring, 0, KEEPERS_PER_SUBJECT, MOST_PER_ZONE).length === KEEPERS_PER_SUBJECT;
+/** True when the ring yields a full set of which a majority survives the loss of any one zone. */
+const survivesZoneLoss = (ring: Ring): boolean =>
+  selectSpread(ring, 0, KEEPERS_PER_SUBJECT, MAX_PER_ZONE).length === KEEPERS_PER_SUBJECT;
 
 const buildRings = ({ keepers, homes = [] }: KeeperRoster): RosterRings => {
   const whole = buildRing(keepers);
@@ -54,7 +55,7 @@
       partner,
       whole.filter(({ zone }) => zones.includes(zone)),
     ])
-    .filter(([, ring]) => canLoseAnyZone(ring));
+    .filter(([, ring]) => survivesZoneLoss(ring));
   return { whole, homes: new Map(homeRings) };
 };
 
@@ -64,22 +65,25 @@
   return built.homes.get(partner) ?? built.whole;
 };
 
-/** Walks the ring from `start` and takes `count` keepers, at most `perZone` of each zone. */
-const takeSpread = (ring: Ring, start: number, count: number, perZone: number): NodeId[] => {
-  const taken: NodeId[] = [];
+/** Selects up to `count` keepers in ring order from `start`, at most `perZone` of each zone. */
+const selectSpread = (ring: Ring, start: number, count: number, perZone: number): NodeId[] => {
+  const selected: NodeId[] = [];
   const inZone = new Map<ZoneName, number>();
-  for (let step = 0; step < ring.length && taken.length < count; step += 1) {
+  for (let step = 0; step < ring.length && selected.length < count; step += 1) {
     const keeper = ring[(start + step) % ring.length] as Keeper;
-    const already = inZone.get(keeper.zone) ?? 0;
-    if (already < perZone) {
-      inZone.set(keeper.zone, already + 1);
-      taken.push(keeper.node);
+    const countInZone = inZone.get(keeper.zone) ?? 0;
+    if (countInZone < perZone) {
+      inZone.set(keeper.zone, countInZone + 1);
+      selected.push(keeper.node);
     }
   }
-  return taken;
+  return selected;
 };
 
-/** The keepers of a subject of `partner` out of `roster`, spread over zones as evenly as they allow. */
+/**
+ * Chooses the keepers of a subject of `partner` from `roster`, spread over zones as evenly as
+ * possible.
+ */
 export const chooseKeepers = (
   roster: KeeperRoster,
   partner: PartnerId,
@@ -89,10 +93,10 @@
   const count = Math.min(KEEPERS_PER_SUBJECT, ring.length);
   const start = ring.length === 0 ? 0 : hash32(subject) % ring.length;
   let perZone = 1;
-  let nodes = takeSpread(ring, start, count, perZone);
+  let nodes = selectSpread(ring, start, count, perZone);
   while (nodes.length < count) {
     perZone += 1;
-    nodes = takeSpread(ring, start, count, perZone);
+    nodes = selectSpread(ring, start, count, perZone);
   }
   return { nodes, majority: majorityOf(count) };
 };
