--- a/test/gateway/crash-fuzz.test.ts
+++ b/test/gateway/crash-fuzz.test.ts
@@ -17,11 +17,11 @@
 import { createRandom } from '../../src/core/random.js';
 import type { Route } from '../../src/gateway/model/route.js';
 import {
-  type Asked,
-  type Asking,
+  type SentRequest,
+  type CallerRequest,
   type CrashNode,
   CrashNetwork,
-  triesTooLate,
+  lateRequests,
 } from './crash-network.js';
 import { Draw } from './draw.js';
 import { gatherOf, routeTo } from './virtual-gateway.js';
@@ -29,8 +29,8 @@
 const RUNS = Number(process.env['CROSSROAD_FUZZ_RUNS'] ?? 12);
 const FIRST_SEED = Number(process.env['CROSSROAD_FUZZ_SEED'] ?? 1);
 
-const CONTACT_MS = 4_000;
-const MOST_LATE_TRIES = 3;
+const PROPAGATION_MS = 4_000;
+const MAX_LATE_REQUESTS = 3;
 
 /** Faults end here; what must hold afterwards is looked at once blocks of innocent requests would have been tried. */
 const FAULTS_END_MS = 25_000;
@@ -58,11 +58,11 @@
 const PATHS = ['/all/x', '/one/x', '/once/x'] as const;
 
 /** Whether runs that nobody waits for are a term of a run. */
-type Terms = 'callers-wait' | 'callers-leave';
+type Scenario = 'callers-wait' | 'callers-leave';
 
 /** How long the callers of a request wait: until it is answered, or not until then. */
-const drawPatience = (draw: Draw, terms: Terms): Partial<Asking> => {
-  if (terms === 'callers-wait') {
+const drawCallerLimits = (draw: Draw, scenario: Scenario): Partial<CallerRequest> => {
+  if (scenario === 'callers-wait') {
     return {};
   }
   switch (draw.below(3)) {
@@ -75,21 +75,21 @@
   }
 };
 
-const playCallers = (
+const scheduleCallers = (
   network: CrashNetwork,
   draw: Draw,
   lethal: readonly string[],
-  terms: Terms,
+  scenario: Scenario,
 ): void => {
   for (const fingerprint of lethal) {
     network.lethal.add(fingerprint);
     const path = draw.of(PATHS);
     const everyMs = draw.between(80, 5_000);
     const from = draw.between(0, 5_000);
-    const asking = { fingerprint, path, budgetMs: BUDGET_MS, ...drawPatience(draw, terms) };
+    const asking = { fingerprint, path, budgetMs: BUDGET_MS, ...drawCallerLimits(draw, scenario) };
     for (let at = from; at < SETTLED_MS; at += everyMs * draw.between(0.5, 1.5)) {
       const retries = draw.below(3);
-      network.at(at, () => network.ask({ ...asking, retries }));
+      network.at(at, () => network.sendRequest({ ...asking, retries }));
     }
   }
   const popular = 1 + draw.below(30);
@@ -97,23 +97,25 @@
     const path = draw.of(PATHS);
     const fingerprint = `${path}-${draw.below(popular)}`;
     const leavesAfterMs =
-      terms === 'callers-leave' && draw.isTrue(0.3) ? draw.between(5, 100) : undefined;
-    const patience = leavesAfterMs === undefined ? {} : { leavesAfterMs };
-    network.at(at, () => network.ask({ fingerprint, path, budgetMs: BUDGET_MS, ...patience }));
+      scenario === 'callers-leave' && draw.isTrue(0.3) ? draw.between(5, 100) : undefined;
+    const limits = leavesAfterMs === undefined ? {} : { leavesAfterMs };
+    network.at(at, () =>
+      network.sendRequest({ fingerprint, path, budgetMs: BUDGET_MS, ...limits }),
+    );
   }
 };
 
 /** How long after it has begun to run such a request a replica ends: within the time of any other, soon after, or late. */
-const LETHAL_MS = [
+const CRASH_DELAYS_MS = [
   [10, 40],
   [50, 150],
   [150, 3_000],
 ] as const;
 
 /** Replicas end later than they are waited for, or fail or refuse what they are sent; gateways are suspended. */
-const playUnawaited = (network: CrashNetwork, draw: Draw): void => {
-  const [least, most] = draw.of(LETHAL_MS);
-  network.lethalMs = draw.between(least, most);
+const scheduleUnawaitedRuns = (network: CrashNetwork, draw: Draw): void => {
+  const [minMs, maxMs] = draw.of(CRASH_DELAYS_MS);
+  network.lethalMs = draw.between(minMs, maxMs);
   const failing = draw.of(['', '/0', '/0']);
   const refusing = draw.of([0, 0, 0.5]);
   network.insteadOfRunning = (place, fingerprint) => {
@@ -130,7 +132,7 @@
   }
 };
 
-const cutOneFor = (network: CrashNetwork, draw: Draw, at: number, forMs: number): void => {
+const scheduleCut = (network: CrashNetwork, draw: Draw, at: number, forMs: number): void => {
   const node = draw.of(network.nodes);
   const others = network.nodes.filter((each) => each !== node && draw.isTrue(0.7));
   const setCut = (isCut: boolean) => (): void =>
@@ -139,22 +141,27 @@
   network.at(Math.min(FAULTS_END_MS, at + forMs), setCut(false));
 };
 
-const restartAt = (network: CrashNetwork, node: CrashNode, at: number, downMs: number): void => {
+const scheduleRestart = (
+  network: CrashNetwork,
+  node: CrashNode,
+  at: number,
+  downMs: number,
+): void => {
   network.at(at, () => network.kill(node));
   network.at(Math.min(FAULTS_END_MS, at + downMs), () => network.start(node));
 };
 
 /** Gateways end and start, links are cut, and replicas end for causes of their own, few or many at once. */
-const playFaults = (network: CrashNetwork, draw: Draw): void => {
+const scheduleFaults = (network: CrashNetwork, draw: Draw): void => {
   const faults = draw.below(8);
   for (let count = 0; count < faults; count += 1) {
     const at = draw.between(500, FAULTS_END_MS - 1_000);
     switch (draw.below(3)) {
       case 0:
-        restartAt(network, draw.of(network.nodes), at, draw.between(100, 4_000));
+        scheduleRestart(network, draw.of(network.nodes), at, draw.between(100, 4_000));
         break;
       case 1:
-        cutOneFor(network, draw, at, draw.between(500, 8_000));
+        scheduleCut(network, draw, at, draw.between(500, 8_000));
         break;
       default: {
         const share = draw.of([0.1, 0.5, 1]);
@@ -164,10 +171,10 @@
   }
 };
 
-const hasLeft = ({ leavesAfterMs, responses }: Asked): boolean =>
+const hasLeft = ({ leavesAfterMs, responses }: SentRequest): boolean =>
   leavesAfterMs !== undefined && responses.length === 0;
 
-const isServed = ({ responses }: Asked): boolean => {
+const isServed = ({ responses }: SentRequest): boolean => {
   const last = responses.at(-1);
   return last !== undefined && last.type !== 'refusal';
 };
@@ -177,7 +184,7 @@
     .filter((fingerprint) => state.crashes.histories.verdict(fingerprint, at) === 'blocked')
     .sort();
 
-const wasBlocked = ({ responses }: Asked): boolean =>
+const wasBlocked = ({ responses }: SentRequest): boolean =>
   responses.some((each) => each.type === 'refusal' && each.reason === 'crashes-replicas');
 
 /**
@@ -188,32 +195,40 @@
   crashes.some(({ at }) => at > askedAt - REPLICA_DOWN_MS && at < askedAt + BUDGET_MS);
 
 /** What does not hold in one run; empty where all does. */
-const problemsOf = (seed: number, terms: Terms): readonly string[] => {
+const problemsOf = (seed: number, scenario: Scenario): readonly string[] => {
   const draw = new Draw(createRandom(seed));
   const network = new CrashNetwork(seed);
   const gateways = draw.of([1, 3, 8, 20]);
   const copies = 2 + draw.below(3);
   network.build(gateways, routesOf(3 + draw.below(10)), copies, gateways > 16 ? 30 : 32);
   const lethal = Array.from({ length: draw.below(4) }, (_, index) => `lethal-${index}`);
-  playCallers(network, draw, lethal, terms);
-  playFaults(network, draw);
-  if (terms === 'callers-leave') {
-    playUnawaited(network, draw);
+  scheduleCallers(network, draw, lethal, scenario);
+  scheduleFaults(network, draw);
+  if (scenario === 'callers-leave') {
+    scheduleUnawaitedRuns(network, draw);
   }
   network.advance(SETTLED_MS + 6_000);
   const late = lethal
-    .map((each) => ({ each, tries: triesTooLate(network, each, CONTACT_MS) }))
-    .filter(({ tries }) => tries > MOST_LATE_TRIES)
-    .map(({ each, tries }) => `${each} reached replicas in ${tries} late tries`);
+    .map((each) => ({ each, requests: lateRequests(network, each, PROPAGATION_MS) }))
+    .filter(({ requests: tries }) => tries > MAX_LATE_REQUESTS)
+    .map(({ each, requests: tries }) => `${each} reached replicas in ${tries} late tries`);
   const others = network.asked.filter(({ fingerprint }) => !network.lethal.has(fingerprint));
   const refused = others.filter(wasBlocked).map(({ fingerprint }) => `${fingerprint} was blocked`);
   const unserved = others
-    .filter((asked) => asked.askedAt > FAULTS_END_MS + 6_000 && !isServed(asked) && !hasLeft(asked))
-    .filter(({ askedAt }) => !hasReplicasDown(network, askedAt))
-    .map(({ fingerprint, askedAt }) => `${fingerprint} of ${Math.round(askedAt)} was not served`);
+    .filter(
+      (asked) => asked.requestedAt > FAULTS_END_MS + 6_000 && !isServed(asked) && !hasLeft(asked),
+    )
+    .filter(({ requestedAt: askedAt }) => !hasReplicasDown(network, askedAt))
+    .map(
+      ({ fingerprint, requestedAt: askedAt }) =>
+        `${fingerprint} of ${Math.round(askedAt)} was not served`,
+    );
   const unanswered = network.asked
     .filter((asked) => asked.responses.length === 0 && !asked.isLost && !hasLeft(asked))
-    .map(({ fingerprint, askedAt }) => `${fingerprint} of ${Math.round(askedAt)} had no answer`);
+    .map(
+      ({ fingerprint, requestedAt: askedAt }) =>
+        `${fingerprint} of ${Math.round(askedAt)} had no answer`,
+    );
   const sizes = network.nodes.filter(({ state }) => state.crashes.histories.size > 256);
   const views = new Set(network.nodes.map((node) => blockedAt(node, network.clockOf(node)).join()));
   return [
--- a/test/gateway/crash-record.test.ts
+++ b/test/gateway/crash-history.test.ts
@@ -55,9 +55,9 @@
     const dueAt = 300 + BLOCK_MS;
     expect(verdictOf(BLOCKED, dueAt - 1)).toBe('blocked');
     expect(verdictOf(BLOCKED, dueAt)).toBe('trial-due');
-    const tried = markTrialStarted(BLOCKED, dueAt);
-    expect(verdictOf(tried, dueAt + 4_999)).toBe('blocked');
-    expect(verdictOf(tried, dueAt + 5_000)).toBe('trial-due');
+    const duringTrial = markTrialStarted(BLOCKED, dueAt);
+    expect(verdictOf(duringTrial, dueAt + 4_999)).toBe('blocked');
+    expect(verdictOf(duringTrial, dueAt + 5_000)).toBe('trial-due');
   });
 
   it('is a block ten times as long after a trial under which a replica ended', () => {
@@ -73,8 +73,8 @@
 });
 
 describe('what two gateways know', () => {
-  const tellTo = (own: CrashHistory, told: CrashHistory, at: number): CrashHistory =>
-    mergeHistories(own, fromCrashUpdate(toCrashUpdate('print', told, at), at));
+  const sendHistory = (own: CrashHistory, sent: CrashHistory, at: number): CrashHistory =>
+    mergeHistories(own, fromCrashUpdate(toCrashUpdate('print', sent, at), at));
 
   it('is the same once each has told the other', () => {
     const states = [
@@ -89,17 +89,17 @@
     const at = 400 + BLOCK_MS;
     for (const left of states) {
       for (const right of states) {
-        const joined = [tellTo(left, right, at), tellTo(right, left, at)];
-        expect(joined[0]).toEqual(joined[1]);
+        const merged = [sendHistory(left, right, at), sendHistory(right, left, at)];
+        expect(merged[0]).toEqual(merged[1]);
       }
     }
   });
 
   it('is no news when it is told twice, nor when it comes back', () => {
-    const once = tellTo(EMPTY_HISTORY, BLOCKED, 400);
+    const once = sendHistory(EMPTY_HISTORY, BLOCKED, 400);
     expect(isWorthPublishing(EMPTY_HISTORY, once)).toBe(true);
-    expect(isWorthPublishing(once, tellTo(once, BLOCKED, 900))).toBe(false);
-    expect(isWorthPublishing(BLOCKED, tellTo(BLOCKED, once, 500))).toBe(false);
+    expect(isWorthPublishing(once, sendHistory(once, BLOCKED, 900))).toBe(false);
+    expect(isWorthPublishing(BLOCKED, sendHistory(BLOCKED, once, 500))).toBe(false);
   });
 
   it('does not make a block longer by the time that news are on their way', () => {
@@ -113,36 +113,36 @@
 
 describe('the memory of requests', () => {
   it('holds 256, and blocked ones longest', () => {
-    const memory = new CrashHistories();
-    memory.put('blocked', BLOCKED);
+    const histories = new CrashHistories();
+    histories.put('blocked', BLOCKED);
     for (let index = 0; index < 1_000; index += 1) {
-      memory.put(`suspected-${index}`, crash(EMPTY_HISTORY, 400 + index));
+      histories.put(`suspected-${index}`, crash(EMPTY_HISTORY, 400 + index));
     }
-    expect(memory.size).toBe(256);
-    expect(memory.verdict('blocked', 1_500)).toBe('blocked');
-    expect(memory.verdict('suspected-999', 1_500)).toBe('suspected');
-    expect(memory.verdict('suspected-0', 1_500)).toBe('unsuspected');
+    expect(histories.size).toBe(256);
+    expect(histories.verdict('blocked', 1_500)).toBe('blocked');
+    expect(histories.verdict('suspected-999', 1_500)).toBe('suspected');
+    expect(histories.verdict('suspected-0', 1_500)).toBe('unsuspected');
   });
 
   it('holds one under which replicas have ended twice, whatever many others have met once', () => {
-    const memory = new CrashHistories();
-    memory.put('twice', crashedTimes(2));
+    const histories = new CrashHistories();
+    histories.put('twice', crashedTimes(2));
     for (let index = 0; index < 1_000; index += 1) {
-      memory.put(`once-${index}`, crash(EMPTY_HISTORY, 400 + index));
+      histories.put(`once-${index}`, crash(EMPTY_HISTORY, 400 + index));
     }
-    expect(memory.find('twice', 1_500).rounds).toBe(2);
+    expect(histories.find('twice', 1_500).rounds).toBe(2);
   });
 
   it('forgets a suspicion after ten minutes, and a block ten minutes after its end', () => {
-    const memory = new CrashHistories();
-    memory.put('suspected', crashedTimes(1));
-    memory.put('blocked', BLOCKED);
-    expect(memory.verdict('suspected', 600_099)).toBe('suspected');
-    expect(memory.verdict('suspected', 600_100)).toBe('unsuspected');
-    expect(memory.verdict('blocked', 660_299)).toBe('trial-due');
-    expect(memory.verdict('blocked', 660_300)).toBe('unsuspected');
-    memory.removeExpired(660_300);
-    expect(memory.size).toBe(0);
+    const histories = new CrashHistories();
+    histories.put('suspected', crashedTimes(1));
+    histories.put('blocked', BLOCKED);
+    expect(histories.verdict('suspected', 600_099)).toBe('suspected');
+    expect(histories.verdict('suspected', 600_100)).toBe('unsuspected');
+    expect(histories.verdict('blocked', 660_299)).toBe('trial-due');
+    expect(histories.verdict('blocked', 660_300)).toBe('unsuspected');
+    histories.removeExpired(660_300);
+    expect(histories.size).toBe(0);
   });
 });
 
@@ -170,7 +170,7 @@
     const paused = recordInconclusiveTrial(suspected, 3_000);
     expect(verdictOf(paused, 3_000)).toBe('suspected');
     expect(isWorthPublishing(suspected, paused)).toBe(true);
-    const told = fromCrashUpdate(toCrashUpdate('print', paused, 3_000), 13_000);
-    expect(mergeHistories(EMPTY_HISTORY, told).trialUntil).toBe(15_000);
+    const received = fromCrashUpdate(toCrashUpdate('print', paused, 3_000), 13_000);
+    expect(mergeHistories(EMPTY_HISTORY, received).trialUntil).toBe(15_000);
   });
 });
--- a/test/gateway/crash-network.ts
+++ b/test/gateway/crash-network.ts
@@ -25,11 +25,11 @@
 const LINK_MS = 1;
 
 /** Work of a replica on one request, least and most. */
-const LEAST_WORK_MS = 10;
-const MOST_WORK_MS = 40;
+const MIN_WORK_MS = 10;
+const MAX_WORK_MS = 40;
 
 /** After so long without a replica its entry is gone, and after so long it is back. */
-const LAPSE_MS = 2_500;
+const ENTRY_EXPIRY_MS = 2_500;
 const RESTART_MS = 3_000;
 
 /** A call to the store. */
@@ -55,7 +55,7 @@
   readonly at: number;
   readonly gateway: string;
   /** Since when that gateway has run with its links whole; infinite while one is cut. */
-  readonly calmSince: number;
+  readonly connectedSince: number;
   readonly requestId: string;
   readonly fingerprint: string;
 }
@@ -65,19 +65,19 @@
 
 interface RunningAttempt {
   readonly node: CrashNode;
-  readonly life: number;
+  readonly incarnation: number;
   readonly effect: SendAttempt;
 }
 
 /** A place where one replica after the other runs. */
-class Place {
+class ReplicaSlot {
   record: ReplicaRecord;
   isUp = true;
   readonly running = new Set<RunningAttempt>();
   /** Gateways that look at the replica when it ends. */
   readonly watchers: {
     readonly node: CrashNode;
-    readonly life: number;
+    readonly incarnation: number;
     readonly untilAt: number;
   }[] = [];
 
@@ -94,7 +94,7 @@
 export class CrashNode {
   state: GatewayState;
   alive = true;
-  life = 0;
+  incarnation = 0;
   startedAt = 0;
   /** Gateways from which it is cut off, and when its last link was healed. */
   readonly cutFrom = new Set<string>();
@@ -133,7 +133,7 @@
 });
 
 /** What a caller asks for. */
-export interface Asking {
+export interface CallerRequest {
   readonly fingerprint: string;
   readonly path?: string;
   /** How often the caller asks again after a refusal. */
@@ -146,16 +146,16 @@
 }
 
 /** How a caller fared. */
-export interface Asked extends Asking {
-  readonly askedAt: number;
+export interface SentRequest extends CallerRequest {
+  readonly requestedAt: number;
   readonly responses: CallerResponse[];
   /** A gateway ended before it answered, or none ran. */
   isLost: boolean;
 }
 
-interface WaitingTry {
+interface PendingRequest {
   readonly node: CrashNode;
-  readonly asked: Asked;
+  readonly asked: SentRequest;
   readonly retries: number;
   readonly sentAt: number;
 }
@@ -163,12 +163,12 @@
 /** All of them, and the clock. */
 export class CrashNetwork {
   readonly nodes: CrashNode[] = [];
-  readonly places: Place[] = [];
-  private readonly placeByName = new Map<string, Place>();
+  readonly places: ReplicaSlot[] = [];
+  private readonly placeByName = new Map<string, ReplicaSlot>();
   readonly arrivals: Arrival[] = [];
   /** When replicas ended under a request of their own, by its fingerprint. */
   readonly crashes: { readonly at: number; readonly fingerprint: string }[] = [];
-  readonly asked: Asked[] = [];
+  readonly asked: SentRequest[] = [];
   /** Requests of these fingerprints end the replicas that run them. */
   readonly lethal = new Set<string>();
   /** Time after which a replica ends under such a request, also when nobody waits for it; drawn as any work where absent. */
@@ -178,7 +178,7 @@
   /** Messages between gateways about requests that crash replicas. */
   messages = 0;
   /** The store takes no calls. */
-  isStoreAway = false;
+  isStoreDown = false;
   /** The longest time that an answer took of a gateway that was not suspended meanwhile. */
   slowestAnswerMs = 0;
   now = 0;
@@ -190,7 +190,7 @@
   private order = 0;
   private nextCall = 1;
   private revision = 1;
-  private readonly waiting = new Map<CallId, WaitingTry>();
+  private readonly pendingRequests = new Map<CallId, PendingRequest>();
   private readonly requests = new Map<CallId, { requestId: string; fingerprint: string }>();
 
   constructor(private readonly seed: number) {
@@ -205,7 +205,7 @@
     for (const service of services) {
       for (let copy = 0; copy < copies; copy += 1) {
         const zone = ZONES[copy % ZONES.length] ?? '';
-        const place = new Place(`${service}/${copy}`, service, zone);
+        const place = new ReplicaSlot(`${service}/${copy}`, service, zone);
         this.places.push(place);
         this.placeByName.set(place.name, place);
       }
@@ -224,24 +224,24 @@
     node.suspendedUntil = 0;
     node.suspendedMs = 0;
     node.alive = true;
-    node.life += 1;
+    node.incarnation += 1;
     node.startedAt = this.now;
-    node.state = createGatewayState(settingsOf(node.record), this.seed + node.life * 97);
+    node.state = createGatewayState(settingsOf(node.record), this.seed + node.incarnation * 97);
     node.timers.clear();
     node.coordinators.clear();
     this.emit(node, { type: 'started', at: this.now });
-    this.tellConfiguration(node);
-    this.tellReplicas(node);
-    this.tellGateways(node);
+    this.sendConfiguration(node);
+    this.sendReplicas(node);
+    this.sendGateways(node);
   }
 
   kill(node: CrashNode): void {
-    const lost = [...this.waiting.values()].filter((waiting) => waiting.node === node);
+    const lost = [...this.pendingRequests.values()].filter((waiting) => waiting.node === node);
     lost.forEach(({ asked }) => {
       asked.isLost = true;
     });
     node.alive = false;
-    node.life += 1;
+    node.incarnation += 1;
   }
 
   /** Cuts or heals the link of two gateways, both ways. */
@@ -280,10 +280,10 @@
   }
 
   /** A caller asks; its tries go to gateways that are drawn. */
-  ask(asking: Asking): Asked {
-    const asked: Asked = { ...asking, askedAt: this.now, responses: [], isLost: false };
+  sendRequest(asking: CallerRequest): SentRequest {
+    const asked: SentRequest = { ...asking, requestedAt: this.now, responses: [], isLost: false };
     this.asked.push(asked);
-    this.try(
+    this.sendToGateway(
       asked,
       asking.retries ?? 1,
       this.nodes.find(({ record }) => record.name === asking.gateway),
@@ -292,8 +292,10 @@
   }
 
   /** Ends replicas for a cause of their own. */
-  crash(isMeant: (place: Place) => boolean): void {
-    this.places.filter((place) => place.isUp && isMeant(place)).forEach((place) => this.end(place));
+  crash(matches: (place: ReplicaSlot) => boolean): void {
+    this.places
+      .filter((place) => place.isUp && matches(place))
+      .forEach((place) => this.crashReplica(place));
   }
 
   /** Draws a number from 0 to 1. */
@@ -304,7 +306,7 @@
   advance(ms: number): void {
     const until = this.now + ms;
     for (;;) {
-      const next = this.takeNext(until);
+      const next = this.removeNextDue(until);
       if (next === undefined) {
         break;
       }
@@ -318,7 +320,7 @@
     this.schedule(Math.max(0, ms - this.now), run);
   }
 
-  private try(asked: Asked, retries: number, wanted?: CrashNode): void {
+  private sendToGateway(asked: SentRequest, retries: number, wanted?: CrashNode): void {
     const alive = this.nodes.filter((node) => node.alive);
     const node = wanted ?? alive[Math.floor(this.random.next() * alive.length)];
     if (node === undefined) {
@@ -329,24 +331,24 @@
     this.nextCall += 1;
     const { fingerprint, path = '/all/x', budgetMs = 1_500 } = asked;
     const requestId = `r-${call}`;
-    this.waiting.set(call, { node, asked, retries, sentAt: this.now });
+    this.pendingRequests.set(call, { node, asked, retries, sentAt: this.now });
     this.requests.set(call, { requestId, fingerprint });
     const request = { requestId, fingerprint, host: 'shop.example', path, budgetMs };
-    this.later(LINK_MS, node, { type: 'request-received', at: 0, call, request });
+    this.emitLater(LINK_MS, node, { type: 'request-received', at: 0, call, request });
     if (asked.leavesAfterMs !== undefined) {
       this.schedule(asked.leavesAfterMs, () => this.leave(node, call));
     }
   }
 
   private leave(node: CrashNode, call: CallId): void {
-    if (this.waiting.delete(call)) {
-      this.later(LINK_MS, node, { type: 'caller-left', at: 0, call });
+    if (this.pendingRequests.delete(call)) {
+      this.emitLater(LINK_MS, node, { type: 'caller-left', at: 0, call });
     }
   }
 
-  private takeAnswer(call: CallId, response: CallerResponse): void {
-    const waiting = this.waiting.get(call);
-    this.waiting.delete(call);
+  private handleAnswer(call: CallId, response: CallerResponse): void {
+    const waiting = this.pendingRequests.get(call);
+    this.pendingRequests.delete(call);
     if (waiting === undefined) {
       return;
     }
@@ -357,11 +359,13 @@
     if (response.type === 'refusal' && waiting.retries > 0) {
       const { budgetMs = 1_500 } = waiting.asked;
       const waitMs = Math.min(response.retryAfterMs ?? 0, budgetMs / 3);
-      this.schedule(waitMs + CONNECT_MS, () => this.try(waiting.asked, waiting.retries - 1));
+      this.schedule(waitMs + CONNECT_MS, () =>
+        this.sendToGateway(waiting.asked, waiting.retries - 1),
+      );
     }
   }
 
-  private tellConfiguration(node: CrashNode): void {
+  private sendConfiguration(node: CrashNode): void {
     const services = this.routes.flatMap(({ target }) => servicesOf(target));
     const { maxConnections } = this;
     const value = {
@@ -381,7 +385,7 @@
     this.emit(node, { type: 'page-read', at: this.now, page });
   }
 
-  private tellReplicas(node: CrashNode): void {
+  private sendReplicas(node: CrashNode): void {
     const up = this.places.filter(({ isUp }) => isUp);
     const objects = up.map(({ record }) => ({ name: record.id, gone: false, value: record }));
     const revision = this.revision;
@@ -389,7 +393,7 @@
     this.emit(node, { type: 'page-read', at: this.now, page });
   }
 
-  private tellGateways(node: CrashNode): void {
+  private sendGateways(node: CrashNode): void {
     const objects = this.nodes.map(({ stored }) => ({
       name: stored.name,
       gone: false,
@@ -400,7 +404,7 @@
     this.emit(node, { type: 'page-read', at: this.now, page });
   }
 
-  private tellReplica(record: ReplicaRecord, gone: boolean): void {
+  private sendReplicaChange(record: ReplicaRecord, gone: boolean): void {
     this.revision += 1;
     const objects = [{ name: record.id, gone, ...(!gone && { value: record }) }];
     const changes = { collection: 'replicas', objects, revision: this.revision } as const;
@@ -410,7 +414,7 @@
   }
 
   /** A replica ends: what it runs breaks off, and its machine refuses connections until it is back. */
-  private end(place: Place): void {
+  private crashReplica(place: ReplicaSlot): void {
     place.isUp = false;
     const { record } = place;
     const running = [...place.running];
@@ -418,27 +422,27 @@
     running.forEach((attempt) =>
       this.endAttempt(attempt, { type: 'failed', problem: 'reset', mayHaveRun: true }),
     );
-    this.tellWatchers(place);
-    this.schedule(LAPSE_MS, () => this.tellReplica(record, true));
+    this.notifyWatchers(place);
+    this.schedule(ENTRY_EXPIRY_MS, () => this.sendReplicaChange(record, true));
     this.schedule(RESTART_MS * (0.8 + 0.4 * this.random.next()), () => this.restart(place));
   }
 
-  private restart(place: Place): void {
+  private restart(place: ReplicaSlot): void {
     const [name, incarnation] = place.record.id.split('.');
     place.record = { ...place.record, id: `${name}.${Number(incarnation) + 1}` };
     place.isUp = true;
-    this.tellReplica(place.record, false);
+    this.sendReplicaChange(place.record, false);
   }
 
-  private endAttempt({ node, life, effect }: RunningAttempt, result: AttemptResult): void {
-    if (node.life === life) {
+  private endAttempt({ node, incarnation, effect }: RunningAttempt, result: AttemptResult): void {
+    if (node.incarnation === incarnation) {
       const { attempt } = effect;
-      this.later(LINK_MS, node, { type: 'attempt-ended', at: 0, attempt, result });
+      this.emitLater(LINK_MS, node, { type: 'attempt-ended', at: 0, attempt, result });
     }
   }
 
-  private arrive(node: CrashNode, life: number, effect: SendAttempt): void {
-    const attempt: RunningAttempt = { node, life, effect };
+  private arrive(node: CrashNode, incarnation: number, effect: SendAttempt): void {
+    const attempt: RunningAttempt = { node, incarnation, effect };
     const place = this.placeByName.get(effect.replica.id.split('.')[0] ?? '');
     if (place?.isUp !== true) {
       return this.endAttempt(attempt, {
@@ -447,7 +451,7 @@
         mayHaveRun: false,
       });
     }
-    const fingerprint = this.noteArrival(node, effect);
+    const fingerprint = this.recordArrival(node, effect);
     if (place.record.id !== effect.replica.id) {
       return this.endAttempt(attempt, { type: 'refused', reason: 'wrong-instance' });
     }
@@ -461,7 +465,7 @@
     }
   }
 
-  private noteArrival(node: CrashNode, { call }: SendAttempt): string {
+  private recordArrival(node: CrashNode, { call }: SendAttempt): string {
     const { requestId, fingerprint } = this.requests.get(call) ?? {
       requestId: '',
       fingerprint: '',
@@ -471,23 +475,29 @@
       node.cutFrom.size > 0
         ? Number.POSITIVE_INFINITY
         : Math.max(node.startedAt, node.healedAt, node.suspendedUntil);
-    this.arrivals.push({ at: this.now, gateway, calmSince, requestId, fingerprint });
+    this.arrivals.push({
+      at: this.now,
+      gateway,
+      connectedSince: calmSince,
+      requestId,
+      fingerprint,
+    });
     return fingerprint;
   }
 
   /** Runs a request; one that ends replicas ends its replica whether anybody waits for it or not. */
-  private run(place: Place, attempt: RunningAttempt, fingerprint: string): void {
+  private run(place: ReplicaSlot, attempt: RunningAttempt, fingerprint: string): void {
     const { id } = place.record;
     const isLethal = this.lethal.has(fingerprint);
     place.running.add(attempt);
-    const drawnMs = LEAST_WORK_MS + (MOST_WORK_MS - LEAST_WORK_MS) * this.random.next() ** 3;
+    const drawnMs = MIN_WORK_MS + (MAX_WORK_MS - MIN_WORK_MS) * this.random.next() ** 3;
     const workMs = isLethal && this.lethalMs !== undefined ? this.lethalMs : drawnMs;
     this.schedule(workMs, () => {
       const isRunning = place.running.has(attempt);
       const isOrphan = this.lethalMs !== undefined && place.isUp && place.record.id === id;
       if (isLethal && (isRunning || isOrphan)) {
         this.crashes.push({ at: this.now, fingerprint });
-        this.end(place);
+        this.crashReplica(place);
       } else if (isRunning) {
         place.running.delete(attempt);
         this.answer(attempt, 200);
@@ -507,7 +517,9 @@
       for (const place of this.places) {
         const attempt = [...place.running].find(
           (each) =>
-            each.node === node && each.life === node.life && each.effect.attempt === attemptId,
+            each.node === node &&
+            each.incarnation === node.incarnation &&
+            each.effect.attempt === attemptId,
         );
         if (attempt !== undefined) {
           place.running.delete(attempt);
@@ -520,7 +532,7 @@
   private check(node: CrashNode, replica: string): void {
     const place = this.places.find(({ record }) => record.id === replica);
     const isDown = place?.isUp !== true;
-    this.later(2 * LINK_MS, node, { type: 'replica-checked', at: 0, replica, isDown });
+    this.emitLater(2 * LINK_MS, node, { type: 'replica-checked', at: 0, replica, isDown });
   }
 
   /** A watched replica is looked at when it ends, since a connection to it breaks, or where it has ended before. */
@@ -529,14 +541,14 @@
     if (place?.isUp !== true) {
       return this.check(node, replica.id);
     }
-    place.watchers.push({ node, life: node.life, untilAt });
+    place.watchers.push({ node, incarnation: node.incarnation, untilAt });
   }
 
-  private tellWatchers(place: Place): void {
+  private notifyWatchers(place: ReplicaSlot): void {
     const { id } = place.record;
-    for (const { node, life, untilAt } of place.watchers.splice(0)) {
-      if (node.life === life && this.clockOf(node) <= untilAt) {
-        this.schedule(LINK_MS, () => node.life === life && this.check(node, id));
+    for (const { node, incarnation, untilAt } of place.watchers.splice(0)) {
+      if (node.incarnation === incarnation && this.clockOf(node) <= untilAt) {
+        this.schedule(LINK_MS, () => node.incarnation === incarnation && this.check(node, id));
       }
     }
   }
@@ -554,15 +566,20 @@
     }
     if (!this.isLinked(node, to)) {
       const problem = 'disconnected';
-      this.later(LINK_MS, node, { type: 'peer-lost', at: 0, peer: peer.name, problem });
-      this.later(LINK_MS, node, { type: 'subquery-failed', at: 0, subquery: id, mayHaveRun: true });
+      this.emitLater(LINK_MS, node, { type: 'peer-lost', at: 0, peer: peer.name, problem });
+      this.emitLater(LINK_MS, node, {
+        type: 'subquery-failed',
+        at: 0,
+        subquery: id,
+        mayHaveRun: true,
+      });
       return;
     }
     const ownCall = this.nextCall;
     this.nextCall += 1;
     this.requests.set(ownCall, request);
     to.coordinators.set(ownCall, { node, id });
-    this.later(LINK_MS, to, {
+    this.emitLater(LINK_MS, to, {
       type: 'subquery-received',
       at: 0,
       call: ownCall,
@@ -571,14 +588,14 @@
     });
   }
 
-  private tellCoordinator(
+  private sendToCoordinator(
     node: CrashNode,
     call: CallId,
     eventFor: (id: number) => GatewayEvent,
   ): void {
     const coordinator = node.coordinators.get(call);
     if (coordinator !== undefined && this.isLinked(node, coordinator.node)) {
-      this.later(LINK_MS, coordinator.node, eventFor(coordinator.id));
+      this.emitLater(LINK_MS, coordinator.node, eventFor(coordinator.id));
     }
   }
 
@@ -586,17 +603,17 @@
     for (const to of this.nodes) {
       for (const [call, coordinator] of to.coordinators) {
         if (coordinator.node === node && coordinator.id === id) {
-          this.later(LINK_MS, to, { type: 'subquery-cancelled', at: 0, call, withinMs });
+          this.emitLater(LINK_MS, to, { type: 'subquery-cancelled', at: 0, call, withinMs });
         }
       }
     }
   }
 
-  private carryOut(node: CrashNode, effect: GatewayEffect): void {
+  private performEffect(node: CrashNode, effect: GatewayEffect): void {
     switch (effect.type) {
       case 'send-attempt': {
-        const { life } = node;
-        return this.schedule(LINK_MS, () => this.arrive(node, life, effect));
+        const { incarnation } = node;
+        return this.schedule(LINK_MS, () => this.arrive(node, incarnation, effect));
       }
       case 'abort-attempt':
         return this.abort(node, effect.attempt, effect.withinMs);
@@ -607,11 +624,11 @@
       case 'call-store':
         return this.register(node, effect.call);
       case 'tell-crashes':
-        return this.tell(node, effect);
+        return this.sendCrashUpdates(node, effect);
       case 'set-crash-news-timer':
         return this.setTimer(node, 'news', effect.at, { type: 'crash-news-due', at: 0 });
       case 'answer-caller':
-        return this.takeAnswer(effect.call, effect.response);
+        return this.handleAnswer(effect.call, effect.response);
       case 'set-request-timer': {
         const { call } = effect;
         return this.setTimer(node, `call ${call}`, effect.at, { type: 'request-due', at: 0, call });
@@ -621,14 +638,14 @@
       case 'cancel-subquery':
         return this.cancelSubquery(node, effect.id, effect.withinMs);
       case 'answer-subquery':
-        return this.tellCoordinator(node, effect.call, (subquery) => ({
+        return this.sendToCoordinator(node, effect.call, (subquery) => ({
           type: 'subquery-answered',
           at: 0,
           subquery,
           part: effect.part,
         }));
       case 'acknowledge-subquery':
-        return this.tellCoordinator(node, effect.call, (subquery) => ({
+        return this.sendToCoordinator(node, effect.call, (subquery) => ({
           type: 'subquery-acknowledged',
           at: 0,
           subquery,
@@ -639,7 +656,7 @@
 
   /** Writes the entry of a gateway; all others are told. The store can be away. */
   private register(node: CrashNode, call: StoreCall): void {
-    if (call.type !== 'register' || this.isStoreAway) {
+    if (call.type !== 'register' || this.isStoreDown) {
       return;
     }
     const { record } = call;
@@ -654,13 +671,13 @@
     });
   }
 
-  private tell(node: CrashNode, { peers, news }: TellCrashes): void {
+  private sendCrashUpdates(node: CrashNode, { peers, news }: TellCrashes): void {
     for (const { name } of peers) {
       const to = this.nodes.find(({ record }) => record.name === name);
       this.messages += 1;
       if (to !== undefined && this.isLinked(node, to)) {
         const from = node.record.name;
-        this.later(LINK_MS, to, { type: 'crashes-told', at: 0, from, news });
+        this.emitLater(LINK_MS, to, { type: 'crashes-told', at: 0, from, news });
       }
     }
   }
@@ -668,24 +685,24 @@
   private setTimer(node: CrashNode, key: string, at: number, event: GatewayEvent): void {
     const token = {};
     node.timers.set(key, token);
-    this.awaitTimer(node, key, token, at, event);
+    this.scheduleTimer(node, key, token, at, event);
   }
 
   /** A timer that is due while its gateway is suspended is later by that time: its clock stands still too. */
-  private awaitTimer(
+  private scheduleTimer(
     node: CrashNode,
     key: string,
     token: object,
     at: number,
     event: GatewayEvent,
   ): void {
-    const { life } = node;
+    const { incarnation } = node;
     this.schedule(Math.max(0, at - this.clockOf(node)), () => {
-      if (node.life !== life || node.timers.get(key) !== token) {
+      if (node.incarnation !== incarnation || node.timers.get(key) !== token) {
         return;
       }
       if (this.clockOf(node) < at - CLOCK_SLACK_MS) {
-        this.awaitTimer(node, key, token, at, event);
+        this.scheduleTimer(node, key, token, at, event);
         return;
       }
       node.timers.delete(key);
@@ -693,10 +710,10 @@
     });
   }
 
-  private later(inMs: number, node: CrashNode, event: GatewayEvent): void {
-    const { life } = node;
+  private emitLater(inMs: number, node: CrashNode, event: GatewayEvent): void {
+    const { incarnation } = node;
     this.schedule(inMs, () => {
-      if (node.alive && node.life === life) {
+      if (node.alive && node.incarnation === incarnation) {
         this.emit(node, event);
       }
     });
@@ -705,10 +722,10 @@
   /** Tells a gateway of an event now; one that is suspended takes it when it goes on. */
   private emit(node: CrashNode, event: GatewayEvent, notBefore = 0): void {
     if (this.now < node.suspendedUntil - CLOCK_SLACK_MS) {
-      return this.later(node.suspendedUntil - this.now, node, event);
+      return this.emitLater(node.suspendedUntil - this.now, node, event);
     }
     const timed = { ...event, at: Math.max(notBefore, this.clockOf(node)) };
-    step(node.state, timed).forEach((effect) => this.carryOut(node, effect));
+    step(node.state, timed).forEach((effect) => this.performEffect(node, effect));
   }
 
   private schedule(inMs: number, run: () => void): void {
@@ -721,7 +738,7 @@
     this.queue.splice(index, 0, entry);
   }
 
-  private takeNext(until: number): Scheduled | undefined {
+  private removeNextDue(until: number): Scheduled | undefined {
     const [next] = this.queue;
     return next === undefined || next.at > until ? undefined : this.queue.shift();
   }
@@ -734,7 +751,7 @@
 const lateArrivals = (
   { arrivals, crashes }: CrashNetwork,
   fingerprint: string,
-  contactMs: number,
+  propagationMs: number,
 ): readonly Arrival[] => {
   const [, , third] = crashes.filter((crash) => crash.fingerprint === fingerprint);
   if (third === undefined) {
@@ -743,39 +760,40 @@
   return arrivals.filter(
     (arrival) =>
       arrival.fingerprint === fingerprint &&
-      arrival.at > third.at + contactMs &&
-      arrival.at - arrival.calmSince > contactMs,
+      arrival.at > third.at + propagationMs &&
+      arrival.at - arrival.connectedSince > propagationMs,
   );
 };
 
 /** Late tries of a lethal request, however often each of them was sent. */
-export const triesTooLate = (
+export const lateRequests = (
   network: CrashNetwork,
   fingerprint: string,
-  contactMs: number,
+  propagationMs: number,
 ): number =>
-  new Set(lateArrivals(network, fingerprint, contactMs).map(({ requestId }) => requestId)).size;
+  new Set(lateArrivals(network, fingerprint, propagationMs).map(({ requestId }) => requestId)).size;
 
 /** Late sends of a lethal request, over all gateways. */
-export const sendsTooLate = (
+export const lateAttempts = (
   network: CrashNetwork,
   fingerprint: string,
-  contactMs: number,
-): number => lateArrivals(network, fingerprint, contactMs).length;
+  propagationMs: number,
+): number => lateArrivals(network, fingerprint, propagationMs).length;
 
 /** The part of the requests asked from `from` to before `to` that `isMeant` picks and that were served. */
 export const shareServed = (
   { asked }: CrashNetwork,
-  isMeant: (fingerprint: string) => boolean,
+  matches: (fingerprint: string) => boolean,
   from: number,
   to: number,
 ): number => {
-  const meant = asked.filter(
-    ({ fingerprint, askedAt }) => isMeant(fingerprint) && askedAt >= from && askedAt < to,
+  const selected = asked.filter(
+    ({ fingerprint, requestedAt: askedAt }) =>
+      matches(fingerprint) && askedAt >= from && askedAt < to,
   );
-  const served = meant.filter(({ responses }) => {
+  const served = selected.filter(({ responses }) => {
     const last = responses.at(-1);
     return last !== undefined && last.type !== 'refusal';
   });
-  return served.length / meant.length;
+  return served.length / selected.length;
 };
--- a/test/gateway/crashing-requests.test.ts
+++ b/test/gateway/crashing-requests.test.ts
@@ -12,13 +12,13 @@
  * services that it was not sent to lost nothing, and replicas ended in rounds as it came again.
  */
 import { describe, expect, it } from 'vitest';
-import { CrashNetwork, shareServed, triesTooLate } from './crash-network.js';
+import { CrashNetwork, shareServed, lateRequests } from './crash-network.js';
 import { gatherOf, routeTo } from './virtual-gateway.js';
 
-const CONTACT_MS = 4_000;
+const PROPAGATION_MS = 4_000;
 
 /** Tries that may still reach replicas after that. */
-const MOST_LATE_TRIES = 3;
+const MAX_LATE_REQUESTS = 3;
 
 const LETHAL = 'lethal';
 
@@ -29,13 +29,15 @@
 );
 
 /** The lethal request comes each 300 ms for a quarter of a minute, others each 30 ms all the while. */
-const playIncident = (network: CrashNetwork, path: string): void => {
+const runIncident = (network: CrashNetwork, path: string): void => {
   network.lethal.add(LETHAL);
   for (let at = 1_000; at < 16_000; at += 300) {
-    network.at(at, () => network.ask({ fingerprint: LETHAL, path }));
+    network.at(at, () => network.sendRequest({ fingerprint: LETHAL, path }));
   }
   for (let at = 0; at < 20_000; at += 30) {
-    network.at(at, () => network.ask({ fingerprint: `other-${at}`, path: '/all/y', retries: 1 }));
+    network.at(at, () =>
+      network.sendRequest({ fingerprint: `other-${at}`, path: '/all/y', retries: 1 }),
+    );
   }
   network.advance(25_000);
 };
@@ -46,21 +48,21 @@
   it('reaches replicas no more from any gateway when it goes to all shards', () => {
     const network = new CrashNetwork(1);
     network.build(8, [GATHER], 2);
-    playIncident(network, '/all/x');
-    expect(triesTooLate(network, LETHAL, CONTACT_MS)).toBeLessThanOrEqual(MOST_LATE_TRIES);
+    runIncident(network, '/all/x');
+    expect(lateRequests(network, LETHAL, PROPAGATION_MS)).toBeLessThanOrEqual(MAX_LATE_REQUESTS);
   });
 
   it('leaves the replicas to the others that ask for all shards', () => {
     const network = new CrashNetwork(2);
     network.build(8, [GATHER], 2);
-    playIncident(network, '/all/x');
+    runIncident(network, '/all/x');
     expect(shareServed(network, isOther, 2_000, 16_000)).toBeGreaterThan(0.95);
   });
 
   it('reaches replicas no more from any gateway when it goes to one replica', () => {
     const network = new CrashNetwork(3);
     network.build(8, [GATHER, SINGLE], 4);
-    playIncident(network, '/one/x');
-    expect(triesTooLate(network, LETHAL, CONTACT_MS)).toBeLessThanOrEqual(MOST_LATE_TRIES);
+    runIncident(network, '/one/x');
+    expect(lateRequests(network, LETHAL, PROPAGATION_MS)).toBeLessThanOrEqual(MAX_LATE_REQUESTS);
   });
 });
--- a/test/gateway/draw.ts
+++ b/test/gateway/draw.ts
@@ -9,12 +9,12 @@
     return Math.floor(this.random.next() * count);
   }
 
-  between(least: number, most: number): number {
-    return least + this.random.next() * (most - least);
+  between(min: number, max: number): number {
+    return min + this.random.next() * (max - min);
   }
 
-  isTrue(share: number): boolean {
-    return this.random.next() < share;
+  isTrue(probability: number): boolean {
+    return this.random.next() < probability;
   }
 
   of<Value>(values: readonly Value[]): Value {
--- a/test/gateway/reader-faults.ts
+++ b/test/gateway/reader-faults.ts
@@ -63,7 +63,7 @@
       case 'heal':
         return this.link(this.nodeAt(step.node), this.nodeAt(step.other), step.type === 'cut');
       case 'deafen':
-        return this.network.deafenWatches();
+        return this.network.withholdChanges();
       case 'cut-watches':
         return this.network.cutWatches();
       case 'forget':
@@ -72,7 +72,7 @@
         this.nodeAt(step.node).storeMs = step.ms;
         return undefined;
       default:
-        return this.disturb(step.type, this.nodeAt(step.node));
+        return this.applyNodeFault(step.type, this.nodeAt(step.node));
     }
   }
 
@@ -96,7 +96,7 @@
     }
   }
 
-  private disturb(type: NodeFault, node: VirtualNode): void {
+  private applyNodeFault(type: NodeFault, node: VirtualNode): void {
     switch (type) {
       case 'kill':
         return node.alive ? this.network.kill(node) : undefined;
--- a/test/gateway/reader-fuzz.test.ts
+++ b/test/gateway/reader-fuzz.test.ts
@@ -9,18 +9,18 @@
 const BOUND_MS = 3_000;
 
 /** Time without faults after which all that run and reach the store must know the same. */
-const CALM_MS = 12_000;
+const RECOVERY_MS = 12_000;
 
 /** The store feeds no watch for so long at most, and drops its history so long after it has cut them. */
-const DEAF_MS = 1_000;
-const UNTIL_FORGOTTEN_MS = 300;
+const MAX_WITHHELD_MS = 1_000;
+const MAX_HISTORY_LOSS_DELAY_MS = 300;
 
 const RUNS = 60;
 const SEED = 20_261_202;
 
 const startNetwork = (gateways: number): ReaderNetwork => {
   const network = new ReaderNetwork();
-  network.keepsNewsOfCutLinks = true;
+  network.holdsUpdatesOfCutLinks = true;
   network.store.put('configuration', 'main', configurationOf(1));
   for (let index = 0; index < 10; index += 1) {
     network.store.put('replicas', `r-${index}`, replicaOf(`r-${index}`));
@@ -87,7 +87,7 @@
           const run = new Run(network);
           faults.forEach((step) => run.apply(step));
           endFaults(network);
-          network.advance(CALM_MS);
+          network.advance(RECOVERY_MS);
           expectSameAsStore(network, run);
         },
       ),
@@ -102,7 +102,7 @@
         fc.array(fault, { minLength: 1, maxLength: 8 }),
         (gateways, faults) => {
           const network = startNetwork(gateways);
-          network.advance(CALM_MS);
+          network.advance(RECOVERY_MS);
           const run = new Run(network);
           faults.filter(({ type }) => type !== 'advance').forEach((step) => run.apply(step));
           run.apply({ type: 'configure', replica: 0 });
@@ -131,7 +131,7 @@
           faults.forEach((step) => run.apply(step));
           endFaults(network);
           network.forgetHistory();
-          network.advance(CALM_MS);
+          network.advance(RECOVERY_MS);
           expectSameAsStore(network, run);
           expectSameDraining(network);
         },
@@ -145,24 +145,24 @@
       fc.property(
         fc.integer({ min: 5, max: 30 }),
         fc.array(faultOrInterruption, { maxLength: 12 }),
-        fc.nat(DEAF_MS),
-        fc.nat(UNTIL_FORGOTTEN_MS),
-        (gateways, faults, deafMs, untilForgottenMs) => {
+        fc.nat(MAX_WITHHELD_MS),
+        fc.nat(MAX_HISTORY_LOSS_DELAY_MS),
+        (gateways, faults, withheldMs, historyLossDelayMs) => {
           const network = startNetwork(gateways);
           const run = new Run(network);
           faults.forEach((step) => run.apply(step));
           endFaults(network);
           network.forgetHistory();
-          network.advance(CALM_MS);
-          network.deafenWatches();
+          network.advance(RECOVERY_MS);
+          network.withholdChanges();
           run.apply({ type: 'configure', replica: 0 });
           run.apply({ type: 'drain', replica: 1 });
           run.apply({ type: 'evacuate', zone: 'hall' });
-          network.advance(deafMs);
+          network.advance(withheldMs);
           network.cutWatches();
-          network.advance(untilForgottenMs);
+          network.advance(historyLossDelayMs);
           network.forgetHistory();
-          network.advance(BOUND_MS - deafMs - untilForgottenMs);
+          network.advance(BOUND_MS - withheldMs - historyLossDelayMs);
           for (const { name, version, state } of network.nodes) {
             expect([name, version]).toEqual([name, run.version]);
             expect([name, state.evacuatedZones.has('hall')]).toEqual([name, true]);
--- a/test/gateway/reader-interruptions.test.ts
+++ b/test/gateway/reader-interruptions.test.ts
@@ -30,13 +30,13 @@
 const SETTLED_MS = 8_000;
 
 /** For so long the store feeds no watch. */
-const DEAF_MS = 1_000;
+const WITHHELD_MS = 1_000;
 
 /** From the reset of the watches to the loss of the history: all of them have been made again by then. */
-const UNTIL_FORGOTTEN_MS = 200;
+const HISTORY_LOSS_DELAY_MS = 200;
 
 /** A pause before a call is made again, a list, and the news of it. */
-const READ_AGAIN_MS = 170;
+const REREAD_MS = 170;
 
 const routeOf = (pathPrefix: string): Route => ({
   name: `route ${pathPrefix}`,
@@ -71,13 +71,13 @@
 ];
 
 /** A route is added, a replica drains and a zone is evacuated while watches hear nothing; then they are cut. */
-const changeUnheard = (network: ReaderNetwork): void => {
-  network.deafenWatches();
+const changeWhileWithheld = (network: ReaderNetwork): void => {
+  network.withholdChanges();
   const routes = [routeOf('/first/'), routeOf('/added/')];
   network.put('configuration', 'main', configurationOf(2, routes));
   network.put('replicas', 'r-0', replicaOf('r-0', true));
   network.put('evacuations', 'hall', { zone: 'hall' });
-  network.advance(DEAF_MS);
+  network.advance(WITHHELD_MS);
   network.cutWatches();
 };
 
@@ -88,7 +88,7 @@
     : undefined;
 };
 
-const ask = (node: VirtualNode, path: string, at: number): readonly GatewayEffect[] => {
+const sendRequest = (node: VirtualNode, path: string, at: number): readonly GatewayEffect[] => {
   const request = { requestId: 'r', fingerprint: 'r', host: 'shop.example', path };
   return step(node.state, { type: 'request-received', at, call: 1, request });
 };
@@ -96,10 +96,10 @@
 describe('readers whose watches were cut', () => {
   it('read what they missed at once even where new watches hear nothing', () => {
     const network = threeZones();
-    changeUnheard(network);
-    network.advance(UNTIL_FORGOTTEN_MS);
+    changeWhileWithheld(network);
+    network.advance(HISTORY_LOSS_DELAY_MS);
     network.forgetHistory();
-    network.advance(READ_AGAIN_MS);
+    network.advance(REREAD_MS);
     expect(versionsOf(network)).toEqual([2]);
     for (const { state } of network.nodes) {
       expect(state.replicas.find('r-0')?.record.draining).toBe(true);
@@ -109,22 +109,24 @@
 
   it('know it within the bound even where the new watches go silent too', () => {
     const network = threeZones();
-    changeUnheard(network);
-    network.advance(UNTIL_FORGOTTEN_MS);
+    changeWhileWithheld(network);
+    network.advance(HISTORY_LOSS_DELAY_MS);
     network.forgetHistory();
-    network.advance(DEAF_MS);
+    network.advance(WITHHELD_MS);
     network.silenceWatches();
-    network.advance(BOUND_MS - 2 * DEAF_MS - UNTIL_FORGOTTEN_MS);
+    network.advance(BOUND_MS - 2 * WITHHELD_MS - HISTORY_LOSS_DELAY_MS);
     expect(versionsOf(network)).toEqual([2]);
   });
 
   it('refuse nothing on a route that was added meanwhile', () => {
     const network = threeZones();
-    changeUnheard(network);
-    network.advance(UNTIL_FORGOTTEN_MS);
+    changeWhileWithheld(network);
+    network.advance(HISTORY_LOSS_DELAY_MS);
     network.forgetHistory();
-    network.advance(READ_AGAIN_MS);
-    const reasons = network.nodes.map((node) => refusalOf(ask(node, '/added/x', network.now)));
+    network.advance(REREAD_MS);
+    const reasons = network.nodes.map((node) =>
+      refusalOf(sendRequest(node, '/added/x', network.now)),
+    );
     expect(new Set(reasons)).toEqual(new Set([undefined]));
   });
 });
@@ -132,11 +134,11 @@
 describe('a list after a cut', () => {
   it('is told to followers as what it has changed', () => {
     const network = threeZones();
-    const told: ReaderUpdate[] = [];
-    network.onTold = (news) => told.push(news);
-    changeUnheard(network);
-    network.advance(READ_AGAIN_MS);
-    const objects = told.flatMap((news) => (news.type === 'status' ? [] : [news]));
+    const updates: ReaderUpdate[] = [];
+    network.onUpdate = (news) => updates.push(news);
+    changeWhileWithheld(network);
+    network.advance(REREAD_MS);
+    const objects = updates.flatMap((news) => (news.type === 'status' ? [] : [news]));
     expect(objects.every(({ type }) => type === 'changes')).toBe(true);
     const replicas = objects.filter(({ collection }) => collection === 'replicas');
     expect(new Set(replicas.flatMap((news) => news.objects.map(({ name }) => name)))).toEqual(
@@ -146,11 +148,11 @@
 
   it('tells what is gone since the watch was cut', () => {
     const network = threeZones();
-    network.deafenWatches();
+    network.withholdChanges();
     network.put('replicas', 'r-1', undefined);
-    network.advance(DEAF_MS);
+    network.advance(WITHHELD_MS);
     network.cutWatches();
-    network.advance(READ_AGAIN_MS);
+    network.advance(REREAD_MS);
     for (const { state } of network.nodes) {
       expect(state.replicas.find('r-1')?.goneAt).toBeDefined();
     }
@@ -204,10 +206,10 @@
     network.advance(50);
     network.put('configuration', 'main', configurationOf(3));
     network.put('replicas', 'r-1', replicaOf('r-1', true));
-    network.setLosesWatches(true);
-    network.advance(DEAF_MS);
-    network.setLosesWatches(false);
-    network.advance(BOUND_MS - DEAF_MS);
+    network.setIgnoresNewWatches(true);
+    network.advance(WITHHELD_MS);
+    network.setIgnoresNewWatches(false);
+    network.advance(BOUND_MS - WITHHELD_MS);
     expect(versionsOf(network)).toEqual([3]);
   });
 });
@@ -237,7 +239,7 @@
     network.put('configuration', 'main', configurationOf(2));
     network.put('replicas', 'r-0', replicaOf('r-0', true));
     network.put('evacuations', 'hall', { zone: 'hall' });
-    network.advance(READ_AGAIN_MS);
+    network.advance(REREAD_MS);
     expect(middle.version).toBe(2);
     expect(last.version).toBe(2);
     expect(last.state.replicas.find('r-0')?.record.draining).toBe(true);
--- a/test/gateway/reader-lists.test.ts
+++ b/test/gateway/reader-lists.test.ts
@@ -11,7 +11,7 @@
 const SETTLED_MS = 8_000;
 
 /** A pause before a call is made again, two pages of a list, and the news of it. */
-const READ_AGAIN_MS = 300;
+const REREAD_MS = 300;
 
 const nameOf = (index: number): string => `r-${String(index).padStart(3, '0')}`;
 
@@ -33,11 +33,11 @@
 const listsOf = (network: ReaderNetwork): number =>
   network.calls.filter(({ type }) => type === 'list').length;
 
-const told = (effects: readonly GatewayEffect[]): readonly ReaderUpdate[] =>
+const publishedUpdates = (effects: readonly GatewayEffect[]): readonly ReaderUpdate[] =>
   effects.flatMap((effect) => (effect.type === 'tell-followers' ? [effect.news] : []));
 
 /** Replicas of the news that are told not to drain. */
-const toldToServe = (news: readonly ReaderUpdate[]): readonly string[] =>
+const publishedAsServing = (news: readonly ReaderUpdate[]): readonly string[] =>
   news.flatMap((each) =>
     each.type !== 'status' && each.collection === 'replicas'
       ? each.objects.filter(({ value }) => value?.draining === false).map(({ name }) => name)
@@ -57,7 +57,7 @@
       }
       network.advance(2 * BOUND_MS);
       let changes = 0;
-      network.onTold = ({ type }) => {
+      network.onUpdate = ({ type }) => {
         changes += Number(type === 'changes');
       };
       network.put('replicas', nameOf(1), replicaOf(nameOf(1), true));
@@ -86,7 +86,7 @@
     const network = networkOf(200);
     network.failsCall = (call) => (call.collection === 'evacuations' ? 'malformed' : undefined);
     network.cutWatches();
-    network.advance(READ_AGAIN_MS);
+    network.advance(REREAD_MS);
     network.calls.length = 0;
     network.advance(10_000);
     const others = network.calls.filter(
@@ -119,7 +119,7 @@
     network.kill(first);
     network.advance(5_000);
     network.cutWatches();
-    network.advance(READ_AGAIN_MS);
+    network.advance(REREAD_MS);
     for (const { state } of network.nodes.filter(({ alive }) => alive)) {
       const cold = [...state.replicas.all()].filter(({ coldUntil }) => coldUntil > network.now);
       expect(cold).toEqual([]);
@@ -131,7 +131,7 @@
     const reader = readerOf(network);
     const progress = reader.state.collections.replicas;
     network.cutWatches();
-    for (let ms = 0; ms < READ_AGAIN_MS && progress.listAfter === undefined; ms += 1) {
+    for (let ms = 0; ms < REREAD_MS && progress.listAfter === undefined; ms += 1) {
       network.advance(1);
     }
     expect(progress.listAfter).toBeDefined();
@@ -155,7 +155,7 @@
       reader: peer.name,
       news: { type: 'changes', collection: 'replicas', objects: [added], after, revision },
     });
-    for (let ms = 0; ms < READ_AGAIN_MS; ms += 1) {
+    for (let ms = 0; ms < REREAD_MS; ms += 1) {
       network.advance(1);
       expect(reader.state.replicas.find('r-0005')?.goneAt).toBeUndefined();
     }
@@ -234,6 +234,6 @@
         },
       }),
     ];
-    expect(toldToServe(told(effects))).not.toContain(record.id);
+    expect(publishedAsServing(publishedUpdates(effects))).not.toContain(record.id);
   });
 });
--- a/test/gateway/reader-logs.test.ts
+++ b/test/gateway/reader-logs.test.ts
@@ -30,8 +30,8 @@
     const network = networkOf();
     const follower = followerOf(network);
     const [reader = ''] = follower.state.reading.sources.keys();
-    const { revision = 0, confirmedAt: shownAt } = follower.state.collections.configuration;
-    const at = shownAt + 7_000;
+    const { revision = 0, confirmedAt: lastConfirmedAt } = follower.state.collections.configuration;
+    const at = lastConfirmedAt + 7_000;
     const news: ReaderUpdate = {
       type: 'changes',
       collection: 'configuration',
@@ -54,15 +54,15 @@
     const network = networkOf();
     const follower = followerOf(network);
     const [reader = ''] = follower.state.reading.sources.keys();
-    const tell = (): readonly unknown[] => {
+    const receiveStatus = (): readonly unknown[] => {
       const news: ReaderUpdate = { type: 'status', isCurrent: false };
       return changesOf(
         step(follower.state, { type: 'reader-told', at: network.now, reader, news }),
       );
     };
     const change = { event: 'reader-status', reader, isCurrent: false };
-    expect(tell()).toContainEqual(change);
-    expect(tell()).not.toContainEqual(change);
+    expect(receiveStatus()).toContainEqual(change);
+    expect(receiveStatus()).not.toContainEqual(change);
   });
 
   it('names an object whose content cannot be read, and keeps what was known of it', () => {
--- a/test/gateway/reader-network.ts
+++ b/test/gateway/reader-network.ts
@@ -22,10 +22,10 @@
 const SILENCE_MS = 4_500;
 
 /** A suspect is asked so often whether it lives. */
-const CHECK_MS = 500;
+const PEER_CHECK_MS = 500;
 
 /** Limits on what a run may do, so that a loop without end shows as a failure. */
-const MOST_STEPS = 2_000_000;
+const MAX_STEPS = 2_000_000;
 
 interface Scheduled {
   readonly at: number;
@@ -49,14 +49,14 @@
   state: GatewayState;
   alive = true;
   /** Rises with each start: what was meant for an earlier process is dropped. */
-  life = 0;
+  incarnation = 0;
   storeReachable = true;
   /** The store refuses new connections: lists and watches fail, probes over the open one do not. */
   isRefused = false;
   /** Answers of the store take so long to reach this gateway. */
   storeMs = STORE_MS;
   /** Until when it stands still: it takes nothing, and what comes waits. */
-  stillUntil = 0;
+  pausedUntil = 0;
   readonly timers = new Map<string, object>();
   readonly calls = new Map<CollectionName, object>();
   readonly watches = new Map<CollectionName, PendingWatch>();
@@ -85,26 +85,26 @@
   /** Calls to the store, by their type. */
   readonly calls: StoreCall[] = [];
   /** Sees what gateways log of what they believe. */
-  onLine: (node: VirtualNode, change: BeliefChange) => void = () => undefined;
+  onLog: (node: VirtualNode, change: BeliefChange) => void = () => undefined;
   /** Sees what readers tell their followers. */
-  onTold: (news: ReaderUpdate) => void = () => undefined;
+  onUpdate: (news: ReaderUpdate) => void = () => undefined;
   private readonly queue: Scheduled[] = [];
   private readonly cuts = new Set<string>();
   /** Watches that wait hear of no changes. */
-  private isDeaf = false;
+  private withholdsChanges = false;
   /** Watches that are made get no answer. */
-  private losesWatches = false;
+  private ignoresNewWatches = false;
   /**
    * What goes over a link that is cut comes once the link is healed, as TCP sees to it, unless the connection
    * has been given up; otherwise it is lost.
    */
-  keepsNewsOfCutLinks = false;
+  holdsUpdatesOfCutLinks = false;
   /** Whether a call fails, and how; `count` rises with each call that is answered. */
   failsCall: (call: CollectionStoreCall, count: number) => StoreCallFailed['problem'] | undefined =
     () => undefined;
   private answeredCalls = 0;
-  private isStoreAway = false;
-  private heldNews: { readonly follow: Follow; readonly news: ReaderUpdate }[] = [];
+  private isStoreDown = false;
+  private heldUpdates: { readonly follow: Follow; readonly news: ReaderUpdate }[] = [];
   private follows: Follow[] = [];
   private nextFollower = 1;
   private order = 0;
@@ -150,9 +150,9 @@
 
   start(node: VirtualNode): void {
     node.alive = true;
-    node.life += 1;
-    node.stillUntil = 0;
-    node.state = createGatewayState(node.settings, this.nodes.indexOf(node) + node.life);
+    node.incarnation += 1;
+    node.pausedUntil = 0;
+    node.state = createGatewayState(node.settings, this.nodes.indexOf(node) + node.incarnation);
     node.highestVersion = 0;
     node.timers.clear();
     node.calls.clear();
@@ -161,14 +161,14 @@
   }
 
   /** Stops a gateway for a time; when it goes on it notices that, and takes what has come meanwhile. */
-  standStill(node: VirtualNode, forMs: number): void {
-    const { life } = node;
+  pauseProcess(node: VirtualNode, forMs: number): void {
+    const { incarnation } = node;
     this.schedule(forMs, () => {
-      if (node.alive && node.life === life) {
+      if (node.alive && node.incarnation === incarnation) {
         this.emit(node, { type: 'stood-still', at: this.now, forMs, suspendedMs: 0 });
       }
     });
-    node.stillUntil = this.now + forMs;
+    node.pausedUntil = this.now + forMs;
   }
 
   startAll(): void {
@@ -178,14 +178,14 @@
   /** Ends a process; its peers see their connections close. */
   kill(node: VirtualNode): void {
     node.alive = false;
-    node.life += 1;
+    node.incarnation += 1;
     const ended = this.follows.filter(({ from, to }) => from === node || to === node);
     this.follows = this.follows.filter(({ from, to }) => from !== node && to !== node);
     for (const { from, to, id } of ended) {
       if (from === node) {
-        this.later(LINK_MS, to, { type: 'follower-left', at: 0, follower: id });
+        this.emitLater(LINK_MS, to, { type: 'follower-left', at: 0, follower: id });
       } else {
-        this.losePeer(from, to, LINK_MS);
+        this.emitPeerLost(from, to, LINK_MS);
       }
     }
   }
@@ -195,7 +195,7 @@
     const key = [left.name, right.name].sort().join('|');
     if (!isCut) {
       this.cuts.delete(key);
-      this.releaseNews();
+      this.releaseHeldUpdates();
       return;
     }
     this.cuts.add(key);
@@ -208,12 +208,12 @@
 
   healAll(): void {
     this.cuts.clear();
-    this.releaseNews();
+    this.releaseHeldUpdates();
   }
 
-  private releaseNews(): void {
-    const held = this.heldNews;
-    this.heldNews = [];
+  private releaseHeldUpdates(): void {
+    const held = this.heldUpdates;
+    this.heldUpdates = [];
     const open = held.filter(({ follow }) => this.follows.includes(follow));
     open.forEach(({ follow, news }) => this.deliver(follow, news));
   }
@@ -232,13 +232,13 @@
   }
 
   /** Watches wait on, and hear nothing of what changes. */
-  deafenWatches(): void {
-    this.isDeaf = true;
+  withholdChanges(): void {
+    this.withholdsChanges = true;
   }
 
   /** Lets all watches that are made from now on get no answer, or an answer again. */
-  setLosesWatches(losesWatches: boolean): void {
-    this.losesWatches = losesWatches;
+  setIgnoresNewWatches(ignoresNewWatches: boolean): void {
+    this.ignoresNewWatches = ignoresNewWatches;
   }
 
   /** Resets the connections of all watches that wait. */
@@ -251,12 +251,12 @@
   /** Drops the history of the store; watches hear again of what changes from now on. */
   forgetHistory(): void {
     this.store.forgetHistory();
-    this.isDeaf = false;
+    this.withholdsChanges = false;
   }
 
   /** Takes the store away from all gateways, or gives it back. */
-  setStoreAway(isAway: boolean): void {
-    this.isStoreAway = isAway;
+  setStoreDown(isDown: boolean): void {
+    this.isStoreDown = isDown;
   }
 
   /** Does something later, unless the run is over by then. */
@@ -265,8 +265,8 @@
   }
 
   /** The store loses what was written since the copy. */
-  returnStore(copy: StoreCopy): void {
-    this.store.returnFrom(copy);
+  restoreStore(backup: StoreCopy): void {
+    this.store.returnFrom(backup);
     this.wakeWatches();
   }
 
@@ -284,7 +284,7 @@
   advance(ms: number): void {
     const until = this.now + ms;
     for (;;) {
-      const next = this.takeNext(until);
+      const next = this.removeNextDue(until);
       if (next === undefined) {
         break;
       }
@@ -301,15 +301,15 @@
       .map(({ name }) => name);
   }
 
-  private takeNext(until: number): Scheduled | undefined {
+  private removeNextDue(until: number): Scheduled | undefined {
     let best = -1;
     for (let index = 0; index < this.queue.length; index += 1) {
       const each = this.queue[index] as Scheduled;
-      const known = this.queue[best];
+      const bestSoFar = this.queue[best];
       const isSooner =
-        known === undefined ||
-        each.at < known.at ||
-        (each.at === known.at && each.order < known.order);
+        bestSoFar === undefined ||
+        each.at < bestSoFar.at ||
+        (each.at === bestSoFar.at && each.order < bestSoFar.order);
       if (each.at <= until && isSooner) {
         best = index;
       }
@@ -323,29 +323,29 @@
   }
 
   /** An event for the process that lives now. */
-  private later(inMs: number, node: VirtualNode, event: GatewayEvent): void {
-    const { life } = node;
+  private emitLater(inMs: number, node: VirtualNode, event: GatewayEvent): void {
+    const { incarnation } = node;
     this.schedule(inMs, () => {
-      if (node.alive && node.life === life) {
+      if (node.alive && node.incarnation === incarnation) {
         this.emit(node, { ...event, at: this.now });
       }
     });
   }
 
   private emit(node: VirtualNode, event: GatewayEvent): void {
-    if (this.now < node.stillUntil) {
-      const { life } = node;
+    if (this.now < node.pausedUntil) {
+      const { incarnation } = node;
       // What has come over connections is read before timers are looked at.
       const isTimer = event.type.endsWith('-due');
-      this.schedule(node.stillUntil - this.now + Number(isTimer), () => {
-        if (node.alive && node.life === life) {
+      this.schedule(node.pausedUntil - this.now + Number(isTimer), () => {
+        if (node.alive && node.incarnation === incarnation) {
           this.emit(node, { ...event, at: this.now });
         }
       });
       return;
     }
     this.steps += 1;
-    if (this.steps > MOST_STEPS) {
+    if (this.steps > MAX_STEPS) {
       throw new Error('the run does not come to an end');
     }
     const effects = step(node.state, event);
@@ -353,10 +353,10 @@
       node.regressions += 1;
     }
     node.highestVersion = Math.max(node.highestVersion, node.version);
-    effects.forEach((effect) => this.carryOut(node, effect));
+    effects.forEach((effect) => this.performEffect(node, effect));
   }
 
-  private carryOut(node: VirtualNode, effect: GatewayEffect): void {
+  private performEffect(node: VirtualNode, effect: GatewayEffect): void {
     switch (effect.type) {
       case 'call-store':
         return this.callStore(node, effect.call);
@@ -383,9 +383,9 @@
       case 'unfollow-reader':
         return this.unfollow(node, effect.reader);
       case 'tell-followers':
-        return this.tell(node, effect);
+        return this.sendToFollowers(node, effect);
       case 'write-log':
-        return this.onLine(node, effect.change);
+        return this.onLog(node, effect.change);
       case 'check-peer':
         return this.check(node, effect.peer.name);
       default:
@@ -399,13 +399,13 @@
     event: GatewayEvent | undefined,
   ): void {
     const token = {};
-    const { life } = node;
+    const { incarnation } = node;
     node.timers.set(key, token);
     if (at === undefined || event === undefined) {
       return;
     }
     this.schedule(Math.max(0, at - this.now), () => {
-      if (node.alive && node.life === life && node.timers.get(key) === token) {
+      if (node.alive && node.incarnation === incarnation && node.timers.get(key) === token) {
         this.emit(node, { ...event, at: this.now });
       }
     });
@@ -424,32 +424,32 @@
         });
       case 'list':
       case 'watch':
-        return this.followStore(node, call);
+        return this.callCollection(node, call);
     }
   }
 
   private reachesStore({ storeReachable }: VirtualNode): boolean {
-    return storeReachable && !this.isStoreAway;
+    return storeReachable && !this.isStoreDown;
   }
 
   private probe(node: VirtualNode, timeoutMs: number): void {
     const answered = this.reachesStore(node);
     const inMs = answered ? STORE_MS : timeoutMs;
-    const { life } = node;
+    const { incarnation } = node;
     this.schedule(inMs, () => {
-      if (node.alive && node.life === life) {
+      if (node.alive && node.incarnation === incarnation) {
         const { era } = this.store;
         this.emit(node, { type: 'probe-ended', at: this.now, answered, ...(answered && { era }) });
       }
     });
   }
 
-  private followStore(node: VirtualNode, call: CollectionStoreCall): void {
+  private callCollection(node: VirtualNode, call: CollectionStoreCall): void {
     const { collection } = call;
     const token = {};
-    const { life } = node;
+    const { incarnation } = node;
     const isWanted = (): boolean =>
-      node.alive && node.life === life && node.calls.get(collection) === token;
+      node.alive && node.incarnation === incarnation && node.calls.get(collection) === token;
     node.calls.set(collection, token);
     node.watches.delete(collection);
     this.schedule(STORE_MS, () => {
@@ -495,7 +495,7 @@
       this.emit(node, { type: 'page-read', at: this.now, era, page: this.store.list(call) });
       return;
     }
-    if (this.losesWatches) {
+    if (this.ignoresNewWatches) {
       return;
     }
     if (this.store.hasForgotten(call)) {
@@ -515,20 +515,25 @@
       node.watches.delete(call.collection);
       node.calls.delete(call.collection);
       const { era } = this.store;
-      this.emit(node, { type: 'changes-read', at: this.now, era, changes: this.endOfWatch(call) });
+      this.emit(node, {
+        type: 'changes-read',
+        at: this.now,
+        era,
+        changes: this.finalChanges(call),
+      });
     }
   }
 
   /** A watch that is fed nothing tells of no newer revision: answers of the store are linearizable. */
-  private endOfWatch(call: WatchCall): StoreChanges {
+  private finalChanges(call: WatchCall): StoreChanges {
     const nothing = this.store.noChanges(call);
-    return this.isDeaf
+    return this.withholdsChanges
       ? { ...nothing, revision: call.revision }
       : (this.store.changes(call) ?? nothing);
   }
 
   private wakeWatches(): void {
-    if (this.isDeaf) {
+    if (this.withholdsChanges) {
       return;
     }
     for (const node of this.nodes) {
@@ -543,10 +548,10 @@
       return;
     }
     node.watches.delete(collection);
-    const { life } = node;
+    const { incarnation } = node;
     const { era } = this.store;
     this.schedule(node.storeMs, () => {
-      if (!node.alive || node.life !== life || node.calls.get(collection) !== token) {
+      if (!node.alive || node.incarnation !== incarnation || node.calls.get(collection) !== token) {
         return;
       }
       if (era === this.store.era && this.store.hasForgotten(call)) {
@@ -578,7 +583,7 @@
   private follow(from: VirtualNode, effect: FollowReader): void {
     const to = this.target(effect);
     if (to === undefined || !to.alive) {
-      this.later(LINK_MS, from, {
+      this.emitLater(LINK_MS, from, {
         type: 'peer-lost',
         at: 0,
         peer: effect.peer.name,
@@ -587,17 +592,17 @@
       return;
     }
     if (!this.isLinked(from, to)) {
-      this.losePeer(from, to, SILENCE_MS);
+      this.emitPeerLost(from, to, SILENCE_MS);
       return;
     }
-    const known = this.follows.find((each) => each.from === from && each.to === to);
-    const id = known?.id ?? this.nextFollower;
-    if (known === undefined) {
+    const existing = this.follows.find((each) => each.from === from && each.to === to);
+    const id = existing?.id ?? this.nextFollower;
+    if (existing === undefined) {
       this.nextFollower += 1;
       this.follows.push({ from, to, id });
     }
     const { positions, configuration } = effect;
-    this.later(LINK_MS, to, {
+    this.emitLater(LINK_MS, to, {
       type: 'follower-joined',
       at: 0,
       follower: id,
@@ -612,12 +617,12 @@
     const ended = this.follows.find((each) => each.from === from && names(each.to));
     if (ended !== undefined) {
       this.follows = this.follows.filter((each) => each !== ended);
-      this.later(LINK_MS, ended.to, { type: 'follower-left', at: 0, follower: ended.id });
+      this.emitLater(LINK_MS, ended.to, { type: 'follower-left', at: 0, follower: ended.id });
     }
   }
 
-  private tell(node: VirtualNode, { followers, news }: TellFollowers): void {
-    this.onTold(news);
+  private sendToFollowers(node: VirtualNode, { followers, news }: TellFollowers): void {
+    this.onUpdate(news);
     for (const follow of this.follows) {
       if (follow.to === node && followers.includes(follow.id)) {
         this.deliver(follow, news);
@@ -629,14 +634,14 @@
   private deliver(follow: Follow, news: ReaderUpdate): void {
     const { from, to } = follow;
     if (this.isLinked(from, to)) {
-      this.later(LINK_MS, from, {
+      this.emitLater(LINK_MS, from, {
         type: 'reader-told',
         at: 0,
         reader: this.nameOf(from, to),
         news,
       });
-    } else if (this.keepsNewsOfCutLinks) {
-      this.heldNews.push({ follow, news });
+    } else if (this.holdsUpdatesOfCutLinks) {
+      this.heldUpdates.push({ follow, news });
     }
   }
 
@@ -646,29 +651,29 @@
     const ended = this.follows.filter(isBetween);
     this.follows = this.follows.filter((each) => !isBetween(each));
     for (const { from, to, id } of ended) {
-      this.losePeer(from, to, 0);
-      this.later(LINK_MS, to, { type: 'follower-left', at: 0, follower: id });
+      this.emitPeerLost(from, to, 0);
+      this.emitLater(LINK_MS, to, { type: 'follower-left', at: 0, follower: id });
     }
   }
 
-  private losePeer(from: VirtualNode, to: VirtualNode, inMs: number): void {
+  private emitPeerLost(from: VirtualNode, to: VirtualNode, inMs: number): void {
     const peer = this.nameOf(from, to);
-    this.later(inMs, from, { type: 'peer-lost', at: 0, peer, problem: 'silent' });
+    this.emitLater(inMs, from, { type: 'peer-lost', at: 0, peer, problem: 'silent' });
   }
 
   private check(node: VirtualNode, peer: string): void {
-    const { life } = node;
-    const ask = (): void => {
+    const { incarnation } = node;
+    const checkAgain = (): void => {
       const to = this.nodes.find(({ name }) => name === peer);
-      if (!node.alive || node.life !== life || to === undefined) {
+      if (!node.alive || node.incarnation !== incarnation || to === undefined) {
         return;
       }
       if (to.alive && this.isLinked(node, to)) {
         this.emit(node, { type: 'peer-alive', at: this.now, peer });
       } else if (node.state.peers.isSuspect(peer, this.now)) {
-        this.schedule(CHECK_MS, ask);
+        this.schedule(PEER_CHECK_MS, checkAgain);
       }
     };
-    this.schedule(CHECK_MS, ask);
+    this.schedule(PEER_CHECK_MS, checkAgain);
   }
 }
--- a/test/gateway/readers.test.ts
+++ b/test/gateway/readers.test.ts
@@ -141,16 +141,16 @@
   it('tell what was missed while a gateway heard nothing', () => {
     const network = networkOf();
     const reader = readerOf(network, 'bole');
-    const deaf = network.nodes.find(
+    const isolated = network.nodes.find(
       (node) => node !== reader && node.settings.zone === 'bole',
     ) as VirtualNode;
-    network.setCut(reader, deaf, true);
+    network.setCut(reader, isolated, true);
     network.put('replicas', 'r-07', replicaOf('r-7', true));
     network.advance(400);
-    network.setCut(reader, deaf, false);
+    network.setCut(reader, isolated, false);
     network.put('replicas', 'r-08', undefined);
     network.advance(BOUND_MS);
-    expect(deaf.state.replicas.find('r-7')?.record.draining).toBe(true);
+    expect(isolated.state.replicas.find('r-7')?.record.draining).toBe(true);
   });
 
   it('bring nothing back that a gateway has read to be gone', () => {
@@ -190,24 +190,30 @@
     const [reader] = [...follower.state.reading.sources.keys()];
     const { revision = 0 } = follower.state.collections.replicas;
     const objects = [{ name: 'r-07', gone: false, value: replicaOf('r-7', true) }];
-    const told = (
+    const receive = (
       news: Extract<ReaderUpdate, { type: 'changes' | 'snapshot' }>,
     ): readonly GatewayEffect[] =>
       step(follower.state, { type: 'reader-told', at: network.now, reader: reader ?? '', news });
     const collection = 'replicas';
-    told({ type: 'changes', collection, objects, after: revision, revision: revision + 5 });
+    receive({ type: 'changes', collection, objects, after: revision, revision: revision + 5 });
     const older = [{ name: 'r-07', gone: false, value: replicaOf('r-7') }];
-    told({ type: 'changes', collection, objects: older, after: revision, revision: revision + 2 });
-    told({ type: 'snapshot', collection, objects: older, revision: revision + 2 });
+    receive({
+      type: 'changes',
+      collection,
+      objects: older,
+      after: revision,
+      revision: revision + 2,
+    });
+    receive({ type: 'snapshot', collection, objects: older, revision: revision + 2 });
     expect(follower.state.replicas.find('r-7')?.record.draining).toBe(true);
-    const asked = told({
+    const effects = receive({
       type: 'changes',
       collection,
       objects: older,
       after: revision + 6,
       revision: revision + 7,
     });
-    expect(asked.map(({ type }) => type)).toContain('follow-reader');
+    expect(effects.map(({ type }) => type)).toContain('follow-reader');
   });
 });
 
--- a/test/gateway/replica-crashes.test.ts
+++ b/test/gateway/replica-crashes.test.ts
@@ -4,7 +4,11 @@
 import type { VirtualGateway } from './virtual-gateway.js';
 import { gatheringGateway } from './virtual-gateway.js';
 
-const breakOff = (gateway: VirtualGateway, problem: AttemptProblem, mayHaveRun = true): void => {
+const breakConnection = (
+  gateway: VirtualGateway,
+  problem: AttemptProblem,
+  mayHaveRun = true,
+): void => {
   const [attempt] = gateway.sent;
   if (attempt !== undefined) {
     gateway.end(attempt, { type: 'failed', problem, mayHaveRun });
@@ -25,7 +29,7 @@
     (problem) => {
       const gateway = gatheringGateway(2);
       gateway.request();
-      breakOff(gateway, problem);
+      breakConnection(gateway, problem);
       expect(checked(gateway)).toEqual([gateway.sent[0]?.replica.id]);
     },
   );
@@ -35,7 +39,7 @@
     (problem) => {
       const gateway = gatheringGateway(2);
       gateway.request();
-      breakOff(gateway, problem);
+      breakConnection(gateway, problem);
       expect(checked(gateway)).toEqual([]);
     },
   );
@@ -43,7 +47,7 @@
   it('is logged with the request once its replica is found to have ended', () => {
     const gateway = gatheringGateway(2);
     gateway.request(900, false, 'print');
-    breakOff(gateway, 'reset');
+    breakConnection(gateway, 'reset');
     const replica = gateway.sent[0]?.replica.id ?? '';
     gateway.emit({ type: 'replica-checked', at: 1, replica, isDown: true });
     expect(crashLogs(gateway)).toMatchObject([
@@ -54,7 +58,7 @@
   it('is not where the replica takes connections', () => {
     const gateway = gatheringGateway(2);
     gateway.request();
-    breakOff(gateway, 'reset');
+    breakConnection(gateway, 'reset');
     const replica = gateway.sent[0]?.replica.id ?? '';
     gateway.emit({ type: 'replica-checked', at: 1, replica, isDown: false });
     expect(crashLogs(gateway)).toEqual([]);
@@ -70,7 +74,7 @@
   };
 
   /** The replica of an attempt ends under it. */
-  const endReplica = (gateway: VirtualGateway, attempt: SendAttempt | undefined): void => {
+  const crashReplica = (gateway: VirtualGateway, attempt: SendAttempt | undefined): void => {
     if (attempt !== undefined) {
       gateway.now += 1;
       gateway.end(attempt, { type: 'failed', problem: 'reset', mayHaveRun: true });
@@ -84,12 +88,12 @@
     gateway.listGateways([OTHER]);
     gateway.request(900, false, 'print');
     const [first, second] = gateway.sent;
-    endReplica(gateway, first);
-    endReplica(gateway, second);
-    endReplica(gateway, gateway.sent.at(-1));
+    crashReplica(gateway, first);
+    crashReplica(gateway, second);
+    crashReplica(gateway, gateway.sent.at(-1));
     const types = gateway.effects.map(({ type }) => type);
-    const told = types.indexOf('tell-crashes');
-    expect(types.indexOf('answer-caller')).toBeGreaterThan(told);
-    expect(told).toBeGreaterThan(-1);
+    const publishedIndex = types.indexOf('tell-crashes');
+    expect(types.indexOf('answer-caller')).toBeGreaterThan(publishedIndex);
+    expect(publishedIndex).toBeGreaterThan(-1);
   });
 });
--- a/test/gateway/return-fuzz.test.ts
+++ b/test/gateway/restore-fuzz.test.ts
@@ -17,54 +17,54 @@
 const BOUND_MS = 3_000;
 
 /** Time in which what a copy lacks is written again, and entries of replicas that have left lapse, in milliseconds. */
-const REWRITTEN_MS = 6_000;
+const REWRITE_MS = 6_000;
 
 /** Time without faults after which all that run and reach the store must know the same. */
-const CALM_MS = 14_000;
+const RECOVERY_MS = 14_000;
 
 /** Copies are made so often, and kept for so long, in milliseconds. */
-const COPY_EVERY_MS = 500;
-const OLDEST_COPY_MS = 10_000;
+const BACKUP_INTERVAL_MS = 500;
+const MAX_BACKUP_AGE_MS = 10_000;
 
-const LONGEST_AWAY_MS = 4_000;
+const MAX_OUTAGE_MS = 4_000;
 
 const RUNS = 60;
 const SEED = 20_261_203;
 
 /** The store goes away, and returns from a copy of that age. */
-interface Return {
+interface Restore {
   readonly type: 'return';
-  readonly copyAgeMs: number;
-  readonly awayMs: number;
+  readonly backupAgeMs: number;
+  readonly outageMs: number;
   readonly rewriteMs: number;
   readonly resets: boolean;
 }
 
-const storeReturn: fc.Arbitrary<Return> = fc.record({
+const storeRestore: fc.Arbitrary<Restore> = fc.record({
   type: fc.constant('return'),
-  copyAgeMs: fc.nat(OLDEST_COPY_MS),
-  awayMs: fc.oneof(fc.nat(100), fc.nat(LONGEST_AWAY_MS)),
+  backupAgeMs: fc.nat(MAX_BACKUP_AGE_MS),
+  outageMs: fc.oneof(fc.nat(100), fc.nat(MAX_OUTAGE_MS)),
   rewriteMs: fc.nat(2_000),
   resets: fc.boolean(),
 });
 
-const steps = fc.array(fc.oneof({ weight: 5, arbitrary: faultOrInterruption }, storeReturn), {
+const steps = fc.array(fc.oneof({ weight: 5, arbitrary: faultOrInterruption }, storeRestore), {
   minLength: 5,
   maxLength: 40,
 });
 
 /** A network whose store keeps copies of itself. */
-class ReturningNetwork {
+class RestoringNetwork {
   readonly network = new ReaderNetwork();
   readonly writers = new StoreWriters(this.network);
-  private copies: { readonly at: number; readonly copy: StoreCopy }[] = [];
+  private backups: { readonly at: number; readonly backup: StoreCopy }[] = [];
   /** Replicas that each gateway knows to have left. */
   private readonly left = new Map<VirtualNode, Map<string, number>>();
   readonly broken: string[] = [];
 
   constructor(gateways: number) {
     const { network, writers } = this;
-    network.keepsNewsOfCutLinks = true;
+    network.holdsUpdatesOfCutLinks = true;
     network.store.era = 1;
     writers.put('configuration', 'main', configurationOf(1));
     for (let index = 0; index < 10; index += 1) {
@@ -75,66 +75,66 @@
       network.add(`${zone}-${index}`, zone, 1, BOUND_MS);
     }
     network.startAll();
-    this.keepCopies();
+    this.keepBackups();
     network.advance(9_000);
   }
 
-  apply(step: Fault | Return, run: Run): void {
+  apply(step: Fault | Restore, run: Run): void {
     if (step.type !== 'return') {
       run.apply(step);
       return;
     }
     const { network, writers } = this;
-    network.setStoreAway(true);
+    network.setStoreDown(true);
     if (step.resets) {
       network.cutWatches();
     }
-    const copy = this.copyOf(step.copyAgeMs);
-    network.advance(step.awayMs);
-    writers.returnStore(copy, createRandom(step.awayMs), step.rewriteMs);
+    const backup = this.backupOf(step.backupAgeMs);
+    network.advance(step.outageMs);
+    writers.returnStore(backup, createRandom(step.outageMs), step.rewriteMs);
   }
 
-  private copyOf(ageMs: number): StoreCopy {
+  private backupOf(ageMs: number): StoreCopy {
     const before = this.network.now - ageMs;
-    const found = this.copies.findLast(({ at }) => at <= before) ?? this.copies[0];
-    return found?.copy ?? this.network.store.copy();
+    const found = this.backups.findLast(({ at }) => at <= before) ?? this.backups[0];
+    return found?.backup ?? this.network.store.copy();
   }
 
-  private keepCopies(): void {
+  private keepBackups(): void {
     const { network } = this;
     const at = network.now;
-    this.copies = this.copies.filter((each) => each.at >= at - OLDEST_COPY_MS);
-    this.copies.push({ at, copy: network.store.copy() });
-    this.judgeLeft();
-    network.after(COPY_EVERY_MS, () => this.keepCopies());
+    this.backups = this.backups.filter((each) => each.at >= at - MAX_BACKUP_AGE_MS);
+    this.backups.push({ at, backup: network.store.copy() });
+    this.checkDepartures();
+    network.after(BACKUP_INTERVAL_MS, () => this.keepBackups());
   }
 
   /** Notes what each gateway knows to have left, and that none of it is used again. */
-  private judgeLeft(): void {
+  private checkDepartures(): void {
     for (const node of this.network.nodes) {
       const known = this.left.get(node) ?? new Map<string, number>();
       this.left.set(node, known);
       for (const { record, goneAt } of node.state.replicas.all()) {
         const isUsed = goneAt === undefined && !record.draining;
-        if (isUsed && known.get(record.id) === node.life && node.alive) {
+        if (isUsed && known.get(record.id) === node.incarnation && node.alive) {
           this.broken.push(`${node.name} uses ${record.id} again at ${this.network.now}`);
         }
         if (!isUsed) {
-          known.set(record.id, node.life);
+          known.set(record.id, node.incarnation);
         }
       }
     }
   }
 }
 
-const endFaults = ({ network }: ReturningNetwork): void => {
+const endFaults = ({ network }: RestoringNetwork): void => {
   network.healAll();
   network.nodes.forEach((each) => network.setStore(each, true));
   network.nodes.forEach((each) => network.setRefused(each, false));
   network.nodes.filter(({ alive }) => !alive).forEach((each) => network.start(each));
 };
 
-const listedBy = ({ state }: VirtualNode): readonly string[] =>
+const listedAt = ({ state }: VirtualNode): readonly string[] =>
   [...state.replicas.all()]
     .filter(({ goneAt }) => goneAt === undefined)
     .map(({ record }) => `${record.id}${record.draining ? ' draining' : ''}`)
@@ -147,11 +147,11 @@
     return `${id}${isDraining ? ' draining' : ''}`;
   });
 
-const expectSameAsStore = ({ network }: ReturningNetwork, version: number): void => {
+const expectSameAsStore = ({ network }: RestoringNetwork, version: number): void => {
   for (const node of network.nodes) {
     const { name, state } = node;
     expect([name, node.version, node.regressions]).toEqual([name, version, 0]);
-    expect([name, listedBy(node)]).toEqual([name, listedInStore(network)]);
+    expect([name, listedAt(node)]).toEqual([name, listedInStore(network)]);
     const evacuated = [...state.evacuatedZones].sort();
     expect([name, evacuated]).toEqual([name, network.store.names('evacuations')]);
   }
@@ -160,7 +160,7 @@
 /** A watch that the store does not feed, of the gateways, ends after so long, in milliseconds. */
 const GATEWAYS_WATCH_MS = 30_000;
 
-const expectAllRegistered = ({ network }: ReturningNetwork): void => {
+const expectAllRegistered = ({ network }: RestoringNetwork): void => {
   const names = network.nodes.map(({ name }) => name).sort();
   expect(network.store.names('gateways')).toEqual(names);
   for (const { name, state } of network.nodes) {
@@ -172,16 +172,16 @@
   it('know the same as the store after trouble, and none goes back', () => {
     fc.assert(
       fc.property(fc.integer({ min: 3, max: 24 }), steps, (gateways, faults) => {
-        const returning = new ReturningNetwork(gateways);
-        const run = new Run(returning.network, returning.writers);
-        faults.forEach((step) => returning.apply(step, run));
-        endFaults(returning);
-        returning.network.forgetHistory();
-        returning.network.advance(CALM_MS);
-        expect(returning.broken).toEqual([]);
-        expectSameAsStore(returning, run.version);
-        returning.network.advance(GATEWAYS_WATCH_MS);
-        expectAllRegistered(returning);
+        const restoring = new RestoringNetwork(gateways);
+        const run = new Run(restoring.network, restoring.writers);
+        faults.forEach((step) => restoring.apply(step, run));
+        endFaults(restoring);
+        restoring.network.forgetHistory();
+        restoring.network.advance(RECOVERY_MS);
+        expect(restoring.broken).toEqual([]);
+        expectSameAsStore(restoring, run.version);
+        restoring.network.advance(GATEWAYS_WATCH_MS);
+        expectAllRegistered(restoring);
       }),
       { numRuns: RUNS, seed: SEED },
     );
@@ -189,39 +189,39 @@
 
   it('use no replica again that they were told to drain, also where they have started since', () => {
     // Seed 2, path 105: a gateway that had started after the return was told of a replica by one that had not noticed it.
-    const returning = new ReturningNetwork(4);
-    const run = new Run(returning.network, returning.writers);
-    const faults: readonly (Fault | Return)[] = [
+    const restoring = new RestoringNetwork(4);
+    const run = new Run(restoring.network, restoring.writers);
+    const faults: readonly (Fault | Restore)[] = [
       { type: 'drain', replica: 0 },
       { type: 'kill', node: 0 },
       { type: 'slow', node: 0, ms: 4 },
       { type: 'advance', ms: 1_895 },
-      { type: 'return', copyAgeMs: 1_396, awayMs: 1_178, rewriteMs: 1_185, resets: false },
+      { type: 'return', backupAgeMs: 1_396, outageMs: 1_178, rewriteMs: 1_185, resets: false },
       { type: 'slow', node: 0, ms: 300 },
     ];
-    faults.forEach((step) => returning.apply(step, run));
-    endFaults(returning);
-    returning.network.forgetHistory();
-    returning.network.advance(CALM_MS);
-    expect(returning.broken).toEqual([]);
+    faults.forEach((step) => restoring.apply(step, run));
+    endFaults(restoring);
+    restoring.network.forgetHistory();
+    restoring.network.advance(RECOVERY_MS);
+    expect(restoring.broken).toEqual([]);
   });
 
   it('know what is written after a return within the bound, and call the store a bounded number of times', () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 3, max: 24 }),
-        fc.array(storeReturn, { minLength: 1, maxLength: 3 }),
+        fc.array(storeRestore, { minLength: 1, maxLength: 3 }),
         fc.nat(2_000),
-        (gateways, returns, untilWritten) => {
-          const returning = new ReturningNetwork(gateways);
-          const { network, writers } = returning;
+        (gateways, restores, untilWritten) => {
+          const restoring = new RestoringNetwork(gateways);
+          const { network, writers } = restoring;
           const run = new Run(network, writers);
           run.apply({ type: 'configure', replica: 0 });
           run.apply({ type: 'drain', replica: 2 });
           run.apply({ type: 'remove', replica: 3 });
           network.advance(1_500);
           network.calls.length = 0;
-          returns.forEach((step) => returning.apply(step, run));
+          restores.forEach((step) => restoring.apply(step, run));
           network.advance(untilWritten);
           run.apply({ type: 'configure', replica: 0 });
           run.apply({ type: 'drain', replica: 1 });
@@ -234,11 +234,11 @@
             expect([name, replica?.record.draining]).toEqual([name, true]);
             expect([name, state.ready]).toEqual([name, true]);
           }
-          network.advance(REWRITTEN_MS);
-          expect(returning.broken).toEqual([]);
+          network.advance(REWRITE_MS);
+          expect(restoring.broken).toEqual([]);
           const lists = network.calls.filter(({ type }) => type === 'list').length;
           // At most nine gateways read; a return has each list four collections, and once more what it had begun.
-          expect(lists).toBeLessThanOrEqual(returns.length * 9 * 4 * 2);
+          expect(lists).toBeLessThanOrEqual(restores.length * 9 * 4 * 2);
         },
       ),
       { numRuns: RUNS, seed: SEED },
--- a/test/gateway/returned-objects.test.ts
+++ b/test/gateway/restored-objects.test.ts
@@ -16,9 +16,9 @@
 
 /** Time in which what a copy lacks is written again, and in which entries of replicas that have ended lapse. */
 const REWRITE_MS = 2_000;
-const LAPSED_MS = 9_000;
+const EXPIRY_MS = 9_000;
 
-const AWAY_MS = 1_000;
+const OUTAGE_MS = 1_000;
 
 const startNetwork = (perZone = 3): { network: ReaderNetwork; writers: StoreWriters } => {
   const network = new ReaderNetwork();
@@ -38,20 +38,20 @@
   return { network, writers };
 };
 
-const goAway = (network: ReaderNetwork): void => {
-  network.setStoreAway(true);
+const takeStoreDown = (network: ReaderNetwork): void => {
+  network.setStoreDown(true);
   network.cutWatches();
-  network.advance(AWAY_MS);
+  network.advance(OUTAGE_MS);
 };
 
 /** The store returns from the copy and nothing is written again. */
-const returnAlone = (
+const restoreWithoutRewrites = (
   network: ReaderNetwork,
-  copy: Parameters<ReaderNetwork['returnStore']>[0],
+  backup: Parameters<ReaderNetwork['restoreStore']>[0],
 ): void => {
-  goAway(network);
-  network.returnStore(copy);
-  network.setStoreAway(false);
+  takeStoreDown(network);
+  network.restoreStore(backup);
+  network.setStoreDown(false);
 };
 
 /** Whether a gateway may send requests to the replica. */
@@ -63,21 +63,21 @@
 const usedBy = ({ nodes }: ReaderNetwork, id: string): number =>
   nodes.filter((node) => uses(node, id)).length;
 
-const linesOf = (network: ReaderNetwork): BeliefChange[] => {
+const collectLogChanges = (network: ReaderNetwork): BeliefChange[] => {
   const lines: BeliefChange[] = [];
-  network.onLine = (_node, change) => lines.push(change);
+  network.onLog = (_node, change) => lines.push(change);
   return lines;
 };
 
 describe('what the copy lacks', () => {
   it('a replica that came after it is used on until its entry is back', () => {
     const { network, writers } = startNetwork();
-    const copy = network.store.copy();
+    const backup = network.store.copy();
     writers.put('replicas', 'r-new', replicaOf('r-new'));
     network.advance(1_000);
-    goAway(network);
-    writers.returnStore(copy, createRandom(1));
-    for (let passed = 0; passed < LAPSED_MS; passed += 100) {
+    takeStoreDown(network);
+    writers.returnStore(backup, createRandom(1));
+    for (let passed = 0; passed < EXPIRY_MS; passed += 100) {
       network.advance(100);
       expect([passed, usedBy(network, 'r-new')]).toEqual([passed, 9]);
     }
@@ -85,10 +85,10 @@
 
   it('a replica whose entry does not come back is gone after two seconds', () => {
     const { network } = startNetwork();
-    const copy = network.store.copy();
+    const backup = network.store.copy();
     network.put('replicas', 'r-new', replicaOf('r-new'));
     network.advance(1_000);
-    returnAlone(network, copy);
+    restoreWithoutRewrites(network, backup);
     network.advance(1_500);
     expect(usedBy(network, 'r-new')).toBe(9);
     network.advance(REWRITE_MS);
@@ -97,12 +97,12 @@
 
   it('a zone that was evacuated after it stays so until the order is written again', () => {
     const { network, writers } = startNetwork();
-    const copy = network.store.copy();
+    const backup = network.store.copy();
     writers.put('evacuations', 'hall', { zone: 'hall' });
     network.advance(1_000);
-    goAway(network);
-    writers.returnStore(copy, createRandom(1));
-    for (let passed = 0; passed < LAPSED_MS; passed += 100) {
+    takeStoreDown(network);
+    writers.returnStore(backup, createRandom(1));
+    for (let passed = 0; passed < EXPIRY_MS; passed += 100) {
       network.advance(100);
       const evacuating = network.nodes.filter(({ state }) => state.evacuatedZones.has('hall'));
       expect([passed, evacuating.length]).toEqual([passed, 9]);
@@ -111,15 +111,15 @@
 
   it('entries of gateways are written again, and their number is the same meanwhile', () => {
     const { network } = startNetwork(0);
-    const copy = network.store.copy();
+    const backup = network.store.copy();
     for (const zone of ['bole', 'arada', 'hall']) {
       [0, 1, 2].forEach((index) => network.add(`${zone}-${index}`, zone, 1, BOUND_MS));
     }
     network.startAll();
     network.advance(SETTLED_MS);
-    returnAlone(network, copy);
+    restoreWithoutRewrites(network, backup);
     expect(network.store.names('gateways')).toEqual([]);
-    for (let passed = 0; passed < LAPSED_MS; passed += 100) {
+    for (let passed = 0; passed < EXPIRY_MS; passed += 100) {
       network.advance(100);
       const counts = new Set(network.nodes.map(({ state }) => state.gateways));
       expect([passed, ...counts]).toEqual([passed, 9]);
@@ -133,11 +133,11 @@
     const known = network.store.find('gateways', first.name);
     const older = { ...(known as object), address: { host: '10.9.9.9', port: 9 } };
     network.store.put('gateways', first.name, older as never);
-    const copy = network.store.copy();
+    const backup = network.store.copy();
     network.store.put('gateways', first.name, known);
     network.advance(1_000);
-    returnAlone(network, copy);
-    for (let passed = 0; passed < LAPSED_MS; passed += 100) {
+    restoreWithoutRewrites(network, backup);
+    for (let passed = 0; passed < EXPIRY_MS; passed += 100) {
       network.advance(100);
       const hosts = network.nodes.map(({ state }) => state.peers.find(first.name)?.address.host);
       expect([passed, new Set(hosts)]).toEqual([passed, new Set([first.settings.peers.host])]);
@@ -149,12 +149,12 @@
 describe('what the copy brings back', () => {
   it.each(['gone', 'draining'] as const)('a replica that is %s gets nothing', (state) => {
     const { network, writers } = startNetwork();
-    const copy = network.store.copy();
+    const backup = network.store.copy();
     writers.put('replicas', 'r-1', state === 'gone' ? undefined : replicaOf('r-1', true));
     network.advance(6_000);
-    goAway(network);
-    writers.returnStore(copy, createRandom(1));
-    for (let passed = 0; passed < 2 * LAPSED_MS; passed += 100) {
+    takeStoreDown(network);
+    writers.returnStore(backup, createRandom(1));
+    for (let passed = 0; passed < 2 * EXPIRY_MS; passed += 100) {
       network.advance(100);
       expect([passed, usedBy(network, 'r-1')]).toEqual([passed, 0]);
     }
@@ -162,13 +162,13 @@
 
   it('a replica whose entry does not lapse is used again: it lives', () => {
     const { network } = startNetwork();
-    const copy = network.store.copy();
+    const backup = network.store.copy();
     network.put('replicas', 'r-1', undefined);
     network.advance(3_000);
-    returnAlone(network, copy);
+    restoreWithoutRewrites(network, backup);
     network.advance(REWRITE_MS);
     expect(usedBy(network, 'r-1')).toBe(0);
-    network.advance(LAPSED_MS);
+    network.advance(EXPIRY_MS);
     expect(usedBy(network, 'r-1')).toBe(9);
   });
 
@@ -178,14 +178,14 @@
     ['the same start', 1, 0],
   ])('of a replica that has gone, %s is told from it by its time', (_what, bornAt, users) => {
     const { network } = startNetwork();
-    const born = (at: number): ReplicaRecord => ({ ...replicaOf('r-b'), bornAt: at });
-    network.put('replicas', 'r-b', born(bornAt));
-    const copy = network.store.copy();
-    network.put('replicas', 'r-b', born(1));
+    const startedAt = (at: number): ReplicaRecord => ({ ...replicaOf('r-b'), bornAt: at });
+    network.put('replicas', 'r-b', startedAt(bornAt));
+    const backup = network.store.copy();
+    network.put('replicas', 'r-b', startedAt(1));
     network.advance(500);
     network.put('replicas', 'r-b', undefined);
     network.advance(1_000);
-    returnAlone(network, copy);
+    restoreWithoutRewrites(network, backup);
     network.advance(1_500);
     expect(usedBy(network, 'r-b')).toBe(users);
   });
@@ -194,12 +194,12 @@
     const { network, writers } = startNetwork();
     writers.put('evacuations', 'hall', { zone: 'hall' });
     network.advance(1_000);
-    const copy = network.store.copy();
+    const backup = network.store.copy();
     writers.put('evacuations', 'hall', undefined);
     network.advance(3_000);
-    goAway(network);
-    writers.returnStore(copy, createRandom(1));
-    for (let passed = 0; passed < LAPSED_MS; passed += 100) {
+    takeStoreDown(network);
+    writers.returnStore(backup, createRandom(1));
+    for (let passed = 0; passed < EXPIRY_MS; passed += 100) {
       network.advance(100);
       const evacuating = network.nodes.filter(({ state }) => state.evacuatedZones.has('hall'));
       expect([passed, evacuating.length]).toEqual([passed, 0]);
@@ -210,8 +210,8 @@
 describe('gateways that know different eras', () => {
   it('do not go back where a reader that has not noticed tells one that has', () => {
     const { network } = startNetwork();
-    const copy = network.store.copy();
-    returnAlone(network, copy);
+    const backup = network.store.copy();
+    restoreWithoutRewrites(network, backup);
     network.advance(3_000);
     const follower = network.nodes.find(({ state }) => !state.reading.isReading) as VirtualNode;
     const [reader] = [...follower.state.reading.sources.keys()];
@@ -263,8 +263,8 @@
   it('drop an answer of before the return that comes after it, and list', () => {
     const { network } = startNetwork();
     const reader = network.nodes.find(({ state }) => state.reading.isReading) as VirtualNode;
-    const copy = network.store.copy();
-    returnAlone(network, copy);
+    const backup = network.store.copy();
+    restoreWithoutRewrites(network, backup);
     network.advance(3_000);
     const { revision = 0 } = reader.state.collections.replicas;
     step(reader.state, {
@@ -301,17 +301,17 @@
 
   it('know within the bound what is written after a second return within seconds', () => {
     const { network, writers } = startNetwork();
-    const copies = [network.store.copy()];
+    const backups = [network.store.copy()];
     writers.put('configuration', 'main', configurationOf(2));
     network.advance(500);
-    copies.push(network.store.copy());
+    backups.push(network.store.copy());
     writers.put('configuration', 'main', configurationOf(3));
     network.advance(500);
-    goAway(network);
-    writers.returnStore(copies[1] as never, createRandom(1));
+    takeStoreDown(network);
+    writers.returnStore(backups[1] as never, createRandom(1));
     network.advance(700);
-    goAway(network);
-    writers.returnStore(copies[0] as never, createRandom(2));
+    takeStoreDown(network);
+    writers.returnStore(backups[0] as never, createRandom(2));
     writers.put('configuration', 'main', configurationOf(4));
     network.advance(BOUND_MS);
     expect(network.nodes.map(({ version }) => version)).toEqual(Array<number>(9).fill(4));
@@ -320,14 +320,14 @@
 
   it('know it where the store is cut off from some, and slow for others', () => {
     const { network, writers } = startNetwork();
-    const copy = network.store.copy();
+    const backup = network.store.copy();
     writers.put('configuration', 'main', configurationOf(2));
     network.advance(500);
     const [cut] = network.readers();
     network.setStore(network.find(cut ?? ''), false);
     network.nodes.forEach((node, index) => (node.storeMs = index % 2 === 0 ? 300 : 4));
-    goAway(network);
-    writers.returnStore(copy, createRandom(1));
+    takeStoreDown(network);
+    writers.returnStore(backup, createRandom(1));
     network.advance(300);
     writers.put('configuration', 'main', configurationOf(3));
     writers.put('replicas', 'r-1', replicaOf('r-1', true));
@@ -346,10 +346,10 @@
 
   it('is in force at a gateway that starts since, beside others that know it', () => {
     const { network } = startNetwork();
-    const copy = network.store.copy();
+    const backup = network.store.copy();
     network.put('configuration', 'main', configurationOf(2));
     network.advance(1_000);
-    returnAlone(network, copy);
+    restoreWithoutRewrites(network, backup);
     network.advance(500);
     const follower = network.nodes.find(({ state }) => !state.reading.isReading) as VirtualNode;
     startAgain(network, [follower]);
@@ -359,10 +359,10 @@
 
   it('is told to a reader that has started since by those that follow it', () => {
     const { network } = startNetwork();
-    const copy = network.store.copy();
+    const backup = network.store.copy();
     network.put('configuration', 'main', configurationOf(2));
     network.advance(1_000);
-    returnAlone(network, copy);
+    restoreWithoutRewrites(network, backup);
     network.advance(500);
     startAgain(
       network,
@@ -374,46 +374,46 @@
 
   it('is not offered again and again, nor where the store has not returned', () => {
     const { network } = startNetwork();
-    const copy = network.store.copy();
+    const backup = network.store.copy();
     network.put('configuration', 'main', configurationOf(2));
     network.advance(1_000);
     const follower = network.nodes.find(({ state }) => !state.reading.isReading) as VirtualNode;
-    const hearsOlder = (): number => {
+    const receiveOlderStatus = (): number => {
       const [reader = ''] = [...follower.state.reading.sources.keys()];
       const news = { type: 'status', isCurrent: true, confirmedMsAgo: 1, version: 1 } as const;
       const effects = step(follower.state, { type: 'reader-told', at: network.now, reader, news });
       return effects.filter((effect) => 'configuration' in effect).length;
     };
-    expect(hearsOlder()).toBe(0);
-    returnAlone(network, copy);
+    expect(receiveOlderStatus()).toBe(0);
+    restoreWithoutRewrites(network, backup);
     network.advance(3_000);
-    expect([hearsOlder(), hearsOlder()]).toEqual([1, 0]);
+    expect([receiveOlderStatus(), receiveOlderStatus()]).toEqual([1, 0]);
   });
 });
 
 describe('what a return costs', () => {
   it('no gateway becomes unready, and one line tells both eras and what changed', () => {
     const { network, writers } = startNetwork();
-    const copy = network.store.copy();
+    const backup = network.store.copy();
     writers.put('replicas', 'r-1', undefined);
     writers.put('replicas', 'r-new', replicaOf('r-new'));
     network.advance(1_000);
-    const lines = linesOf(network);
-    returnAlone(network, copy);
+    const lines = collectLogChanges(network);
+    restoreWithoutRewrites(network, backup);
     network.advance(BOUND_MS);
-    const returned = lines.filter(({ event }) => event === 'store-returned');
-    expect(returned.length).toBe(9);
-    for (const line of returned) {
+    const restored = lines.filter(({ event }) => event === 'store-returned');
+    expect(restored.length).toBe(9);
+    for (const line of restored) {
       expect(line).toMatchObject({ era: 2, previous: 1, version: 1 });
       expect(line).toMatchObject({ missing: { replicas: 1 } });
     }
-    expect(returned).toContainEqual(expect.objectContaining({ older: { replicas: 1 } }));
+    expect(restored).toContainEqual(expect.objectContaining({ older: { replicas: 1 } }));
     expect(lines.filter(({ event }) => event === 'ready')).toEqual([]);
   });
 
   it('a few gateways of each zone list, whatever their number, and entries are not written at once', () => {
     const { network } = startNetwork(0);
-    const copy = network.store.copy();
+    const backup = network.store.copy();
     for (let index = 0; index < 90; index += 1) {
       const zone = ['bole', 'arada', 'hall'][index % 3] ?? '';
       network.add(`${zone}-${index}`, zone, 1, BOUND_MS);
@@ -421,11 +421,11 @@
     network.startAll();
     network.advance(SETTLED_MS);
     network.calls.length = 0;
-    returnAlone(network, copy);
+    restoreWithoutRewrites(network, backup);
     const registers = (): number => network.calls.filter(({ type }) => type === 'register').length;
     network.advance(150);
     expect(registers()).toBeLessThan(60);
-    network.advance(LAPSED_MS);
+    network.advance(EXPIRY_MS);
     const lists = network.calls.filter(({ type }) => type === 'list').length;
     // Three candidates of each of three zones may read while the store is away; four collections, a page or two each.
     expect(lists).toBeLessThanOrEqual(9 * 4 * 2);
--- a/test/gateway/standstill.test.ts
+++ b/test/gateway/standstill.test.ts
@@ -37,7 +37,7 @@
 
 /** A gateway stands still while another version comes into force. */
 const missVersion = (network: ReaderNetwork, node: VirtualNode): void => {
-  network.standStill(node, STANDSTILL_MS);
+  network.pauseProcess(node, STANDSTILL_MS);
   network.advance(STANDSTILL_MS - 100);
   network.put('configuration', 'main', configurationOf(2));
   network.advance(100);
@@ -57,8 +57,8 @@
   it('is ready again soon where the store is away, with what it knows', () => {
     const network = networkOf();
     const node = nodeThat(network, role);
-    network.setStoreAway(true);
-    network.standStill(node, STANDSTILL_MS);
+    network.setStoreDown(true);
+    network.pauseProcess(node, STANDSTILL_MS);
     network.advance(STANDSTILL_MS + LONGEST_CONFIRM_MS);
     expect(node.state.ready).toBe(true);
   });
@@ -70,7 +70,7 @@
     network.nodes
       .filter((each) => each !== node)
       .forEach((each) => network.setCut(node, each, true));
-    network.standStill(node, STANDSTILL_MS);
+    network.pauseProcess(node, STANDSTILL_MS);
     network.advance(STANDSTILL_MS + LONGEST_CONFIRM_MS);
     expect(node.state.ready).toBe(true);
   });
--- a/test/gateway/store-returns.test.ts
+++ b/test/gateway/store-restores.test.ts
@@ -22,10 +22,10 @@
 const SETTLED_MS = 8_000;
 
 /** How long the store is away before it returns, in milliseconds. */
-const AWAY_MS = 2_500;
+const OUTAGE_MS = 2_500;
 
 /** The same where it falls silent: all gateways know by then that it is out of reach, and no call waits for it. */
-const SILENT_MS = 5_000;
+const SILENT_OUTAGE_MS = 5_000;
 
 /** Changes that the store loses: more than are written in the seconds after its return. */
 const LOST_CHANGES = 120;
@@ -63,14 +63,14 @@
 };
 
 /** The store goes away and returns from the copy; it resets connections, or falls silent, as it goes. */
-const returnFrom = (network: ReaderNetwork, copy: StoreCopy, goes: 'reset' | 'silent'): void => {
-  network.setStoreAway(true);
-  if (goes === 'reset') {
+const restoreFrom = (network: ReaderNetwork, backup: StoreCopy, mode: 'reset' | 'silent'): void => {
+  network.setStoreDown(true);
+  if (mode === 'reset') {
     network.cutWatches();
   }
-  network.advance(goes === 'reset' ? AWAY_MS : SILENT_MS);
-  network.returnStore(copy);
-  network.setStoreAway(false);
+  network.advance(mode === 'reset' ? OUTAGE_MS : SILENT_OUTAGE_MS);
+  network.restoreStore(backup);
+  network.setStoreDown(false);
 };
 
 const versionsOf = ({ nodes }: ReaderNetwork): readonly number[] =>
@@ -81,10 +81,10 @@
 describe('after the store has returned from a copy', () => {
   it('what it acknowledges is in force at every gateway within the bound', () => {
     const network = startNetwork();
-    const copy = network.store.copy();
+    const backup = network.store.copy();
     writeOften(network, LOST_CHANGES);
     network.advance(3_000);
-    returnFrom(network, copy, 'reset');
+    restoreFrom(network, backup, 'reset');
     network.advance(5_000);
     for (const version of [2, 3, 4]) {
       configure(network, version);
@@ -95,10 +95,10 @@
 
   it('what it acknowledges at once is in force within the bound too', () => {
     const network = startNetwork();
-    const copy = network.store.copy();
+    const backup = network.store.copy();
     writeOften(network, LOST_CHANGES);
     network.advance(3_000);
-    returnFrom(network, copy, 'reset');
+    restoreFrom(network, backup, 'reset');
     configure(network, 2);
     network.advance(BOUND_MS);
     expect(versionsOf(network)).toEqual(everywhere(2));
@@ -106,10 +106,10 @@
 
   it('nothing is missed where its revisions have overtaken what was known', () => {
     const network = startNetwork();
-    const copy = network.store.copy();
+    const backup = network.store.copy();
     writeOften(network, LOST_CHANGES);
     network.advance(3_000);
-    returnFrom(network, copy, 'silent');
+    restoreFrom(network, backup, 'silent');
     configure(network, 2);
     network.put('replicas', 'r-01', replicaOf('r-01', true));
     writeOften(network, 2 * LOST_CHANGES);
@@ -121,10 +121,10 @@
 
   it('calls to it are bounded: no lists that are dropped and watches that are refused', () => {
     const network = startNetwork();
-    const copy = network.store.copy();
+    const backup = network.store.copy();
     writeOften(network, LOST_CHANGES);
     network.advance(3_000);
-    returnFrom(network, copy, 'reset');
+    restoreFrom(network, backup, 'reset');
     network.calls.length = 0;
     network.advance(8_000);
     const lists = network.calls.filter(({ type }) => type === 'list').length;
@@ -134,11 +134,11 @@
 
   it('a configuration that it lost stays in force until there is a newer one', () => {
     const network = startNetwork();
-    const copy = network.store.copy();
+    const backup = network.store.copy();
     configure(network, 2);
     writeOften(network, LOST_CHANGES);
     network.advance(3_000);
-    returnFrom(network, copy, 'reset');
+    restoreFrom(network, backup, 'reset');
     network.advance(2_000);
     expect(versionsOf(network)).toEqual(everywhere(2));
     configure(network, 3);
--- a/test/gateway/store-writers.ts
+++ b/test/gateway/store-writers.ts
@@ -34,8 +34,8 @@
   /** The store returns from the copy, at once; all is written again, each object at a time of its own. */
   returnStore(copy: StoreCopy, random: Random, withinMs = REWRITE_MS): void {
     const { network } = this;
-    network.returnStore(copy);
-    network.setStoreAway(false);
+    network.restoreStore(copy);
+    network.setStoreDown(false);
     for (const collection of WRITTEN) {
       const names = new Set([
         ...this.intended[collection].keys(),
--- a/test/gateway/met-crashes.test.ts
+++ b/test/gateway/suspected-requests.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import type { CallerResponse } from '../../src/gateway/model/request.js';
-import { type Asked, CrashNetwork, type CrashNode, triesTooLate } from './crash-network.js';
+import { type SentRequest, CrashNetwork, type CrashNode, lateRequests } from './crash-network.js';
 import { gatherOf, routeTo } from './virtual-gateway.js';
 
 const GATHER = routeTo(gatherOf(20, 0.89), { pathPrefix: '/all/', objectiveMs: 116 });
@@ -23,10 +23,10 @@
 const reasonOf = (response: CallerResponse | undefined): string | undefined =>
   response?.type === 'refusal' ? response.reason : response?.type;
 
-const reasonsOf = ({ responses }: Asked): readonly (string | undefined)[] =>
+const reasonsOf = ({ responses }: SentRequest): readonly (string | undefined)[] =>
   responses.map(reasonOf);
 
-const isServed = ({ responses }: Asked): boolean => {
+const isServed = ({ responses }: SentRequest): boolean => {
   const last = responses.at(-1);
   return last !== undefined && last.type !== 'refusal';
 };
@@ -37,7 +37,10 @@
   it.each(SEEDS)('is served where half of the replicas end at once (seed %i)', (seed) => {
     const network = networkOf(seed);
     const asked = Array.from({ length: 40 }, (_, index) =>
-      network.ask({ fingerprint: `r-${index}`, path: index % 2 === 0 ? '/all/x' : '/one/x' }),
+      network.sendRequest({
+        fingerprint: `r-${index}`,
+        path: index % 2 === 0 ? '/all/x' : '/one/x',
+      }),
     );
     network.at(8, () => network.crash(({ name }) => name.endsWith('/0')));
     network.advance(3_000);
@@ -47,11 +50,16 @@
   it.each(SEEDS)('is served by its next try where all end at once (seed %i)', (seed) => {
     const network = networkOf(seed);
     const asked = Array.from({ length: 20 }, (_, index) =>
-      network.ask({ fingerprint: `r-${index}`, path: index % 2 === 0 ? '/all/x' : '/one/x' }),
+      network.sendRequest({
+        fingerprint: `r-${index}`,
+        path: index % 2 === 0 ? '/all/x' : '/one/x',
+      }),
     );
     network.at(8, () => network.crash(() => true));
     network.advance(4_000);
-    const again = asked.map(({ fingerprint, path = '' }) => network.ask({ fingerprint, path }));
+    const again = asked.map(({ fingerprint, path = '' }) =>
+      network.sendRequest({ fingerprint, path }),
+    );
     network.advance(2_000);
     expect(again.filter(isServed)).toHaveLength(again.length);
   });
@@ -61,7 +69,7 @@
     (seed) => {
       const network = networkOf(seed);
       for (let at = 0; at < 20_000; at += 40) {
-        network.at(at, () => network.ask({ fingerprint: 'popular', path: '/all/x' }));
+        network.at(at, () => network.sendRequest({ fingerprint: 'popular', path: '/all/x' }));
       }
       for (const at of [2_000, 6_500, 11_000]) {
         network.at(at, () => network.crash(() => true));
@@ -71,7 +79,7 @@
         reasonsOf(asked).includes('crashes-replicas'),
       );
       expect(blocked).toHaveLength(0);
-      const calm = network.asked.filter(({ askedAt }) => askedAt > 15_500);
+      const calm = network.asked.filter(({ requestedAt: askedAt }) => askedAt > 15_500);
       expect(calm.filter(isServed)).toHaveLength(calm.length);
     },
   );
@@ -80,16 +88,16 @@
     const network = networkOf(seed);
     network.lethal.add('lethal');
     for (let at = 0; at < 10_000; at += 250) {
-      network.at(at, () => network.ask({ fingerprint: 'lethal', path: '/one/x' }));
+      network.at(at, () => network.sendRequest({ fingerprint: 'lethal', path: '/one/x' }));
     }
     for (let at = 0; at < 20_000; at += 20) {
-      network.at(at, () => network.ask({ fingerprint: `r-${at % 200}`, path: '/one/x' }));
+      network.at(at, () => network.sendRequest({ fingerprint: `r-${at % 200}`, path: '/one/x' }));
     }
     network.advance(25_000);
     const others = network.asked.filter(({ fingerprint }) => fingerprint !== 'lethal');
     const blocked = others.filter((asked) => reasonsOf(asked).includes('crashes-replicas'));
     expect(blocked).toHaveLength(0);
-    const later = others.filter(({ askedAt }) => askedAt > 5_000);
+    const later = others.filter(({ requestedAt: askedAt }) => askedAt > 5_000);
     expect(later.filter(isServed)).toHaveLength(later.length);
   });
 });
@@ -100,7 +108,9 @@
     network.insteadOfRunning = (_place, fingerprint) =>
       fingerprint === 'failing' ? 'fails' : undefined;
     for (let at = 0; at < 10_000; at += 50) {
-      network.at(at, () => network.ask({ fingerprint: 'failing', path: '/one/x', retries: 0 }));
+      network.at(at, () =>
+        network.sendRequest({ fingerprint: 'failing', path: '/one/x', retries: 0 }),
+      );
     }
     network.at(5_000, () => network.crash(({ name }) => name.endsWith('/0')));
     network.advance(12_000);
@@ -109,14 +119,19 @@
 });
 
 /** The lethal request comes in pairs, each `everyMs`, at any gateway. */
-const playLethal = (network: CrashNetwork, path: string, everyMs: number, forMs: number): void => {
+const scheduleLethalRequests = (
+  network: CrashNetwork,
+  path: string,
+  everyMs: number,
+  forMs: number,
+): void => {
   network.lethal.add('lethal');
   for (let at = network.now; at < network.now + forMs; at += everyMs) {
-    network.at(at, () => network.ask({ fingerprint: 'lethal', path }));
+    network.at(at, () => network.sendRequest({ fingerprint: 'lethal', path }));
   }
 };
 
-const CONTACT_MS = 4_000;
+const PROPAGATION_MS = 4_000;
 
 describe('a request that ends every replica that runs it', () => {
   const cases = ['/all/x', '/one/x', '/once/x'].flatMap((path) =>
@@ -126,15 +141,15 @@
   it.each(cases)('is stopped: %s each %i ms', (path, everyMs) => {
     for (const gateways of [1, 8, 40]) {
       const network = networkOf(everyMs, gateways);
-      playLethal(network, path, everyMs, 30_000);
+      scheduleLethalRequests(network, path, everyMs, 30_000);
       network.advance(32_000);
-      expect(triesTooLate(network, 'lethal', CONTACT_MS)).toBeLessThanOrEqual(3);
+      expect(lateRequests(network, 'lethal', PROPAGATION_MS)).toBeLessThanOrEqual(3);
     }
   });
 
   it('is refused at once, with the time of its next trial, and nothing was sent', () => {
     const network = networkOf(1);
-    playLethal(network, '/all/x', 300, 10_000);
+    scheduleLethalRequests(network, '/all/x', 300, 10_000);
     network.advance(12_000);
     const [refused] = network.asked.at(-1)?.responses ?? [];
     expect(refused).toMatchObject({
@@ -149,7 +164,7 @@
 
   it('is refused by a gateway that starts meanwhile, within 4 s', () => {
     const network = networkOf(2);
-    playLethal(network, '/all/x', 300, 5_000);
+    scheduleLethalRequests(network, '/all/x', 300, 5_000);
     network.advance(6_000);
     const { arrivals } = network;
     const before = arrivals.length;
@@ -160,7 +175,7 @@
       network.start(first);
     }
     network.advance(4_000);
-    network.ask({ fingerprint: 'lethal', path: '/all/x', gateway: 'front-0', retries: 0 });
+    network.sendRequest({ fingerprint: 'lethal', path: '/all/x', gateway: 'front-0', retries: 0 });
     network.advance(1_000);
     expect(arrivals.slice(before)).toHaveLength(0);
   });
@@ -171,19 +186,19 @@
     const setCut = (isCut: boolean): void =>
       others.forEach((other) => first !== undefined && network.setCut(first, other, isCut));
     setCut(true);
-    playLethal(network, '/all/x', 300, 5_000);
+    scheduleLethalRequests(network, '/all/x', 300, 5_000);
     network.advance(8_000);
     setCut(false);
     network.advance(4_000);
     const before = network.arrivals.length;
-    network.ask({ fingerprint: 'lethal', path: '/all/x', gateway: 'front-0', retries: 0 });
+    network.sendRequest({ fingerprint: 'lethal', path: '/all/x', gateway: 'front-0', retries: 0 });
     network.advance(1_000);
     expect(network.arrivals.slice(before)).toHaveLength(0);
   });
 
   it('is refused where all gateways have ended and started anew', () => {
     const network = networkOf(7);
-    playLethal(network, '/all/x', 300, 5_000);
+    scheduleLethalRequests(network, '/all/x', 300, 5_000);
     network.advance(6_000);
     network.nodes.forEach((node) => network.kill(node));
     network.advance(1_000);
@@ -191,7 +206,7 @@
     network.advance(1_000);
     const before = network.arrivals.length;
     const asked = network.nodes.map(({ record }) =>
-      network.ask({ fingerprint: 'lethal', path: '/all/x', gateway: record.name }),
+      network.sendRequest({ fingerprint: 'lethal', path: '/all/x', gateway: record.name }),
     );
     network.advance(2_000);
     expect(network.arrivals.slice(before)).toHaveLength(0);
@@ -199,7 +214,7 @@
   });
 
   /** A gateway that did not know of the request starts anew, cut off from all others, with the store in reach. */
-  const startAlone = (network: CrashNetwork): CrashNode | undefined => {
+  const startIsolated = (network: CrashNetwork): CrashNode | undefined => {
     const [first, ...others] = network.nodes;
     if (first !== undefined) {
       network.kill(first);
@@ -215,61 +230,70 @@
 
   it('is suspected by a gateway that starts, from the entries of those that cannot tell it', () => {
     const network = networkOf(11);
-    playLethal(network, '/all/x', 500, 5_000);
+    scheduleLethalRequests(network, '/all/x', 500, 5_000);
     network.advance(6_000);
-    const alone = startAlone(network);
-    expect(verdictAt(alone, network)).toBe('suspected');
-    network.ask({ fingerprint: 'lethal', path: '/all/x', gateway: 'front-0', retries: 0 });
+    const isolated = startIsolated(network);
+    expect(verdictAt(isolated, network)).toBe('suspected');
+    network.sendRequest({ fingerprint: 'lethal', path: '/all/x', gateway: 'front-0', retries: 0 });
     network.advance(2_000);
-    expect(verdictAt(alone, network)).toBe('blocked');
+    expect(verdictAt(isolated, network)).toBe('blocked');
   });
 
   it('is served by one that starts, if its cause is gone, whatever entries of others still say', () => {
     const network = networkOf(12);
-    playLethal(network, '/all/x', 500, 5_000);
+    scheduleLethalRequests(network, '/all/x', 500, 5_000);
     network.advance(10_000);
     network.lethal.clear();
-    startAlone(network);
-    const asked = network.ask({ fingerprint: 'lethal', path: '/all/x', gateway: 'front-0' });
+    startIsolated(network);
+    const asked = network.sendRequest({
+      fingerprint: 'lethal',
+      path: '/all/x',
+      gateway: 'front-0',
+    });
     network.advance(2_000);
     expect(isServed(asked)).toBe(true);
   });
 
   it('is stopped while the store is away', () => {
     const network = networkOf(8);
-    network.isStoreAway = true;
-    playLethal(network, '/all/x', 1_000, 20_000);
+    network.isStoreDown = true;
+    scheduleLethalRequests(network, '/all/x', 1_000, 20_000);
     network.advance(22_000);
-    expect(triesTooLate(network, 'lethal', CONTACT_MS)).toBeLessThanOrEqual(3);
+    expect(lateRequests(network, 'lethal', PROPAGATION_MS)).toBeLessThanOrEqual(3);
   });
 
   it('is no longer kept in the store once a replica has answered it', () => {
     const network = networkOf(9);
-    playLethal(network, '/all/x', 500, 5_000);
+    scheduleLethalRequests(network, '/all/x', 500, 5_000);
     network.advance(70_000);
     expect(network.nodes.some(({ stored }) => stored.suspects !== undefined)).toBe(true);
     network.lethal.clear();
-    network.ask({ fingerprint: 'lethal', path: '/all/x' });
+    network.sendRequest({ fingerprint: 'lethal', path: '/all/x' });
     network.advance(5_000);
     expect(network.nodes.every(({ stored }) => stored.suspects === undefined)).toBe(true);
   });
 
   it('is tried at one replica after a minute, and served from then on if its cause is gone', () => {
     const network = networkOf(4);
-    playLethal(network, '/all/x', 500, 5_000);
+    scheduleLethalRequests(network, '/all/x', 500, 5_000);
     network.advance(63_000);
     const before = network.crashes.length;
-    network.ask({ fingerprint: 'lethal', path: '/all/x', retries: 0 });
+    network.sendRequest({ fingerprint: 'lethal', path: '/all/x', retries: 0 });
     network.advance(10_000);
     expect(network.crashes.length).toBe(before + 1);
-    network.ask({ fingerprint: 'lethal', path: '/all/x', retries: 0 });
+    network.sendRequest({ fingerprint: 'lethal', path: '/all/x', retries: 0 });
     network.advance(600_000);
     expect(network.crashes.length).toBe(before + 1);
     network.lethal.clear();
-    const trial = network.ask({ fingerprint: 'lethal', path: '/all/x', retries: 0 });
+    const trial = network.sendRequest({ fingerprint: 'lethal', path: '/all/x', retries: 0 });
     network.advance(1_000);
     const later = network.nodes.map(({ record }) =>
-      network.ask({ fingerprint: 'lethal', path: '/all/x', gateway: record.name, retries: 0 }),
+      network.sendRequest({
+        fingerprint: 'lethal',
+        path: '/all/x',
+        gateway: record.name,
+        retries: 0,
+      }),
     );
     network.advance(1_000);
     expect([trial, ...later].every(isServed)).toBe(true);
@@ -277,7 +301,7 @@
 
   it('costs few messages between gateways, and none once it is forgotten', () => {
     const network = networkOf(5);
-    playLethal(network, '/all/x', 300, 10_000);
+    scheduleLethalRequests(network, '/all/x', 300, 10_000);
     network.advance(10_000);
     expect(network.messages).toBeLessThan(8 * 25);
     network.advance(680_000);
@@ -289,7 +313,7 @@
   it('costs no message where replicas end for another cause and others serve what they ran', () => {
     const network = networkOf(6);
     for (let at = 0; at < 1_000; at += 5) {
-      network.at(at, () => network.ask({ fingerprint: `r-${at}`, path: '/one/x' }));
+      network.at(at, () => network.sendRequest({ fingerprint: `r-${at}`, path: '/one/x' }));
     }
     network.at(500, () => network.crash(({ name }) => name.endsWith('/0')));
     network.advance(5_000);
--- a/test/gateway/unseen-crashes.test.ts
+++ b/test/gateway/unawaited-crashes.test.ts
@@ -14,18 +14,18 @@
  */
 import { describe, expect, it } from 'vitest';
 import {
-  type Asking,
+  type CallerRequest,
   CrashNetwork,
-  sendsTooLate,
+  lateAttempts,
   shareServed,
-  triesTooLate,
+  lateRequests,
 } from './crash-network.js';
 import { gatherOf, routeTo } from './virtual-gateway.js';
 
-const CONTACT_MS = 4_000;
+const PROPAGATION_MS = 4_000;
 
 /** Sends that may still reach replicas after that. */
-const MOST_LATE_SENDS = 3;
+const MAX_LATE_ATTEMPTS = 3;
 
 const LETHAL = 'lethal';
 
@@ -42,7 +42,7 @@
 /** How the lethal request comes, and what it does. */
 interface Incident {
   readonly seed: number;
-  readonly asking: Partial<Asking>;
+  readonly asking: Partial<CallerRequest>;
   /** Time after which a replica ends; drawn as any work where absent. */
   readonly lethalMs?: number;
   readonly insteadOfRunning?: CrashNetwork['insteadOfRunning'];
@@ -51,7 +51,7 @@
 }
 
 /** The lethal request comes each 300 ms for 13 s, others each 30 ms all the while. */
-const play = ({
+const runIncident = ({
   seed,
   asking,
   lethalMs,
@@ -64,53 +64,55 @@
   network.lethalMs = lethalMs;
   network.insteadOfRunning = insteadOfRunning ?? network.insteadOfRunning;
   for (let at = 1_000; at < 14_000; at += 300) {
-    network.at(at, () => network.ask({ fingerprint: LETHAL, retries: 0, ...asking }));
+    network.at(at, () => network.sendRequest({ fingerprint: LETHAL, retries: 0, ...asking }));
   }
   for (let at = 0; at < 20_000; at += 30) {
-    network.at(at, () => network.ask({ fingerprint: `other-${at}`, path: '/all/y', retries: 1 }));
+    network.at(at, () =>
+      network.sendRequest({ fingerprint: `other-${at}`, path: '/all/y', retries: 1 }),
+    );
   }
   network.advance(25_000);
   return network;
 };
 
 const expectStopped = (network: CrashNetwork): void => {
-  expect(sendsTooLate(network, LETHAL, CONTACT_MS)).toBeLessThanOrEqual(MOST_LATE_SENDS);
+  expect(lateAttempts(network, LETHAL, PROPAGATION_MS)).toBeLessThanOrEqual(MAX_LATE_ATTEMPTS);
   expect(shareServed(network, isOther, 4_000, 20_000)).toBeGreaterThan(0.95);
 };
 
 describe('a request under which replicas end when nobody waits for them', () => {
   it('reaches replicas no more where its callers leave before', () => {
     for (const path of PATHS) {
-      expectStopped(play({ seed: 11, lethalMs: 90, asking: { path, leavesAfterMs: 40 } }));
+      expectStopped(runIncident({ seed: 11, lethalMs: 90, asking: { path, leavesAfterMs: 40 } }));
     }
   });
 
   it('reaches replicas no more where feeders ask them, and are told that the rest is not wanted', () => {
     const asking = { path: '/all/x', leavesAfterMs: 40 };
-    expectStopped(play({ seed: 16, lethalMs: 90, gateways: 40, asking }));
+    expectStopped(runIncident({ seed: 16, lethalMs: 90, gateways: 40, asking }));
   });
 
   it('reaches replicas no more where the time of its callers is over before', () => {
     for (const path of PATHS) {
-      expectStopped(play({ seed: 12, lethalMs: 120, asking: { path, budgetMs: 70 } }));
+      expectStopped(runIncident({ seed: 12, lethalMs: 120, asking: { path, budgetMs: 70 } }));
     }
   });
 });
 
 describe('a request that comes again before replicas end under it', () => {
   it.each(PATHS)('reaches replicas no more: %s', (path) => {
-    expectStopped(play({ seed: 14, lethalMs: 2_000, asking: { path, leavesAfterMs: 300 } }));
+    expectStopped(runIncident({ seed: 14, lethalMs: 2_000, asking: { path, leavesAfterMs: 300 } }));
   });
 });
 
 describe('a request over feeders that comes again before replicas end under it', () => {
   /** Late tries of each case: a seed, and the time after which replicas end. */
-  const triesOf = (
+  const lateRequestsOf = (
     cases: readonly (readonly [number, number])[],
-    asking: Partial<Asking>,
+    asking: Partial<CallerRequest>,
   ): readonly number[] =>
     cases.map(([seed, lethalMs]) =>
-      triesTooLate(play({ seed, lethalMs, gateways: 40, asking }), LETHAL, CONTACT_MS),
+      lateRequests(runIncident({ seed, lethalMs, gateways: 40, asking }), LETHAL, PROPAGATION_MS),
     );
 
   it('reaches replicas no more where its callers leave', () => {
@@ -118,8 +120,8 @@
       [13, 2_000],
       [16, 3_000],
     ] as const;
-    const tries = triesOf(cases, { path: '/all/x', leavesAfterMs: 300 });
-    expect(Math.max(...tries), tries.join()).toBeLessThanOrEqual(MOST_LATE_SENDS);
+    const late = lateRequestsOf(cases, { path: '/all/x', leavesAfterMs: 300 });
+    expect(Math.max(...late), late.join()).toBeLessThanOrEqual(MAX_LATE_ATTEMPTS);
   });
 
   it('reaches replicas no more where its callers wait', () => {
@@ -128,8 +130,8 @@
       [14, 2_000],
       [16, 1_000],
     ] as const;
-    const tries = triesOf(cases, { path: '/all/x' });
-    expect(Math.max(...tries), tries.join()).toBeLessThanOrEqual(MOST_LATE_SENDS);
+    const late = lateRequestsOf(cases, { path: '/all/x' });
+    expect(Math.max(...late), late.join()).toBeLessThanOrEqual(MAX_LATE_ATTEMPTS);
   });
 });
 
@@ -140,13 +142,15 @@
       count += 1;
       return count % 2 === 0 ? 'refuses' : undefined;
     };
-    const network = play({ seed: 15, insteadOfRunning, asking: { path, retries: 1 } });
-    expect(triesTooLate(network, LETHAL, CONTACT_MS)).toBeLessThanOrEqual(MOST_LATE_SENDS);
+    const network = runIncident({ seed: 15, insteadOfRunning, asking: { path, retries: 1 } });
+    expect(lateRequests(network, LETHAL, PROPAGATION_MS)).toBeLessThanOrEqual(MAX_LATE_ATTEMPTS);
   });
 
   it('reaches replicas no more where others answer it with a failure that they sign', () => {
     const insteadOfRunning: CrashNetwork['insteadOfRunning'] = (place, fingerprint) =>
       place.endsWith('/0') && fingerprint === LETHAL ? 'fails' : undefined;
-    expectStopped(play({ seed: 13, insteadOfRunning, asking: { path: '/all/x', retries: 1 } }));
+    expectStopped(
+      runIncident({ seed: 13, insteadOfRunning, asking: { path: '/all/x', retries: 1 } }),
+    );
   });
 });
--- a/test/platform/crashing-requests.test.ts
+++ b/test/platform/crashing-requests.test.ts
@@ -11,14 +11,14 @@
 
 let fixture: GatewayFixture;
 let peers: RunningGateway[];
-let ended: string[];
+let crashed: string[];
 
 /** A replica that is asked for the lethal path ends: its connections are reset, and its port is closed. */
-const endOnLethal = (replica: StandInReplica): void => {
+const crashOnLethal = (replica: StandInReplica): void => {
   replica.observer = {
     arrived: ({ path }) => {
       if (path === LETHAL) {
-        ended.push(replica.id);
+        crashed.push(replica.id);
         void replica.stop();
       }
     },
@@ -29,13 +29,13 @@
 };
 
 beforeEach(async () => {
-  ended = [];
+  crashed = [];
   fixture = await GatewayFixture.create();
   const route = { path_prefix: '/all/', gather: SHARDS, top_k: 4, min_coverage: 0.5 };
   fixture.configure([routeSpec(route)], SHARDS, 40);
   for (const shard of SHARDS) {
     for (const copy of COPIES) {
-      endOnLethal(await fixture.addReplica(`${shard}-${copy}`, shard, { workMs: 5 }));
+      crashOnLethal(await fixture.addReplica(`${shard}-${copy}`, shard, { workMs: 5 }));
     }
   }
   peers = [await fixture.startPeer('front-2', 1), await fixture.startPeer('front-3', 1)];
@@ -60,12 +60,12 @@
 
 describe('a request that ends every replica that runs it, over sockets', () => {
   it('is refused at all gateways after two tries, and leaves replicas for others', async () => {
-    const tries = [await askEach(LETHAL), await askEach(LETHAL)].flat();
-    expect(tries.slice(0, 2)).toEqual([502, 502]);
-    expect(tries.slice(2)).toEqual([503, 503, 503, 503]);
-    expect(ended).toHaveLength(SHARDS.length + 2);
+    const statuses = [await askEach(LETHAL), await askEach(LETHAL)].flat();
+    expect(statuses.slice(0, 2)).toEqual([502, 502]);
+    expect(statuses.slice(2)).toEqual([503, 503, 503, 503]);
+    expect(crashed).toHaveLength(SHARDS.length + 2);
     expect(await askEach('/all/other')).toEqual([200, 200, 200]);
-    expect(ended).toHaveLength(SHARDS.length + 2);
+    expect(crashed).toHaveLength(SHARDS.length + 2);
   });
 
   it('is refused with the time of its next trial, and logged, counted and shown with its reason', async () => {
@@ -95,7 +95,7 @@
     expect(own?.name).toBe(writer?.settings.node);
     [fixture.gateway, ...peers].forEach((gateway) => gateway.kill());
     await delay(50);
-    const anew = await fixture.startPeer(writer?.settings.node ?? '', 1);
-    await until(() => anew.state.crashes.histories.size > 0, 'it is known again');
+    const restarted = await fixture.startPeer(writer?.settings.node ?? '', 1);
+    await until(() => restarted.state.crashes.histories.size > 0, 'it is known again');
   });
 });
--- a/test/platform/unseen-crashes.test.ts
+++ b/test/platform/unawaited-crashes.test.ts
@@ -9,15 +9,15 @@
 const COPIES = [1, 2, 3];
 const SERVICE = 'single';
 
-const CONTACT_MS = 4_000;
-const MOST_LATE_SENDS = 3;
+const PROPAGATION_MS = 4_000;
+const MAX_LATE_ATTEMPTS = 3;
 
 /** Each 300 ms one, for so long. */
-const EVERY_MS = 300;
-const PLAYED_MS = 8_000;
+const INTERVAL_MS = 300;
+const DURATION_MS = 8_000;
 
 /** A replica is back so long after it ended. */
-const BACK_AFTER_MS = 2_000;
+const RESTART_MS = 2_000;
 
 /** Work of a replica on any other request, and longer than a test lasts. */
 const WORK_MS = 5;
@@ -27,7 +27,7 @@
 interface Incident {
   readonly path: string;
   /** How long after it has begun to run it a replica ends. */
-  readonly endsAfterMs: number;
+  readonly crashesAfterMs: number;
   /** The caller closes its connection after so long; absent where it waits. */
   readonly leavesAfterMs?: number;
   readonly budgetMs?: number;
@@ -36,9 +36,9 @@
 }
 
 /** Replicas that end under the lethal path, and start again under other identifiers. */
-class EndingReplicas {
+class CrashingReplicas {
   readonly sends: number[] = [];
-  readonly ends: number[] = [];
+  readonly crashes: number[] = [];
   isOver = false;
 
   constructor(
@@ -63,8 +63,8 @@
           Object.assign(replica.behaviour, incident.firstCopy);
         } else {
           setTimeout(
-            () => void this.end(replica, service, copy, incarnation),
-            incident.endsAfterMs,
+            () => void this.crashReplica(replica, service, copy, incarnation),
+            incident.crashesAfterMs,
           );
         }
       },
@@ -74,7 +74,7 @@
     };
   }
 
-  private async end(
+  private async crashReplica(
     replica: StandInReplica,
     service: string,
     copy: number,
@@ -83,24 +83,24 @@
     if (!this.fixture.replicas.delete(replica.id)) {
       return;
     }
-    this.ends.push(performance.now());
+    this.crashes.push(performance.now());
     await replica.stop();
-    await delay(BACK_AFTER_MS);
+    await delay(RESTART_MS);
     if (!this.isOver) {
       this.fixture.store.remove('servers', replica.id);
       await this.start(service, copy, incarnation + 1);
     }
   }
 
-  get sendsTooLate(): number {
-    const [, , third = Number.POSITIVE_INFINITY] = this.ends;
-    return this.sends.filter((at) => at > third + CONTACT_MS).length;
+  get lateAttempts(): number {
+    const [, , third = Number.POSITIVE_INFINITY] = this.crashes;
+    return this.sends.filter((at) => at > third + PROPAGATION_MS).length;
   }
 }
 
-const play = async (incident: Incident): Promise<{ late: number; served: number }> => {
+const runIncident = async (incident: Incident): Promise<{ late: number; served: number }> => {
   const fixture = await GatewayFixture.create();
-  const replicas = new EndingReplicas(fixture, incident);
+  const replicas = new CrashingReplicas(fixture, incident);
   try {
     const gather = { path_prefix: '/all/', gather: SHARDS, top_k: 4, min_coverage: 0.5 };
     const single = { path_prefix: '/one/', service: SERVICE };
@@ -116,7 +116,7 @@
     const gateways = [fixture.gateway, ...peers].map(({ state }) => state.settings.callers);
     const others: Promise<boolean>[] = [];
     const began = performance.now();
-    for (let tick = 0; performance.now() - began < PLAYED_MS; tick += 1) {
+    for (let tick = 0; performance.now() - began < DURATION_MS; tick += 1) {
       const to = gateways[tick % gateways.length];
       const { path, budgetMs = 1_000, leavesAfterMs = 5_000 } = incident;
       const signal = AbortSignal.timeout(leavesAfterMs);
@@ -125,11 +125,11 @@
       const other = { id: `other-${tick}`, path: '/all/other', ...(to !== undefined && { to }) };
       const isServed = fixture.ask(other).then(({ status }) => status === 200);
       others.push(isServed.catch(() => false));
-      await delay(EVERY_MS);
+      await delay(INTERVAL_MS);
     }
     const served = await Promise.all(others);
     return {
-      late: replicas.sendsTooLate,
+      late: replicas.lateAttempts,
       served: served.filter(Boolean).length / served.length,
     };
   } finally {
@@ -139,23 +139,23 @@
 };
 
 const ROWS: readonly (readonly [string, Incident])[] = [
-  ['callers leave, one service', { path: '/one/x', endsAfterMs: 90, leavesAfterMs: 40 }],
-  ['callers leave, all shards', { path: '/all/x', endsAfterMs: 90, leavesAfterMs: 40 }],
-  ['their time is over, one service', { path: '/one/x', endsAfterMs: 120, budgetMs: 70 }],
-  ['their time is over, all shards', { path: '/all/x', endsAfterMs: 120, budgetMs: 70 }],
+  ['callers leave, one service', { path: '/one/x', crashesAfterMs: 90, leavesAfterMs: 40 }],
+  ['callers leave, all shards', { path: '/all/x', crashesAfterMs: 90, leavesAfterMs: 40 }],
+  ['their time is over, one service', { path: '/one/x', crashesAfterMs: 120, budgetMs: 70 }],
+  ['their time is over, all shards', { path: '/all/x', crashesAfterMs: 120, budgetMs: 70 }],
   [
     'one replica of each shard signs a failure',
-    { path: '/all/x', endsAfterMs: 10, firstCopy: { status: 500 } },
+    { path: '/all/x', crashesAfterMs: 10, firstCopy: { status: 500 } },
   ],
-  ['callers wait', { path: '/all/x', endsAfterMs: 10 }],
+  ['callers wait', { path: '/all/x', crashesAfterMs: 10 }],
 ];
 
 describe('a request that ends the replicas that run it, over sockets', () => {
   it.concurrent.each(ROWS)(
     'reaches replicas no more, and others are served: %s',
     async (_name, incident) => {
-      const { late, served } = await play(incident);
-      expect(late).toBeLessThanOrEqual(MOST_LATE_SENDS);
+      const { late, served } = await runIncident(incident);
+      expect(late).toBeLessThanOrEqual(MAX_LATE_ATTEMPTS);
       expect(served).toBeGreaterThan(0.9);
     },
     40_000,
