--- a/src/gateway/protocol/protocol.ts
+++ b/src/gateway/protocol/protocol.ts
@@ -1,6 +1,6 @@
 /**
- * What differs between the places where a gateway runs: names of headers, paths, and the formats of
- * the store's bodies. Nothing here decides anything.
+ * The interface of a platform's protocol: names of headers, paths and the formats of the store's bodies. An implementation
+ * only formats and parses; it makes no decisions.
  */
 import type { Either } from 'purify-ts/Either';
 import type { LoadReport } from '../model/request.js';
@@ -10,25 +10,25 @@
 
 /** Names of headers, in lower case. */
 export interface HeaderNames {
-  /** Identifier of a request; replicas echo it. */
+  /** Identifier of a request, which replicas echo. */
   readonly requestId: string;
-  /** Time left, in whole milliseconds. */
+  /** Remaining time of a request, in whole milliseconds. */
   readonly timeBudget: string;
   /** Signature of a replica's answer. */
   readonly signature: string;
-  /** The incarnation that a request is meant for. */
+  /** Identifier of the replica incarnation that a request is addressed to. */
   readonly targetInstance: string;
   /** Load of the replica. */
   readonly load: string;
-  /** Says that a replica did not run the request. */
+  /** States that the replica did not run the request. */
   readonly notExecuted: string;
   /** Signatures of the parts of a merged answer, joined by commas. */
   readonly partSignatures: string;
-  /** Number of shards that a merged answer leaves out. */
+  /** Number of shards missing from a merged answer. */
   readonly missingParts: string;
   /** Era of the store, in its answers. */
   readonly storeEra: string;
-  /** Headers that say who asks. */
+  /** Headers that identify the caller. */
   readonly caller: readonly string[];
 }
 
@@ -40,19 +40,19 @@
   readonly body?: string;
 }
 
-/** Calls to the store and its answers. */
+/** Formats of the calls to the store and of its answers. Readers return all findings if a body is malformed. */
 export interface StoreFormat {
-  /** The request of a call. */
+  /** Returns the HTTP request of a call. */
   formatCall(call: StoreCall): StoreRequest;
   readPage(call: ListCall, body: string): Either<readonly Finding[], StorePage>;
   readChanges(call: WatchCall, body: string): Either<readonly Finding[], StoreChanges>;
 }
 
-/** A protocol that a gateway speaks. */
+/** The protocol between a gateway, its callers, the replicas and the store. */
 export interface GatewayProtocol {
   readonly headers: HeaderNames;
   readonly readinessPath: string;
-  /** Reads the value of the load header; undefined where it is malformed. */
+  /** Parses the value of the load header; undefined if it is malformed. */
   readLoad(value: string): LoadReport | undefined;
   readonly store: StoreFormat;
 }
