--- a/src/gateway/effect.ts
+++ b/src/gateway/effect.ts
@@ -1,4 +1,4 @@
-/** Every effect that the gateway's reducer asks of its driver. Effects are data. */
+/** All effects that the gateway's reducer requests from its driver. Effects are plain data. */
 import type { CrashNews } from './crashes/crash-news.js';
 import type { BeliefChange, TracedDecision, TraceReason } from './log/log-event.js';
 import type { CallerLimits, GatewayConfiguration } from './model/route.js';
@@ -9,35 +9,35 @@
 import type { FollowerId, KnownPositions, ReaderNews } from './readers/reader-news.js';
 import type { CollectionName, StoreCall } from './store/collection.js';
 
-/** Sends a request to a replica; ends in `attempt-ended`, always, also when aborted. */
+/** Sends a request to a replica; always results in `attempt-ended`, also if it is aborted. */
 export interface SendAttempt {
   readonly type: 'send-attempt';
   readonly attempt: AttemptId;
   readonly call: CallId;
   readonly replica: ReplicaRecord;
-  /** When the request's time is over; what is left when it is sent is told to the replica. */
+  /** Deadline of the request; the replica is sent the time that remains. */
   readonly deadlineAt: number;
-  /** Connections that this gateway may hold to the replica. */
+  /** Maximum number of connections that this gateway may hold to the replica. */
   readonly maxConnections: number;
   /** Whether the request may run more than once. */
   readonly repeatable: boolean;
 }
 
-/** Opens a connection to a replica ahead of its first attempt. */
+/** Opens a connection to a replica before its first attempt. */
 export interface OpenConnection {
   readonly type: 'open-connection';
   readonly replica: ReplicaRecord;
 }
 
-/** Looks whether a replica takes connections; ends in `replica-checked`. One that opens is kept for use. */
+/** Checks whether a replica accepts connections; results in `replica-checked`. A connection that opens is kept for use. */
 export interface CheckReplica {
   readonly type: 'check-replica';
   readonly replica: ReplicaRecord;
 }
 
 /**
- * Keeps a connection to a replica until then, and looks at the replica when one breaks; ends in `replica-checked` each
- * time, and once at first where there is none.
+ * Keeps a connection to a replica until `untilAt` and checks the replica whenever a connection to it breaks. Each check
+ * results in `replica-checked`; if no connection exists at the beginning, the replica is checked then as well.
  */
 export interface WatchReplica {
   readonly type: 'watch-replica';
@@ -45,33 +45,33 @@
   readonly untilAt: number;
 }
 
-/** Tells other gateways of requests under which replicas have ended. */
+/** Sends updates about requests that have crashed replicas to other gateways. */
 export interface TellCrashes {
   readonly type: 'tell-crashes';
   readonly peers: readonly PeerRecord[];
   readonly news: readonly CrashNews[];
 }
 
-/** Sets the timer after which other gateways are told of them. */
+/** Sets the timer of the next crash updates to other gateways. */
 export interface SetCrashNewsTimer {
   readonly type: 'set-crash-news-timer';
   readonly at: number;
 }
 
-/** Gives up an attempt: its connection is closed unless the answer comes within `withinMs`. */
+/** Aborts an attempt: its connection is closed unless the answer arrives within `withinMs`. */
 export interface AbortAttempt {
   readonly type: 'abort-attempt';
   readonly attempt: AttemptId;
   readonly withinMs: number;
 }
 
-/** Closes the connections to a replica that is gone, once they are idle. */
+/** Closes the connections to a replica that is gone, as soon as they are idle. */
 export interface CloseReplica {
   readonly type: 'close-replica';
   readonly replica: string;
 }
 
-/** Answers a caller; the call is over. */
+/** Answers a caller and ends the call. */
 export interface AnswerCaller {
   readonly type: 'answer-caller';
   readonly call: CallId;
@@ -80,7 +80,9 @@
   readonly closeConnection: boolean;
 }
 
-/** Asks a feeder for the parts of some shards; ends in a final `subquery-answered` or in `subquery-failed`. */
+/**
+ * Requests the parts of some shards from a feeder; results in a final `subquery-answered` or in `subquery-failed`.
+ */
 export interface SendSubquery {
   readonly type: 'send-subquery';
   readonly id: SubqueryId;
@@ -89,63 +91,63 @@
   readonly subquery: Subquery;
 }
 
-/** Tells a feeder that the rest of a subquery is no longer wanted. */
+/** Cancels the rest of a subquery at its feeder. */
 export interface CancelSubquery {
   readonly type: 'cancel-subquery';
   readonly id: SubqueryId;
   readonly withinMs: number;
 }
 
-/** Tells the gateway that asked that a subquery is at work. */
+/** Acknowledges a received subquery to the coordinator. */
 export interface AcknowledgeSubquery {
   readonly type: 'acknowledge-subquery';
   readonly call: CallId;
 }
 
-/** Sends parts to the gateway that asked; the call is over after the final ones. */
+/** Sends parts to the coordinator; the final ones end the call. */
 export interface AnswerSubquery {
   readonly type: 'answer-subquery';
   readonly call: CallId;
   readonly part: SubqueryPart;
 }
 
-/** Refuses a subquery that has not run. */
+/** Refuses a received subquery that has not run. */
 export interface RefuseSubquery {
   readonly type: 'refuse-subquery';
   readonly call: CallId;
 }
 
-/** Opens a connection to a peer ahead of the first subquery. */
+/** Opens a connection to a peer before the first subquery. */
 export interface OpenPeer {
   readonly type: 'open-peer';
   readonly peer: PeerRecord;
 }
 
-/** Asks a peer again and again whether it lives; ends in `peer-alive`. */
+/** Sends pings to a peer until enough consecutive ones are answered promptly; results in `peer-alive`. */
 export interface CheckPeer {
   readonly type: 'check-peer';
   readonly peer: PeerRecord;
 }
 
-/** Tells all peers that this gateway is about to end. */
+/** Announces to all peers that this gateway is stopping. */
 export interface AnnounceStop {
   readonly type: 'announce-stop';
 }
 
-/** The call is over without an answer: its caller has left. */
+/** Ends a call without an answer, because its caller has disconnected. */
 export interface ForgetCall {
   readonly type: 'forget-call';
   readonly call: CallId;
 }
 
-/** Sets the one timer of a request, in place of any before. */
+/** Sets the single timer of a request, replacing an earlier one. */
 export interface SetRequestTimer {
   readonly type: 'set-request-timer';
   readonly call: CallId;
   readonly at: number;
 }
 
-/** Calls the store; ends in `page-read`, `changes-read` or `store-call-failed`. */
+/** Calls the store; results in `page-read`, `changes-read`, `store-call-failed` or, for a probe, `probe-ended`. */
 export interface CallStore {
   readonly type: 'call-store';
   readonly call: StoreCall;
@@ -164,79 +166,79 @@
   readonly at: number;
 }
 
-/** Gives up the call by which a collection is followed. */
+/** Aborts the pending list or watch of a collection. */
 export interface DropStoreCall {
   readonly type: 'drop-store-call';
   readonly collection: CollectionName;
 }
 
-/** Sets the timer after which this gateway looks whether its entry stands in the store. */
+/** Sets the timer of the next check whether the store holds this gateway's entry. */
 export interface SetRegistrationTimer {
   readonly type: 'set-registration-timer';
   readonly at: number;
 }
 
-/** Sets the timer of the next look at who reads the store. */
+/** Sets the timer of the next choice of who reads the store. */
 export interface SetReadingTimer {
   readonly type: 'set-reading-timer';
   readonly at: number;
 }
 
-/** Asks a reader to tell what it reads from the store; `reader-told` follows again and again. */
+/** Subscribes to a reader's updates from the store; each update results in `reader-told`. */
 export interface FollowReader {
   readonly type: 'follow-reader';
   readonly peer: PeerRecord;
   readonly positions: KnownPositions;
-  /** Told to a reader that has an older one, after a return of the store; absent mostly. */
+  /** Sent to a reader that has an older configuration, after the store was restored from a backup; usually absent. */
   readonly configuration?: GatewayConfiguration;
 }
 
-/** Tells a reader that nothing is wanted any more. */
+/** Ends the subscription to a reader's updates. */
 export interface UnfollowReader {
   readonly type: 'unfollow-reader';
   readonly reader: string;
 }
 
-/** Tells followers what was read from the store. */
+/** Sends followers an update of what was read from the store. */
 export interface TellFollowers {
   readonly type: 'tell-followers';
   readonly followers: readonly FollowerId[];
   readonly news: ReaderNews;
 }
 
-/** Sets the timer of the stop. */
+/** Sets the timer of the next step of a stop. */
 export interface SetStopTimer {
   readonly type: 'set-stop-timer';
   readonly at: number;
 }
 
-/** Says whether this gateway wants new connections of callers. */
+/** Sets whether the readiness port reports this gateway as ready for new connections of callers. */
 export interface SetReadiness {
   readonly type: 'set-readiness';
   readonly ready: boolean;
 }
 
-/** Puts bounds on what callers send. */
+/** Applies limits on what callers send. */
 export interface ApplyLimits {
   readonly type: 'apply-limits';
   readonly limits: CallerLimits;
 }
 
-/** Takes no further connection of callers. */
+/** Stops accepting connections of callers. */
 export interface CloseCallerPort {
   readonly type: 'close-caller-port';
 }
 
-/** All work is done after a stop was asked for: the process may end. */
+/** Ends the process after a stop. */
 export interface EndProcess {
   readonly type: 'end-process';
 }
 
-/** Parts of the gateway that log; each has a fixed prefix. */
+/** Parts of the gateway that write logs; each has a fixed prefix. */
 export type GatewayLogPart =
   'request' | 'caller' | 'replica' | 'peer' | 'configuration' | 'store' | 'lifecycle';
 
-/** Writes a line of the log. */
+/** Writes a log line. */
 export interface WriteLog {
   readonly type: 'write-log';
   readonly level: 'debug' | 'info' | 'warn' | 'error';
@@ -244,7 +246,7 @@
   readonly change: BeliefChange;
 }
 
-/** Writes a line for each decision about a request that has ended. */
+/** Writes a log line for each decision about a request that has ended. */
 export interface WriteTrace {
   readonly type: 'write-trace';
   readonly requestId: string;
--- a/src/gateway/event.ts
+++ b/src/gateway/event.ts
@@ -1,6 +1,6 @@
 /**
- * Every event that the gateway's reducer takes. Each carries `at`, the time in milliseconds on the
- * monotonic clock of the process; the reducer reads no other clock.
+ * All events that the gateway's reducer handles. Each carries `at`, the time in milliseconds on the monotonic clock of the
+ * process; the reducer reads no other clock.
  */
 import type { CrashNews } from './crashes/crash-news.js';
 import type { GatewayConfiguration } from './model/route.js';
@@ -25,30 +25,30 @@
   readonly at: number;
 }
 
-/** The process did nothing for a while: it was stopped, or its machine suspended. Emitted when it goes on. */
+/** The process was paused or its machine was suspended. Emitted when the process resumes. */
 export interface ProcessPaused {
   readonly type: 'stood-still';
   readonly at: number;
-  /** In milliseconds. */
+  /** Length of the pause, in milliseconds. */
   readonly forMs: number;
-  /** How much of it the machine was suspended. */
+  /** Part of the pause in which the machine was suspended, in milliseconds. */
   readonly suspendedMs: number;
 }
 
-/** The process is told to stop; requests in progress are finished. */
+/** The process was asked to stop; requests in progress are finished. */
 export interface StopRequested {
   readonly type: 'stop-requested';
   readonly at: number;
 }
 
-/** The settings were read again. */
+/** The settings were reloaded. */
 export interface SettingsReloaded {
   readonly type: 'settings-reloaded';
   readonly at: number;
   readonly settings: GatewaySettings;
 }
 
-/** A request of a caller has arrived whole. */
+/** A caller's request has arrived completely. */
 export interface RequestReceived {
   readonly type: 'request-received';
   readonly at: number;
@@ -56,19 +56,19 @@
   readonly request: CallerRequest;
 }
 
-/** Something that is no request has come from a caller, and was refused. */
+/** Bytes from a caller that cannot be parsed as a request were refused. */
 export interface UnreadableRefused {
   readonly type: 'unreadable-refused';
   readonly at: number;
   readonly problem: UnreadableProblem;
   readonly status: number;
-  /** What the parser said. */
+  /** Message of the parser. */
   readonly detail: string;
   /** Address of the caller. */
   readonly from: string;
 }
 
-/** The caller has closed its connection before the answer. */
+/** The caller closed its connection before the answer. */
 export interface CallerLeft {
   readonly type: 'caller-left';
   readonly at: number;
@@ -83,31 +83,31 @@
   readonly result: AttemptResult;
 }
 
-/** It was looked whether a replica takes connections. */
+/** A check whether a replica accepts connections has ended. */
 export interface ReplicaChecked {
   readonly type: 'replica-checked';
   readonly at: number;
   readonly replica: string;
-  /** Its machine answers that nothing listens there; false also where no answer came. */
+  /** The replica's machine refused the connection, as nothing listens on the port; false if no answer arrived. */
   readonly isDown: boolean;
 }
 
-/** It is time to tell other gateways of requests under which replicas have ended. */
+/** The next crash updates to other gateways are due. */
 export interface CrashNewsDue {
   readonly type: 'crash-news-due';
   readonly at: number;
 }
 
-/** Another gateway has told of requests under which replicas have ended. */
+/** Another gateway has sent updates about requests that have crashed replicas. */
 export interface CrashesTold {
   readonly type: 'crashes-told';
   readonly at: number;
-  /** Name of the gateway that told it. */
+  /** Name of the gateway that sent the updates. */
   readonly from: string;
   readonly news: readonly CrashNews[];
 }
 
-/** A timer of a request has run out. */
+/** The timer of a request has expired. */
 export interface RequestDue {
   readonly type: 'request-due';
   readonly at: number;
@@ -132,14 +132,14 @@
   readonly changes: StoreChanges;
 }
 
-/** A call for a collection failed. */
+/** A list or watch of a collection has failed. */
 export interface StoreCallFailed {
   readonly type: 'store-call-failed';
   readonly at: number;
   readonly collection: CollectionName;
-  /** `history-gone`: the store no longer knows the changes since the watched revision. */
+  /** `history-gone`: the store has discarded the changes since the watched revision. */
   readonly problem: 'history-gone' | 'throttled' | 'unavailable' | 'no-answer' | 'malformed';
-  /** What the client or the parser said. */
+  /** Message of the client or the parser. */
   readonly detail: string;
   /** Era of the store that the answer names; absent where there was none. */
   readonly era?: StoreEra;
@@ -154,7 +154,7 @@
   readonly era?: StoreEra;
 }
 
-/** Another gateway asks this one for the parts of some shards. */
+/** Another gateway requests the parts of some shards from this one. */
 export interface SubqueryReceived {
   readonly type: 'subquery-received';
   readonly at: number;
@@ -164,16 +164,16 @@
   readonly subquery: Subquery;
 }
 
-/** The gateway that asked no longer wants the rest, or is gone. */
+/** The coordinator has cancelled the rest of a subquery, or its connection is closed. */
 export interface SubqueryCancelled {
   readonly type: 'subquery-cancelled';
   readonly at: number;
   readonly call: CallId;
-  /** Time that attempts have to end by themselves, in milliseconds. */
+  /** Time after which unfinished attempts are aborted, in milliseconds. */
   readonly withinMs: number;
 }
 
-/** A feeder has taken a subquery. */
+/** A feeder has acknowledged a subquery. */
 export interface SubqueryAcknowledged {
   readonly type: 'subquery-acknowledged';
   readonly at: number;
@@ -188,7 +188,7 @@
   readonly part: SubqueryPart;
 }
 
-/** A subquery ended without all of its parts: the feeder refused it, or cannot be reached. */
+/** A subquery ended without all of its parts: the feeder refused it or is unreachable. */
 export interface SubqueryFailed {
   readonly type: 'subquery-failed';
   readonly at: number;
@@ -197,14 +197,14 @@
   readonly mayHaveRun: boolean;
 }
 
-/** A peer that was passed over has answered promptly. */
+/** A suspected peer has answered a check promptly. */
 export interface PeerAlive {
   readonly type: 'peer-alive';
   readonly at: number;
   readonly peer: string;
 }
 
-/** A peer cannot be reached, says nothing any more, or is about to end. */
+/** A peer is unreachable, silent or stopping. */
 export interface PeerLost {
   readonly type: 'peer-lost';
   readonly at: number;
@@ -218,46 +218,46 @@
   readonly at: number;
 }
 
-/** Another gateway wants to be told what this one reads from the store. */
+/** Another gateway subscribes to this gateway's updates from the store. */
 export interface FollowerJoined {
   readonly type: 'follower-joined';
   readonly at: number;
   readonly follower: FollowerId;
-  /** Up to where it knows the collections. */
+  /** Positions up to which the follower knows the collections. */
   readonly positions: KnownPositions;
-  /** A newer configuration than this gateway has told; absent mostly. */
+  /** Configuration of the follower that is newer than the one sent by this gateway; usually absent. */
   readonly configuration?: GatewayConfiguration;
 }
 
-/** A follower no longer wants to be told, or is gone. */
+/** A follower has unsubscribed or its connection is closed. */
 export interface FollowerLeft {
   readonly type: 'follower-left';
   readonly at: number;
   readonly follower: FollowerId;
 }
 
-/** A reader has told something. */
+/** A reader has sent an update. */
 export interface ReaderTold {
   readonly type: 'reader-told';
   readonly at: number;
-  /** Name of the reader, as it was followed. */
+  /** Name under which the reader is followed. */
   readonly reader: string;
   readonly news: ReaderNews;
 }
 
-/** It is time to look who reads the store, and to tell followers that this gateway lives. */
+/** The next choice of who reads the store, and the next status update to followers, are due. */
 export interface ReadingDue {
   readonly type: 'reading-due';
   readonly at: number;
 }
 
-/** It is time to look whether this gateway's entry stands in the store. */
+/** The next check whether the store holds this gateway's entry is due. */
 export interface RegistrationDue {
   readonly type: 'registration-due';
   readonly at: number;
 }
 
-/** A collection's pause between calls is over. */
+/** The next call for a collection is due. */
 export interface CollectionDue {
   readonly type: 'collection-due';
   readonly at: number;
--- a/src/gateway/field-reader.ts
+++ b/src/gateway/field-reader.ts
@@ -1,6 +1,6 @@
 /**
- * Reads fields of decoded JSON and collects a finding, with its place, for each that is missing or
- * of the wrong type, so that all are reported together.
+ * Reads fields of decoded JSON. Each field that is missing or of the wrong type yields a finding with its place, so that all
+ * problems are reported together.
  */
 import { type Either, Left, Right } from 'purify-ts/Either';
 import type { Finding } from '../table/finding.js';
@@ -10,7 +10,7 @@
 const isFields = (value: unknown): value is Fields =>
   typeof value === 'object' && value !== null && !Array.isArray(value);
 
-/** Reads the fields of one object; readers of nested objects share its findings. */
+/** Reads the fields of one object; readers of nested objects add to the same findings. */
 export class FieldReader {
   private readonly fields: Fields;
 
@@ -34,10 +34,10 @@
     if (typeof value === 'string') {
       return value;
     }
-    return this.missing(name, value, 'a text', fallback, '');
+    return this.missing(name, value, 'a string', fallback, '');
   }
 
-  /** A finite number of at least `minimum`. */
+  /** Reads a finite number of at least `minimum`. */
   number(name: string, minimum = 0, fallback?: number): number {
     const value = this.fields[name];
     if (typeof value === 'number' && Number.isFinite(value) && value >= minimum) {
@@ -57,14 +57,14 @@
   texts(name: string): readonly string[] {
     return this.items(name).flatMap((item, index) => {
       if (typeof item !== 'string') {
-        this.report(`${name}[${index}]`, 'is not a text');
+        this.report(`${name}[${index}]`, 'is not a string');
         return [];
       }
       return [item];
     });
   }
 
-  /** The objects of a list, each with its place. */
+  /** Returns a reader, with its place, for each object of a list. */
   objects(name: string): readonly FieldReader[] {
     return this.items(name).map(
       (item, index) => new FieldReader(item, this.placeOf(`${name}[${index}]`), this.findings),
@@ -75,7 +75,7 @@
     return new FieldReader(this.fields[name], this.placeOf(name), this.findings);
   }
 
-  /** The value of a field as it stands. */
+  /** Returns the value of a field without checks. */
   raw(name: string): unknown {
     return this.fields[name];
   }
@@ -89,7 +89,7 @@
     });
   }
 
-  /** The value, or all findings. */
+  /** Returns `value` if there are no findings, otherwise all findings. */
   result<Value>(value: Value): Either<readonly Finding[], Value> {
     return this.findings.length === 0 ? Right(value) : Left(this.findings);
   }
--- a/src/gateway/lifecycle.ts
+++ b/src/gateway/lifecycle.ts
@@ -5,18 +5,18 @@
 import { type GatewayState, canServe } from './state.js';
 
 /**
- * Time after the request to stop in which callers are still taken: the load balancer asks each
- * second and takes a gateway out after two questions without success.
+ * Time after the request to stop in which connections of callers are still accepted, in milliseconds: the load balancer
+ * checks readiness every second and removes a gateway after two failed checks.
  */
 const ACCEPT_WHILE_STOPPING_MS = 3_200;
 
-/** Time kept back of the grace period for the end of the process, in milliseconds. */
+/** Part of the grace period that is reserved for the end of the process, in milliseconds. */
 const END_MARGIN_MS = 500;
 
-/** How often a stop looks whether all requests are finished, in milliseconds. */
+/** Interval of the checks whether all requests are finished during a stop, in milliseconds. */
 const STOP_CHECK_INTERVAL_MS = 100;
 
-/** Tells the load balancer when the readiness has changed. */
+/** Updates the readiness that the load balancer reads, and logs a change of it. */
 export const updateReadiness = (state: GatewayState): GatewayEffect[] => {
   const ready = canServe(state) && (state.phase === 'starting' || state.phase === 'serving');
   if (ready === state.ready) {
@@ -55,7 +55,7 @@
   ];
 };
 
-/** Handles `stop-due`: ends the process once nothing is in progress, or when the grace is over. */
+/** Handles `stop-due`: ends the process when nothing is in progress any more, or when the grace period is over. */
 export const handleStopDue = (state: GatewayState, { at }: StopDue): GatewayEffect[] => {
   const elapsed = at - state.stoppingSince;
   const isGraceOver = elapsed >= state.settings.bounds.graceMs - END_MARGIN_MS;
--- a/src/gateway/process-pause.ts
+++ b/src/gateway/process-pause.ts
@@ -1,6 +1,7 @@
 /**
- * What a gateway does after its process stood still, stopped or suspended: what it knows may be out of date, and it takes no
- * callers until the store, or a gateway that reads it, has confirmed it. Requests that come meanwhile are held.
+ * Recovery after a process pause. The gateway's state may be outdated after the process was stopped or its machine suspended.
+ * The gateway is not ready for callers until the store, or a reader, has confirmed the state; requests that arrive in the
+ * meantime are held.
  */
 import type { GatewayEffect } from './effect.js';
 import type { ProcessPaused } from './event.js';
@@ -11,13 +12,14 @@
 import { confirmedAt } from './store/confirmation.js';
 
 /**
- * A gateway that nothing confirms goes on after this time with what it knows, in milliseconds, as all do while the store is
- * away: it would be of no use to anybody otherwise.
+ * Longest time to wait for a confirmation, in milliseconds. After that the gateway serves with the state that it has, as all
+ * gateways do while the store is unreachable; otherwise it would serve nobody.
  */
 const MAX_CONFIRM_MS = 1_000;
 
 /**
- * Handles `stood-still`. What had come before the process went on is read first: it may hold what a reader told long ago.
+ * Handles `stood-still`. Confirmation is requested only when the reading timer fires, so that input received during the pause
+ * is handled first: it may contain old updates of a reader.
  */
 export const handleProcessPaused = (
   state: GatewayState,
@@ -32,12 +34,12 @@
   return [log, ...updateReadiness(state), { type: 'set-reading-timer', at }];
 };
 
-/** Whether a reader, asked anew, has said that it tells all that the store holds, or the store itself has been read. */
+/** Whether a reader has reported since the request that it is current, or the store itself has been read. */
 const isConfirmed = (state: GatewayState, requestedAt: number): boolean =>
   confirmedAt(state) > requestedAt ||
   [...state.reading.sources.values()].some(({ isCurrent }) => isCurrent === true);
 
-/** Goes on once what is known has been confirmed, or nothing can confirm it. */
+/** Ends the recovery when the state has been confirmed, or when it cannot be confirmed. */
 export const finishPauseRecovery = (state: GatewayState, at: number): GatewayEffect[] => {
   const { pauseRecovery, reading, store } = state;
   if (pauseRecovery?.requestedAt === undefined) {
--- a/src/gateway/read-settings.ts
+++ b/src/gateway/read-settings.ts
@@ -1,4 +1,4 @@
-/** Reads a gateway's settings from JSON; all findings come together. */
+/** Reads a gateway's settings from JSON, and reports all findings together. */
 import { type Either, Left } from 'purify-ts/Either';
 import type { HostPort } from '../settings/node-settings.js';
 import { HOST_PORT_FORM, parseHostPort } from '../settings/parse-host-port.js';
@@ -39,7 +39,7 @@
 const readZoneRegions = (fields: FieldReader): Readonly<Record<string, string>> => {
   const regions = fields.raw('zoneRegions');
   if (typeof regions !== 'object' || regions === null) {
-    fields.report('zoneRegions', 'is not an object', 'the region of each zone');
+    fields.report('zoneRegions', 'is not an object', 'an object that maps each zone to its region');
     return {};
   }
   return Object.fromEntries(
@@ -51,7 +51,7 @@
   const text = fields.text('logLevel', 'info');
   const level = LOG_LEVELS.find((each) => each === text);
   if (level === undefined) {
-    fields.report('logLevel', 'is not a level', LOG_LEVELS.join(', '));
+    fields.report('logLevel', 'is not a log level', LOG_LEVELS.join(', '));
   }
   return level ?? 'info';
 };
@@ -72,7 +72,7 @@
   logLevel: readLogLevel(fields),
 });
 
-/** Reads the text of a settings file named `fileName`. */
+/** Parses the text of the settings file `fileName`; returns all findings if a setting is missing or invalid. */
 export const readGatewaySettings = (
   fileName: string,
   text: string,
--- a/src/gateway/reducer.ts
+++ b/src/gateway/reducer.ts
@@ -1,6 +1,6 @@
 /**
- * The reducer over all events of a gateway: takes one event, updates the state in place and returns
- * the effects in the order in which the driver must carry them out.
+ * The reducer over all events of a gateway. It handles one event, updates the state in place and returns the effects in the
+ * order in which the driver must execute them.
  */
 import { match } from 'ts-pattern';
 import { takeCrashesTold, takeCrashNewsDue } from './crashes/tell-crashes.js';
@@ -50,7 +50,7 @@
   return [...listCollections(state), ...takeReadingDue(state, at)];
 };
 
-/** Takes note of the era that an answer of the store names. */
+/** Records the era that an answer of the store gives. */
 const recordStoreEra = (
   state: GatewayState,
   { era, at }: { readonly era?: StoreEra; readonly at: number },
@@ -62,7 +62,7 @@
     ...(collection !== undefined && { collection }),
   });
 
-/** What follows when more of the store is known, wherever it came from. */
+/** Runs what depends on the state of the store, after an update from the store or a reader. */
 const resumeAfterStoreUpdate = (state: GatewayState, at: number): GatewayEffect[] => [
   ...acceptHeldRequests(state, at),
   ...preconnectReplicas(state),
@@ -145,7 +145,7 @@
     ])
     .exhaustive();
 
-/** Takes one event. Ends of attempts, the most frequent, go past the match. */
+/** Handles one event. `attempt-ended`, the most frequent one, bypasses the pattern match. */
 export const step = (state: GatewayState, event: GatewayEvent): GatewayEffect[] => {
   if (event.type === 'attempt-ended') {
     return takeResult(state, event);
--- a/src/gateway/settings.ts
+++ b/src/gateway/settings.ts
@@ -1,54 +1,54 @@
-/** Settings of a gateway process, after checks. */
+/** Validated settings of a gateway process. */
 import type { HostPort } from '../settings/node-settings.js';
 import type { LogLevel } from '../settings/log-level.js';
 
-/** Bounds that the operators of the tier promise or ask for. */
+/** Bounds that the operators of the tier guarantee or require. */
 export interface GatewayBounds {
-  /** Time for which a replica that leaves still serves, in milliseconds. */
+  /** Time for which a leaving replica still serves, in milliseconds. */
   readonly drainMs: number;
-  /** Time between the request to stop and the end of the process by force, in milliseconds. */
+  /** Time between the request to stop and the forced end of the process, in milliseconds. */
   readonly graceMs: number;
   /** Time within which an accepted configuration must be in force, in milliseconds. */
   readonly configurationMs: number;
   /**
-   * Time within which the replicas of a zone must get no more requests after the operator's order, in
-   * milliseconds; absent where zones are not evacuated.
+   * Time after an evacuation order within which the zone's replicas must no longer get requests, in milliseconds; absent if
+   * evacuations are not used.
    */
   readonly evacuationMs?: number;
-  /** Time between two heartbeats of a replica in the store, in milliseconds; absent where it is not known. */
+  /** Time between two heartbeats of a replica in the store, in milliseconds; absent if unknown. */
   readonly replicaHeartbeatMs?: number;
-  /** How far the requests to a cold replica may exceed its rate; absent for not at all. */
+  /** Factor by which requests to a cold replica may exceed its rate; absent for 1. */
   readonly coldOvershoot?: number;
-  /** Requests a second to a cold replica besides; absent for none. */
+  /** Requests per second to a cold replica allowed in addition; absent for none. */
   readonly coldSlack?: number;
-  /** Extra arrivals at a service that each request allows, over all gateways. */
+  /** Additional attempts that each request to a service allows, over all gateways. */
   readonly retryRatio: number;
-  /** Sliding window of that ratio, in milliseconds. */
+  /** Sliding window over which the ratio applies, in milliseconds. */
   readonly retryWindowMs: number;
-  /** Extra arrivals at a service in a window besides the ratio, over all gateways. */
+  /** Additional attempts at a service per window, on top of the ratio, over all gateways. */
   readonly retrySlack: number;
 }
 
-/** What a gateway runs with. */
+/** Settings of a gateway. */
 export interface GatewaySettings {
-  /** Unique over all gateways. */
+  /** Name of the gateway, unique among all gateways. */
   readonly node: string;
   readonly zone: string;
-  /** Processor of this machine, in cores of the usual speed. */
+  /** Processor capacity of this machine, in cores of the usual speed. */
   readonly capacity: number;
-  /** The whole tier starts for the first time: nothing of earlier processes is left anywhere. */
+  /** The whole tier starts for the first time; no effects of earlier processes remain. */
   readonly firstStart: boolean;
   /** The region of each zone. */
   readonly zoneRegions: Readonly<Record<string, string>>;
-  /** Where callers connect, over HTTP. */
+  /** HTTP address for callers. */
   readonly callers: HostPort;
-  /** Where the load balancer asks for readiness, over HTTP. */
+  /** HTTP address at which the load balancer checks readiness. */
   readonly readiness: HostPort;
-  /** Where metrics are served, over HTTP; absent where they are not. */
+  /** HTTP address of the metrics; absent if they are not served. */
   readonly metrics?: HostPort;
-  /** Where other gateways connect, over TCP. */
+  /** TCP address for other gateways. */
   readonly peers: HostPort;
-  /** Gateways to ask first; may be stale. */
+  /** Gateways to contact first; may be outdated. */
   readonly seeds: readonly HostPort[];
   readonly store: HostPort;
   readonly bounds: GatewayBounds;
--- a/src/gateway/state.ts
+++ b/src/gateway/state.ts
@@ -29,7 +29,7 @@
 /** Gateways that are assumed to run until others are known. */
 const ASSUMED_GATEWAYS = 8;
 
-/** Where the process stands between start and end. */
+/** Phase of the process between start and end. */
 export type LifecyclePhase = 'starting' | 'serving' | 'stopping' | 'ended';
 
 /** The configuration in force. */
@@ -41,76 +41,76 @@
   readonly since: number;
 }
 
-/** A plan of feeders and what it was made from. */
+/** A feeder plan and the inputs that it was computed from. */
 export interface KnownFeederPlan {
   readonly plan: FeederPlan;
-  /** The generations of the peers and of the replicas. */
+  /** Generations of the peers and of the replicas at the time. */
   readonly peersGeneration: number;
   readonly replicasGeneration: number;
   readonly inForce: ConfigurationInForce | undefined;
 }
 
-/** Whether the store can be reached, as this gateway knows it. */
+/** Reachability of the store, as observed by this gateway. */
 export interface StoreReachability {
   reachable: boolean;
-  /** A probe is under way, or its timer is set. */
+  /** A probe is in progress, or its timer is set. */
   isProbed: boolean;
-  /** When the store was first found out of reach. */
+  /** When the store was last found to have become unreachable. */
   lostSince: number;
-  /** When it was found again. */
+  /** When the store was last found to be reachable again. */
   regainedAt: number;
-  /** The latest era that an answer of the store has named; undefined before one has. */
+  /** Latest era given in an answer of the store; undefined before the first one. */
   era: StoreEra;
 }
 
-/** The process stood still: what it knows may be out of date until that has been confirmed. */
+/** Recovery after a process pause: the state may be outdated until it has been confirmed. */
 export interface PauseRecovery {
-  /** When it went on. */
+  /** When the process resumed. */
   readonly since: number;
-  /** When it asked for what confirms it; undefined before. */
+  /** When a confirmation was requested; undefined before. */
   requestedAt: number | undefined;
 }
 
-/** This gateway's own entry among the gateways. */
+/** Registration of this gateway in the store. */
 export interface Registration {
-  /** When it was last written. */
+  /** When the entry was last written. */
   writtenAt: number;
-  /** It is not written before. */
+  /** Earliest time at which the entry is written. */
   notBefore: number;
-  /** The generation of the peers when their list was last complete; undefined before the first list. */
+  /** Generation of the peers at the last complete list; undefined before the first one. */
   listedGeneration: number | undefined;
 }
 
-/** Everything that a gateway knows. */
+/** The whole state of a gateway. */
 export interface GatewayState {
   settings: GatewaySettings;
   readonly random: Random;
   startedAt: number;
-  /** Gateways that run, this one among them, as far as is known. */
+  /** Number of running gateways including this one, as far as known. */
   gateways: number;
   readonly peers: PeerDirectory;
-  /** The list of gateways is complete, as far as this gateway can tell. */
+  /** The list of gateways contains this gateway and no longer changes. */
   gatewaysSettled: boolean;
   readonly registration: Registration;
-  /** Who reads the store for this gateway, and for whom it reads. */
+  /** The readers that this gateway follows, and its own followers. */
   readonly reading: ReadingState;
-  /** The plan of feeders, with what it was made from. */
+  /** The current feeder plan; undefined before the first use. */
   feeders: KnownFeederPlan | undefined;
-  /** The plan to whose feeders connections were opened. */
+  /** The plan for whose feeders connections were opened. */
   connectedPlan: FeederPlan | undefined;
-  /** After what time feeders say their first word. */
+  /** Delay until the first message of a feeder about a subquery. */
   readonly feederDelay: DelayEstimate;
   readonly subqueries: Map<SubqueryId, CallId>;
   nextSubquery: SubqueryId;
   readonly store: StoreReachability;
-  /** What is remembered for returns of the store from a copy. */
+  /** State that is kept for the case that the store is restored from a backup. */
   readonly returns: ReturnState;
   phase: LifecyclePhase;
-  /** When the request to stop came. */
+  /** When the request to stop arrived. */
   stoppingSince: number;
-  /** What the load balancer was told last. */
+  /** Readiness that was last reported to the load balancer. */
   ready: boolean;
-  /** Undefined unless the process stood still, and what it knows has not been confirmed since. */
+  /** Set from the end of a process pause until the state has been confirmed. */
   pauseRecovery: PauseRecovery | undefined;
   inForce: ConfigurationInForce | undefined;
   readonly collections: Readonly<Record<CollectionName, CollectionProgress>>;
@@ -119,22 +119,22 @@
   readonly replicas: ReplicaDirectory;
   /** Zones whose replicas get no requests. */
   readonly evacuatedZones: Set<string>;
-  /** Requests that wait for the first configuration. */
+  /** Requests that are held until the gateway can serve. */
   readonly held: Map<CallId, RequestReceived>;
   readonly requests: Map<CallId, ActiveRequest>;
   readonly attempts: Map<AttemptId, ActiveAttempt>;
   nextAttempt: AttemptId;
-  /** Runs that broke off, by the replica that is being looked at. */
+  /** Runs whose connection broke, by the replica that is being checked. */
   readonly brokenRuns: Map<string, BrokenRun[]>;
-  /** Runs that nobody waits for any more, and under which replicas may still end. */
+  /** Runs that no request waits for any more and that may still crash their replicas. */
   readonly unawaitedRuns: UnawaitedRuns;
-  /** Requests under which replicas have ended. */
+  /** Requests that have crashed replicas. */
   readonly crashes: CrashState;
   readonly budgets: Map<string, RetryBudget>;
   readonly latencies: Map<string, RouteLatency>;
-  /** What was logged lately of what callers sent that is no request. */
+  /** Recent log lines about unreadable requests, by problem. */
   readonly unreadableLogs: Map<UnreadableProblem, UnreadableLog>;
-  /** How waits for a replica have ended, by service. */
+  /** Outcomes of waits for a replica, by service. */
   readonly pauseOutcomes: Map<string, PauseOutcomes>;
   readonly splits: Map<string, SplitCursor>;
   readonly counters: GatewayCounters;
@@ -204,8 +204,8 @@
   settings.bounds.evacuationMs === undefined || collections.evacuations.isListed;
 
 /**
- * Whether this gateway knows a configuration, the replicas and which of them may get requests, so that it
- * can serve.
+ * Whether this gateway can serve: it knows a configuration, the replicas and the evacuated zones, and is not recovering from
+ * a process pause.
  */
 export const canServe = (state: GatewayState): boolean =>
   state.inForce !== undefined &&
@@ -213,7 +213,7 @@
   hasEvacuationList(state) &&
   state.pauseRecovery === undefined;
 
-/** The retry budget of a service. */
+/** The retry budget of a service; created on first use. */
 export const budgetOf = (state: GatewayState, service: string): RetryBudget => {
   const known = state.budgets.get(service);
   if (known !== undefined) {
@@ -224,7 +224,7 @@
   return budget;
 };
 
-/** How waits for a replica of a service have ended. */
+/** The outcomes of waits for a replica of a service; created on first use. */
 export const pauseOutcomesOf = (state: GatewayState, service: string): PauseOutcomes => {
   const known = state.pauseOutcomes.get(service) ?? createPauseOutcomes();
   state.pauseOutcomes.set(service, known);
