--- a/soak/faults/store-faults.ts
+++ b/soak/faults/store-faults.ts
@@ -85,7 +85,7 @@
     store.mode = outage;
     store.cutConnections();
     await pause(awayMs);
-    store.returnFrom(copy);
+    store.restore(copy);
     store.mode = 'serving';
     const rewritten = replicas.writeAgain(rewriteMs, this.random);
     await pause(rewriteMs);
@@ -100,7 +100,7 @@
     await pause(muteMs * CHANGE_AT_SHARE);
     operator.configure();
     await pause(muteMs * (1 - CHANGE_AT_SHARE));
-    store.forgetHistory();
+    store.discardHistory();
     store.muteWatches(false);
   }
 }
--- a/soak/world/store-copies.ts
+++ b/soak/world/store-copies.ts
@@ -1,5 +1,5 @@
 /** Copies of the store, as its platform makes them: one each half second, kept for as long as one may return. */
-import type { StandInStore, StoreCopy } from '../../test/platform/stand-in-store.js';
+import type { StandInStore, StoreBackup } from '../../test/platform/stand-in-store.js';
 
 const COPY_EVERY_MS = 500;
 
@@ -8,7 +8,7 @@
 
 interface DatedCopy {
   readonly at: number;
-  readonly copy: StoreCopy;
+  readonly copy: StoreBackup;
 }
 
 /** Makes and keeps copies of a store. */
@@ -22,10 +22,10 @@
   }
 
   /** The newest copy that is `ageMs` old, or the oldest one there is. */
-  find(ageMs: number): StoreCopy {
+  find(ageMs: number): StoreBackup {
     const before = performance.now() - ageMs;
     const found = this.copies.findLast(({ at }) => at <= before) ?? this.copies[0];
-    return found?.copy ?? this.store.copy();
+    return found?.copy ?? this.store.backup();
   }
 
   stop(): void {
@@ -35,6 +35,6 @@
   private make(): void {
     const at = performance.now();
     const kept = this.copies.filter((each) => each.at >= at - OLDEST_COPY_MS);
-    this.copies = [...kept, { at, copy: this.store.copy() }];
+    this.copies = [...kept, { at, copy: this.store.backup() }];
   }
 }
--- a/test/gateway/standstill.test.ts
+++ b/test/gateway/process-pause.test.ts
@@ -5,13 +5,13 @@
 
 const BOUND_MS = 3_000;
 const SETTLED_MS = 8_000;
-const STANDSTILL_MS = 5_000;
+const PAUSE_MS = 5_000;
 
 /** Enough for a list of the store, or an answer of a reader. */
 const CONFIRMED_MS = 100;
 
 /** Longest time for which a gateway waits for what confirms it, where nothing does. */
-const LONGEST_CONFIRM_MS = 1_200;
+const MAX_CONFIRM_MS = 1_200;
 
 /** Three gateways of one zone: one reads the store, the others follow it. */
 const networkOf = (): ReaderNetwork => {
@@ -26,7 +26,7 @@
   return network;
 };
 
-const nodeThat = (network: ReaderNetwork, role: 'reads' | 'follows'): VirtualNode => {
+const nodeWithRole = (network: ReaderNetwork, role: 'reads' | 'follows'): VirtualNode => {
   const readers = network.readers();
   const found = network.nodes.find(({ name }) => readers.includes(name) === (role === 'reads'));
   if (found === undefined) {
@@ -36,9 +36,9 @@
 };
 
 /** A gateway stands still while another version comes into force. */
-const missVersion = (network: ReaderNetwork, node: VirtualNode): void => {
-  network.standStill(node, STANDSTILL_MS);
-  network.advance(STANDSTILL_MS - 100);
+const pauseDuringUpdate = (network: ReaderNetwork, node: VirtualNode): void => {
+  network.standStill(node, PAUSE_MS);
+  network.advance(PAUSE_MS - 100);
   network.put('configuration', 'main', configurationOf(2));
   network.advance(100);
 };
@@ -46,8 +46,8 @@
 describe.each(['reads', 'follows'] as const)('a gateway that %s and stood still', (role) => {
   it('is ready again only when what it knows has been confirmed', () => {
     const network = networkOf();
-    const node = nodeThat(network, role);
-    missVersion(network, node);
+    const node = nodeWithRole(network, role);
+    pauseDuringUpdate(network, node);
     expect(node.state.ready).toBe(false);
     network.advance(CONFIRMED_MS);
     expect(node.state.ready).toBe(true);
@@ -56,22 +56,22 @@
 
   it('is ready again soon where the store is away, with what it knows', () => {
     const network = networkOf();
-    const node = nodeThat(network, role);
+    const node = nodeWithRole(network, role);
     network.setStoreAway(true);
-    network.standStill(node, STANDSTILL_MS);
-    network.advance(STANDSTILL_MS + LONGEST_CONFIRM_MS);
+    network.standStill(node, PAUSE_MS);
+    network.advance(PAUSE_MS + MAX_CONFIRM_MS);
     expect(node.state.ready).toBe(true);
   });
 
   it('is ready again soon where it can hear neither the store nor a reader', () => {
     const network = networkOf();
-    const node = nodeThat(network, role);
+    const node = nodeWithRole(network, role);
     network.setStore(node, false);
     network.nodes
       .filter((each) => each !== node)
       .forEach((each) => network.setCut(node, each, true));
-    network.standStill(node, STANDSTILL_MS);
-    network.advance(STANDSTILL_MS + LONGEST_CONFIRM_MS);
+    network.standStill(node, PAUSE_MS);
+    network.advance(PAUSE_MS + MAX_CONFIRM_MS);
     expect(node.state.ready).toBe(true);
   });
 });
@@ -80,7 +80,7 @@
   const FOR_MS = 4_000;
 
   /** A gateway that reads the store, alone, has stood still until now. */
-  const stoodStill = (): VirtualGateway => {
+  const pausedGateway = (): VirtualGateway => {
     const gateway = new VirtualGateway();
     gateway.configure(1, [routeTo({ type: 'service', service: 's0' })]);
     gateway.listReplicas(['s0']);
@@ -91,7 +91,7 @@
   };
 
   it('is sent once what the gateway knows has been confirmed', () => {
-    const gateway = stoodStill();
+    const gateway = pausedGateway();
     gateway.request();
     gateway.emit({ type: 'reading-due', at: gateway.now });
     expect(gateway.sent).toEqual([]);
@@ -102,7 +102,7 @@
   });
 
   it('is refused with the time to come back where nothing confirms it meanwhile', () => {
-    const gateway = stoodStill();
+    const gateway = pausedGateway();
     const call = gateway.request();
     gateway.advanceTo(gateway.now + 200);
     expect(gateway.answers.get(call)).toMatchObject({ type: 'refusal', mayHaveRun: false });
@@ -110,7 +110,7 @@
   });
 
   it('is sent by what the gateway knows once the store is found away', () => {
-    const gateway = stoodStill();
+    const gateway = pausedGateway();
     gateway.request();
     gateway.emit({ type: 'reading-due', at: gateway.now });
     gateway.emit({ type: 'probe-ended', at: gateway.now, answered: false, era: undefined });
@@ -118,7 +118,7 @@
   });
 
   it('is refused at once where another gateway asks for parts of it, and may ask a third', () => {
-    const gateway = stoodStill();
+    const gateway = pausedGateway();
     const call = gateway.askForParts({ shards: ['s0'] });
     expect(gateway.effects.at(-1)).toEqual({ type: 'refuse-subquery', call });
   });
--- a/test/gateway/reader-network.ts
+++ b/test/gateway/reader-network.ts
@@ -11,7 +11,7 @@
 import { createGatewayState, type GatewayState } from '../../src/gateway/state.js';
 import type { CollectionName, StoreCall, WatchCall } from '../../src/gateway/store/collection.js';
 import type { StoreChanges } from '../../src/gateway/store/store-objects.js';
-import { type StoreCopy, VirtualStore } from './virtual-store.js';
+import { type StoreBackup, VirtualStore } from './virtual-store.js';
 
 const STORE_MS = 4;
 
@@ -250,7 +250,7 @@
 
   /** Drops the history of the store; watches hear again of what changes from now on. */
   forgetHistory(): void {
-    this.store.forgetHistory();
+    this.store.discardHistory();
     this.isDeaf = false;
   }
 
@@ -265,8 +265,8 @@
   }
 
   /** The store loses what was written since the copy. */
-  returnStore(copy: StoreCopy): void {
-    this.store.returnFrom(copy);
+  returnStore(copy: StoreBackup): void {
+    this.store.restore(copy);
     this.wakeWatches();
   }
 
@@ -498,7 +498,7 @@
     if (this.losesWatches) {
       return;
     }
-    if (this.store.hasForgotten(call)) {
+    if (this.store.isHistoryDiscarded(call)) {
       this.failCall(node, call, token, 'history-gone');
       return;
     }
@@ -509,7 +509,7 @@
 
   private endWatch(node: VirtualNode, call: WatchCall, token: object): void {
     const isWaiting = node.watches.get(call.collection)?.token === token;
-    if (isWaiting && this.reachesStore(node) && this.store.hasForgotten(call)) {
+    if (isWaiting && this.reachesStore(node) && this.store.isHistoryDiscarded(call)) {
       this.failCall(node, call, token, 'history-gone');
     } else if (isWaiting && this.reachesStore(node)) {
       node.watches.delete(call.collection);
@@ -549,7 +549,7 @@
       if (!node.alive || node.life !== life || node.calls.get(collection) !== token) {
         return;
       }
-      if (era === this.store.era && this.store.hasForgotten(call)) {
+      if (era === this.store.era && this.store.isHistoryDiscarded(call)) {
         this.failCall(node, call, token, 'history-gone');
         return;
       }
--- a/test/gateway/return-fuzz.test.ts
+++ b/test/gateway/return-fuzz.test.ts
@@ -11,7 +11,7 @@
 import { type Fault, faultOrInterruption, Run } from './reader-faults.js';
 import { ReaderNetwork, type VirtualNode } from './reader-network.js';
 import { StoreWriters } from './store-writers.js';
-import { configurationOf, replicaOf, type StoreCopy } from './virtual-store.js';
+import { configurationOf, replicaOf, type StoreBackup } from './virtual-store.js';
 
 /** The bound within which a change must be known, in milliseconds. */
 const BOUND_MS = 3_000;
@@ -57,7 +57,7 @@
 class ReturningNetwork {
   readonly network = new ReaderNetwork();
   readonly writers = new StoreWriters(this.network);
-  private copies: { readonly at: number; readonly copy: StoreCopy }[] = [];
+  private copies: { readonly at: number; readonly copy: StoreBackup }[] = [];
   /** Replicas that each gateway knows to have left. */
   private readonly left = new Map<VirtualNode, Map<string, number>>();
   readonly broken: string[] = [];
@@ -91,20 +91,20 @@
     }
     const copy = this.copyOf(step.copyAgeMs);
     network.advance(step.awayMs);
-    writers.returnStore(copy, createRandom(step.awayMs), step.rewriteMs);
+    writers.restoreStore(copy, createRandom(step.awayMs), step.rewriteMs);
   }
 
-  private copyOf(ageMs: number): StoreCopy {
+  private copyOf(ageMs: number): StoreBackup {
     const before = this.network.now - ageMs;
     const found = this.copies.findLast(({ at }) => at <= before) ?? this.copies[0];
-    return found?.copy ?? this.network.store.copy();
+    return found?.copy ?? this.network.store.backup();
   }
 
   private keepCopies(): void {
     const { network } = this;
     const at = network.now;
     this.copies = this.copies.filter((each) => each.at >= at - OLDEST_COPY_MS);
-    this.copies.push({ at, copy: network.store.copy() });
+    this.copies.push({ at, copy: network.store.backup() });
     this.judgeLeft();
     network.after(COPY_EVERY_MS, () => this.keepCopies());
   }
--- a/test/gateway/returned-objects.test.ts
+++ b/test/gateway/returned-objects.test.ts
@@ -72,11 +72,11 @@
 describe('what the copy lacks', () => {
   it('a replica that came after it is used on until its entry is back', () => {
     const { network, writers } = startNetwork();
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     writers.put('replicas', 'r-new', replicaOf('r-new'));
     network.advance(1_000);
     goAway(network);
-    writers.returnStore(copy, createRandom(1));
+    writers.restoreStore(copy, createRandom(1));
     for (let passed = 0; passed < LAPSED_MS; passed += 100) {
       network.advance(100);
       expect([passed, usedBy(network, 'r-new')]).toEqual([passed, 9]);
@@ -85,7 +85,7 @@
 
   it('a replica whose entry does not come back is gone after two seconds', () => {
     const { network } = startNetwork();
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     network.put('replicas', 'r-new', replicaOf('r-new'));
     network.advance(1_000);
     returnAlone(network, copy);
@@ -97,11 +97,11 @@
 
   it('a zone that was evacuated after it stays so until the order is written again', () => {
     const { network, writers } = startNetwork();
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     writers.put('evacuations', 'hall', { zone: 'hall' });
     network.advance(1_000);
     goAway(network);
-    writers.returnStore(copy, createRandom(1));
+    writers.restoreStore(copy, createRandom(1));
     for (let passed = 0; passed < LAPSED_MS; passed += 100) {
       network.advance(100);
       const evacuating = network.nodes.filter(({ state }) => state.evacuatedZones.has('hall'));
@@ -111,7 +111,7 @@
 
   it('entries of gateways are written again, and their number is the same meanwhile', () => {
     const { network } = startNetwork(0);
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     for (const zone of ['bole', 'arada', 'hall']) {
       [0, 1, 2].forEach((index) => network.add(`${zone}-${index}`, zone, 1, BOUND_MS));
     }
@@ -133,7 +133,7 @@
     const known = network.store.find('gateways', first.name);
     const older = { ...(known as object), address: { host: '10.9.9.9', port: 9 } };
     network.store.put('gateways', first.name, older as never);
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     network.store.put('gateways', first.name, known);
     network.advance(1_000);
     returnAlone(network, copy);
@@ -149,11 +149,11 @@
 describe('what the copy brings back', () => {
   it.each(['gone', 'draining'] as const)('a replica that is %s gets nothing', (state) => {
     const { network, writers } = startNetwork();
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     writers.put('replicas', 'r-1', state === 'gone' ? undefined : replicaOf('r-1', true));
     network.advance(6_000);
     goAway(network);
-    writers.returnStore(copy, createRandom(1));
+    writers.restoreStore(copy, createRandom(1));
     for (let passed = 0; passed < 2 * LAPSED_MS; passed += 100) {
       network.advance(100);
       expect([passed, usedBy(network, 'r-1')]).toEqual([passed, 0]);
@@ -162,7 +162,7 @@
 
   it('a replica whose entry does not lapse is used again: it lives', () => {
     const { network } = startNetwork();
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     network.put('replicas', 'r-1', undefined);
     network.advance(3_000);
     returnAlone(network, copy);
@@ -180,7 +180,7 @@
     const { network } = startNetwork();
     const born = (at: number): ReplicaRecord => ({ ...replicaOf('r-b'), bornAt: at });
     network.put('replicas', 'r-b', born(bornAt));
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     network.put('replicas', 'r-b', born(1));
     network.advance(500);
     network.put('replicas', 'r-b', undefined);
@@ -194,11 +194,11 @@
     const { network, writers } = startNetwork();
     writers.put('evacuations', 'hall', { zone: 'hall' });
     network.advance(1_000);
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     writers.put('evacuations', 'hall', undefined);
     network.advance(3_000);
     goAway(network);
-    writers.returnStore(copy, createRandom(1));
+    writers.restoreStore(copy, createRandom(1));
     for (let passed = 0; passed < LAPSED_MS; passed += 100) {
       network.advance(100);
       const evacuating = network.nodes.filter(({ state }) => state.evacuatedZones.has('hall'));
@@ -210,7 +210,7 @@
 describe('gateways that know different eras', () => {
   it('do not go back where a reader that has not noticed tells one that has', () => {
     const { network } = startNetwork();
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     returnAlone(network, copy);
     network.advance(3_000);
     const follower = network.nodes.find(({ state }) => !state.reading.isReading) as VirtualNode;
@@ -263,7 +263,7 @@
   it('drop an answer of before the return that comes after it, and list', () => {
     const { network } = startNetwork();
     const reader = network.nodes.find(({ state }) => state.reading.isReading) as VirtualNode;
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     returnAlone(network, copy);
     network.advance(3_000);
     const { revision = 0 } = reader.state.collections.replicas;
@@ -301,17 +301,17 @@
 
   it('know within the bound what is written after a second return within seconds', () => {
     const { network, writers } = startNetwork();
-    const copies = [network.store.copy()];
+    const copies = [network.store.backup()];
     writers.put('configuration', 'main', configurationOf(2));
     network.advance(500);
-    copies.push(network.store.copy());
+    copies.push(network.store.backup());
     writers.put('configuration', 'main', configurationOf(3));
     network.advance(500);
     goAway(network);
-    writers.returnStore(copies[1] as never, createRandom(1));
+    writers.restoreStore(copies[1] as never, createRandom(1));
     network.advance(700);
     goAway(network);
-    writers.returnStore(copies[0] as never, createRandom(2));
+    writers.restoreStore(copies[0] as never, createRandom(2));
     writers.put('configuration', 'main', configurationOf(4));
     network.advance(BOUND_MS);
     expect(network.nodes.map(({ version }) => version)).toEqual(Array<number>(9).fill(4));
@@ -320,14 +320,14 @@
 
   it('know it where the store is cut off from some, and slow for others', () => {
     const { network, writers } = startNetwork();
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     writers.put('configuration', 'main', configurationOf(2));
     network.advance(500);
     const [cut] = network.readers();
     network.setStore(network.find(cut ?? ''), false);
     network.nodes.forEach((node, index) => (node.storeMs = index % 2 === 0 ? 300 : 4));
     goAway(network);
-    writers.returnStore(copy, createRandom(1));
+    writers.restoreStore(copy, createRandom(1));
     network.advance(300);
     writers.put('configuration', 'main', configurationOf(3));
     writers.put('replicas', 'r-1', replicaOf('r-1', true));
@@ -346,7 +346,7 @@
 
   it('is in force at a gateway that starts since, beside others that know it', () => {
     const { network } = startNetwork();
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     network.put('configuration', 'main', configurationOf(2));
     network.advance(1_000);
     returnAlone(network, copy);
@@ -359,7 +359,7 @@
 
   it('is told to a reader that has started since by those that follow it', () => {
     const { network } = startNetwork();
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     network.put('configuration', 'main', configurationOf(2));
     network.advance(1_000);
     returnAlone(network, copy);
@@ -374,7 +374,7 @@
 
   it('is not offered again and again, nor where the store has not returned', () => {
     const { network } = startNetwork();
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     network.put('configuration', 'main', configurationOf(2));
     network.advance(1_000);
     const follower = network.nodes.find(({ state }) => !state.reading.isReading) as VirtualNode;
@@ -394,7 +394,7 @@
 describe('what a return costs', () => {
   it('no gateway becomes unready, and one line tells both eras and what changed', () => {
     const { network, writers } = startNetwork();
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     writers.put('replicas', 'r-1', undefined);
     writers.put('replicas', 'r-new', replicaOf('r-new'));
     network.advance(1_000);
@@ -413,7 +413,7 @@
 
   it('a few gateways of each zone list, whatever their number, and entries are not written at once', () => {
     const { network } = startNetwork(0);
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     for (let index = 0; index < 90; index += 1) {
       const zone = ['bole', 'arada', 'hall'][index % 3] ?? '';
       network.add(`${zone}-${index}`, zone, 1, BOUND_MS);
--- a/test/gateway/store-returns.test.ts
+++ b/test/gateway/store-returns.test.ts
@@ -13,7 +13,7 @@
  */
 import { describe, expect, it } from 'vitest';
 import { ReaderNetwork } from './reader-network.js';
-import { configurationOf, replicaOf, type StoreCopy } from './virtual-store.js';
+import { configurationOf, replicaOf, type StoreBackup } from './virtual-store.js';
 
 /** The bound within which a change must be known, in milliseconds. */
 const BOUND_MS = 3_000;
@@ -63,7 +63,7 @@
 };
 
 /** The store goes away and returns from the copy; it resets connections, or falls silent, as it goes. */
-const returnFrom = (network: ReaderNetwork, copy: StoreCopy, goes: 'reset' | 'silent'): void => {
+const returnFrom = (network: ReaderNetwork, copy: StoreBackup, goes: 'reset' | 'silent'): void => {
   network.setStoreAway(true);
   if (goes === 'reset') {
     network.cutWatches();
@@ -81,7 +81,7 @@
 describe('after the store has returned from a copy', () => {
   it('what it acknowledges is in force at every gateway within the bound', () => {
     const network = startNetwork();
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     writeOften(network, LOST_CHANGES);
     network.advance(3_000);
     returnFrom(network, copy, 'reset');
@@ -95,7 +95,7 @@
 
   it('what it acknowledges at once is in force within the bound too', () => {
     const network = startNetwork();
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     writeOften(network, LOST_CHANGES);
     network.advance(3_000);
     returnFrom(network, copy, 'reset');
@@ -106,7 +106,7 @@
 
   it('nothing is missed where its revisions have overtaken what was known', () => {
     const network = startNetwork();
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     writeOften(network, LOST_CHANGES);
     network.advance(3_000);
     returnFrom(network, copy, 'silent');
@@ -121,7 +121,7 @@
 
   it('calls to it are bounded: no lists that are dropped and watches that are refused', () => {
     const network = startNetwork();
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     writeOften(network, LOST_CHANGES);
     network.advance(3_000);
     returnFrom(network, copy, 'reset');
@@ -134,7 +134,7 @@
 
   it('a configuration that it lost stays in force until there is a newer one', () => {
     const network = startNetwork();
-    const copy = network.store.copy();
+    const copy = network.store.backup();
     configure(network, 2);
     writeOften(network, LOST_CHANGES);
     network.advance(3_000);
--- a/test/gateway/store-writers.ts
+++ b/test/gateway/store-writers.ts
@@ -2,7 +2,7 @@
 import type { Random } from '../../src/core/random.js';
 import type { CollectionName } from '../../src/gateway/store/collection.js';
 import type { ReaderNetwork } from './reader-network.js';
-import type { StoreCopy, VirtualStore } from './virtual-store.js';
+import type { StoreBackup, VirtualStore } from './virtual-store.js';
 
 type Value = Parameters<VirtualStore['put']>[2];
 
@@ -10,13 +10,13 @@
 const REWRITE_MS = 2_000;
 
 /** An entry of a replica that has left and that a copy brings back lapses after this time, in milliseconds. */
-const LAPSE_MS = 3_600;
+const EXPIRY_MS = 3_600;
 
-const WRITTEN = ['configuration', 'replicas', 'evacuations'] as const;
+const WRITTEN_COLLECTIONS = ['configuration', 'replicas', 'evacuations'] as const;
 
 /** Writes, and remembers what should stand in the store. */
 export class StoreWriters {
-  private readonly intended: Record<(typeof WRITTEN)[number], Map<string, Value>> = {
+  private readonly intended: Record<(typeof WRITTEN_COLLECTIONS)[number], Map<string, Value>> = {
     configuration: new Map(),
     replicas: new Map(),
     evacuations: new Map(),
@@ -32,38 +32,38 @@
   }
 
   /** The store returns from the copy, at once; all is written again, each object at a time of its own. */
-  returnStore(copy: StoreCopy, random: Random, withinMs = REWRITE_MS): void {
+  restoreStore(backup: StoreBackup, random: Random, withinMs = REWRITE_MS): void {
     const { network } = this;
-    network.returnStore(copy);
+    network.returnStore(backup);
     network.setStoreAway(false);
-    for (const collection of WRITTEN) {
+    for (const collection of WRITTEN_COLLECTIONS) {
       const names = new Set([
         ...this.intended[collection].keys(),
         ...network.store.names(collection),
       ]);
       for (const name of names) {
-        network.after(random.next() * withinMs, () => this.writeAgain(collection, name));
+        network.after(random.next() * withinMs, () => this.rewrite(collection, name));
       }
     }
   }
 
-  private writeAgain(collection: (typeof WRITTEN)[number], name: string): void {
+  private rewrite(collection: (typeof WRITTEN_COLLECTIONS)[number], name: string): void {
     const value = this.intended[collection].get(name);
     if (value !== undefined) {
-      this.putIfOther(collection, name, value);
+      this.putIfChanged(collection, name, value);
     } else if (collection === 'replicas') {
-      this.network.after(LAPSE_MS, () => this.putIfOther(collection, name, undefined));
+      this.network.after(EXPIRY_MS, () => this.putIfChanged(collection, name, undefined));
     } else {
-      this.putIfOther(collection, name, undefined);
+      this.putIfChanged(collection, name, undefined);
     }
   }
 
   /** What changes nothing raises no revision. */
-  private putIfOther(collection: CollectionName, name: string, value: Value): void {
+  private putIfChanged(collection: CollectionName, name: string, value: Value): void {
     const { store } = this.network;
     const isSame = JSON.stringify(store.find(collection, name)) === JSON.stringify(value);
-    const isWanted = collection === 'replicas' && this.intended.replicas.get(name) !== undefined;
-    if (!isSame && !(value === undefined && isWanted)) {
+    const isIntended = collection === 'replicas' && this.intended.replicas.get(name) !== undefined;
+    if (!isSame && !(value === undefined && isIntended)) {
       this.network.put(collection, name, value);
     }
   }
--- a/test/gateway/store.test.ts
+++ b/test/gateway/store.test.ts
@@ -11,7 +11,7 @@
   );
 
 /** A gateway that is the only one, so that it reads the store itself. */
-const following = (): VirtualGateway => {
+const followingGateway = (): VirtualGateway => {
   const gateway = new VirtualGateway();
   gateway.configure(1, []);
   gateway.listReplicas(['s0']);
@@ -34,7 +34,7 @@
 
 describe('a store that is out of reach', () => {
   it('is probed, but not watched again until it answers', () => {
-    const gateway = following();
+    const gateway = followingGateway();
     probe(gateway, false);
     failWatch(gateway);
     gateway.emit({ type: 'collection-due', at: 500, collection: 'configuration' });
@@ -45,7 +45,7 @@
   });
 
   it('is watched again after a pause where only the watch failed', () => {
-    const gateway = following();
+    const gateway = followingGateway();
     failWatch(gateway);
     expect(gateway.effects.map(({ type }) => type)).toContain('set-collection-timer');
     gateway.emit({ type: 'collection-due', at: 500, collection: 'replicas' });
@@ -53,7 +53,7 @@
   });
 
   it('is listed anew at once where it has forgotten its history', () => {
-    const gateway = following();
+    const gateway = followingGateway();
     probe(gateway, true);
     gateway.emit({
       type: 'store-call-failed',
--- a/test/gateway/unreadable-objects.test.ts
+++ b/test/gateway/unreadable-objects.test.ts
@@ -6,16 +6,16 @@
 
 type ReplicaObject = Extract<StoreObjects, { collection: 'replicas' }>['objects'][number];
 
-const SPOILT = 300;
+const UNREADABLE_COUNT = 300;
 const PROBLEM = 'slots: is no whole number';
 
-const spoilt = (index: number): ReplicaObject => ({
+const unreadableObject = (index: number): ReplicaObject => ({
   name: `spoilt-${index}`,
   gone: false,
   problem: PROBLEM,
 });
 
-const whole = (id: string, service: string): ReplicaObject => ({
+const readableObject = (id: string, service: string): ReplicaObject => ({
   name: id,
   gone: false,
   value: replicaRecord(id, service),
@@ -25,8 +25,8 @@
 const readPage = (): VirtualGateway => {
   const gateway = new VirtualGateway();
   gateway.configure(1, [routeTo(gatherOf(2, 1))]);
-  const many = Array.from({ length: SPOILT }, (_, index) => spoilt(index));
-  const objects = [whole('first', 's0'), ...many, whole('last', 's1')];
+  const many = Array.from({ length: UNREADABLE_COUNT }, (_, index) => unreadableObject(index));
+  const objects = [readableObject('first', 's0'), ...many, readableObject('last', 's1')];
   const page = { collection: 'replicas', objects, more: false, last: '', revision: 1 } as const;
   gateway.emit({ type: 'page-read', at: gateway.now, page });
   return gateway;
@@ -49,8 +49,10 @@
     const lines = linesOf(gateway);
     expect(lines).toHaveLength(8);
     expect(lines[0]).toMatchObject({ collection: 'replicas', name: 'spoilt-0', problem: PROBLEM });
-    expect(lines.at(-1)).toMatchObject({ unnamed: SPOILT - 8 });
+    expect(lines.at(-1)).toMatchObject({ unnamed: UNREADABLE_COUNT - 8 });
     const counted = gateway.state.counters.unreadableObjects.values();
-    expect(counted).toMatchObject([{ labels: { collection: 'replicas' }, value: SPOILT }]);
+    expect(counted).toMatchObject([
+      { labels: { collection: 'replicas' }, value: UNREADABLE_COUNT },
+    ]);
   });
 });
--- a/test/gateway/virtual-store.ts
+++ b/test/gateway/virtual-store.ts
@@ -18,7 +18,7 @@
 }
 
 /** What the store held at one moment. */
-export interface StoreCopy {
+export interface StoreBackup {
   readonly revision: number;
   readonly objects: Readonly<Record<CollectionName, ReadonlyMap<string, Value>>>;
   readonly history: readonly StoredEvent[];
@@ -53,7 +53,7 @@
   /** Named in all answers; rises with each return from a copy. Undefined: none is named. */
   era: number | undefined;
   /** Changes up to this revision are forgotten: a watch from before it is told that the history is gone. */
-  forgottenUpTo = 0;
+  discardedUpTo = 0;
   private objects: Record<CollectionName, Map<string, Value>> = {
     configuration: new Map(),
     replicas: new Map(),
@@ -73,17 +73,17 @@
   }
 
   /** Drops all history; watches that wait are not told before something changes. */
-  forgetHistory(): void {
-    this.forgottenUpTo = this.revision;
+  discardHistory(): void {
+    this.discardedUpTo = this.revision;
     this.history = [];
   }
 
   /** Whether a watch asks for changes since a revision whose successors are forgotten, or that was never given out. */
-  hasForgotten({ revision }: WatchCall): boolean {
-    return revision < this.forgottenUpTo || revision > this.revision;
+  isHistoryDiscarded({ revision }: WatchCall): boolean {
+    return revision < this.discardedUpTo || revision > this.revision;
   }
 
-  copy(): StoreCopy {
+  backup(): StoreBackup {
     const { revision, objects, history } = this;
     return {
       revision,
@@ -98,7 +98,7 @@
   }
 
   /** Loses what was written since the copy; its revisions are given out again, in the next era. */
-  returnFrom({ revision, objects, history }: StoreCopy): void {
+  restore({ revision, objects, history }: StoreBackup): void {
     this.revision = revision;
     this.era = (this.era ?? 0) + 1;
     this.history = [...history];
--- a/test/platform/changing-routes.test.ts
+++ b/test/platform/changing-routes.test.ts
@@ -61,7 +61,7 @@
   ...(version % 2 === 0 ? [routeSpec({ path_prefix: '/one/two/', service: 'next' })] : []),
 ];
 
-const askAgainAndAgain = async (
+const sendUntil = async (
   paths: readonly string[],
   isOver: () => boolean,
 ): Promise<readonly CallerAnswer[]> => {
@@ -78,7 +78,7 @@
   it('are never turned away while versions come in quick succession', async () => {
     let isOver = false;
     const paths = ['/one/x', '/one/two/x', '/stays/x'];
-    const asking = Array.from({ length: CALLERS }, () => askAgainAndAgain(paths, () => isOver));
+    const asking = Array.from({ length: CALLERS }, () => sendUntil(paths, () => isOver));
     let version = 0;
     for (let change = 1; change <= VERSIONS; change += 1) {
       version = fixture.configure(routesOf(change), SERVICES);
--- a/test/platform/gateway-store.test.ts
+++ b/test/platform/gateway-store.test.ts
@@ -40,7 +40,7 @@
 
   it('comes into force again after the history was forgotten', async () => {
     await fixture.serve();
-    fixture.store.forgetHistory();
+    fixture.store.discardHistory();
     await fixture.untilInForce(fixture.configure([moved()], ['desk']));
     expect(await statusOf('/moved/')).toBe(200);
     expect(await statusOf('/one/')).toBe(404);
@@ -48,14 +48,14 @@
 
   it('comes into force after the store has returned from a copy and lost what it had acknowledged', async () => {
     fixture.store.era = 1;
-    const copy = fixture.store.copy();
+    const backup = fixture.store.backup();
     await fixture.serve();
     const lost = fixture.configure([moved()], ['desk']);
     await fixture.untilInForce(lost);
     fixture.store.mode = 'resetting';
     fixture.store.cutConnections();
     await until(() => !fixture.gateway.state.store.reachable, 'the loss is noticed');
-    fixture.store.returnFrom(copy);
+    fixture.store.restore(backup);
     fixture.store.mode = 'serving';
     const version = fixture.configure(
       [moved(), routeSpec({ path_prefix: '/new/', service: 'desk' })],
--- a/test/platform/spoilt-entries.test.ts
+++ b/test/platform/invalid-entries.test.ts
@@ -6,14 +6,14 @@
 import type { StandInReplica } from './stand-in-replica.js';
 
 let fixture: GatewayFixture;
-let spoilt: StandInReplica;
-let whole: StandInReplica;
+let replica: StandInReplica;
+let otherReplica: StandInReplica;
 
 beforeEach(async () => {
   fixture = await GatewayFixture.create();
   fixture.configure([routeSpec({ path_prefix: '/', service: 'desk' })], ['desk']);
-  spoilt = await fixture.addReplica('spoilt', 'desk');
-  whole = await fixture.addReplica('whole', 'desk');
+  replica = await fixture.addReplica('spoilt', 'desk');
+  otherReplica = await fixture.addReplica('whole', 'desk');
   await fixture.serve();
 });
 
@@ -22,18 +22,18 @@
 });
 
 const entryWith = (fields: Readonly<Record<string, unknown>>): unknown => ({
-  ...(spoilt.entry('desk', 'bole') as object),
+  ...(replica.entry('desk', 'bole') as object),
   ...fields,
 });
 
 const entryWithout = (name: string): unknown => {
-  const entry = { ...(spoilt.entry('desk', 'bole') as Record<string, unknown>) };
+  const entry = { ...(replica.entry('desk', 'bole') as Record<string, unknown>) };
   return Object.fromEntries(Object.entries(entry).filter(([key]) => key !== name));
 };
 
 const REQUIRED = ['service', 'address', 'zone', 'slots', 'state', 'cold_left_ms'] as const;
 
-const KINDS: readonly (readonly [string, () => unknown])[] = [
+const INVALID_ENTRIES: readonly (readonly [string, () => unknown])[] = [
   ...REQUIRED.map((name) => [`without ${name}`, () => entryWithout(name)] as const),
   ['service of another type', () => entryWith({ service: 7 })],
   ['address without a port', () => entryWith({ address: 'nowhere' })],
@@ -50,25 +50,25 @@
   ['nothing', () => null],
 ];
 
-const askMany = async (): Promise<number> => {
-  const before = spoilt.arrived.length;
+const sendRequests = async (): Promise<number> => {
+  const before = replica.arrived.length;
   const ids = Array.from({ length: 12 }, (_, index) => `r-${before}-${index}`);
   const answers = await Promise.all(ids.map((id) => fixture.ask({ id, path: '/x' })));
   expect(answers.map(({ status }) => status)).toEqual(ids.map(() => 200));
-  return spoilt.arrived.length - before;
+  return replica.arrived.length - before;
 };
 
 describe('an entry of a replica that cannot be read', () => {
-  it.each(KINDS)('names no replica to use: %s', async (_name, spoil) => {
-    expect(await askMany()).toBeGreaterThan(0);
+  it.each(INVALID_ENTRIES)('names no replica to use: %s', async (_name, spoil) => {
+    expect(await sendRequests()).toBeGreaterThan(0);
     fixture.store.put('servers', 'spoilt', spoil());
     const isLogged = (): boolean =>
       fixture.log.lines.some(({ change }) => change.event === 'object-unreadable');
     await until(isLogged, 'it is logged');
-    expect(await askMany()).toBe(0);
-    expect(whole.arrived.length).toBeGreaterThan(11);
-    fixture.store.put('servers', 'spoilt', spoilt.entry('desk', 'bole'));
+    expect(await sendRequests()).toBe(0);
+    expect(otherReplica.arrived.length).toBeGreaterThan(11);
+    fixture.store.put('servers', 'spoilt', replica.entry('desk', 'bole'));
     await delay(100);
-    expect(await askMany()).toBeGreaterThan(0);
+    expect(await sendRequests()).toBeGreaterThan(0);
   });
 });
--- a/test/platform/stand-in-replica.ts
+++ b/test/platform/stand-in-replica.ts
@@ -93,7 +93,7 @@
       ...behaviour,
     });
     server.on('connection', () => (replica.connections += 1));
-    server.on('request', (incoming, outgoing) => void replica.take(incoming, outgoing));
+    server.on('request', (incoming, outgoing) => void replica.handleRequest(incoming, outgoing));
     return replica;
   }
 
@@ -113,7 +113,7 @@
     this.server.closeAllConnections();
   }
 
-  private async take(incoming: IncomingMessage, outgoing: ServerResponse): Promise<void> {
+  private async handleRequest(incoming: IncomingMessage, outgoing: ServerResponse): Promise<void> {
     const id = String(incoming.headers['x-request-id'] ?? '');
     const { method = '', url = '', headers } = incoming;
     const target = headers['x-target-instance'];
--- a/test/platform/stand-in-store.ts
+++ b/test/platform/stand-in-store.ts
@@ -23,9 +23,9 @@
 }
 
 /** What the store held at one moment. */
-export interface StoreCopy {
+export interface StoreBackup {
   readonly revision: number;
-  readonly forgottenBefore: number;
+  readonly discardedBefore: number;
   readonly kinds: ReadonlyMap<string, ReadonlyMap<string, StoredObject>>;
   readonly events: readonly StoreEvent[];
 }
@@ -63,7 +63,7 @@
   private kinds = new Map<string, Map<string, StoredObject>>();
   private events: StoreEvent[] = [];
   private revision = 1;
-  private forgottenBefore = 0;
+  private discardedBefore = 0;
   private readonly watchers = new Set<() => void>();
 
   private constructor(
@@ -75,7 +75,7 @@
     const server = createServer();
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
     const store = new StandInStore(server, (server.address() as AddressInfo).port);
-    server.on('request', (incoming, outgoing) => store.take(incoming, outgoing));
+    server.on('request', (incoming, outgoing) => store.handleRequest(incoming, outgoing));
     return store;
   }
 
@@ -103,24 +103,29 @@
   }
 
   /** Drops the history: watches from before hear 410. */
-  forgetHistory(): void {
+  discardHistory(): void {
     this.revision += 1;
-    this.forgottenBefore = this.revision;
+    this.discardedBefore = this.revision;
     this.events = [];
     this.wake();
   }
 
-  copy(): StoreCopy {
-    const { revision, forgottenBefore, events } = this;
+  backup(): StoreBackup {
+    const { revision, discardedBefore, events } = this;
     const kinds = [...this.kinds].map(([kind, objects]) => [kind, new Map(objects)] as const);
-    return { revision, forgottenBefore, events: [...events], kinds: new Map(kinds) };
+    return {
+      revision,
+      discardedBefore,
+      events: [...events],
+      kinds: new Map(kinds),
+    };
   }
 
   /** Loses what was written since the copy, and gives its revisions out again in the next era. */
-  returnFrom({ revision, forgottenBefore, events, kinds }: StoreCopy): void {
+  restore({ revision, discardedBefore, events, kinds }: StoreBackup): void {
     this.era = (this.era ?? 0) + 1;
     this.revision = revision;
-    this.forgottenBefore = forgottenBefore;
+    this.discardedBefore = discardedBefore;
     this.events = [...events];
     this.kinds = new Map([...kinds].map(([kind, objects]) => [kind, new Map(objects)]));
     this.wake();
@@ -159,7 +164,7 @@
     [...this.watchers].forEach((watcher) => watcher());
   }
 
-  private take(incoming: IncomingMessage, outgoing: ServerResponse): void {
+  private handleRequest(incoming: IncomingMessage, outgoing: ServerResponse): void {
     const url = new URL(incoming.url ?? '/', 'http://store');
     const [, kind = '', name] = OBJECTS_PATH.exec(url.pathname) ?? [];
     const watch = url.searchParams.get('watch');
@@ -170,7 +175,7 @@
     } else if (isServing && incoming.method === 'PUT' && name !== undefined) {
       void this.replace(kind, name, incoming, outgoing);
     } else if (!isServing) {
-      this.misbehave(outgoing);
+      this.injectFault(outgoing);
     } else if (watch === null) {
       this.list(kind, url.searchParams.get('after') ?? '', outgoing);
     } else {
@@ -214,7 +219,7 @@
     this.send(outgoing, this.objectsOf(kind).get(name));
   }
 
-  private misbehave(outgoing: ServerResponse): void {
+  private injectFault(outgoing: ServerResponse): void {
     switch (this.mode) {
       case 'busy':
         this.answer(outgoing, 503);
@@ -240,7 +245,7 @@
       if (this.watchesMuted) {
         return false;
       }
-      if (after < this.forgottenBefore || after > this.revision) {
+      if (after < this.discardedBefore || after > this.revision) {
         this.answer(outgoing, 410);
         return true;
       }
