--- a/test/gateway/restore-fuzz.test.ts
+++ b/test/gateway/restore-fuzz.test.ts
@@ -11,7 +11,7 @@
 import { type Fault, faultOrInterruption, Run } from './reader-faults.js';
 import { ReaderNetwork, type VirtualNode } from './reader-network.js';
 import { StoreWriters } from './store-writers.js';
-import { configurationOf, replicaOf, type StoreCopy } from './virtual-store.js';
+import { configurationOf, replicaOf, type StoreBackup } from './virtual-store.js';
 
 /** The bound within which a change must be known, in milliseconds. */
 const BOUND_MS = 3_000;
@@ -57,7 +57,7 @@
 class RestoringNetwork {
   readonly network = new ReaderNetwork();
   readonly writers = new StoreWriters(this.network);
-  private backups: { readonly at: number; readonly backup: StoreCopy }[] = [];
+  private backups: { readonly at: number; readonly backup: StoreBackup }[] = [];
   /** Replicas that each gateway knows to have left. */
   private readonly left = new Map<VirtualNode, Map<string, number>>();
   readonly broken: string[] = [];
@@ -91,20 +91,20 @@
     }
     const backup = this.backupOf(step.backupAgeMs);
     network.advance(step.outageMs);
-    writers.returnStore(backup, createRandom(step.outageMs), step.rewriteMs);
+    writers.restoreStore(backup, createRandom(step.outageMs), step.rewriteMs);
   }
 
-  private backupOf(ageMs: number): StoreCopy {
+  private backupOf(ageMs: number): StoreBackup {
     const before = this.network.now - ageMs;
     const found = this.backups.findLast(({ at }) => at <= before) ?? this.backups[0];
-    return found?.backup ?? this.network.store.copy();
+    return found?.backup ?? this.network.store.backup();
   }
 
   private keepBackups(): void {
     const { network } = this;
     const at = network.now;
     this.backups = this.backups.filter((each) => each.at >= at - MAX_BACKUP_AGE_MS);
-    this.backups.push({ at, backup: network.store.copy() });
+    this.backups.push({ at, backup: network.store.backup() });
     this.checkDepartures();
     network.after(BACKUP_INTERVAL_MS, () => this.keepBackups());
   }
