--- a/src/core/replica/accept-legs.ts
+++ b/src/core/replica/accept-legs.ts
@@ -18,10 +18,10 @@
 const MAX_QUEUED_PER_PARTNER = 256;
 
 /** How long an attempt that must not run twice is remembered, in milliseconds. */
-const REMEMBER_ONCE_MS = 120_000;
+const ACCEPTED_ONCE_VALID_MS = 120_000;
 
 /** Most such attempts remembered; beyond it, attempts not safe to repeat are refused. */
-const MAX_REMEMBERED_ONCE = 50_000;
+const MAX_ACCEPTED_ONCE = 50_000;
 
 /** Attempts handed to this node as feeder. */
 export interface AcceptedBatch {
@@ -34,7 +34,7 @@
   readonly mayWait: boolean;
 }
 
-const findFeed = (state: CoreState, status: ReplicaStatus): ReplicaFeed => {
+const getFeed = (state: CoreState, status: ReplicaStatus): ReplicaFeed => {
   const endpoint = `${status.host}:${status.port}`;
   const known = state.replica.feeds.get(endpoint);
   if (known !== undefined) {
@@ -48,35 +48,35 @@
     inFlight: 0,
     serviceMs: 0,
     unansweredSince: undefined,
-    unheard: 0,
-    watched: false,
+    unanswered: 0,
+    silenceTimerSet: false,
     queue: fair ? createFairQueue() : createFirstComeQueue(),
   };
   state.replica.feeds.set(endpoint, feed);
   return feed;
 };
 
-const forgetExpired = (remembered: Map<AttemptId, number>, at: number): void => {
-  for (const [attempt, expiresAt] of remembered) {
+const removeExpired = (expiries: Map<AttemptId, number>, at: number): void => {
+  for (const [attempt, expiresAt] of expiries) {
     if (expiresAt > at) {
       return;
     }
-    remembered.delete(attempt);
+    expiries.delete(attempt);
   }
 };
 
 /** Whether the batch's message brings an attempt for the second time. */
-const isDoubled = (state: CoreState, context: LegContext, leg: LegAttempt): boolean =>
+const isDuplicate = (state: CoreState, context: LegContext, leg: LegAttempt): boolean =>
   state.replica.held.has(leg.attempt) ||
   (!context.safeToRepeat && state.replica.acceptedOnce.has(leg.attempt));
 
-const rememberOnce = (state: CoreState, leg: LegAttempt, at: number): boolean => {
+const recordAcceptedOnce = (state: CoreState, leg: LegAttempt, at: number): boolean => {
   const { acceptedOnce } = state.replica;
-  forgetExpired(acceptedOnce, at);
-  if (acceptedOnce.size >= MAX_REMEMBERED_ONCE) {
+  removeExpired(acceptedOnce, at);
+  if (acceptedOnce.size >= MAX_ACCEPTED_ONCE) {
     return false;
   }
-  acceptedOnce.set(leg.attempt, at + REMEMBER_ONCE_MS);
+  acceptedOnce.set(leg.attempt, at + ACCEPTED_ONCE_VALID_MS);
   return true;
 };
 
@@ -84,17 +84,17 @@
  * Wait that a new leg of a class is to expect, in milliseconds: those of its partner that wait
  * already take their turns first, at the rate that the partner's share gives it.
  */
-export const expectWait = (feed: ReplicaFeed, legClass: LegClass): number => {
+export const predictWait = (feed: ReplicaFeed, legClass: LegClass): number => {
   const ahead = feed.queue.sizeOf(legClass.partner);
   const share = feed.queue.size > ahead ? legClass.share : 1;
   return (ahead * feed.serviceMs) / (feed.status.slots * share);
 };
 
-const cannotBeServed = (feed: ReplicaFeed, legClass: LegClass, remainingMs: number): boolean =>
+const cannotServeInTime = (feed: ReplicaFeed, legClass: LegClass, remainingMs: number): boolean =>
   feed.queue.sizeOf(legClass.partner) >= MAX_QUEUED_PER_PARTNER ||
-  expectWait(feed, legClass) > remainingMs;
+  predictWait(feed, legClass) > remainingMs;
 
-const holdLeg = (
+const enqueueLeg = (
   state: CoreState,
   batch: AcceptedBatch,
   heldBatch: HeldBatch,
@@ -103,10 +103,10 @@
   legClass: LegClass,
   at: number,
 ): NotRunReason | undefined => {
-  if (cannotBeServed(feed, legClass, batch.deadlineAt - at)) {
+  if (cannotServeInTime(feed, legClass, batch.deadlineAt - at)) {
     return 'queue-full';
   }
-  if (!batch.context.safeToRepeat && !rememberOnce(state, leg, at)) {
+  if (!batch.context.safeToRepeat && !recordAcceptedOnce(state, leg, at)) {
     return 'queue-full';
   }
   const held: HeldAttempt = {
@@ -119,8 +119,8 @@
     deadlineAt: batch.deadlineAt,
     arrivedAt: at,
     sentAt: undefined,
-    waiting: false,
-    unwanted: false,
+    isQueued: false,
+    isCancelled: false,
   };
   state.replica.held.set(leg.attempt, held);
   state.replica.attemptsInProgress += 1;
@@ -140,7 +140,7 @@
   const legClass = classOfLegs(state, context);
   const heldBatch: HeldBatch = { size: batch.legs.length, open: 0, mayWait: batch.mayWait };
   for (const leg of batch.legs) {
-    if (isDoubled(state, context, leg)) {
+    if (isDuplicate(state, context, leg)) {
       continue;
     }
     const arrived = { coordinator, leg, arrivedAt: at };
@@ -149,14 +149,14 @@
       reportNotRun(state, arrived, 'unknown-replica', at);
       continue;
     }
-    const feed = findFeed(state, status);
+    const feed = getFeed(state, status);
     if (refuseIfLeaving(state, feed, arrived, at)) {
       continue;
     }
     const heldBack = leg.insist !== true && isFeedSilent(feed, at);
     const refusal = heldBack
       ? 'not-answering'
-      : holdLeg(state, batch, heldBatch, leg, feed, legClass, at);
+      : enqueueLeg(state, batch, heldBatch, leg, feed, legClass, at);
     if (refusal !== undefined) {
       reportNotRun(state, arrived, refusal, at);
     }
--- a/src/core/replica/cancel-legs.ts
+++ b/src/core/replica/cancel-legs.ts
@@ -5,16 +5,16 @@
 import { releaseHeld } from './release-held.js';
 import type { HeldAttempt } from './state.js';
 
-const cancelHeld = (state: CoreState, held: HeldAttempt, effects: Effect[]): void => {
+const cancelHeldAttempt = (state: CoreState, held: HeldAttempt, effects: Effect[]): void => {
   if (held.sentAt === undefined) {
     held.feed.queue.remove(held);
     releaseHeld(state, held);
     return;
   }
-  if (!held.unwanted && held.context.safeToRepeat) {
+  if (!held.isCancelled && held.context.safeToRepeat) {
     effects.push({ type: 'cancel-attempt', attempt: held.leg.attempt });
   }
-  held.unwanted = true;
+  held.isCancelled = true;
 };
 
 /** Cancels attempts of `coordinator`; those of others are left alone. */
@@ -29,16 +29,20 @@
   for (const attempt of attempts) {
     const held = state.replica.held.get(attempt);
     if (held !== undefined && held.coordinator === coordinator) {
-      cancelHeld(state, held, effects);
+      cancelHeldAttempt(state, held, effects);
     }
   }
 };
 
 /** Cancels all attempts of a coordinator that is out of reach. */
-export const cancelLegsOf = (state: CoreState, coordinator: NodeId, effects: Effect[]): void => {
+export const cancelLegsOfCoordinator = (
+  state: CoreState,
+  coordinator: NodeId,
+  effects: Effect[],
+): void => {
   for (const held of [...state.replica.held.values()]) {
     if (held.coordinator === coordinator) {
-      cancelHeld(state, held, effects);
+      cancelHeldAttempt(state, held, effects);
     }
   }
 };
--- a/src/core/replica/class-of-legs.ts
+++ b/src/core/replica/class-of-legs.ts
@@ -11,11 +11,11 @@
 const deriveClass = (state: CoreState, context: LegContext, row: string): LegClass => {
   const { agreement, rows } = state.configuration.inForce;
   const { partner } = context;
-  const named = agreement?.shares.find((entry) => entry.partner === partner)?.share;
-  const evenly = agreement === undefined ? 1 : DEFAULT_SHARE;
+  const agreedShare = agreement?.shares.find((entry) => entry.partner === partner)?.share;
+  const defaultShare = agreement === undefined ? 1 : DEFAULT_SHARE;
   return {
     partner,
-    share: Math.max(DEFAULT_SHARE, named ?? evenly),
+    share: Math.max(DEFAULT_SHARE, agreedShare ?? defaultShare),
     row,
     weight: rows.get(row)?.weight ?? DEFAULT_WEIGHT,
   };
--- a/src/core/replica/deadline-heap.ts
+++ b/src/core/replica/deadline-heap.ts
@@ -25,7 +25,7 @@
   take(): HeldAttempt | undefined {
     for (;;) {
       const held = this.heap.pop();
-      if (held === undefined || held.waiting) {
+      if (held === undefined || held.isQueued) {
         this.live -= held === undefined ? 0 : 1;
         return held;
       }
--- a/src/core/replica/dispatch-attempts.ts
+++ b/src/core/replica/dispatch-attempts.ts
@@ -4,7 +4,7 @@
 import { connectionsOfFeeder, slotsOfFeeder } from './feeder-share.js';
 import { refuseIfLeaving } from './leaving-replicas.js';
 import { releaseHeld } from './release-held.js';
-import { noteSent, watchForSilence } from './replica-silence.js';
+import { recordAttemptSent, setSilenceTimer } from './replica-silence.js';
 import { reportNotRun } from './report-result.js';
 import type { HeldAttempt, ReplicaFeed } from './state.js';
 
@@ -19,7 +19,7 @@
 const sendAttempt = (state: CoreState, held: HeldAttempt, at: number, effects: Effect[]): void => {
   const { feed } = held;
   held.sentAt = at;
-  noteSent(feed, at);
+  recordAttemptSent(feed, at);
   effects.push({
     type: 'send-attempt',
     context: held.context,
@@ -31,9 +31,9 @@
 };
 
 /** Share of the mean working time below which an attempt is not started: it would not finish. */
-const LEAST_TIME_SHARE = 0.25;
+const MIN_TIME_SHARE = 0.25;
 
-const leastTime = (feed: ReplicaFeed): number => LEAST_TIME_SHARE * feed.serviceMs;
+const minRemainingMs = (feed: ReplicaFeed): number => MIN_TIME_SHARE * feed.serviceMs;
 
 const startOrRefuse = (
   state: CoreState,
@@ -44,7 +44,7 @@
 ): void => {
   if (refuseIfLeaving(state, feed, held, at)) {
     releaseHeld(state, held);
-  } else if (held.deadlineAt - at > leastTime(feed)) {
+  } else if (held.deadlineAt - at > minRemainingMs(feed)) {
     sendAttempt(state, held, at, effects);
   } else {
     releaseHeld(state, held);
@@ -68,6 +68,6 @@
     startOrRefuse(state, feed, held, at, effects);
   }
   if (feed.queue.size > 0) {
-    watchForSilence(feed, at, effects);
+    setSilenceTimer(feed, at, effects);
   }
 };
--- a/src/core/replica/end-attempts.ts
+++ b/src/core/replica/handle-attempts-ended.ts
@@ -2,27 +2,31 @@
 import type { LegResult } from '../../protocol/leg-messages.js';
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
-import { expectWait } from './accept-legs.js';
+import { predictWait } from './accept-legs.js';
 import { dispatchAttempts } from './dispatch-attempts.js';
-import { noteLeavingSign } from './leaving-replicas.js';
+import { recordLeavingOutcome } from './leaving-replicas.js';
 import { releaseHeld } from './release-held.js';
-import { noteHeard, noteUnheard } from './replica-silence.js';
-import { mayWait, reportLater, reportResult } from './report-result.js';
+import { recordResponse, recordNoResponse } from './replica-silence.js';
+import { mayDelayResult, delayResult, reportResult } from './report-result.js';
 import type { ReplicaFeed } from './state.js';
 
-const HEARD_NOTHING: ReadonlySet<string> = new Set(['timed-out', 'cancelled', 'connection-lost']);
+const NO_RESPONSE_REASONS: ReadonlySet<string> = new Set([
+  'timed-out',
+  'cancelled',
+  'connection-lost',
+]);
 
-const noteEnded = (feed: ReplicaFeed, result: LegResult, at: number): void => {
+const recordAttemptEnded = (feed: ReplicaFeed, result: LegResult, at: number): void => {
   const { outcome } = result;
-  if (outcome.type === 'unknown' && HEARD_NOTHING.has(outcome.reason)) {
-    noteUnheard(feed, result.serviceMs, at);
+  if (outcome.type === 'unknown' && NO_RESPONSE_REASONS.has(outcome.reason)) {
+    recordNoResponse(feed, result.serviceMs, at);
   } else {
-    noteHeard(feed, result.serviceMs, at);
+    recordResponse(feed, result.serviceMs, at);
   }
 };
 
 /** Reports what ended to the coordinators and fills the free slots. */
-export const endAttempts = (
+export const handleAttemptsEnded = (
   state: CoreState,
   results: readonly LegResult[],
   at: number,
@@ -35,15 +39,15 @@
       state.counters.answers_foreign += 1;
       continue;
     }
-    noteEnded(held.feed, result, at);
-    noteLeavingSign(state, held, result.outcome, at, effects);
+    recordAttemptEnded(held.feed, result, at);
+    recordLeavingOutcome(state, held, result.outcome, at, effects);
     freed.add(held.feed);
     releaseHeld(state, held);
-    if (!held.unwanted) {
+    if (!held.isCancelled) {
       const queuedMs = held.sentAt - held.arrivedAt;
       const { attempt, outcome, serviceMs } = result;
-      const backlogMs = Math.round(expectWait(held.feed, held.class));
-      const report = mayWait(state, held, outcome, at) ? reportLater : reportResult;
+      const backlogMs = Math.round(predictWait(held.feed, held.class));
+      const report = mayDelayResult(state, held, outcome, at) ? delayResult : reportResult;
       report(state, held.coordinator, { attempt, outcome, queuedMs, serviceMs, backlogMs }, at);
     }
   }
--- a/src/core/replica/leaving-replicas.ts
+++ b/src/core/replica/leaving-replicas.ts
@@ -9,20 +9,20 @@
 import { reportNotRun } from './report-result.js';
 import type { HeldAttempt, ReplicaFeed } from './state.js';
 
-const saysLeaving = (outcome: AttemptOutcome): boolean =>
+const indicatesLeaving = (outcome: AttemptOutcome): boolean =>
   outcome.type === 'answered'
     ? outcome.leaving === true
     : outcome.type === 'not-run' && outcome.reason === 'leaving';
 
 /** Notes what the end of an attempt says of its replica's leaving. */
-export const noteLeavingSign = (
+export const recordLeavingOutcome = (
   state: CoreState,
   held: HeldAttempt,
   outcome: AttemptOutcome,
   at: number,
   effects: Effect[],
 ): void => {
-  if (saysLeaving(outcome)) {
+  if (indicatesLeaving(outcome)) {
     effects.push(...noteReplicaLeaving(state, held.leg.replica, at));
   }
 };
@@ -37,10 +37,10 @@
   held: Pick<HeldAttempt, 'coordinator' | 'leg' | 'arrivedAt'>,
   at: number,
 ): boolean => {
-  const heldFor = leavingForMs(state, held.leg.replica, at);
-  if (heldFor === 0 && feed.status.lifecycle !== 'leaving') {
+  const leavingMs = leavingForMs(state, held.leg.replica, at);
+  if (leavingMs === 0 && feed.status.lifecycle !== 'leaving') {
     return false;
   }
-  reportNotRun(state, held, 'leaving', at, heldFor);
+  reportNotRun(state, held, 'leaving', at, leavingMs);
   return true;
 };
--- a/src/core/replica/leg-queue.ts
+++ b/src/core/replica/leg-queue.ts
@@ -19,8 +19,8 @@
 /** Creates a queue in order of arrival. */
 export const createFirstComeQueue = (): LegQueue => {
   const waiting = new Set<HeldAttempt>();
-  const drop = (held: HeldAttempt): void => {
-    held.waiting = false;
+  const removeHeld = (held: HeldAttempt): void => {
+    held.isQueued = false;
     waiting.delete(held);
   };
   return {
@@ -29,30 +29,30 @@
     },
     sizeOf: () => waiting.size,
     add(held) {
-      held.waiting = true;
+      held.isQueued = true;
       waiting.add(held);
     },
     take() {
       for (const held of waiting) {
-        drop(held);
+        removeHeld(held);
         return held;
       }
       return undefined;
     },
-    remove: drop,
+    remove: removeHeld,
   };
 };
 
-interface RowLane {
+interface RowQueue {
   readonly heap: DeadlineHeap;
   weight: number;
   /** Service received, divided by the weight. */
   pass: number;
 }
 
-interface PartnerLane {
+interface PartnerQueue {
   readonly partner: PartnerId;
-  readonly rows: Map<string, RowLane>;
+  readonly rows: Map<string, RowQueue>;
   share: number;
   pass: number;
   /** Pass of the row served last: a row that returns starts from there. */
@@ -60,21 +60,21 @@
   size: number;
 }
 
-const findRow = (lane: PartnerLane, held: HeldAttempt): RowLane => {
+const getRowQueue = (partnerQueue: PartnerQueue, held: HeldAttempt): RowQueue => {
   const { row, weight } = held.class;
-  const known = lane.rows.get(row);
+  const known = partnerQueue.rows.get(row);
   if (known !== undefined) {
     known.weight = weight;
     return known;
   }
   const created = { heap: new DeadlineHeap(), weight, pass: 0 };
-  lane.rows.set(row, created);
+  partnerQueue.rows.set(row, created);
   return created;
 };
 
-const leastRow = (lane: PartnerLane): RowLane | undefined => {
-  let least: RowLane | undefined;
-  for (const row of lane.rows.values()) {
+const selectRow = (partnerQueue: PartnerQueue): RowQueue | undefined => {
+  let least: RowQueue | undefined;
+  for (const row of partnerQueue.rows.values()) {
     if (row.heap.size > 0 && (least === undefined || row.pass < least.pass)) {
       least = row;
     }
@@ -92,76 +92,76 @@
  * `CREDIT_LEGS`, so that a burst within its share goes before what the others have waiting.
  */
 class FairQueue implements LegQueue {
-  private readonly lanes = new Map<PartnerId, PartnerLane>();
+  private readonly partnerQueues = new Map<PartnerId, PartnerQueue>();
   private pass = 0;
   size = 0;
 
   sizeOf(partner: PartnerId): number {
-    return this.lanes.get(partner)?.size ?? 0;
+    return this.partnerQueues.get(partner)?.size ?? 0;
   }
 
   add(held: HeldAttempt): void {
-    const lane = this.findLane(held);
-    const row = findRow(lane, held);
-    if (lane.size === 0) {
-      lane.pass = Math.max(lane.pass, this.pass - CREDIT_LEGS / lane.share);
+    const partnerQueue = this.getPartnerQueue(held);
+    const row = getRowQueue(partnerQueue, held);
+    if (partnerQueue.size === 0) {
+      partnerQueue.pass = Math.max(partnerQueue.pass, this.pass - CREDIT_LEGS / partnerQueue.share);
     }
     if (row.heap.size === 0) {
-      row.pass = Math.max(row.pass, lane.rowPass);
+      row.pass = Math.max(row.pass, partnerQueue.rowPass);
     }
-    held.waiting = true;
+    held.isQueued = true;
     row.heap.add(held);
-    lane.size += 1;
+    partnerQueue.size += 1;
     this.size += 1;
   }
 
   take(): HeldAttempt | undefined {
-    const lane = this.leastLane();
-    const row = lane && leastRow(lane);
+    const partnerQueue = this.selectPartner();
+    const row = partnerQueue && selectRow(partnerQueue);
     const held = row?.heap.take();
-    if (lane === undefined || row === undefined || held === undefined) {
+    if (partnerQueue === undefined || row === undefined || held === undefined) {
       return undefined;
     }
-    held.waiting = false;
-    this.pass = lane.pass;
-    lane.rowPass = row.pass;
-    lane.pass += 1 / lane.share;
+    held.isQueued = false;
+    this.pass = partnerQueue.pass;
+    partnerQueue.rowPass = row.pass;
+    partnerQueue.pass += 1 / partnerQueue.share;
     row.pass += 1 / row.weight;
-    lane.size -= 1;
+    partnerQueue.size -= 1;
     this.size -= 1;
     return held;
   }
 
   remove(held: HeldAttempt): void {
-    const lane = this.lanes.get(held.class.partner);
-    const row = lane?.rows.get(held.class.row);
-    if (lane === undefined || row === undefined || !held.waiting) {
+    const partnerQueue = this.partnerQueues.get(held.class.partner);
+    const row = partnerQueue?.rows.get(held.class.row);
+    if (partnerQueue === undefined || row === undefined || !held.isQueued) {
       return;
     }
-    held.waiting = false;
+    held.isQueued = false;
     row.heap.remove();
-    lane.size -= 1;
+    partnerQueue.size -= 1;
     this.size -= 1;
   }
 
-  private findLane(held: HeldAttempt): PartnerLane {
+  private getPartnerQueue(held: HeldAttempt): PartnerQueue {
     const { partner, share } = held.class;
-    const known = this.lanes.get(partner);
+    const known = this.partnerQueues.get(partner);
     if (known !== undefined) {
       known.share = share;
       return known;
     }
-    const rows = new Map<string, RowLane>();
+    const rows = new Map<string, RowQueue>();
     const created = { partner, rows, share, pass: 0, rowPass: 0, size: 0 };
-    this.lanes.set(partner, created);
+    this.partnerQueues.set(partner, created);
     return created;
   }
 
-  private leastLane(): PartnerLane | undefined {
-    let least: PartnerLane | undefined;
-    for (const lane of this.lanes.values()) {
-      if (lane.size > 0 && (least === undefined || lane.pass < least.pass)) {
-        least = lane;
+  private selectPartner(): PartnerQueue | undefined {
+    let least: PartnerQueue | undefined;
+    for (const partnerQueue of this.partnerQueues.values()) {
+      if (partnerQueue.size > 0 && (least === undefined || partnerQueue.pass < least.pass)) {
+        least = partnerQueue;
       }
     }
     return least;
--- a/src/core/replica/reducer.ts
+++ b/src/core/replica/reducer.ts
@@ -3,12 +3,16 @@
 import type { Event, LinkMessageArrived, TimerFired } from '../event.js';
 import type { CoreState } from '../state.js';
 import { acceptLegs } from './accept-legs.js';
-import { cancelLegs, cancelLegsOf } from './cancel-legs.js';
-import { endAttempts } from './end-attempts.js';
+import { cancelLegs, cancelLegsOfCoordinator } from './cancel-legs.js';
+import { handleAttemptsEnded } from './handle-attempts-ended.js';
 import { checkSilence } from './replica-silence.js';
-import { dropWaiting, releaseWaiting } from './report-result.js';
+import { discardDelayedResults, releaseDelayedResults } from './report-result.js';
 
-const takeMessage = (state: CoreState, event: LinkMessageArrived, effects: Effect[]): void => {
+const handleLinkMessage = (
+  state: CoreState,
+  event: LinkMessageArrived,
+  effects: Effect[],
+): void => {
   const { from, message, at } = event;
   if (message.type === 'leg-batch') {
     const { context, legs, remainingMs, mayWait = false } = message;
@@ -20,15 +24,15 @@
   }
 };
 
-const takeTimer = (state: CoreState, event: TimerFired, effects: Effect[]): void => {
+const handleTimer = (state: CoreState, event: TimerFired, effects: Effect[]): void => {
   if (event.key.purpose === 'results-due') {
-    releaseWaiting(state, event.at);
+    releaseDelayedResults(state, event.at);
   } else {
-    checkFeed(state, event, effects);
+    handleSilenceTimer(state, event, effects);
   }
 };
 
-const checkFeed = (state: CoreState, event: TimerFired, effects: Effect[]): void => {
+const handleSilenceTimer = (state: CoreState, event: TimerFired, effects: Effect[]): void => {
   const feed = state.replica.feeds.get(event.key.subject);
   if (feed !== undefined) {
     checkSilence(state, feed, event.at, effects);
@@ -40,20 +44,20 @@
   const effects: Effect[] = [];
   switch (event.type) {
     case 'link-message-arrived':
-      takeMessage(state, event, effects);
+      handleLinkMessage(state, event, effects);
       break;
     case 'attempts-ended':
-      endAttempts(state, event.results, event.at, effects);
+      handleAttemptsEnded(state, event.results, event.at, effects);
       break;
     case 'timer-fired':
-      takeTimer(state, event, effects);
+      handleTimer(state, event, effects);
       break;
     case 'stop-requested':
-      releaseWaiting(state, event.at);
+      releaseDelayedResults(state, event.at);
       break;
     case 'link-lost':
-      dropWaiting(state, event.peer);
-      cancelLegsOf(state, event.peer, effects);
+      discardDelayedResults(state, event.peer);
+      cancelLegsOfCoordinator(state, event.peer, effects);
       break;
     default:
       break;
--- a/src/core/replica/replica-index.ts
+++ b/src/core/replica/replica-index.ts
@@ -3,7 +3,7 @@
 import type { PartnerId, ReplicaId } from '../identifiers.js';
 import type { CoreState } from '../state.js';
 
-const rebuild = (state: CoreState): void => {
+const rebuildIndex = (state: CoreState): void => {
   const { index } = state.replica;
   index.inForce = state.configuration.inForce;
   index.statuses.clear();
@@ -25,7 +25,7 @@
   replica: ReplicaId,
 ): ReplicaStatus | undefined => {
   if (state.replica.index.inForce !== state.configuration.inForce) {
-    rebuild(state);
+    rebuildIndex(state);
   }
   return state.replica.index.statuses.get(partner)?.get(replica);
 };
--- a/src/core/replica/replica-silence.ts
+++ b/src/core/replica/replica-silence.ts
@@ -11,16 +11,16 @@
 /** A replica is silent when it has answered nothing for this many mean working times. */
 const SILENCE_FACTOR = 6;
 /** Shortest silence that counts, in milliseconds. */
-const SILENCE_FLOOR_MS = 25;
+const MIN_SILENCE_MS = 25;
 /** Attempts that end in a row without a word of the replica, after which it counts as silent. */
-const UNHEARD_LIMIT = 3;
+const UNANSWERED_LIMIT = 3;
 /** Mean working times that an attempt must have lasted to count as unheard. */
 const LATE_FACTOR = 2;
 /** Weight of the newest sample in the decayed mean of working times. */
 const SAMPLE_WEIGHT = 0.1;
 
-const silenceAfterMs = (feed: ReplicaFeed): number =>
-  Math.max(SILENCE_FLOOR_MS, SILENCE_FACTOR * feed.serviceMs);
+const silenceThresholdMs = (feed: ReplicaFeed): number =>
+  Math.max(MIN_SILENCE_MS, SILENCE_FACTOR * feed.serviceMs);
 
 /**
  * Whether the replica seems to have stopped answering: attempts have been there for long without any
@@ -28,27 +28,27 @@
  */
 export const isFeedSilent = (feed: ReplicaFeed, at: number): boolean =>
   feed.unansweredSince !== undefined &&
-  (feed.unheard >= UNHEARD_LIMIT || at - feed.unansweredSince >= silenceAfterMs(feed));
+  (feed.unanswered >= UNANSWERED_LIMIT || at - feed.unansweredSince >= silenceThresholdMs(feed));
 
 /** Notes an attempt sent to the replica. */
-export const noteSent = (feed: ReplicaFeed, at: number): void => {
+export const recordAttemptSent = (feed: ReplicaFeed, at: number): void => {
   feed.inFlight += 1;
   feed.unansweredSince ??= at;
 };
 
 /** Notes that the replica has said something: an answer or a refusal. */
-export const noteHeard = (feed: ReplicaFeed, serviceMs: number, at: number): void => {
+export const recordResponse = (feed: ReplicaFeed, serviceMs: number, at: number): void => {
   feed.inFlight -= 1;
-  feed.unheard = 0;
+  feed.unanswered = 0;
   feed.unansweredSince = feed.inFlight > 0 ? at : undefined;
   feed.serviceMs += SAMPLE_WEIGHT * (serviceMs - feed.serviceMs);
 };
 
 /** Notes that an attempt ended without a word of the replica: cancelled, timed out, cut off. */
-export const noteUnheard = (feed: ReplicaFeed, serviceMs: number, at: number): void => {
+export const recordNoResponse = (feed: ReplicaFeed, serviceMs: number, at: number): void => {
   feed.inFlight -= 1;
   if (serviceMs > LATE_FACTOR * feed.serviceMs) {
-    feed.unheard += 1;
+    feed.unanswered += 1;
   }
   if (feed.inFlight === 0 && !isFeedSilent(feed, at)) {
     feed.unansweredSince = undefined;
@@ -56,27 +56,27 @@
 };
 
 /** Refuses the legs that wait for a silent replica, but for those that insist. */
-const refuseWaiting = (state: CoreState, feed: ReplicaFeed, at: number): void => {
-  const kept: HeldAttempt[] = [];
+const refuseQueued = (state: CoreState, feed: ReplicaFeed, at: number): void => {
+  const retained: HeldAttempt[] = [];
   for (let held = feed.queue.take(); held !== undefined; held = feed.queue.take()) {
     if (held.leg.insist === true) {
-      kept.push(held);
+      retained.push(held);
     } else {
       releaseHeld(state, held);
       reportNotRun(state, held, 'not-answering', at);
     }
   }
-  kept.forEach((held) => feed.queue.add(held));
+  retained.forEach((held) => feed.queue.add(held));
 };
 
 /** Watches a replica for which legs wait. */
-export const watchForSilence = (feed: ReplicaFeed, at: number, effects: Effect[]): void => {
-  if (feed.watched || feed.unansweredSince === undefined) {
+export const setSilenceTimer = (feed: ReplicaFeed, at: number, effects: Effect[]): void => {
+  if (feed.silenceTimerSet || feed.unansweredSince === undefined) {
     return;
   }
-  feed.watched = true;
+  feed.silenceTimerSet = true;
   const key = { purpose: 'replica-dispatch', subject: feed.endpoint } as const;
-  const due = Math.max(at + 1, feed.unansweredSince + silenceAfterMs(feed));
+  const due = Math.max(at + 1, feed.unansweredSince + silenceThresholdMs(feed));
   effects.push({ type: 'set-timer', key, at: due });
 };
 
@@ -87,10 +87,10 @@
   at: number,
   effects: Effect[],
 ): void => {
-  feed.watched = false;
+  feed.silenceTimerSet = false;
   if (isFeedSilent(feed, at)) {
-    refuseWaiting(state, feed, at);
+    refuseQueued(state, feed, at);
   } else if (feed.queue.size > 0) {
-    watchForSilence(feed, at, effects);
+    setSilenceTimer(feed, at, effects);
   }
 };
--- a/src/core/replica/report-result.ts
+++ b/src/core/replica/report-result.ts
@@ -27,13 +27,13 @@
 const LAST_LEGS_SHARE = 0.2;
 
 /** Time before a query's deadline from which on no answer waits, in milliseconds. */
-const PROMPT_BEFORE_DEADLINE_MS = 50;
+const NO_DELAY_BEFORE_DEADLINE_MS = 50;
 
 /**
  * Whether a result may wait for others: an answer, of a query that is not about to end, while many
  * legs of the same message are still open. The next one that may not takes along those that wait.
  */
-export const mayWait = (
+export const mayDelayResult = (
   state: CoreState,
   held: HeldAttempt,
   outcome: AttemptOutcome,
@@ -43,57 +43,57 @@
   held.batch.open > LAST_LEGS_SHARE * held.batch.size &&
   outcome.type === 'answered' &&
   outcome.leaving !== true &&
-  held.deadlineAt - at > PROMPT_BEFORE_DEADLINE_MS &&
+  held.deadlineAt - at > NO_DELAY_BEFORE_DEADLINE_MS &&
   state.query.policy.resultWaitMs > 0 &&
   state.phase === 'serving';
 
 /** Notes a result that may wait for others to its coordinator. */
-export const reportLater = (
+export const delayResult = (
   state: CoreState,
   coordinator: NodeId,
   result: LegResult,
   at: number,
 ): void => {
-  const others = state.replica.waiting.get(coordinator);
+  const others = state.replica.delayedResults.get(coordinator);
   if (others === undefined) {
-    state.replica.waiting.set(coordinator, [{ result, since: at }]);
+    state.replica.delayedResults.set(coordinator, [{ result, since: at }]);
   } else {
     others.push({ result, since: at });
   }
 };
 
 /** Takes out what waits for a coordinator, with the time that each has waited. */
-const takeWaiting = (state: CoreState, coordinator: NodeId, at: number): LegResult[] => {
-  const waiting = state.replica.waiting.get(coordinator);
+const takeDelayedResults = (state: CoreState, coordinator: NodeId, at: number): LegResult[] => {
+  const waiting = state.replica.delayedResults.get(coordinator);
   if (waiting === undefined) {
     return [];
   }
-  state.replica.waiting.delete(coordinator);
+  state.replica.delayedResults.delete(coordinator);
   return waiting.map(({ result, since }) => ({ ...result, heldMs: at - since }));
 };
 
 /** Lets all results that wait go with this step. */
-export const releaseWaiting = (state: CoreState, at: number): void => {
-  state.replica.waitingTimed = false;
-  for (const coordinator of [...state.replica.waiting.keys()]) {
-    for (const result of takeWaiting(state, coordinator, at)) {
+export const releaseDelayedResults = (state: CoreState, at: number): void => {
+  state.replica.resultTimerSet = false;
+  for (const coordinator of [...state.replica.delayedResults.keys()]) {
+    for (const result of takeDelayedResults(state, coordinator, at)) {
       reportResult(state, coordinator, result);
     }
   }
 };
 
 /** Forgets the results that wait for a coordinator which is out of reach. */
-export const dropWaiting = (state: CoreState, coordinator: NodeId): void => {
-  state.replica.waiting.delete(coordinator);
+export const discardDelayedResults = (state: CoreState, coordinator: NodeId): void => {
+  state.replica.delayedResults.delete(coordinator);
 };
 
 /** Sees to it that nothing waits for longer than allowed; one timer serves all coordinators. */
-const timeWaiting = (state: CoreState, at: number, effects: Effect[]): void => {
+const setResultTimer = (state: CoreState, at: number, effects: Effect[]): void => {
   const { replica, query } = state;
-  if (replica.waitingTimed || replica.waiting.size === 0) {
+  if (replica.resultTimerSet || replica.delayedResults.size === 0) {
     return;
   }
-  replica.waitingTimed = true;
+  replica.resultTimerSet = true;
   const key = { purpose: 'results-due', subject: '' } as const;
   effects.push({ type: 'set-timer', key, at: at + query.policy.resultWaitMs });
 };
@@ -124,7 +124,7 @@
   at: number,
   effects: Effect[],
 ): void => {
-  const results = [...takeWaiting(state, coordinator, at), ...ended];
+  const results = [...takeDelayedResults(state, coordinator, at), ...ended];
   const member = state.membership.members.get(coordinator);
   if (member !== undefined) {
     const { address } = member.identity;
@@ -151,5 +151,5 @@
       }
     }
   }
-  timeWaiting(state, at, effects);
+  setResultTimer(state, at, effects);
 };
--- a/src/core/replica/state.ts
+++ b/src/core/replica/state.ts
@@ -17,7 +17,7 @@
 }
 
 /** An answer that waits at the feeder for others to the same coordinator. */
-export interface WaitingResult {
+export interface DelayedResult {
   readonly result: LegResult;
   readonly since: number;
 }
@@ -35,9 +35,9 @@
   /** When it was sent to the replica; undefined while it is queued. */
   sentAt: number | undefined;
   /** It is in the queue of its replica. */
-  waiting: boolean;
+  isQueued: boolean;
   /** The coordinator wants no result any more. */
-  unwanted: boolean;
+  isCancelled: boolean;
 }
 
 /** A back end fed by this node. */
@@ -51,9 +51,9 @@
   /** Since when attempts are there and it has said nothing; undefined when all is answered. */
   unansweredSince: number | undefined;
   /** Attempts that ended since then without a word of the replica. */
-  unheard: number;
+  unanswered: number;
   /** Whether a timer looks whether it has fallen silent. */
-  watched: boolean;
+  silenceTimerSet: boolean;
   readonly queue: LegQueue;
 }
 
@@ -75,9 +75,9 @@
   /** Results to be reported at the end of this step, by coordinator. */
   readonly results: Map<NodeId, LegResult[]>;
   /** Results that wait for others, by coordinator; `results-due` is set while there are any. */
-  readonly waiting: Map<NodeId, WaitingResult[]>;
+  readonly delayedResults: Map<NodeId, DelayedResult[]>;
   /** Whether `results-due` is set. */
-  waitingTimed: boolean;
+  resultTimerSet: boolean;
   /** Attempts not safe to repeat that were accepted, with the time when each may be forgotten. */
   readonly acceptedOnce: Map<AttemptId, number>;
 }
@@ -90,7 +90,7 @@
   index: { inForce: undefined, statuses: new Map() },
   classCache: { inForce: undefined, classes: new Map() },
   results: new Map(),
-  waiting: new Map(),
-  waitingTimed: false,
+  delayedResults: new Map(),
+  resultTimerSet: false,
   acceptedOnce: new Map(),
 });
--- a/test/replica/leaving.test.ts
+++ b/test/replica/leaving.test.ts
@@ -14,11 +14,11 @@
 const createTier = (): VirtualTier =>
   new VirtualTier({ zones: ['bole', 'arada'], nodesPerZone: 1, services: 1, slots: 1 });
 
-const note = (tier: VirtualTier): void => {
+const recordLeaving = (tier: VirtualTier): void => {
   noteReplicaLeaving(tier.state(FEEDER), findLeaving(tier).status.replica, tier.now);
 };
 
-const isKnown = (tier: VirtualTier, node: NodeId): boolean =>
+const isKnownLeaving = (tier: VirtualTier, node: NodeId): boolean =>
   isReplicaLeaving(tier.state(node), findLeaving(tier).status.replica, tier.now);
 
 const missingReasons = (tier: VirtualTier): string[] => {
@@ -33,7 +33,7 @@
   it('sends it nothing, even if the only other replica is frozen', () => {
     const tier = createTier();
     (tier.replicas[0] as VirtualReplica).mode = 'frozen';
-    note(tier);
+    recordLeaving(tier);
     const reasons = Array.from({ length: 5 }, () => missingReasons(tier)).flat();
     expect(findLeaving(tier).ran).toEqual([]);
     expect(reasons.length).toBeGreaterThan(0);
@@ -41,14 +41,14 @@
 
   it('tells the coordinator, for as long as it believes so itself', () => {
     const tier = createTier();
-    note(tier);
+    recordLeaving(tier);
     tier.runFor(10_000);
     for (let round = 0; round < 10; round += 1) {
       tier.askAndWait(COORDINATOR);
     }
-    expect(isKnown(tier, COORDINATOR)).toBe(true);
+    expect(isKnownLeaving(tier, COORDINATOR)).toBe(true);
     tier.runFor(20_000);
-    expect(isKnown(tier, COORDINATOR)).toBe(false);
+    expect(isKnownLeaving(tier, COORDINATOR)).toBe(false);
   });
 
   it('sends nothing of what waits once the replica has said so', () => {
--- a/test/replica/leg-queue.test.ts
+++ b/test/replica/leg-queue.test.ts
@@ -2,7 +2,7 @@
 import { createFairQueue } from '../../src/core/replica/leg-queue.js';
 import type { HeldAttempt } from '../../src/core/replica/state.js';
 
-const hold = (
+const createHeldAttempt = (
   name: string,
   partner: string,
   share: number,
@@ -14,7 +14,7 @@
     leg: { attempt: name },
     class: { partner, share, row: `${partner}/${row}`, weight },
     deadlineAt,
-    waiting: false,
+    isQueued: false,
   }) as unknown as HeldAttempt;
 
 const takeNames = (queue: ReturnType<typeof createFairQueue>, count: number): string[] =>
@@ -27,10 +27,10 @@
   it('divides by the shares of the partners, whatever waits', () => {
     const queue = createFairQueue();
     for (let number = 0; number < 400; number += 1) {
-      queue.add(hold(`a${number}`, 'a', 0.25));
+      queue.add(createHeldAttempt(`a${number}`, 'a', 0.25));
     }
     for (let number = 0; number < 100; number += 1) {
-      queue.add(hold(`b${number}`, 'b', 0.75));
+      queue.add(createHeldAttempt(`b${number}`, 'b', 0.75));
     }
     const first = takeNames(queue, 80);
     expect(countOf(first, 'b')).toBeGreaterThanOrEqual(58);
@@ -42,8 +42,8 @@
   it('divides a partner by the weights of its rows, and by deadline inside a row', () => {
     const queue = createFairQueue();
     for (let number = 0; number < 90; number += 1) {
-      queue.add(hold(`h${number}`, 'a', 1, 'heavy', 3, 1_000 - number));
-      queue.add(hold(`l${number}`, 'a', 1, 'light', 1));
+      queue.add(createHeldAttempt(`h${number}`, 'a', 1, 'heavy', 3, 1_000 - number));
+      queue.add(createHeldAttempt(`l${number}`, 'a', 1, 'light', 1));
     }
     const taken = takeNames(queue, 80);
     expect(countOf(taken, 'h')).toBeGreaterThanOrEqual(59);
@@ -54,11 +54,11 @@
   it('lends what is unused and gives it back to the next leg of its owner', () => {
     const queue = createFairQueue();
     for (let number = 0; number < 200; number += 1) {
-      queue.add(hold(`a${number}`, 'a', 0.5));
+      queue.add(createHeldAttempt(`a${number}`, 'a', 0.5));
     }
     expect(countOf(takeNames(queue, 100), 'a')).toBe(100);
-    queue.add(hold('b0', 'b', 0.5));
-    queue.add(hold('b1', 'b', 0.5));
+    queue.add(createHeldAttempt('b0', 'b', 0.5));
+    queue.add(createHeldAttempt('b1', 'b', 0.5));
     expect(takeNames(queue, 2)).toEqual(['b0', 'b1']);
     expect(countOf(takeNames(queue, 50), 'a')).toBe(50);
   });
@@ -66,12 +66,12 @@
   it('gives a partner that keeps asking no more than its share, credit included', () => {
     const queue = createFairQueue();
     for (let number = 0; number < 1_000; number += 1) {
-      queue.add(hold(`a${number}`, 'a', 0.5));
+      queue.add(createHeldAttempt(`a${number}`, 'a', 0.5));
     }
     takeNames(queue, 10);
     const taken: string[] = [];
     for (let number = 0; number < 400; number += 1) {
-      queue.add(hold(`b${number}`, 'b', 0.5));
+      queue.add(createHeldAttempt(`b${number}`, 'b', 0.5));
       taken.push(...takeNames(queue, 1));
     }
     expect(countOf(taken, 'b')).toBeLessThanOrEqual(200 + 16);
@@ -80,7 +80,7 @@
   it('skips what was removed and keeps count', () => {
     const queue = createFairQueue();
     const legs = Array.from({ length: 5 }, (_, number) =>
-      hold(`a${number}`, 'a', 1, 'r', 1, number),
+      createHeldAttempt(`a${number}`, 'a', 1, 'r', 1, number),
     );
     legs.forEach((leg) => queue.add(leg));
     queue.remove(legs[0] as HeldAttempt);
--- a/test/replica/result-batches.test.ts
+++ b/test/replica/result-batches.test.ts
@@ -24,13 +24,17 @@
   return { ...outcome, items };
 };
 
-interface Watched {
+interface ObservedTier {
   readonly tier: VirtualTier;
   /** The lists of results sent between nodes. */
   readonly batches: (readonly LegResult[])[];
 }
 
-const createTier = (options: TierOptions, policy: Partial<QueryPolicy>, copies = 1): Watched => {
+const createTier = (
+  options: TierOptions,
+  policy: Partial<QueryPolicy>,
+  copies = 1,
+): ObservedTier => {
   const tier = new VirtualTier({
     nodesPerZone: 3,
     services: SERVICES,
@@ -51,7 +55,7 @@
 
 const firstNode = (tier: VirtualTier): NodeId => tier.nodeIds[0] as NodeId;
 
-const askOnce = ({ tier }: Watched, fields = {}): Answer => {
+const askOnce = ({ tier }: ObservedTier, fields = {}): Answer => {
   const answer = tier.askAndWait(firstNode(tier), fields);
   if (answer?.outcome.type !== 'answered') {
     throw new Error(`expected an answer, got ${JSON.stringify(answer?.outcome)}`);
@@ -59,7 +63,7 @@
   return answer;
 };
 
-const listHeld = ({ batches }: Watched): number[] =>
+const listHeld = ({ batches }: ObservedTier): number[] =>
   batches.flat().flatMap(({ heldMs }) => (heldMs === undefined ? [] : [heldMs]));
 
 describe('results that wait for others at the feeder', () => {
@@ -90,7 +94,7 @@
   });
 
   it('do not make replicas seem slower', () => {
-    const slowest = ({ tier }: Watched): number[] => {
+    const slowest = ({ tier }: ObservedTier): number[] => {
       const { services } = tier.state(firstNode(tier)).query.observations;
       return [...services.values()].map(({ latencyMs }) => Math.round(latencyMs * 1_000));
     };
@@ -128,11 +132,11 @@
     const { tier } = createTier({}, { resultWaitMs: 1_000 });
     tier.ask(firstNode(tier));
     tier.runFor(9);
-    const feeders = tier.nodeIds.filter((id) => tier.state(id).replica.waiting.size > 0);
+    const feeders = tier.nodeIds.filter((id) => tier.state(id).replica.delayedResults.size > 0);
     expect(feeders.length).toBeGreaterThan(0);
     for (const id of feeders) {
       tier.deliver(id, { type: 'stop-requested', at: tier.now });
-      expect(tier.state(id).replica.waiting.size).toBe(0);
+      expect(tier.state(id).replica.delayedResults.size).toBe(0);
     }
   });
 
@@ -144,6 +148,6 @@
     tier.kill(firstNode(tier));
     tier.runFor(100);
     expect(batches).toHaveLength(sent);
-    expect(tier.nodeIds.every((id) => tier.state(id).replica.waiting.size === 0)).toBe(true);
+    expect(tier.nodeIds.every((id) => tier.state(id).replica.delayedResults.size === 0)).toBe(true);
   });
 });
