--- a/src/core/replica/accept-legs.ts
+++ b/src/core/replica/accept-legs.ts
@@ -1,4 +1,4 @@
-/** Takes attempts from a coordinator into the queues of their replicas. */
+/** Accepts attempts from a coordinator into the queues of their replicas, or refuses them. */
 import type { ReplicaStatus } from '../../catalog/partner-index.js';
 import type { LegAttempt, LegContext, NotRunReason } from '../../protocol/leg-messages.js';
 import type { Effect } from '../effect.js';
@@ -14,23 +14,23 @@
 import { reportNotRun } from './report-result.js';
 import type { HeldAttempt, HeldBatch, ReplicaFeed } from './state.js';
 
-/** Most attempts of one partner that wait for one replica; more are refused at once. */
+/** Maximum number of queued attempts of one partner for one replica; more are refused at once. */
 const MAX_QUEUED_PER_PARTNER = 256;
 
-/** How long an attempt that must not run twice is remembered, in milliseconds. */
+/** How long the identifier of an attempt that is not safe to repeat is kept, in milliseconds. */
 const ACCEPTED_ONCE_VALID_MS = 120_000;
 
-/** Most such attempts remembered; beyond it, attempts not safe to repeat are refused. */
+/** Maximum number of such identifiers; beyond it, attempts that are not safe to repeat are refused. */
 const MAX_ACCEPTED_ONCE = 50_000;
 
-/** Attempts handed to this node as feeder. */
+/** Attempts that a coordinator sent to this node as feeder. */
 export interface AcceptedBatch {
   readonly coordinator: NodeId;
   readonly context: LegContext;
   readonly legs: readonly LegAttempt[];
-  /** On this node's monotonic clock. */
+  /** Deadline on this node's monotonic clock, in milliseconds. */
   readonly deadlineAt: number;
-  /** Whether an answer may wait at the feeder for others. */
+  /** Whether the feeder may delay an answer to send it with others. */
   readonly mayWait: boolean;
 }
 
@@ -65,7 +65,7 @@
   }
 };
 
-/** Whether the batch's message brings an attempt for the second time. */
+/** Whether an attempt was accepted before: it is still held, or it must not run twice. */
 const isDuplicate = (state: CoreState, context: LegContext, leg: LegAttempt): boolean =>
   state.replica.held.has(leg.attempt) ||
   (!context.safeToRepeat && state.replica.acceptedOnce.has(leg.attempt));
@@ -81,8 +81,8 @@
 };
 
 /**
- * Wait that a new leg of a class is to expect, in milliseconds: those of its partner that wait
- * already take their turns first, at the rate that the partner's share gives it.
+ * Predicts how long a new leg of a class waits, in milliseconds. The queued legs of its partner are
+ * sent first, at the rate given by the partner's share.
  */
 export const predictWait = (feed: ReplicaFeed, legClass: LegClass): number => {
   const ahead = feed.queue.sizeOf(legClass.partner);
--- a/src/core/replica/cancel-legs.ts
+++ b/src/core/replica/cancel-legs.ts
@@ -1,4 +1,4 @@
-/** Ends attempts that their coordinator no longer wants. */
+/** Cancels attempts on behalf of their coordinator. */
 import type { Effect } from '../effect.js';
 import type { AttemptId, NodeId } from '../identifiers.js';
 import type { CoreState } from '../state.js';
@@ -17,7 +17,7 @@
   held.isCancelled = true;
 };
 
-/** Cancels attempts of `coordinator`; those of others are left alone. */
+/** Cancels attempts of `coordinator`; ignores attempts of other coordinators. */
 export const cancelLegs = (
   state: CoreState,
   coordinator: NodeId,
@@ -34,7 +34,7 @@
   }
 };
 
-/** Cancels all attempts of a coordinator that is out of reach. */
+/** Cancels all attempts of a coordinator whose link was lost. */
 export const cancelLegsOfCoordinator = (
   state: CoreState,
   coordinator: NodeId,
--- a/src/core/replica/class-of-legs.ts
+++ b/src/core/replica/class-of-legs.ts
@@ -1,10 +1,10 @@
-/** Finds the class of the legs of a query, from the configuration in force. */
+/** Derives the class of a query's legs from the configuration in force. */
 import type { LegContext } from '../../protocol/leg-messages.js';
 import { routeRowKey } from '../configuration/state.js';
 import type { CoreState } from '../state.js';
 import type { LegClass } from './leg-class.js';
 
-/** Share of a partner that the agreement does not name, and weight of a row that is not in force. */
+/** Share of a partner missing from the agreement, and weight of a row that is not in force. */
 const DEFAULT_SHARE = 0.01;
 const DEFAULT_WEIGHT = 1;
 
@@ -21,7 +21,7 @@
   };
 };
 
-/** The class of the legs of one query. */
+/** Returns the class of the legs of one query. */
 export const classOfLegs = (state: CoreState, context: LegContext): LegClass => {
   const { classCache } = state.replica;
   if (classCache.inForce !== state.configuration.inForce) {
--- a/src/core/replica/deadline-heap.ts
+++ b/src/core/replica/deadline-heap.ts
@@ -1,16 +1,16 @@
-/** Attempts by their deadlines, earliest first; those removed meanwhile are skipped. */
+/** A heap of attempts, earliest deadline first, in which removed attempts are skipped lazily. */
 import { BinaryHeap } from '../binary-heap.js';
 import type { HeldAttempt } from './state.js';
 
 const isDueBefore = (left: HeldAttempt, right: HeldAttempt): boolean =>
   left.deadlineAt < right.deadlineAt;
 
-/** Attempts in the order of their deadlines. */
+/** Queued attempts in the order of their deadlines. */
 export class DeadlineHeap {
   private readonly heap = new BinaryHeap<HeldAttempt>(isDueBefore);
   private live = 0;
 
-  /** Attempts that wait. */
+  /** Number of queued attempts. */
   get size(): number {
     return this.live;
   }
@@ -21,7 +21,7 @@
     this.heap.push(held);
   }
 
-  /** Takes the attempt with the earliest deadline. */
+  /** Removes and returns the queued attempt with the earliest deadline. */
   take(): HeldAttempt | undefined {
     for (;;) {
       const held = this.heap.pop();
@@ -32,7 +32,7 @@
     }
   }
 
-  /** Notes that an attempt no longer waits; its `waiting` is false from now on. */
+  /** Counts an attempt as removed; the caller has set its `isQueued` to false. */
   remove(): void {
     this.live -= 1;
     if (this.live === 0) {
--- a/src/core/replica/dispatch-attempts.ts
+++ b/src/core/replica/dispatch-attempts.ts
@@ -1,4 +1,4 @@
-/** Sends queued attempts to a replica as its slots allow. */
+/** Sends queued attempts to a replica while this node has free slots for it. */
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
 import { connectionsOfFeeder, slotsOfFeeder } from './feeder-share.js';
@@ -8,11 +8,11 @@
 import { reportNotRun } from './report-result.js';
 import type { HeldAttempt, ReplicaFeed } from './state.js';
 
-/** Slots of a replica that this node may fill. */
+/** Number of slots of a replica that this node may use. */
 const shareOfSlots = (state: CoreState, feed: ReplicaFeed): number =>
   slotsOfFeeder(feed.status.slots, state.query.policy.feedersPerReplica);
 
-/** Connections that this node may hold to a replica. */
+/** Number of connections that this node may hold to a replica. */
 const shareOfConnections = (state: CoreState, feed: ReplicaFeed): number =>
   connectionsOfFeeder(feed.status.connections, state.query.policy.feedersPerReplica);
 
@@ -30,7 +30,10 @@
   });
 };
 
-/** Share of the mean working time below which an attempt is not started: it would not finish. */
+/**
+ * An attempt is not started when less than this share of the mean service time is left before its
+ * deadline, as it would not finish.
+ */
 const MIN_TIME_SHARE = 0.25;
 
 const minRemainingMs = (feed: ReplicaFeed): number => MIN_TIME_SHARE * feed.serviceMs;
@@ -52,7 +55,7 @@
   }
 };
 
-/** Sends attempts until the slots are filled or none waits; those past their deadline are refused. */
+/** Sends attempts until the slots are in use or the queue is empty; refuses those that are too late. */
 export const dispatchAttempts = (
   state: CoreState,
   feed: ReplicaFeed,
--- a/src/core/replica/feeder-share.ts
+++ b/src/core/replica/feeder-share.ts
@@ -1,12 +1,15 @@
-/** How the feeders of a replica divide its slots and connections; the sums never exceed them. */
+/**
+ * Divides the slots and connections of a replica among its feeders. The sum of the parts does not
+ * exceed the whole, unless there are more feeders than slots or connections.
+ */
 
-/** Share of connections that no feeder uses: left for health checks and for a change of feeder. */
+/** Share of connections reserved for health checks and for changes of feeders. */
 const CONNECTION_RESERVE_SHARE = 0.1;
 
-/** Slots of a replica that each of its feeders may fill; at least one. */
+/** Returns the number of slots of a replica that each of its feeders may use; at least 1. */
 export const slotsOfFeeder = (slots: number, feeders: number): number =>
   Math.max(1, Math.floor(slots / feeders));
 
-/** Connections that each feeder of a replica may hold to it; at least one. */
+/** Returns the number of connections that each feeder of a replica may hold; at least 1. */
 export const connectionsOfFeeder = (connections: number, feeders: number): number =>
   Math.max(1, Math.floor((connections * (1 - CONNECTION_RESERVE_SHARE)) / feeders));
--- a/src/core/replica/handle-attempts-ended.ts
+++ b/src/core/replica/handle-attempts-ended.ts
@@ -1,4 +1,4 @@
-/** Takes the ends of attempts from the driver and frees their slots. */
+/** Handles the ends of attempts that the driver reports, and frees their slots. */
 import type { LegResult } from '../../protocol/leg-messages.js';
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
@@ -25,7 +25,7 @@
   }
 };
 
-/** Reports what ended to the coordinators and fills the free slots. */
+/** Reports the results to their coordinators and sends queued attempts to the free slots. */
 export const handleAttemptsEnded = (
   state: CoreState,
   results: readonly LegResult[],
--- a/src/core/replica/leaving-replicas.ts
+++ b/src/core/replica/leaving-replicas.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps new work from replicas that leave, at their feeders: what a replica says of itself reaches
- * its feeder first, and a coordinator that has not heard of it yet may still hand legs over.
+ * Refuses new work for leaving replicas at their feeders. The feeder is the first to learn from an
+ * outcome that a replica is leaving; a coordinator without that update may still send legs for it.
  */
 import type { AttemptOutcome } from '../../protocol/leg-messages.js';
 import type { Effect } from '../effect.js';
@@ -14,7 +14,7 @@
     ? outcome.leaving === true
     : outcome.type === 'not-run' && outcome.reason === 'leaving';
 
-/** Notes what the end of an attempt says of its replica's leaving. */
+/** Records that a replica is leaving if the outcome of an attempt indicates it. */
 export const recordLeavingOutcome = (
   state: CoreState,
   held: HeldAttempt,
@@ -28,8 +28,9 @@
 };
 
 /**
- * Refuses an attempt whose replica is known to leave; false when it is not. The refusal says for how
- * long this node believes so: the coordinator takes that over and does not count it as a new sign.
+ * Refuses an attempt if its replica is known to be leaving; returns whether it was refused. The refusal
+ * carries the remaining time of this node's record, in milliseconds. The coordinator adopts that time
+ * instead of starting a new period.
  */
 export const refuseIfLeaving = (
   state: CoreState,
--- a/src/core/replica/leg-class.ts
+++ b/src/core/replica/leg-class.ts
@@ -1,19 +1,19 @@
-/** The class of a leg: whose share of a replica it uses, and what weight its kind has in that. */
+/** The class of a leg: the partner whose share of a replica it uses, and its row's weight in that share. */
 import type { ConfigurationInForce } from '../configuration/state.js';
 import type { PartnerId } from '../identifiers.js';
 
-/** What fair order needs to know of a leg. */
+/** The properties of a leg that determine its place in a fair queue. */
 export interface LegClass {
   readonly partner: PartnerId;
-  /** Share of the partner in the pool, more than 0. */
+  /** Share of the partner in the pool; greater than 0. */
   readonly share: number;
-  /** Names the row. */
+  /** Key of the row. */
   readonly row: string;
-  /** Weight of the row among the partner's rows, more than 0. */
+  /** Weight of the row among the partner's rows; greater than 0. */
   readonly weight: number;
 }
 
-/** Classes by row, derived from one configuration in force. */
+/** Cache of classes by row, derived from one configuration in force. */
 export interface LegClassCache {
   inForce: ConfigurationInForce | undefined;
   readonly classes: Map<string, LegClass>;
--- a/src/core/replica/leg-queue.ts
+++ b/src/core/replica/leg-queue.ts
@@ -1,18 +1,18 @@
-/** The legs that wait at a feeder for one replica, and the order in which they are sent. */
+/** Queues of legs at a feeder for one replica; they determine the order in which legs are sent. */
 import type { PartnerId } from '../identifiers.js';
 import { DeadlineHeap } from './deadline-heap.js';
 import type { HeldAttempt } from './state.js';
 
-/** A queue of attempts; each sets `waiting` of what it holds. */
+/** A queue of attempts; it maintains `isQueued` of its attempts. */
 export interface LegQueue {
-  /** Attempts that wait. */
+  /** Number of queued attempts. */
   readonly size: number;
-  /** Attempts of one partner that wait. */
+  /** Returns the number of queued attempts of one partner; a first-come queue counts all partners. */
   sizeOf(partner: PartnerId): number;
   add(held: HeldAttempt): void;
-  /** Takes the next attempt in the queue's order. */
+  /** Removes and returns the next attempt in the queue's order. */
   take(): HeldAttempt | undefined;
-  /** Removes an attempt that is no longer wanted. */
+  /** Removes a cancelled attempt. */
   remove(held: HeldAttempt): void;
 }
 
@@ -46,7 +46,7 @@
 interface RowQueue {
   readonly heap: DeadlineHeap;
   weight: number;
-  /** Service received, divided by the weight. */
+  /** Service received, divided by the weight, as in stride scheduling. */
   pass: number;
 }
 
@@ -55,7 +55,7 @@
   readonly rows: Map<string, RowQueue>;
   share: number;
   pass: number;
-  /** Pass of the row served last: a row that returns starts from there. */
+  /** Pass of the row served last; a row that was empty resumes from there. */
   rowPass: number;
   size: number;
 }
@@ -82,14 +82,14 @@
   return least;
 };
 
-/** Legs for which a partner that returns goes before the others. */
+/** Number of legs that are served first when a partner without queued legs becomes active again. */
 const CREDIT_LEGS = 16;
 
 /**
- * A queue by weighted fair shares: partners first, by their shares of the pool; the kinds of a
- * partner next, by the weights of their rows; the earliest deadline inside a kind. Who waits for
- * nothing leaves its share to the others and takes it back at once: it returns with a credit of
- * `CREDIT_LEGS`, so that a burst within its share goes before what the others have waiting.
+ * A queue with weighted fair shares. It selects the partner by its share of the pool, then the
+ * partner's row by weight, then the leg with the earliest deadline. Others use the share of a partner
+ * without queued legs. When such a partner becomes active again, it gets a credit of `CREDIT_LEGS`, so
+ * that a burst within its share is sent before the queued legs of the others.
  */
 class FairQueue implements LegQueue {
   private readonly partnerQueues = new Map<PartnerId, PartnerQueue>();
@@ -168,5 +168,5 @@
   }
 }
 
-/** Creates a queue by weighted fair shares. */
+/** Creates a queue with weighted fair shares. */
 export const createFairQueue = (): LegQueue => new FairQueue();
--- a/src/core/replica/reducer.ts
+++ b/src/core/replica/reducer.ts
@@ -1,4 +1,4 @@
-/** The replica slice: feeds replicas with the attempts of this node's and of its peers' queries. */
+/** The replica slice: feeds replicas with attempts of the queries of this node and of its peers. */
 import type { Effect } from '../effect.js';
 import type { Event, LinkMessageArrived, TimerFired } from '../event.js';
 import type { CoreState } from '../state.js';
--- a/src/core/replica/replica-index.ts
+++ b/src/core/replica/replica-index.ts
@@ -1,4 +1,4 @@
-/** Finds what the platform publishes about a replica. */
+/** Looks up the published status of a replica. */
 import type { ReplicaStatus } from '../../catalog/partner-index.js';
 import type { PartnerId, ReplicaId } from '../identifiers.js';
 import type { CoreState } from '../state.js';
@@ -18,7 +18,7 @@
   }
 };
 
-/** The status of a replica in the configuration in force; undefined when it is not known. */
+/** Returns the status of a replica in the configuration in force; undefined if it is unknown. */
 export const findReplicaStatus = (
   state: CoreState,
   partner: PartnerId,
--- a/src/core/replica/replica-silence.ts
+++ b/src/core/replica/replica-silence.ts
@@ -1,6 +1,6 @@
 /**
- * Notices at the feeder that a replica has stopped to answer, so that the legs that wait for it can
- * go elsewhere: they have not been sent, and a refusal as not run costs the back ends nothing.
+ * Detects at the feeder that a replica has stopped answering, so that its queued legs can go to other
+ * replicas. They have not been sent, so refusing them as not run causes no work at the back ends.
  */
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
@@ -8,35 +8,35 @@
 import { reportNotRun } from './report-result.js';
 import type { HeldAttempt, ReplicaFeed } from './state.js';
 
-/** A replica is silent when it has answered nothing for this many mean working times. */
+/** A replica is silent after this many mean service times without a response. */
 const SILENCE_FACTOR = 6;
-/** Shortest silence that counts, in milliseconds. */
+/** Minimum time without a response before a replica counts as silent, in milliseconds. */
 const MIN_SILENCE_MS = 25;
-/** Attempts that end in a row without a word of the replica, after which it counts as silent. */
+/** Number of consecutive attempts ended without a response after which a replica counts as silent. */
 const UNANSWERED_LIMIT = 3;
-/** Mean working times that an attempt must have lasted to count as unheard. */
+/** Minimum duration of an attempt to count as unanswered, in mean service times. */
 const LATE_FACTOR = 2;
-/** Weight of the newest sample in the decayed mean of working times. */
+/** Weight of the newest sample in the decayed mean of service times. */
 const SAMPLE_WEIGHT = 0.1;
 
 const silenceThresholdMs = (feed: ReplicaFeed): number =>
   Math.max(MIN_SILENCE_MS, SILENCE_FACTOR * feed.serviceMs);
 
 /**
- * Whether the replica seems to have stopped answering: attempts have been there for long without any
- * answer, or several in a row were called off by coordinators who waited in vain.
+ * Whether the replica seems to have stopped answering: it has held attempts too long without any
+ * response, or several in a row ended late without one, such as when coordinators cancelled them.
  */
 export const isFeedSilent = (feed: ReplicaFeed, at: number): boolean =>
   feed.unansweredSince !== undefined &&
   (feed.unanswered >= UNANSWERED_LIMIT || at - feed.unansweredSince >= silenceThresholdMs(feed));
 
-/** Notes an attempt sent to the replica. */
+/** Records an attempt sent to the replica. */
 export const recordAttemptSent = (feed: ReplicaFeed, at: number): void => {
   feed.inFlight += 1;
   feed.unansweredSince ??= at;
 };
 
-/** Notes that the replica has said something: an answer or a refusal. */
+/** Records a response of the replica: an answer or a refusal. */
 export const recordResponse = (feed: ReplicaFeed, serviceMs: number, at: number): void => {
   feed.inFlight -= 1;
   feed.unanswered = 0;
@@ -44,7 +44,7 @@
   feed.serviceMs += SAMPLE_WEIGHT * (serviceMs - feed.serviceMs);
 };
 
-/** Notes that an attempt ended without a word of the replica: cancelled, timed out, cut off. */
+/** Records that an attempt ended without a response: cancelled, timed out or its connection lost. */
 export const recordNoResponse = (feed: ReplicaFeed, serviceMs: number, at: number): void => {
   feed.inFlight -= 1;
   if (serviceMs > LATE_FACTOR * feed.serviceMs) {
@@ -55,7 +55,7 @@
   }
 };
 
-/** Refuses the legs that wait for a silent replica, but for those that insist. */
+/** Refuses the queued legs of a silent replica, except those that must be sent anyway (`insist`). */
 const refuseQueued = (state: CoreState, feed: ReplicaFeed, at: number): void => {
   const retained: HeldAttempt[] = [];
   for (let held = feed.queue.take(); held !== undefined; held = feed.queue.take()) {
@@ -69,7 +69,7 @@
   retained.forEach((held) => feed.queue.add(held));
 };
 
-/** Watches a replica for which legs wait. */
+/** Sets the timer that checks whether a replica with queued legs has fallen silent. */
 export const setSilenceTimer = (feed: ReplicaFeed, at: number, effects: Effect[]): void => {
   if (feed.silenceTimerSet || feed.unansweredSince === undefined) {
     return;
@@ -80,7 +80,7 @@
   effects.push({ type: 'set-timer', key, at: due });
 };
 
-/** Looks at a watched replica: refuses what waits if it is silent, else watches on. */
+/** Handles the silence timer: refuses the queued legs if the replica is silent, else sets it again. */
 export const checkSilence = (
   state: CoreState,
   feed: ReplicaFeed,
--- a/src/core/replica/report-result.ts
+++ b/src/core/replica/report-result.ts
@@ -1,6 +1,6 @@
 /**
- * Results on their way from the feeder to the coordinators. Those of one step go together. An answer
- * may wait a little for others, as long as its coordinator allows it and the query can't end without
+ * Sends results from the feeder to the coordinators. Results of one step are sent together. An answer
+ * may be delayed to be sent with others if its coordinator allows it and the query cannot end without
  * another result of this feeder; see docs/design/25-results-in-batches.md.
  */
 import type { AttemptOutcome, LegResult, NotRunReason } from '../../protocol/leg-messages.js';
@@ -10,7 +10,7 @@
 import type { CoreState } from '../state.js';
 import type { HeldAttempt } from './state.js';
 
-/** Notes a result for its coordinator. */
+/** Adds a result that is sent to its coordinator at the end of this step. */
 export const reportResult = (state: CoreState, coordinator: NodeId, result: LegResult): void => {
   const waiting = state.replica.results.get(coordinator);
   if (waiting === undefined) {
@@ -21,17 +21,17 @@
 };
 
 /**
- * Share of a message's legs that are open when no answer waits any more: the last legs of a query
- * decide when it ends and which of them are hedged.
+ * No answer is delayed once at most this share of its message's legs is open. The last legs determine
+ * when the query ends and which of them are hedged.
  */
 const LAST_LEGS_SHARE = 0.2;
 
-/** Time before a query's deadline from which on no answer waits, in milliseconds. */
+/** Time before a query's deadline in which no answer is delayed, in milliseconds. */
 const NO_DELAY_BEFORE_DEADLINE_MS = 50;
 
 /**
- * Whether a result may wait for others: an answer, of a query that is not about to end, while many
- * legs of the same message are still open. The next one that may not takes along those that wait.
+ * Whether a result may be delayed: it is an answer, its deadline is not near and enough legs of the
+ * same message are open. The next result that is not delayed is sent together with the delayed ones.
  */
 export const mayDelayResult = (
   state: CoreState,
@@ -47,7 +47,7 @@
   state.query.policy.resultWaitMs > 0 &&
   state.phase === 'serving';
 
-/** Notes a result that may wait for others to its coordinator. */
+/** Adds a result that may be delayed and sent with others to its coordinator. */
 export const delayResult = (
   state: CoreState,
   coordinator: NodeId,
@@ -62,7 +62,7 @@
   }
 };
 
-/** Takes out what waits for a coordinator, with the time that each has waited. */
+/** Removes and returns the delayed results for a coordinator, each with its delay in milliseconds. */
 const takeDelayedResults = (state: CoreState, coordinator: NodeId, at: number): LegResult[] => {
   const waiting = state.replica.delayedResults.get(coordinator);
   if (waiting === undefined) {
@@ -72,7 +72,7 @@
   return waiting.map(({ result, since }) => ({ ...result, heldMs: at - since }));
 };
 
-/** Lets all results that wait go with this step. */
+/** Moves all delayed results to those sent at the end of this step. */
 export const releaseDelayedResults = (state: CoreState, at: number): void => {
   state.replica.resultTimerSet = false;
   for (const coordinator of [...state.replica.delayedResults.keys()]) {
@@ -82,12 +82,12 @@
   }
 };
 
-/** Forgets the results that wait for a coordinator which is out of reach. */
+/** Discards the delayed results for a coordinator whose link was lost. */
 export const discardDelayedResults = (state: CoreState, coordinator: NodeId): void => {
   state.replica.delayedResults.delete(coordinator);
 };
 
-/** Sees to it that nothing waits for longer than allowed; one timer serves all coordinators. */
+/** Sets the timer that limits the delay of results; one timer serves all coordinators. */
 const setResultTimer = (state: CoreState, at: number, effects: Effect[]): void => {
   const { replica, query } = state;
   if (replica.resultTimerSet || replica.delayedResults.size === 0) {
@@ -98,7 +98,7 @@
   effects.push({ type: 'set-timer', key, at: at + query.policy.resultWaitMs });
 };
 
-/** Notes that an attempt provably did not run. */
+/** Reports to its coordinator that an attempt provably did not run. */
 export const reportNotRun = (
   state: CoreState,
   held: Pick<HeldAttempt, 'coordinator' | 'leg' | 'arrivedAt'>,
@@ -137,7 +137,7 @@
   }
 };
 
-/** Sends all results noted in this step; this node's own go straight to its queries. */
+/** Sends all results of this step; results for this node go directly to its queries. */
 export const flushResults = (state: CoreState, at: number, effects: Effect[]): void => {
   const { results } = state.replica;
   while (results.size > 0) {
--- a/src/core/replica/state.ts
+++ b/src/core/replica/state.ts
@@ -1,4 +1,4 @@
-/** State about replicas: the queues of those that this node feeds, and results on their way back. */
+/** State of the feeder: queues of the replicas that this node feeds, and results not yet sent. */
 import type { ReplicaStatus } from '../../catalog/partner-index.js';
 import type { LegAttempt, LegContext, LegResult } from '../../protocol/leg-messages.js';
 import type { ConfigurationInForce } from '../configuration/state.js';
@@ -6,17 +6,17 @@
 import type { LegClass, LegClassCache } from './leg-class.js';
 import type { LegQueue } from './leg-queue.js';
 
-/** The attempts that came in one message. */
+/** The attempts of one message. */
 export interface HeldBatch {
-  /** All of them. */
+  /** Number of legs in the message. */
   readonly size: number;
-  /** Those that have not ended. */
+  /** Number of accepted attempts that have not ended. */
   open: number;
-  /** Whether the coordinator lets an answer wait for others. */
+  /** Whether the coordinator allows answers to be delayed and sent together. */
   readonly mayWait: boolean;
 }
 
-/** An answer that waits at the feeder for others to the same coordinator. */
+/** An answer that the feeder delays to send it with others to the same coordinator. */
 export interface DelayedResult {
   readonly result: LegResult;
   readonly since: number;
@@ -34,55 +34,55 @@
   readonly arrivedAt: number;
   /** When it was sent to the replica; undefined while it is queued. */
   sentAt: number | undefined;
-  /** It is in the queue of its replica. */
+  /** Whether it is in the queue of its replica. */
   isQueued: boolean;
-  /** The coordinator wants no result any more. */
+  /** Whether the coordinator has cancelled it; its result is not reported. */
   isCancelled: boolean;
 }
 
-/** A back end fed by this node. */
+/** A back end that this node feeds. */
 export interface ReplicaFeed {
   readonly endpoint: string;
   status: ReplicaStatus;
-  /** Attempts sent and not yet ended. */
+  /** Number of attempts sent that have not ended. */
   inFlight: number;
-  /** Decayed mean of its working times, in milliseconds. */
+  /** Decayed mean of its service times, in milliseconds. */
   serviceMs: number;
-  /** Since when attempts are there and it has said nothing; undefined when all is answered. */
+  /** Since when it has held attempts without a response; undefined if there are none. */
   unansweredSince: number | undefined;
-  /** Attempts that ended since then without a word of the replica. */
+  /** Number of late attempts that ended without a response since its last response. */
   unanswered: number;
-  /** Whether a timer looks whether it has fallen silent. */
+  /** Whether the timer that checks for silence is set. */
   silenceTimerSet: boolean;
   readonly queue: LegQueue;
 }
 
-/** Published replicas by partner, derived from one configuration in force. */
+/** Cache of published replicas by partner, derived from one configuration in force. */
 export interface ReplicaIndex {
   inForce: ConfigurationInForce | undefined;
   readonly statuses: Map<PartnerId, ReadonlyMap<ReplicaId, ReplicaStatus>>;
 }
 
-/** Observations and queues by replica. */
+/** State of this node as feeder. */
 export interface ReplicaState {
-  /** Attempts queued or in flight at this node as feeder. */
+  /** Number of attempts queued or in flight at this node as feeder. */
   attemptsInProgress: number;
   readonly held: Map<AttemptId, HeldAttempt>;
-  /** By endpoint. */
+  /** Fed back ends by endpoint. */
   readonly feeds: Map<string, ReplicaFeed>;
   readonly index: ReplicaIndex;
   readonly classCache: LegClassCache;
-  /** Results to be reported at the end of this step, by coordinator. */
+  /** Results to send at the end of this step, by coordinator. */
   readonly results: Map<NodeId, LegResult[]>;
-  /** Results that wait for others, by coordinator; `results-due` is set while there are any. */
+  /** Delayed results by coordinator; the timer `results-due` is set while there are any. */
   readonly delayedResults: Map<NodeId, DelayedResult[]>;
-  /** Whether `results-due` is set. */
+  /** Whether the timer `results-due` is set. */
   resultTimerSet: boolean;
-  /** Attempts not safe to repeat that were accepted, with the time when each may be forgotten. */
+  /** Accepted attempts that are not safe to repeat, with the time after which each is removed. */
   readonly acceptedOnce: Map<AttemptId, number>;
 }
 
-/** Creates the state of a node that feeds no replica yet. */
+/** Creates the state of a node that feeds no replica. */
 export const createReplicaState = (): ReplicaState => ({
   attemptsInProgress: 0,
   held: new Map(),
--- a/test/replica/binary-heap.test.ts
+++ b/test/replica/binary-heap.test.ts
@@ -25,7 +25,7 @@
 const times = fc.array(fc.nat(50), { maxLength: 200 });
 
 describe('a binary heap', () => {
-  it('gives its items in their order', () => {
+  it('returns its items in order', () => {
     fc.assert(
       fc.property(times, (all) => {
         expect(drain(createHeap(all))).toEqual(inOrder(all));
@@ -34,7 +34,7 @@
     );
   });
 
-  it('keeps the order when items come and go in turn', () => {
+  it('keeps the order when pushes follow pops', () => {
     fc.assert(
       fc.property(times, times, (before, after) => {
         const heap = createHeap(before);
@@ -51,7 +51,7 @@
     );
   });
 
-  it('keeps what is retained, in order', () => {
+  it('keeps the retained items in order', () => {
     fc.assert(
       fc.property(times, (all) => {
         const heap = createHeap(all);
@@ -62,7 +62,7 @@
     );
   });
 
-  it('is empty when cleared', () => {
+  it('is empty after clear', () => {
     const heap = createHeap([3, 1, 2]);
     heap.clear();
     expect(heap.size).toBe(0);
--- a/test/replica/leaving.test.ts
+++ b/test/replica/leaving.test.ts
@@ -8,7 +8,7 @@
 
 const COORDINATOR = 'bole-0' as NodeId;
 const FEEDER = 'arada-0' as NodeId;
-/** The replica in the other zone, which only `FEEDER` feeds. */
+/** Returns the replica in the other zone, which only `FEEDER` feeds. */
 const findLeaving = (tier: VirtualTier): VirtualReplica => tier.replicas[1] as VirtualReplica;
 
 const createTier = (): VirtualTier =>
@@ -29,8 +29,8 @@
 const countSent = (effects: readonly Effect[]): number =>
   effects.filter(({ type }) => type === 'send-attempt').length;
 
-describe('the feeder of a replica that leaves', () => {
-  it('sends it nothing, even if the only other replica is frozen', () => {
+describe('the feeder of a leaving replica', () => {
+  it('sends it no attempt, even if the only other replica is frozen', () => {
     const tier = createTier();
     (tier.replicas[0] as VirtualReplica).mode = 'frozen';
     recordLeaving(tier);
@@ -39,7 +39,7 @@
     expect(reasons.length).toBeGreaterThan(0);
   });
 
-  it('tells the coordinator, for as long as it believes so itself', () => {
+  it('reports the leaving to the coordinator for the remaining time of its own record', () => {
     const tier = createTier();
     recordLeaving(tier);
     tier.runFor(10_000);
@@ -51,7 +51,7 @@
     expect(isKnownLeaving(tier, COORDINATOR)).toBe(false);
   });
 
-  it('sends nothing of what waits once the replica has said so', () => {
+  it('refuses its queued attempts once the replica has refused one as leaving', () => {
     const tier = createTier();
     const { replica } = findLeaving(tier).status;
     const context = {
--- a/test/replica/leg-queue.test.ts
+++ b/test/replica/leg-queue.test.ts
@@ -24,7 +24,7 @@
   names.filter((name) => name.startsWith(prefix)).length;
 
 describe('the fair queue of a feeder', () => {
-  it('divides by the shares of the partners, whatever waits', () => {
+  it('serves partners by their shares, regardless of how many legs are queued', () => {
     const queue = createFairQueue();
     for (let number = 0; number < 400; number += 1) {
       queue.add(createHeldAttempt(`a${number}`, 'a', 0.25));
@@ -39,7 +39,7 @@
     expect(queue.size).toBe(0);
   });
 
-  it('divides a partner by the weights of its rows, and by deadline inside a row', () => {
+  it('serves the rows of a partner by their weights, and the legs of a row by deadline', () => {
     const queue = createFairQueue();
     for (let number = 0; number < 90; number += 1) {
       queue.add(createHeldAttempt(`h${number}`, 'a', 1, 'heavy', 3, 1_000 - number));
@@ -51,7 +51,7 @@
     expect(taken.filter((name) => name.startsWith('h')).slice(0, 3)).toEqual(['h89', 'h88', 'h87']);
   });
 
-  it('lends what is unused and gives it back to the next leg of its owner', () => {
+  it('lets others use an idle share and returns it with the next leg of its partner', () => {
     const queue = createFairQueue();
     for (let number = 0; number < 200; number += 1) {
       queue.add(createHeldAttempt(`a${number}`, 'a', 0.5));
@@ -63,7 +63,7 @@
     expect(countOf(takeNames(queue, 50), 'a')).toBe(50);
   });
 
-  it('gives a partner that keeps asking no more than its share, credit included', () => {
+  it('limits a partner with a steady load to its share plus one credit', () => {
     const queue = createFairQueue();
     for (let number = 0; number < 1_000; number += 1) {
       queue.add(createHeldAttempt(`a${number}`, 'a', 0.5));
@@ -77,7 +77,7 @@
     expect(countOf(taken, 'b')).toBeLessThanOrEqual(200 + 16);
   });
 
-  it('skips what was removed and keeps count', () => {
+  it('skips removed legs and counts the others', () => {
     const queue = createFairQueue();
     const legs = Array.from({ length: 5 }, (_, number) =>
       createHeldAttempt(`a${number}`, 'a', 1, 'r', 1, number),
--- a/test/replica/result-batches.test.ts
+++ b/test/replica/result-batches.test.ts
@@ -10,7 +10,7 @@
 const SEED = 7;
 const SERVICES = 24;
 
-/** Items that several shards share, with whole scores so that sums do not depend on the order. */
+/** Adds items that several shards share; integer scores make sums independent of the order. */
 const withSharedItems = (outcome: AttemptOutcome): AttemptOutcome => {
   if (outcome.type !== 'answered') {
     return outcome;
@@ -26,7 +26,7 @@
 
 interface ObservedTier {
   readonly tier: VirtualTier;
-  /** The lists of results sent between nodes. */
+  /** Lists of results sent between nodes, one for each message. */
   readonly batches: (readonly LegResult[])[];
 }
 
@@ -66,8 +66,8 @@
 const listHeld = ({ batches }: ObservedTier): number[] =>
   batches.flat().flatMap(({ heldMs }) => (heldMs === undefined ? [] : [heldMs]));
 
-describe('results that wait for others at the feeder', () => {
-  it('give the same answer at the same time, for each merge and with doubled messages', () => {
+describe('delayed results', () => {
+  it('give the same answer at the same time for each merge, also with duplicate messages', () => {
     const merge = fc.constantFrom('top', 'concatenate', 'sum');
     const copies = fc.constantFrom(1, 2);
     fc.assert(
@@ -82,7 +82,7 @@
     );
   });
 
-  it('travel in far fewer messages and wait for no longer than allowed', () => {
+  it('need at least 40% fewer messages and are delayed no longer than allowed', () => {
     const atOnce = createTier({}, { resultWaitMs: 0 });
     const waited = createTier({}, { resultWaitMs: WAIT_MS });
     askOnce(atOnce);
@@ -93,7 +93,7 @@
     expect(Math.max(...listHeld(waited))).toBeLessThanOrEqual(WAIT_MS + 1e-6);
   });
 
-  it('do not make replicas seem slower', () => {
+  it('do not change the observed latency of services', () => {
     const slowest = ({ tier }: ObservedTier): number[] => {
       const { services } = tier.state(firstNode(tier)).query.observations;
       return [...services.values()].map(({ latencyMs }) => Math.round(latencyMs * 1_000));
@@ -106,7 +106,7 @@
   });
 });
 
-describe('no result waits', () => {
+describe('a result is not delayed', () => {
   it('when any answer may be the one that ends the query', () => {
     const watched = createTier({}, { resultWaitMs: WAIT_MS });
     askOnce(watched, { coverage: 0.9 });
@@ -119,7 +119,7 @@
     expect(listHeld(watched)).toEqual([]);
   });
 
-  it('when it is no answer', () => {
+  it('when it is not an answer', () => {
     const watched = createTier({}, { resultWaitMs: WAIT_MS });
     watched.tier.replicas.slice(0, SERVICES).forEach((replica) => (replica.mode = 'shedding'));
     watched.tier.askAndWait(firstNode(watched.tier));
@@ -128,7 +128,7 @@
     expect(refused.every(({ heldMs }) => heldMs === undefined)).toBe(true);
   });
 
-  it('at a node that stops: it sends what waits at once', () => {
+  it('any longer when its node starts to stop', () => {
     const { tier } = createTier({}, { resultWaitMs: 1_000 });
     tier.ask(firstNode(tier));
     tier.runFor(9);
@@ -140,7 +140,7 @@
     }
   });
 
-  it('for a coordinator that is out of reach', () => {
+  it('but discarded when its coordinator has crashed', () => {
     const { tier, batches } = createTier({}, { resultWaitMs: 20 });
     tier.ask(firstNode(tier));
     tier.runFor(9);
