--- a/src/core/once/claim-timing.ts
+++ b/src/core/once/claim-timing.ts
@@ -7,10 +7,10 @@
 export const KEY_LEAD_MS = 2_000;
 
 /** How long keepers remember the claims of a period after its end, in milliseconds. */
-export const CLAIM_MEMORY_MS = KEY_LIFETIME_MS + 60_000;
+export const CLAIM_RETENTION_MS = KEY_LIFETIME_MS + 60_000;
 
 /** How often a node forgets the claims of past periods, in milliseconds. */
-export const FORGET_MS = 60_000;
+export const CLAIM_EXPIRY_INTERVAL_MS = 60_000;
 
 /** Most claims that a keeper remembers; it refuses new ones when full. */
 export const MAX_KEPT_CLAIMS = 250_000;
--- a/src/core/once/claim.ts
+++ b/src/core/once/claim.ts
@@ -24,7 +24,7 @@
 /** Sends a message about a claim, also to this node itself. */
 const deliver = (state: CoreState, to: NodeId, message: OnceMessage, at: number): Effect[] => {
   if (to === state.self.node) {
-    return takeOnceMessage(state, to, message, at);
+    return handleOnceMessage(state, to, message, at);
   }
   const member = state.membership.members.get(to);
   return member === undefined
@@ -33,7 +33,7 @@
 };
 
 /** Handles a message about claims from `from`, which may be this node. */
-export const takeOnceMessage = (
+export const handleOnceMessage = (
   state: CoreState,
   from: NodeId,
   message: OnceMessage,
@@ -43,14 +43,14 @@
     case 'claim-request':
       return deliver(state, from, keepClaim(state, message, at), at);
     case 'claim-reply':
-      return takeReply(state, from, message, at);
+      return handleClaimReply(state, from, message, at);
     case 'claim-release':
       releaseKeptClaim(state, message);
       return [];
   }
 };
 
-const askKeepers = (state: CoreState, claim: OwnClaim, at: number): Effect[] => {
+const sendClaimRequests = (state: CoreState, claim: OwnClaim, at: number): Effect[] => {
   const { partner, idempotencyKey, request } = claim;
   return claim.keepers.nodes
     .filter((keeper) => !claim.granted.has(keeper) && !claim.refused.has(keeper))
@@ -71,7 +71,7 @@
 /** Refuses the request, which will never run; what it was granted is given back. */
 const refuseClaim = (state: CoreState, claim: OwnClaim, at: number): Effect[] => {
   const verdict = claim.refused.size > 0 ? 'already-claimed' : 'owner-not-ready';
-  state.once.own.delete(claim.request);
+  state.once.ownClaims.delete(claim.request);
   state.counters.claims_refused += 1;
   return [
     { type: 'cancel-timer', key: resendTimer(claim.request) },
@@ -89,13 +89,13 @@
   ];
 };
 
-const takeReply = (
+const handleClaimReply = (
   state: CoreState,
   from: NodeId,
   { request, verdict }: ClaimReply,
   at: number,
 ): Effect[] => {
-  const claim = state.once.own.get(request);
+  const claim = state.once.ownClaims.get(request);
   const { nodes, majority } = claim?.keepers ?? { nodes: [], majority: 0 };
   if (claim?.phase !== 'asking' || verdict === 'owner-not-ready' || !nodes.includes(from)) {
     return [];
@@ -107,12 +107,12 @@
   return claim.refused.size > nodes.length - majority ? refuseClaim(state, claim, at) : [];
 };
 
-const isTimely = (state: CoreState, key: IdempotencyKey, at: number): boolean => {
+const isKeyAgeValid = (state: CoreState, key: IdempotencyKey, at: number): boolean => {
   const age = wallTimeAt(state, at) - key.createdAt;
   return age <= KEY_LIFETIME_MS && age >= -KEY_LEAD_MS;
 };
 
-const beginClaim = (
+const startClaim = (
   state: CoreState,
   request: RequestId,
   partner: PartnerId,
@@ -133,9 +133,9 @@
     phase: 'asking',
     resends: 0,
   };
-  state.once.own.set(request, claim);
+  state.once.ownClaims.set(request, claim);
   const timer = { type: 'set-timer', key: resendTimer(request), at: at + CLAIM_RESEND_MS } as const;
-  return [timer, ...askKeepers(state, claim, at)];
+  return [timer, ...sendClaimRequests(state, claim, at)];
 };
 
 /** Asks for the claim of a key; `continueClaimed` of the query slice is called with the verdict. */
@@ -147,14 +147,14 @@
   at: number,
 ): Effect[] => {
   const key = parseIdempotencyKey(idempotencyKey).toMaybe().extract();
-  return key === undefined || !isTimely(state, key, at)
+  return key === undefined || !isKeyAgeValid(state, key, at)
     ? handleClaimVerdict(state, request, 'key-invalid', at)
-    : beginClaim(state, request, partner, key, at);
+    : startClaim(state, request, partner, key, at);
 };
 
 /** Asks the silent keepers again, or gives up. */
 export const resendClaim = (state: CoreState, request: RequestId, at: number): Effect[] => {
-  const claim = state.once.own.get(request);
+  const claim = state.once.ownClaims.get(request);
   if (claim?.phase !== 'asking') {
     return [];
   }
@@ -163,7 +163,7 @@
   }
   claim.resends += 1;
   return [
-    ...askKeepers(state, claim, at),
+    ...sendClaimRequests(state, claim, at),
     { type: 'set-timer', key: resendTimer(request), at: at + CLAIM_RESEND_MS },
   ];
 };
@@ -178,11 +178,11 @@
   ran: boolean,
   at: number,
 ): Effect[] => {
-  const claim = state.once.own.get(request);
+  const claim = state.once.ownClaims.get(request);
   if (claim === undefined) {
     return [];
   }
-  state.once.own.delete(request);
+  state.once.ownClaims.delete(request);
   const cancelled = { type: 'cancel-timer', key: resendTimer(request) } as const;
   return ran ? [cancelled] : [cancelled, ...releaseClaim(state, claim, at)];
 };
--- a/src/core/once/keep-claim.ts
+++ b/src/core/once/keep-claim.ts
@@ -18,17 +18,17 @@
   wallTimeAt,
 } from '../keepers/find-roster.js';
 import type { CoreState } from '../state.js';
-import { CLAIM_MEMORY_MS, KEY_LEAD_MS, MAX_KEPT_CLAIMS } from './claim-timing.js';
+import { CLAIM_RETENTION_MS, KEY_LEAD_MS, MAX_KEPT_CLAIMS } from './claim-timing.js';
 
 /** Names a key over all partners. */
 export const claimSubject = (partner: PartnerId, idempotencyKey: string): string =>
   `${partner}|${idempotencyKey}`;
 
 /** Forgets the claims of periods whose keys are too old to be accepted anywhere, for good. */
-export const forgetPastClaims = (state: CoreState, at: number): void => {
+export const removeExpiredClaims = (state: CoreState, at: number): void => {
   const { once } = state;
-  const closed = periodOf(wallTimeAt(state, at) - CLAIM_MEMORY_MS) - 1;
-  once.closedThrough = Math.max(once.closedThrough, closed);
+  const lastClosedPeriod = periodOf(wallTimeAt(state, at) - CLAIM_RETENTION_MS) - 1;
+  once.closedThrough = Math.max(once.closedThrough, lastClosedPeriod);
   for (const [period, claims] of once.kept) {
     if (period <= once.closedThrough) {
       once.keptCount -= claims.size;
@@ -46,10 +46,10 @@
   chooseKeepers(roster, partner, claimSubject(partner, key.text)).nodes.includes(state.self.node);
 
 /** True when this process knows of every claim on the key that its node can have granted. */
-const canVouch = (state: CoreState, roster: KeeperRoster, key: IdempotencyKey): boolean =>
+const knowsAllClaims = (state: CoreState, roster: KeeperRoster, key: IdempotencyKey): boolean =>
   isNamedProcess(state, roster) || isAfterStart(state, key.createdAt, KEY_LEAD_MS);
 
-const mayKeep = (
+const mayGrantClaim = (
   state: CoreState,
   key: IdempotencyKey,
   partner: PartnerId,
@@ -61,10 +61,10 @@
   if (roster === undefined || isAhead || period <= state.once.closedThrough) {
     return false;
   }
-  return isKeeper(state, roster, partner, key) && canVouch(state, roster, key);
+  return isKeeper(state, roster, partner, key) && knowsAllClaims(state, roster, key);
 };
 
-const claimsOf = (state: CoreState, period: number): Map<string, RequestId> => {
+const getClaimsOfPeriod = (state: CoreState, period: number): Map<string, RequestId> => {
   const known = state.once.kept.get(period);
   if (known !== undefined) {
     return known;
@@ -86,10 +86,10 @@
   if (holder !== undefined) {
     return holder === message.request ? 'granted' : 'already-claimed';
   }
-  if (!mayKeep(state, key, message.partner, at) || state.once.keptCount >= MAX_KEPT_CLAIMS) {
+  if (!mayGrantClaim(state, key, message.partner, at) || state.once.keptCount >= MAX_KEPT_CLAIMS) {
     return 'owner-not-ready';
   }
-  claimsOf(state, period).set(subject, message.request);
+  getClaimsOfPeriod(state, period).set(subject, message.request);
   state.once.keptCount += 1;
   return 'granted';
 };
--- a/src/core/once/reducer.ts
+++ b/src/core/once/reducer.ts
@@ -3,34 +3,37 @@
 import type { Event, LinkMessageArrived, TimerFired } from '../event.js';
 import { identifier, type RequestId } from '../identifiers.js';
 import type { CoreState } from '../state.js';
-import { FORGET_MS } from './claim-timing.js';
-import { resendClaim, takeOnceMessage } from './claim.js';
-import { forgetPastClaims } from './keep-claim.js';
+import { CLAIM_EXPIRY_INTERVAL_MS } from './claim-timing.js';
+import { resendClaim, handleOnceMessage } from './claim.js';
+import { removeExpiredClaims } from './keep-claim.js';
 
-const scheduleForgetting = (at: number): Effect => ({
+const setExpiryTimer = (at: number): Effect => ({
   type: 'set-timer',
   key: { purpose: 'once-expiry', subject: '' },
-  at: at + FORGET_MS,
+  at: at + CLAIM_EXPIRY_INTERVAL_MS,
 });
 
-const takeTimer = (state: CoreState, { key, at }: TimerFired): Effect[] => {
+const handleTimer = (state: CoreState, { key, at }: TimerFired): Effect[] => {
   switch (key.purpose) {
     case 'once-resend':
       return resendClaim(state, identifier<RequestId>(key.subject), at);
     case 'once-expiry':
-      forgetPastClaims(state, at);
-      return [scheduleForgetting(at)];
+      removeExpiredClaims(state, at);
+      return [setExpiryTimer(at)];
     default:
       return [];
   }
 };
 
-const takeMessage = (state: CoreState, { from, message, at }: LinkMessageArrived): Effect[] => {
+const handleLinkMessage = (
+  state: CoreState,
+  { from, message, at }: LinkMessageArrived,
+): Effect[] => {
   switch (message.type) {
     case 'claim-request':
     case 'claim-reply':
     case 'claim-release':
-      return takeOnceMessage(state, from, message, at);
+      return handleOnceMessage(state, from, message, at);
     default:
       return [];
   }
@@ -40,11 +43,11 @@
 export const reduceOnce = (state: CoreState, event: Event): Effect[] => {
   switch (event.type) {
     case 'started':
-      return [scheduleForgetting(event.at)];
+      return [setExpiryTimer(event.at)];
     case 'timer-fired':
-      return takeTimer(state, event);
+      return handleTimer(state, event);
     case 'link-message-arrived':
-      return takeMessage(state, event);
+      return handleLinkMessage(state, event);
     default:
       return [];
   }
--- a/src/core/once/state.ts
+++ b/src/core/once/state.ts
@@ -18,7 +18,7 @@
 
 /** Claims this node asks for and claims it keeps. */
 export interface OnceState {
-  readonly own: Map<RequestId, OwnClaim>;
+  readonly ownClaims: Map<RequestId, OwnClaim>;
   /** By period, then partner and key: the request that has the claim. */
   readonly kept: Map<number, Map<string, RequestId>>;
   keptCount: number;
@@ -28,7 +28,7 @@
 
 /** Creates the state of a node that knows of no claim. */
 export const createOnceState = (): OnceState => ({
-  own: new Map(),
+  ownClaims: new Map(),
   kept: new Map(),
   keptCount: 0,
   closedThrough: -1,
--- a/test/keepers/homes.test.ts
+++ b/test/keepers/homes.test.ts
@@ -121,7 +121,7 @@
 const keepersAsked = (state: CoreState, key: string): readonly NodeId[] | undefined => {
   const request = identifier<RequestId>(key);
   requestClaim(state, request, TAWE, key, 10);
-  return state.once.own.get(request)?.keepers.nodes;
+  return state.once.ownClaims.get(request)?.keepers.nodes;
 };
 
 describe('the keepers of a partner', () => {
--- a/test/once/claims.test.ts
+++ b/test/once/claims.test.ts
@@ -5,12 +5,12 @@
 import {
   bookingOf,
   countRuns,
-  createDoublingStep,
+  createDuplicatingStep,
   createOnceWorld,
-  cutZoneOff,
-  keyNow,
+  setZoneCut,
+  createKeyNow,
   listFalseRefusals,
-  mostRunsOfAKey,
+  maxRunsPerKey,
   NODES,
   SETTLED_MS,
 } from './once-world.js';
@@ -33,7 +33,7 @@
 describe('a request that is not safe to repeat', () => {
   it('runs once; a resend at any other node is told that the key is used', () => {
     const simulation = createSettledWorld(1);
-    const key = keyNow(simulation, 1);
+    const key = createKeyNow(simulation, 1);
     expect(book(simulation, NODES[0], key)).toMatchObject({ type: 'answered' });
     for (const node of NODES) {
       const outcome = book(simulation, node, key.toUpperCase());
@@ -45,7 +45,7 @@
   it('runs at most once when it is sent to all nodes at the same time', () => {
     const simulation = createSettledWorld(2);
     for (let round = 0; round < 20; round += 1) {
-      const key = keyNow(simulation, round);
+      const key = createKeyNow(simulation, round);
       NODES.forEach((node) => simulation.call(node, bookingOf(key)));
       simulation.runFor(1_500);
       expect(countRuns(simulation, key)).toBeLessThanOrEqual(1);
@@ -56,7 +56,7 @@
   it('runs at most once when its coordinator crashes at any moment and it is resent', () => {
     for (let crashAfterMs = 1; crashAfterMs < 20; crashAfterMs += 1) {
       const simulation = createSettledWorld(3);
-      const key = keyNow(simulation, crashAfterMs);
+      const key = createKeyNow(simulation, crashAfterMs);
       simulation.call(NODES[0], bookingOf(key));
       simulation.runFor(crashAfterMs);
       simulation.node(NODES[0]).crash();
@@ -64,17 +64,17 @@
       simulation.node(NODES[0]).start();
       simulation.runFor(SETTLED_MS);
       book(simulation, NODES[0], key);
-      expect(mostRunsOfAKey(simulation)).toBeLessThanOrEqual(1);
+      expect(maxRunsPerKey(simulation)).toBeLessThanOrEqual(1);
     }
   });
 
   it('runs on the side of a cut that has the majority of the keepers, and nowhere else after', () => {
     const simulation = createSettledWorld(4);
-    cutZoneOff(simulation, 'bole', true);
+    setZoneCut(simulation, 'bole', true);
     simulation.runFor(10_000);
     const outcomes = { inside: [] as string[], outside: [] as string[] };
     for (let number = 0; number < 10; number += 1) {
-      const key = keyNow(simulation, number);
+      const key = createKeyNow(simulation, number);
       outcomes.inside.push(describeOutcome(book(simulation, 'bole-1', key)));
       outcomes.outside.push(describeOutcome(book(simulation, 'arada-1', key)));
       expect(countRuns(simulation, key)).toBeLessThanOrEqual(1);
@@ -83,18 +83,18 @@
     expect(outcomes.outside).toContain('answered');
     expect(outcomes.outside).not.toContain('not-ready');
     expect(outcomes.outside).not.toContain('already-claimed');
-    cutZoneOff(simulation, 'bole', false);
+    setZoneCut(simulation, 'bole', false);
     simulation.runFor(10_000);
     for (const { query } of simulation.calls.slice(0, 20)) {
       book(simulation, 'bole-2', query.idempotencyKey ?? '');
     }
-    expect(mostRunsOfAKey(simulation)).toBe(1);
+    expect(maxRunsPerKey(simulation)).toBe(1);
     expect(listFalseRefusals(simulation)).toEqual([]);
   });
 
   it('does not run again when every keeper has restarted since, while new ones run', () => {
     const simulation = createSettledWorld(5);
-    const key = keyNow(simulation, 1);
+    const key = createKeyNow(simulation, 1);
     expect(book(simulation, NODES[0], key)).toMatchObject({ type: 'answered' });
     for (const node of NODES) {
       simulation.node(node).crash();
@@ -104,15 +104,15 @@
     for (const node of NODES) {
       expect(book(simulation, node, key)).toMatchObject({ type: 'not-run', reason: 'not-ready' });
     }
-    const fresh = keyNow(simulation, 2);
+    const fresh = createKeyNow(simulation, 2);
     expect(book(simulation, NODES[3], fresh)).toMatchObject({ type: 'answered' });
-    expect(mostRunsOfAKey(simulation)).toBe(1);
+    expect(maxRunsPerKey(simulation)).toBe(1);
   });
 
   it('is served again within 10 s when every node has restarted at once', () => {
     const simulation = createSettledWorld(12);
     simulation.runFor(30_000);
-    const before = keyNow(simulation, 1);
+    const before = createKeyNow(simulation, 1);
     book(simulation, NODES[0], before);
     const restartedAt = simulation.now;
     NODES.forEach((node) => simulation.node(node).crash());
@@ -120,7 +120,7 @@
     let number = 2;
     let outcome: ReturnType<typeof book>;
     while (outcome?.type !== 'answered' && simulation.now < restartedAt + 30_000) {
-      const call = simulation.call(NODES[1], bookingOf(keyNow(simulation, number)));
+      const call = simulation.call(NODES[1], bookingOf(createKeyNow(simulation, number)));
       simulation.runFor(700);
       outcome = call.outcome;
       number += 1;
@@ -131,7 +131,7 @@
 
   it('runs at most once when its coordinator sleeps on the claim and sends late', () => {
     const simulation = createSettledWorld(6);
-    const key = keyNow(simulation, 1);
+    const key = createKeyNow(simulation, 1);
     simulation.call(NODES[0], bookingOf(key));
     simulation.runFor(1.5);
     simulation.node(NODES[0]).pause();
@@ -148,7 +148,7 @@
     const simulation = createSettledWorld(7);
     const replicas = [...simulation.replicas.values()];
     replicas.forEach((replica) => replica.setFaults({ shedding: true }));
-    const key = keyNow(simulation, 1);
+    const key = createKeyNow(simulation, 1);
     expect(book(simulation, NODES[0], key)).toMatchObject({ type: 'not-run' });
     replicas.forEach((replica) => replica.setFaults({ shedding: false }));
     simulation.runFor(3_000);
@@ -160,7 +160,7 @@
     const simulation = createSettledWorld(8);
     const replicas = [...simulation.replicas.values()];
     replicas.forEach((replica) => replica.setFaults({ frozen: true }));
-    const key = keyNow(simulation, 1);
+    const key = createKeyNow(simulation, 1);
     expect(book(simulation, NODES[0], key)).toMatchObject({ type: 'unknown' });
     replicas.forEach((replica) => replica.setFaults({ frozen: false }));
     simulation.runFor(3_000);
@@ -169,12 +169,12 @@
 
   it('is refused with a key that is no UUID of version 7, is too old, or lies ahead', () => {
     const simulation = createSettledWorld(9);
-    const old = keyNow(simulation, 1);
+    const old = createKeyNow(simulation, 1);
     const random = '6f2b1b54-95f0-4c0e-8f6e-0d1f8d5c3a11';
     expect(book(simulation, NODES[0], random)).toMatchObject({ reason: 'key-invalid' });
     simulation.runFor(PERIOD_MS + 60_000);
     expect(book(simulation, NODES[0], old)).toMatchObject({ reason: 'key-invalid' });
-    const ahead = keyNow({ now: simulation.now + 60_000 } as Simulation, 2);
+    const ahead = createKeyNow({ now: simulation.now + 60_000 } as Simulation, 2);
     expect(book(simulation, NODES[0], ahead)).toMatchObject({ reason: 'key-invalid' });
     expect(simulation.listRuns()).toHaveLength(0);
   });
@@ -184,36 +184,38 @@
     simulation.runFor(7 * 60_000);
     simulation.store.setFaults({ down: true });
     simulation.runFor(55 * 60_000);
-    expect(book(simulation, NODES[0], keyNow(simulation, 1))).toMatchObject({ type: 'answered' });
+    expect(book(simulation, NODES[0], createKeyNow(simulation, 1))).toMatchObject({
+      type: 'answered',
+    });
   });
 
   it('is remembered until no node takes its key any more, and then forgotten', () => {
     const simulation = createSettledWorld(11);
-    const key = keyNow(simulation, 1);
+    const key = createKeyNow(simulation, 1);
     book(simulation, NODES[0], key);
-    const kept = (): number =>
+    const countKeptClaims = (): number =>
       NODES.reduce((sum, node) => sum + (simulation.node(node).state?.once.keptCount ?? 0), 0);
-    expect(kept()).toBe(5);
+    expect(countKeptClaims()).toBe(5);
     simulation.runFor(PERIOD_MS - 60_000);
     expect(book(simulation, NODES[1], key)).toMatchObject({ reason: 'already-claimed' });
     simulation.runFor(3 * PERIOD_MS);
-    expect(kept()).toBe(0);
+    expect(countKeptClaims()).toBe(0);
     expect(simulation.listRuns()).toHaveLength(1);
   });
 
   it('runs at most once when messages about claims are doubled and come again late', () => {
     for (const seed of [21, 22, 23]) {
-      const simulation = createOnceWorld({ seed, step: createDoublingStep(seed) });
+      const simulation = createOnceWorld({ seed, step: createDuplicatingStep(seed) });
       simulation.runFor(SETTLED_MS);
       for (let number = 0; number < 15; number += 1) {
-        const key = keyNow(simulation, number);
+        const key = createKeyNow(simulation, number);
         simulation.call(NODES[number % 6] as string, bookingOf(key));
         simulation.call(NODES[(number + 1) % 6] as string, bookingOf(key));
         simulation.runFor(1_500);
         book(simulation, NODES[(number + 2) % 6] as string, key);
       }
       expect(simulation.listRuns().length).toBeGreaterThan(10);
-      expect(mostRunsOfAKey(simulation)).toBe(1);
+      expect(maxRunsPerKey(simulation)).toBe(1);
       expect(listFalseRefusals(simulation)).toEqual([]);
     }
   });
--- a/test/once/histories.test.ts
+++ b/test/once/histories.test.ts
@@ -9,11 +9,11 @@
 import { carryOutFault, faultAction, type FaultAction } from '../support/fault-actions.js';
 import {
   bookingOf,
-  createDoublingStep,
+  createDuplicatingStep,
   createOnceWorld,
-  keyNow,
+  createKeyNow,
   listFalseRefusals,
-  mostRunsOfAKey,
+  maxRunsPerKey,
   NODES,
   SETTLED_MS,
   ZONES,
@@ -32,19 +32,23 @@
   maxLength: 45,
 });
 
-interface Verdict {
-  readonly mostRuns: number;
+interface HistoryResult {
+  readonly maxRuns: number;
   readonly falseRefusals: readonly string[];
   readonly runs: number;
 }
 
-const runHistory = (actions: readonly Action[], seed: number, inner: StepFunction): Verdict => {
-  const simulation = createOnceWorld({ seed, step: createDoublingStep(seed, inner) });
+const runHistory = (
+  actions: readonly Action[],
+  seed: number,
+  inner: StepFunction,
+): HistoryResult => {
+  const simulation = createOnceWorld({ seed, step: createDuplicatingStep(seed, inner) });
   simulation.runFor(SETTLED_MS);
   const keys = new Map<number, string>();
   for (const action of actions) {
     if (action.type === 'book') {
-      const key = keys.get(action.key) ?? keyNow(simulation, action.key);
+      const key = keys.get(action.key) ?? createKeyNow(simulation, action.key);
       keys.set(action.key, key);
       simulation.call(NODES[action.node] as string, bookingOf(key));
     } else {
@@ -55,24 +59,24 @@
   NODES.forEach((node) => simulation.node(node).wake());
   simulation.runFor(5_000);
   return {
-    mostRuns: mostRunsOfAKey(simulation),
+    maxRuns: maxRunsPerKey(simulation),
     falseRefusals: listFalseRefusals(simulation),
     runs: simulation.listRuns().length,
   };
 };
 
-const forgetClaims = (state: CoreState): void => {
+const clearClaims = (state: CoreState): void => {
   state.once.kept.clear();
 };
 
 /** Cores with one rule of claims taken out each. */
 const BROKEN_STEPS: Readonly<Record<string, (state: CoreState, event: Event) => void>> = {
-  'keepers do not remember': forgetClaims,
+  'keepers do not remember': clearClaims,
   'restarted keepers vouch for every key': (state) => {
     state.keepers.startIncarnation = 0;
   },
   'one keeper decides': (state) => {
-    for (const claim of state.once.own.values()) {
+    for (const claim of state.once.ownClaims.values()) {
       (claim.keepers as { majority: number }).majority = 1;
     }
   },
@@ -97,7 +101,7 @@
       fc.property(history, fc.nat(), (actions, seed) => {
         const verdict = runHistory(actions, seed, step);
         runs += verdict.runs;
-        expect(verdict.mostRuns).toBeLessThanOrEqual(1);
+        expect(verdict.maxRuns).toBeLessThanOrEqual(1);
         expect(verdict.falseRefusals).toEqual([]);
       }),
       { numRuns: RUNS, seed: SEED },
@@ -108,7 +112,7 @@
   it.each(Object.entries(BROKEN_STEPS))('catch a core whose %s', (_, change) => {
     const details = fc.check(
       fc.property(history, fc.nat(), (actions, seed) => {
-        return runHistory(actions, seed, breakStep(change)).mostRuns <= 1;
+        return runHistory(actions, seed, breakStep(change)).maxRuns <= 1;
       }),
       { numRuns: 300, seed: SEED, endOnFailure: true },
     );
--- a/test/once/once-world.ts
+++ b/test/once/once-world.ts
@@ -49,7 +49,7 @@
 });
 
 /** A key made now; the same `number` and time give the same key. */
-export const keyNow = (simulation: Simulation, number: number): string =>
+export const createKeyNow = (simulation: Simulation, number: number): string =>
   createIdempotencyKey(VIRTUAL_EPOCH_MS + simulation.now, createRandom(number).next);
 
 /** A started tier of six nodes in three zones. */
@@ -65,7 +65,7 @@
   simulation.listRuns().filter(({ idempotencyKey }) => idempotencyKey === key).length;
 
 /** Most runs that any key has had. */
-export const mostRunsOfAKey = (simulation: Simulation): number => {
+export const maxRunsPerKey = (simulation: Simulation): number => {
   const keys = new Set(simulation.listRuns().map(({ idempotencyKey }) => idempotencyKey ?? ''));
   return Math.max(0, ...[...keys].map((key) => countRuns(simulation, key)));
 };
@@ -80,7 +80,7 @@
 };
 
 /** Cuts a zone off from the others, or heals the cut. */
-export const cutZoneOff = (simulation: Simulation, zone: string, cut: boolean): void => {
+export const setZoneCut = (simulation: Simulation, zone: string, cut: boolean): void => {
   for (const other of ZONES.filter((each) => each !== zone)) {
     const { reachability } = simulation.network;
     if (cut) {
@@ -97,13 +97,13 @@
   event.type === 'link-message-arrived' && ONCE_MESSAGES.has(event.message.type);
 
 /** A step that takes messages about claims twice, and some of them again much later. */
-export const createDoublingStep = (seed: number, inner: StepFunction = step): StepFunction => {
+export const createDuplicatingStep = (seed: number, inner: StepFunction = step): StepFunction => {
   const random = createRandom(seed);
-  const late = new Map<CoreState, Event[]>();
+  const received = new Map<CoreState, Event[]>();
   return (state: CoreState, event: Event): Effect[] => {
     const effects = inner(state, event);
-    const queue = late.get(state) ?? [];
-    late.set(state, queue);
+    const queue = received.get(state) ?? [];
+    received.set(state, queue);
     if (isOnceMessage(event)) {
       queue.push(event);
       if (random.next() < 0.5) {
--- a/test/once/region-cut.test.ts
+++ b/test/once/region-cut.test.ts
@@ -7,7 +7,7 @@
 import { TAWE } from '../../src/deployments/tawe.js';
 import { Simulation } from '../../src/simulation/simulation.js';
 import { buildWorld, startNodes } from '../../src/simulation/world.js';
-import { keyNow, mostRunsOfAKey, SETTLED_MS } from './once-world.js';
+import { createKeyNow, maxRunsPerKey, SETTLED_MS } from './once-world.js';
 
 const KEYS = 10;
 /** Longer than any lease and grant from before the cut. */
@@ -40,7 +40,7 @@
 };
 
 const changeOf = (simulation: Simulation, number: number): QueryRequest => {
-  const idempotencyKey = keyNow(simulation, number);
+  const idempotencyKey = createKeyNow(simulation, number);
   return {
     partner: TAWE.partner,
     route: identifier('ledger'),
@@ -69,7 +69,7 @@
       expect(call(simulation, 'arada-1', bookingOf(simulation, number))).toBe('answered');
     }
     expect(simulation.listRuns().length).toBe(2 * KEYS);
-    expect(mostRunsOfAKey(simulation)).toBe(1);
+    expect(maxRunsPerKey(simulation)).toBe(1);
   });
 
   it('each hold the limits of their own partner', () => {
