--- a/src/core/once/claim-timing.ts
+++ b/src/core/once/claim-timing.ts
@@ -1,22 +1,22 @@
-/** Bounds and defaults of claims. */
+/** Time limits and sizes of claims. */
 
-/** Oldest key that a request may carry, in milliseconds since the key was made. */
+/** Maximum age of a request's key, in milliseconds since the key was created. */
 export const KEY_LIFETIME_MS = 600_000;
 
-/** Most by which a key may lie ahead of a node's wall clock, in milliseconds. */
+/** Maximum time by which a key may be ahead of a node's wall clock, in milliseconds. */
 export const KEY_LEAD_MS = 2_000;
 
-/** How long keepers remember the claims of a period after its end, in milliseconds. */
+/** How long keepers keep the claims of a period after its end, in milliseconds. */
 export const CLAIM_RETENTION_MS = KEY_LIFETIME_MS + 60_000;
 
-/** How often a node forgets the claims of past periods, in milliseconds. */
+/** Interval at which a node removes expired claims, in milliseconds. */
 export const CLAIM_EXPIRY_INTERVAL_MS = 60_000;
 
-/** Most claims that a keeper remembers; it refuses new ones when full. */
+/** Maximum number of claims that a keeper keeps; it refuses new claims beyond it. */
 export const MAX_KEPT_CLAIMS = 250_000;
 
-/** When keepers that have not granted a claim are asked again, in milliseconds. */
+/** Interval at which a claim is requested again from keepers without a reply, in milliseconds. */
 export const CLAIM_RESEND_MS = 150;
 
-/** How often they are asked again. */
+/** Maximum number of repeated requests of a claim. */
 export const CLAIM_RESENDS = 3;
--- a/src/core/once/claim.ts
+++ b/src/core/once/claim.ts
@@ -1,8 +1,9 @@
 /**
- * The coordinator's side of claims: the permission to run a request that is not safe to repeat.
+ * The coordinator's side of claims. A claim is the permission to run a request that is not safe to
+ * repeat.
  *
- * A key has a fixed set of keepers, the same at every node, whatever the views. The claim is granted
- * once a majority of them has granted it, and is used for one request only, by this process only.
+ * A key has a fixed set of keepers, the same at every node, independent of membership views. A claim is
+ * granted once a majority of the keepers has granted it. Only this process uses it, for one request.
  */
 import type { ClaimReply, OnceMessage } from '../../protocol/once-messages.js';
 import { type IdempotencyKey, parseIdempotencyKey } from '../../protocol/idempotency-key.js';
@@ -16,12 +17,12 @@
 import { claimSubject, keepClaim, releaseKeptClaim } from './keep-claim.js';
 import type { OwnClaim } from './state.js';
 
-/** The word on a claim. Only `granted` lets the request run, and for one attempt only. */
+/** The decision on a claim. Only `granted` lets the request run. */
 export type ClaimVerdict = 'granted' | 'already-claimed' | 'owner-not-ready' | 'key-invalid';
 
 const resendTimer = (request: RequestId) => ({ purpose: 'once-resend', subject: request }) as const;
 
-/** Sends a message about a claim, also to this node itself. */
+/** Sends a message about a claim; handles it directly if the recipient is this node. */
 const deliver = (state: CoreState, to: NodeId, message: OnceMessage, at: number): Effect[] => {
   if (to === state.self.node) {
     return handleOnceMessage(state, to, message, at);
@@ -32,7 +33,7 @@
     : [{ type: 'send-link', to, address: member.identity.address, message }];
 };
 
-/** Handles a message about claims from `from`, which may be this node. */
+/** Handles a message about claims from node `from`, which may be this node. */
 export const handleOnceMessage = (
   state: CoreState,
   from: NodeId,
@@ -55,7 +56,7 @@
   return claim.keepers.nodes
     .filter((keeper) => !claim.granted.has(keeper) && !claim.refused.has(keeper))
     .flatMap((keeper) =>
-      claim.phase === 'asking'
+      claim.phase === 'requested'
         ? deliver(state, keeper, { type: 'claim-request', partner, idempotencyKey, request }, at)
         : [],
     );
@@ -68,7 +69,7 @@
   );
 };
 
-/** Refuses the request, which will never run; what it was granted is given back. */
+/** Refuses a request, which then never runs, and releases the grants of its claim. */
 const refuseClaim = (state: CoreState, claim: OwnClaim, at: number): Effect[] => {
   const verdict = claim.refused.size > 0 ? 'already-claimed' : 'owner-not-ready';
   state.once.ownClaims.delete(claim.request);
@@ -97,7 +98,7 @@
 ): Effect[] => {
   const claim = state.once.ownClaims.get(request);
   const { nodes, majority } = claim?.keepers ?? { nodes: [], majority: 0 };
-  if (claim?.phase !== 'asking' || verdict === 'owner-not-ready' || !nodes.includes(from)) {
+  if (claim?.phase !== 'requested' || verdict === 'owner-not-ready' || !nodes.includes(from)) {
     return [];
   }
   (verdict === 'granted' ? claim.granted : claim.refused).add(from);
@@ -130,7 +131,7 @@
     keepers: chooseKeepers(roster, partner, claimSubject(partner, key.text)),
     granted: new Set(),
     refused: new Set(),
-    phase: 'asking',
+    phase: 'requested',
     resends: 0,
   };
   state.once.ownClaims.set(request, claim);
@@ -138,7 +139,7 @@
   return [timer, ...sendClaimRequests(state, claim, at)];
 };
 
-/** Asks for the claim of a key; `continueClaimed` of the query slice is called with the verdict. */
+/** Requests the claim of a key; passes the verdict to `handleClaimVerdict` of the query slice. */
 export const requestClaim = (
   state: CoreState,
   request: RequestId,
@@ -152,10 +153,10 @@
     : startClaim(state, request, partner, key, at);
 };
 
-/** Asks the silent keepers again, or gives up. */
+/** Requests the claim again from keepers without a reply; refuses it after the last repetition. */
 export const resendClaim = (state: CoreState, request: RequestId, at: number): Effect[] => {
   const claim = state.once.ownClaims.get(request);
-  if (claim?.phase !== 'asking') {
+  if (claim?.phase !== 'requested') {
     return [];
   }
   if (claim.resends >= CLAIM_RESENDS) {
@@ -169,8 +170,10 @@
 };
 
 /**
- * Ends the claim of a request that has its final answer. `ran` must be true unless it is proven that
- * nothing of the request has run or can still run; only then is the key free again.
+ * Ends the claim of a request that has its outcome. Without a run, the claim is released and its key
+ * can be used again.
+ *
+ * @param ran - must be true unless it is proven that nothing of the request has run or can still run
  */
 export const endClaim = (
   state: CoreState,
--- a/src/core/once/keep-claim.ts
+++ b/src/core/once/keep-claim.ts
@@ -1,9 +1,9 @@
 /**
- * The keeper's side of claims: grants a key to the first request that asks, and remembers it.
+ * The keeper's side of claims: grants a key to the first request that claims it, and keeps the claim.
  *
- * A keeper grants only what it can vouch for. It has seen every claim of its node under a roster that
- * names this very process. After a restart it has not; it then vouches only for keys made after its
- * start, by a margin that covers the clocks of the process before and of this one.
+ * A keeper grants a claim only if it knows of all claims that its node can have granted. It does under
+ * a roster that names this process. A restarted process lacks earlier claims, so it grants only keys
+ * created after its start, by a margin for the clocks of the previous process and of this one.
  */
 import type { ClaimReply, ClaimRelease, ClaimRequest } from '../../protocol/once-messages.js';
 import { type IdempotencyKey, parseIdempotencyKey } from '../../protocol/idempotency-key.js';
@@ -20,11 +20,11 @@
 import type { CoreState } from '../state.js';
 import { CLAIM_RETENTION_MS, KEY_LEAD_MS, MAX_KEPT_CLAIMS } from './claim-timing.js';
 
-/** Names a key over all partners. */
+/** Returns the name of a key, unique over all partners. */
 export const claimSubject = (partner: PartnerId, idempotencyKey: string): string =>
   `${partner}|${idempotencyKey}`;
 
-/** Forgets the claims of periods whose keys are too old to be accepted anywhere, for good. */
+/** Removes the claims of periods whose keys no node accepts any more, and closes these periods. */
 export const removeExpiredClaims = (state: CoreState, at: number): void => {
   const { once } = state;
   const lastClosedPeriod = periodOf(wallTimeAt(state, at) - CLAIM_RETENTION_MS) - 1;
@@ -45,7 +45,7 @@
 ): boolean =>
   chooseKeepers(roster, partner, claimSubject(partner, key.text)).nodes.includes(state.self.node);
 
-/** True when this process knows of every claim on the key that its node can have granted. */
+/** Whether this process knows of every claim on the key that its node can have granted. */
 const knowsAllClaims = (state: CoreState, roster: KeeperRoster, key: IdempotencyKey): boolean =>
   isNamedProcess(state, roster) || isAfterStart(state, key.createdAt, KEY_LEAD_MS);
 
@@ -94,7 +94,7 @@
   return 'granted';
 };
 
-/** Decides on a claim and remembers it when granted. */
+/** Decides on a claim and keeps it if granted. */
 export const keepClaim = (state: CoreState, message: ClaimRequest, at: number): ClaimReply => {
   const verdict = parseIdempotencyKey(message.idempotencyKey)
     .map((key) => decideClaim(state, key, message, at))
@@ -102,7 +102,7 @@
   return { type: 'claim-reply', request: message.request, verdict };
 };
 
-/** Frees a key whose request did not run and never will; only that request's own claim. */
+/** Releases the claim of a request that did not run and never will; ignores claims of other requests. */
 export const releaseKeptClaim = (state: CoreState, message: ClaimRelease): void => {
   parseIdempotencyKey(message.idempotencyKey).ifRight((key) => {
     const claims = state.once.kept.get(periodOf(key.createdAt));
--- a/src/core/once/reducer.ts
+++ b/src/core/once/reducer.ts
@@ -1,4 +1,4 @@
-/** The once slice: requests that are not safe to repeat run at most once. */
+/** The once slice: ensures that a request that is not safe to repeat runs at most once. */
 import type { Effect } from '../effect.js';
 import type { Event, LinkMessageArrived, TimerFired } from '../event.js';
 import { identifier, type RequestId } from '../identifiers.js';
--- a/src/core/once/state.ts
+++ b/src/core/once/state.ts
@@ -2,31 +2,31 @@
 import type { NodeId, PartnerId, RequestId } from '../identifiers.js';
 import type { KeeperSet } from '../keepers/choose-keepers.js';
 
-/** A claim this node has asked for, from the first message until the request has ended. */
+/** A claim that this node has requested, from the first message until its request has ended. */
 export interface OwnClaim {
   readonly request: RequestId;
   readonly partner: PartnerId;
   readonly idempotencyKey: string;
   readonly keepers: KeeperSet;
-  /** Keepers that have granted the claim, and those that have refused it for good. */
+  /** Keepers that have granted the claim, and keepers that have finally refused it. */
   readonly granted: Set<NodeId>;
   readonly refused: Set<NodeId>;
-  /** `asking` until a majority has spoken or time has run out. */
-  phase: 'asking' | 'granted';
+  /** `requested` until a majority has granted the claim; a refused claim is removed. */
+  phase: 'requested' | 'granted';
   resends: number;
 }
 
-/** Claims this node asks for and claims it keeps. */
+/** Claims that this node requests as coordinator and claims that it keeps as keeper. */
 export interface OnceState {
   readonly ownClaims: Map<RequestId, OwnClaim>;
-  /** By period, then partner and key: the request that has the claim. */
+  /** The request that holds each claim, by period and then by partner and key. */
   readonly kept: Map<number, Map<string, RequestId>>;
   keptCount: number;
-  /** Claims of this period and earlier ones are forgotten and never granted again. */
+  /** Claims of this period and earlier ones are removed, and their keys are not granted again. */
   closedThrough: number;
 }
 
-/** Creates the state of a node that knows of no claim. */
+/** Creates the state of a node without claims. */
 export const createOnceState = (): OnceState => ({
   ownClaims: new Map(),
   kept: new Map(),
--- a/test/once/claims.test.ts
+++ b/test/once/claims.test.ts
@@ -31,7 +31,7 @@
   outcome?.type === 'answered' ? 'answered' : (outcome?.reason ?? 'none');
 
 describe('a request that is not safe to repeat', () => {
-  it('runs once; a resend at any other node is told that the key is used', () => {
+  it('runs once, and a resend to any node is refused as already claimed', () => {
     const simulation = createSettledWorld(1);
     const key = createKeyNow(simulation, 1);
     expect(book(simulation, NODES[0], key)).toMatchObject({ type: 'answered' });
@@ -68,7 +68,7 @@
     }
   });
 
-  it('runs on the side of a cut that has the majority of the keepers, and nowhere else after', () => {
+  it('runs in the partition with the majority of the keepers, and not again after healing', () => {
     const simulation = createSettledWorld(4);
     setZoneCut(simulation, 'bole', true);
     simulation.runFor(10_000);
@@ -92,7 +92,7 @@
     expect(listFalseRefusals(simulation)).toEqual([]);
   });
 
-  it('does not run again when every keeper has restarted since, while new ones run', () => {
+  it('does not run again after every keeper has restarted, while new requests run', () => {
     const simulation = createSettledWorld(5);
     const key = createKeyNow(simulation, 1);
     expect(book(simulation, NODES[0], key)).toMatchObject({ type: 'answered' });
@@ -109,7 +109,7 @@
     expect(maxRunsPerKey(simulation)).toBe(1);
   });
 
-  it('is served again within 10 s when every node has restarted at once', () => {
+  it('is served again within 10 s after all nodes have restarted at once', () => {
     const simulation = createSettledWorld(12);
     simulation.runFor(30_000);
     const before = createKeyNow(simulation, 1);
@@ -129,7 +129,7 @@
     expect(book(simulation, NODES[1], before)).toMatchObject({ reason: 'not-ready' });
   });
 
-  it('runs at most once when its coordinator sleeps on the claim and sends late', () => {
+  it('runs at most once when a process pause of its coordinator delays a granted claim', () => {
     const simulation = createSettledWorld(6);
     const key = createKeyNow(simulation, 1);
     simulation.call(NODES[0], bookingOf(key));
@@ -144,7 +144,7 @@
     expect(listFalseRefusals(simulation)).toEqual([]);
   });
 
-  it('leaves its key free when every replica has refused the work', () => {
+  it('releases its key when every replica has refused it', () => {
     const simulation = createSettledWorld(7);
     const replicas = [...simulation.replicas.values()];
     replicas.forEach((replica) => replica.setFaults({ shedding: true }));
@@ -156,7 +156,7 @@
     expect(book(simulation, NODES[0], key)).toMatchObject({ reason: 'already-claimed' });
   });
 
-  it('keeps its key when the replica may have run it', () => {
+  it('does not release its key when a replica may have run it', () => {
     const simulation = createSettledWorld(8);
     const replicas = [...simulation.replicas.values()];
     replicas.forEach((replica) => replica.setFaults({ frozen: true }));
@@ -167,7 +167,7 @@
     expect(book(simulation, NODES[4], key)).toMatchObject({ reason: 'already-claimed' });
   });
 
-  it('is refused with a key that is no UUID of version 7, is too old, or lies ahead', () => {
+  it('is refused if its key is not a UUID version 7, is too old or is in the future', () => {
     const simulation = createSettledWorld(9);
     const old = createKeyNow(simulation, 1);
     const random = '6f2b1b54-95f0-4c0e-8f6e-0d1f8d5c3a11';
@@ -189,7 +189,7 @@
     });
   });
 
-  it('is remembered until no node takes its key any more, and then forgotten', () => {
+  it('keeps its claim until no node accepts its key, after which the claim is removed', () => {
     const simulation = createSettledWorld(11);
     const key = createKeyNow(simulation, 1);
     book(simulation, NODES[0], key);
@@ -203,7 +203,7 @@
     expect(simulation.listRuns()).toHaveLength(1);
   });
 
-  it('runs at most once when messages about claims are doubled and come again late', () => {
+  it('runs at most once when messages about claims are duplicated and repeated late', () => {
     for (const seed of [21, 22, 23]) {
       const simulation = createOnceWorld({ seed, step: createDuplicatingStep(seed) });
       simulation.runFor(SETTLED_MS);
@@ -222,7 +222,7 @@
 });
 
 describe('idempotency keys', () => {
-  it('carry their time and are read in one spelling', () => {
+  it('contain their creation time and are normalised to lower case', () => {
     const key = '018f2f6e-7b00-7abc-9def-0123456789ab';
     const parsed = parseIdempotencyKey(key.toUpperCase()).unsafeCoerce();
     expect(parsed).toEqual({ text: key, createdAt: 0x018f2f6e7b00 });
--- a/test/once/histories.test.ts
+++ b/test/once/histories.test.ts
@@ -1,4 +1,4 @@
-/** Histories of bookings, resends and faults, drawn by fast-check, against the rule that counts runs. */
+/** Generates histories of bookings, resends and faults and checks that no request runs more than once. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import type { Effect } from '../../src/core/effect.js';
@@ -69,13 +69,13 @@
   state.once.kept.clear();
 };
 
-/** Cores with one rule of claims taken out each. */
+/** Changes that each break one rule of claims in the core. */
 const BROKEN_STEPS: Readonly<Record<string, (state: CoreState, event: Event) => void>> = {
-  'keepers do not remember': clearClaims,
-  'restarted keepers vouch for every key': (state) => {
+  'keepers do not keep claims': clearClaims,
+  'restarted keepers grant every key': (state) => {
     state.keepers.startIncarnation = 0;
   },
-  'one keeper decides': (state) => {
+  'claims are granted by a single keeper': (state) => {
     for (const claim of state.once.ownClaims.values()) {
       (claim.keepers as { majority: number }).majority = 1;
     }
@@ -90,12 +90,12 @@
     return effects;
   };
 
-/** A longer run: FUZZ_RUNS=2000 FUZZ_SEED=7 npx vitest run test/once/histories.test.ts */
+/** For a longer run: FUZZ_RUNS=2000 FUZZ_SEED=7 npx vitest run test/once/histories.test.ts */
 const RUNS = Number(process.env['FUZZ_RUNS'] ?? 60);
 const SEED = Number(process.env['FUZZ_SEED'] ?? 20_261_202);
 
-describe('histories of bookings and faults', () => {
-  it('run no key twice and refuse as not run nothing that ran', () => {
+describe('random histories of bookings and faults', () => {
+  it('run no key twice and report no request as not run that has run', () => {
     let runs = 0;
     fc.assert(
       fc.property(history, fc.nat(), (actions, seed) => {
@@ -109,7 +109,7 @@
     expect(runs).toBeGreaterThan(RUNS);
   });
 
-  it.each(Object.entries(BROKEN_STEPS))('catch a core whose %s', (_, change) => {
+  it.each(Object.entries(BROKEN_STEPS))('detect a core whose %s', (_, change) => {
     const details = fc.check(
       fc.property(history, fc.nat(), (actions, seed) => {
         return runHistory(actions, seed, breakStep(change)).maxRuns <= 1;
--- a/test/once/once-world.ts
+++ b/test/once/once-world.ts
@@ -1,4 +1,4 @@
-/** A simulated tier that takes bookings, and what its replicas ran for each key. */
+/** A simulated tier that serves bookings, and functions that count the runs of each key. */
 import type { Effect } from '../../src/core/effect.js';
 import type { Event } from '../../src/core/event.js';
 import { identifier } from '../../src/core/identifiers.js';
@@ -21,7 +21,7 @@
 
 export { NODES, ZONES } from '../support/desk-deployment.js';
 
-/** Long enough for nodes to know each other and to write the first rosters. */
+/** Time until the nodes have joined and written the first rosters, in milliseconds. */
 export const SETTLED_MS = 5_000;
 
 const DEPLOYMENT = buildDeskDeployment({
@@ -38,7 +38,7 @@
   ],
 });
 
-/** A booking under `idempotencyKey`. */
+/** Creates a booking with `idempotencyKey`. */
 export const bookingOf = (idempotencyKey: string): QueryRequest => ({
   partner: ENSEMBLE,
   route: identifier('booking'),
@@ -48,11 +48,11 @@
   payload: { nonce: idempotencyKey },
 });
 
-/** A key made now; the same `number` and time give the same key. */
+/** Creates a key dated now; the same `number` and time give the same key. */
 export const createKeyNow = (simulation: Simulation, number: number): string =>
   createIdempotencyKey(VIRTUAL_EPOCH_MS + simulation.now, createRandom(number).next);
 
-/** A started tier of six nodes in three zones. */
+/** Creates a started tier of six nodes in three zones. */
 export const createOnceWorld = (options: SimulationOptions): Simulation => {
   const simulation = new Simulation(options);
   buildWorld(simulation, { deployments: [DEPLOYMENT], nodesPerZone: NODES_PER_ZONE });
@@ -60,17 +60,17 @@
   return simulation;
 };
 
-/** How often the replicas ran a request under `key`. */
+/** Counts how often replicas ran a request with `key`. */
 export const countRuns = (simulation: Simulation, key: string): number =>
   simulation.listRuns().filter(({ idempotencyKey }) => idempotencyKey === key).length;
 
-/** Most runs that any key has had. */
+/** Returns the maximum number of runs of any key. */
 export const maxRunsPerKey = (simulation: Simulation): number => {
   const keys = new Set(simulation.listRuns().map(({ idempotencyKey }) => idempotencyKey ?? ''));
   return Math.max(0, ...[...keys].map((key) => countRuns(simulation, key)));
 };
 
-/** Requests that were refused as not run although a replica ran them. */
+/** Lists requests that were refused as not run although a replica ran them. */
 export const listFalseRefusals = (simulation: Simulation): string[] => {
   const ran = new Set(simulation.listRuns().map(({ request }) => request));
   return simulation.calls
@@ -79,7 +79,7 @@
     .map(String);
 };
 
-/** Cuts a zone off from the others, or heals the cut. */
+/** Cuts a zone off from the others, or restores its connections. */
 export const setZoneCut = (simulation: Simulation, zone: string, cut: boolean): void => {
   for (const other of ZONES.filter((each) => each !== zone)) {
     const { reachability } = simulation.network;
@@ -96,7 +96,7 @@
 const isOnceMessage = (event: Event): boolean =>
   event.type === 'link-message-arrived' && ONCE_MESSAGES.has(event.message.type);
 
-/** A step that takes messages about claims twice, and some of them again much later. */
+/** Creates a step that handles half of the messages about claims twice, and some again much later. */
 export const createDuplicatingStep = (seed: number, inner: StepFunction = step): StepFunction => {
   const random = createRandom(seed);
   const received = new Map<CoreState, Event[]>();
--- a/test/once/region-cut.test.ts
+++ b/test/once/region-cut.test.ts
@@ -1,4 +1,4 @@
-/** Two partners in two regions that lose each other: each side goes on with its own partner. */
+/** Two partners in two regions that are cut off from each other: each region serves its own partner. */
 import { describe, expect, it } from 'vitest';
 import { identifier } from '../../src/core/identifiers.js';
 import type { QueryRequest } from '../../src/core/query/query-request.js';
@@ -10,7 +10,7 @@
 import { createKeyNow, maxRunsPerKey, SETTLED_MS } from './once-world.js';
 
 const KEYS = 10;
-/** Longer than any lease and grant from before the cut. */
+/** Duration of the cut in milliseconds, longer than any earlier lease and grant. */
 const CUT_MS = 20_000;
 
 const LIMITED_TAWE: Deployment = {
@@ -59,7 +59,7 @@
 });
 
 describe('two regions cut off from each other', () => {
-  it('each run the unsafe requests of their own partner, once', () => {
+  it('each run once the requests of their own partner that are not safe to repeat', () => {
     const simulation = createCutWorld(1);
     for (let number = 0; number < KEYS; number += 1) {
       const change = changeOf(simulation, number);
@@ -72,7 +72,7 @@
     expect(maxRunsPerKey(simulation)).toBe(1);
   });
 
-  it('each hold the limits of their own partner', () => {
+  it('each serve their own partner within its limits', () => {
     const simulation = createCutWorld(2);
     const query: QueryRequest = {
       partner: TAWE.partner,
