--- a/src/core/once/claim.ts
+++ b/src/core/once/claim.ts
@@ -1,8 +1,9 @@
 /**
- * The coordinator's side of claims: the permission to run a request that is not safe to repeat.
+ * The coordinator's side of claims. A claim is the permission to run a request that is not safe to
+ * repeat.
  *
- * A key has a fixed set of keepers, the same at every node, whatever the views. The claim is granted
- * once a majority of them has granted it, and is used for one request only, by this process only.
+ * A key has a fixed set of keepers, the same at every node, independent of membership views. A claim is
+ * granted once a majority of the keepers has granted it. Only this process uses it, for one request.
  */
 import type { ClaimReply, OnceMessage } from '../../protocol/once-messages.js';
 import { type IdempotencyKey, parseIdempotencyKey } from '../../protocol/idempotency-key.js';
@@ -16,15 +17,15 @@
 import { claimSubject, keepClaim, releaseKeptClaim } from './keep-claim.js';
 import type { OwnClaim } from './state.js';
 
-/** The word on a claim. Only `granted` lets the request run, and for one attempt only. */
+/** The decision on a claim. Only `granted` lets the request run. */
 export type ClaimVerdict = 'granted' | 'already-claimed' | 'owner-not-ready' | 'key-invalid';
 
 const resendTimer = (request: RequestId) => ({ purpose: 'once-resend', subject: request }) as const;
 
-/** Sends a message about a claim, also to this node itself. */
+/** Sends a message about a claim; handles it directly if the recipient is this node. */
 const deliver = (state: CoreState, to: NodeId, message: OnceMessage, at: number): Effect[] => {
   if (to === state.self.node) {
-    return takeOnceMessage(state, to, message, at);
+    return handleOnceMessage(state, to, message, at);
   }
   const member = state.membership.members.get(to);
   return member === undefined
@@ -32,8 +33,8 @@
     : [{ type: 'send-link', to, address: member.identity.address, message }];
 };
 
-/** Handles a message about claims from `from`, which may be this node. */
-export const takeOnceMessage = (
+/** Handles a message about claims from node `from`, which may be this node. */
+export const handleOnceMessage = (
   state: CoreState,
   from: NodeId,
   message: OnceMessage,
@@ -43,19 +44,19 @@
     case 'claim-request':
       return deliver(state, from, keepClaim(state, message, at), at);
     case 'claim-reply':
-      return takeReply(state, from, message, at);
+      return handleClaimReply(state, from, message, at);
     case 'claim-release':
       releaseKeptClaim(state, message);
       return [];
   }
 };
 
-const askKeepers = (state: CoreState, claim: OwnClaim, at: number): Effect[] => {
+const sendClaimRequests = (state: CoreState, claim: OwnClaim, at: number): Effect[] => {
   const { partner, idempotencyKey, request } = claim;
   return claim.keepers.nodes
     .filter((keeper) => !claim.granted.has(keeper) && !claim.refused.has(keeper))
     .flatMap((keeper) =>
-      claim.phase === 'asking'
+      claim.phase === 'requested'
         ? deliver(state, keeper, { type: 'claim-request', partner, idempotencyKey, request }, at)
         : [],
     );
@@ -68,10 +69,10 @@
   );
 };
 
-/** Refuses the request, which will never run; what it was granted is given back. */
+/** Refuses a request, which then never runs, and releases the grants of its claim. */
 const refuseClaim = (state: CoreState, claim: OwnClaim, at: number): Effect[] => {
   const verdict = claim.refused.size > 0 ? 'already-claimed' : 'owner-not-ready';
-  state.once.own.delete(claim.request);
+  state.once.ownClaims.delete(claim.request);
   state.counters.claims_refused += 1;
   return [
     { type: 'cancel-timer', key: resendTimer(claim.request) },
@@ -89,15 +90,15 @@
   ];
 };
 
-const takeReply = (
+const handleClaimReply = (
   state: CoreState,
   from: NodeId,
   { request, verdict }: ClaimReply,
   at: number,
 ): Effect[] => {
-  const claim = state.once.own.get(request);
+  const claim = state.once.ownClaims.get(request);
   const { nodes, majority } = claim?.keepers ?? { nodes: [], majority: 0 };
-  if (claim?.phase !== 'asking' || verdict === 'owner-not-ready' || !nodes.includes(from)) {
+  if (claim?.phase !== 'requested' || verdict === 'owner-not-ready' || !nodes.includes(from)) {
     return [];
   }
   (verdict === 'granted' ? claim.granted : claim.refused).add(from);
@@ -107,12 +108,12 @@
   return claim.refused.size > nodes.length - majority ? refuseClaim(state, claim, at) : [];
 };
 
-const isTimely = (state: CoreState, key: IdempotencyKey, at: number): boolean => {
+const isKeyAgeValid = (state: CoreState, key: IdempotencyKey, at: number): boolean => {
   const age = wallTimeAt(state, at) - key.createdAt;
   return age <= KEY_LIFETIME_MS && age >= -KEY_LEAD_MS;
 };
 
-const beginClaim = (
+const startClaim = (
   state: CoreState,
   request: RequestId,
   partner: PartnerId,
@@ -130,15 +131,15 @@
     keepers: chooseKeepers(roster, partner, claimSubject(partner, key.text)),
     granted: new Set(),
     refused: new Set(),
-    phase: 'asking',
+    phase: 'requested',
     resends: 0,
   };
-  state.once.own.set(request, claim);
+  state.once.ownClaims.set(request, claim);
   const timer = { type: 'set-timer', key: resendTimer(request), at: at + CLAIM_RESEND_MS } as const;
-  return [timer, ...askKeepers(state, claim, at)];
+  return [timer, ...sendClaimRequests(state, claim, at)];
 };
 
-/** Asks for the claim of a key; `continueClaimed` of the query slice is called with the verdict. */
+/** Requests the claim of a key; passes the verdict to `handleClaimVerdict` of the query slice. */
 export const requestClaim = (
   state: CoreState,
   request: RequestId,
@@ -147,15 +148,15 @@
   at: number,
 ): Effect[] => {
   const key = parseIdempotencyKey(idempotencyKey).toMaybe().extract();
-  return key === undefined || !isTimely(state, key, at)
+  return key === undefined || !isKeyAgeValid(state, key, at)
     ? handleClaimVerdict(state, request, 'key-invalid', at)
-    : beginClaim(state, request, partner, key, at);
+    : startClaim(state, request, partner, key, at);
 };
 
-/** Asks the silent keepers again, or gives up. */
+/** Requests the claim again from keepers without a reply; refuses it after the last repetition. */
 export const resendClaim = (state: CoreState, request: RequestId, at: number): Effect[] => {
-  const claim = state.once.own.get(request);
-  if (claim?.phase !== 'asking') {
+  const claim = state.once.ownClaims.get(request);
+  if (claim?.phase !== 'requested') {
     return [];
   }
   if (claim.resends >= CLAIM_RESENDS) {
@@ -163,14 +164,16 @@
   }
   claim.resends += 1;
   return [
-    ...askKeepers(state, claim, at),
+    ...sendClaimRequests(state, claim, at),
     { type: 'set-timer', key: resendTimer(request), at: at + CLAIM_RESEND_MS },
   ];
 };
 
 /**
- * Ends the claim of a request that has its final answer. `ran` must be true unless it is proven that
- * nothing of the request has run or can still run; only then is the key free again.
+ * Ends the claim of a request that has its outcome. Without a run, the claim is released and its key
+ * can be used again.
+ *
+ * @param ran - must be true unless it is proven that nothing of the request has run or can still run
  */
 export const endClaim = (
   state: CoreState,
@@ -178,11 +181,11 @@
   ran: boolean,
   at: number,
 ): Effect[] => {
-  const claim = state.once.own.get(request);
+  const claim = state.once.ownClaims.get(request);
   if (claim === undefined) {
     return [];
   }
-  state.once.own.delete(request);
+  state.once.ownClaims.delete(request);
   const cancelled = { type: 'cancel-timer', key: resendTimer(request) } as const;
   return ran ? [cancelled] : [cancelled, ...releaseClaim(state, claim, at)];
 };
--- a/src/core/once/keep-claim.ts
+++ b/src/core/once/keep-claim.ts
@@ -1,9 +1,9 @@
 /**
- * The keeper's side of claims: grants a key to the first request that asks, and remembers it.
+ * The keeper's side of claims: grants a key to the first request that claims it, and keeps the claim.
  *
- * A keeper grants only what it can vouch for. It has seen every claim of its node under a roster that
- * names this very process. After a restart it has not; it then vouches only for keys made after its
- * start, by a margin that covers the clocks of the process before and of this one.
+ * A keeper grants a claim only if it knows of all claims that its node can have granted. It does under
+ * a roster that names this process. A restarted process lacks earlier claims, so it grants only keys
+ * created after its start, by a margin for the clocks of the previous process and of this one.
  */
 import type { ClaimReply, ClaimRelease, ClaimRequest } from '../../protocol/once-messages.js';
 import { type IdempotencyKey, parseIdempotencyKey } from '../../protocol/idempotency-key.js';
@@ -18,17 +18,17 @@
   wallTimeAt,
 } from '../keepers/find-roster.js';
 import type { CoreState } from '../state.js';
-import { CLAIM_MEMORY_MS, KEY_LEAD_MS, MAX_KEPT_CLAIMS } from './claim-timing.js';
+import { CLAIM_RETENTION_MS, KEY_LEAD_MS, MAX_KEPT_CLAIMS } from './claim-timing.js';
 
-/** Names a key over all partners. */
+/** Returns the name of a key, unique over all partners. */
 export const claimSubject = (partner: PartnerId, idempotencyKey: string): string =>
   `${partner}|${idempotencyKey}`;
 
-/** Forgets the claims of periods whose keys are too old to be accepted anywhere, for good. */
-export const forgetPastClaims = (state: CoreState, at: number): void => {
+/** Removes the claims of periods whose keys no node accepts any more, and closes these periods. */
+export const removeExpiredClaims = (state: CoreState, at: number): void => {
   const { once } = state;
-  const closed = periodOf(wallTimeAt(state, at) - CLAIM_MEMORY_MS) - 1;
-  once.closedThrough = Math.max(once.closedThrough, closed);
+  const lastClosedPeriod = periodOf(wallTimeAt(state, at) - CLAIM_RETENTION_MS) - 1;
+  once.closedThrough = Math.max(once.closedThrough, lastClosedPeriod);
   for (const [period, claims] of once.kept) {
     if (period <= once.closedThrough) {
       once.keptCount -= claims.size;
@@ -45,11 +45,11 @@
 ): boolean =>
   chooseKeepers(roster, partner, claimSubject(partner, key.text)).nodes.includes(state.self.node);
 
-/** True when this process knows of every claim on the key that its node can have granted. */
-const canVouch = (state: CoreState, roster: KeeperRoster, key: IdempotencyKey): boolean =>
+/** Whether this process knows of every claim on the key that its node can have granted. */
+const knowsAllClaims = (state: CoreState, roster: KeeperRoster, key: IdempotencyKey): boolean =>
   isNamedProcess(state, roster) || isAfterStart(state, key.createdAt, KEY_LEAD_MS);
 
-const mayKeep = (
+const mayGrantClaim = (
   state: CoreState,
   key: IdempotencyKey,
   partner: PartnerId,
@@ -61,10 +61,10 @@
   if (roster === undefined || isAhead || period <= state.once.closedThrough) {
     return false;
   }
-  return isKeeper(state, roster, partner, key) && canVouch(state, roster, key);
+  return isKeeper(state, roster, partner, key) && knowsAllClaims(state, roster, key);
 };
 
-const claimsOf = (state: CoreState, period: number): Map<string, RequestId> => {
+const getClaimsOfPeriod = (state: CoreState, period: number): Map<string, RequestId> => {
   const known = state.once.kept.get(period);
   if (known !== undefined) {
     return known;
@@ -86,15 +86,15 @@
   if (holder !== undefined) {
     return holder === message.request ? 'granted' : 'already-claimed';
   }
-  if (!mayKeep(state, key, message.partner, at) || state.once.keptCount >= MAX_KEPT_CLAIMS) {
+  if (!mayGrantClaim(state, key, message.partner, at) || state.once.keptCount >= MAX_KEPT_CLAIMS) {
     return 'owner-not-ready';
   }
-  claimsOf(state, period).set(subject, message.request);
+  getClaimsOfPeriod(state, period).set(subject, message.request);
   state.once.keptCount += 1;
   return 'granted';
 };
 
-/** Decides on a claim and remembers it when granted. */
+/** Decides on a claim and keeps it if granted. */
 export const keepClaim = (state: CoreState, message: ClaimRequest, at: number): ClaimReply => {
   const verdict = parseIdempotencyKey(message.idempotencyKey)
     .map((key) => decideClaim(state, key, message, at))
@@ -102,7 +102,7 @@
   return { type: 'claim-reply', request: message.request, verdict };
 };
 
-/** Frees a key whose request did not run and never will; only that request's own claim. */
+/** Releases the claim of a request that did not run and never will; ignores claims of other requests. */
 export const releaseKeptClaim = (state: CoreState, message: ClaimRelease): void => {
   parseIdempotencyKey(message.idempotencyKey).ifRight((key) => {
     const claims = state.once.kept.get(periodOf(key.createdAt));
--- a/src/core/replica/accept-legs.ts
+++ b/src/core/replica/accept-legs.ts
@@ -1,4 +1,4 @@
-/** Takes attempts from a coordinator into the queues of their replicas. */
+/** Accepts attempts from a coordinator into the queues of their replicas, or refuses them. */
 import type { ReplicaStatus } from '../../catalog/partner-index.js';
 import type { LegAttempt, LegContext, NotRunReason } from '../../protocol/leg-messages.js';
 import type { Effect } from '../effect.js';
@@ -14,27 +14,27 @@
 import { reportNotRun } from './report-result.js';
 import type { HeldAttempt, HeldBatch, ReplicaFeed } from './state.js';
 
-/** Most attempts of one partner that wait for one replica; more are refused at once. */
+/** Maximum number of queued attempts of one partner for one replica; more are refused at once. */
 const MAX_QUEUED_PER_PARTNER = 256;
 
-/** How long an attempt that must not run twice is remembered, in milliseconds. */
-const REMEMBER_ONCE_MS = 120_000;
+/** How long the identifier of an attempt that is not safe to repeat is kept, in milliseconds. */
+const ACCEPTED_ONCE_VALID_MS = 120_000;
 
-/** Most such attempts remembered; beyond it, attempts not safe to repeat are refused. */
-const MAX_REMEMBERED_ONCE = 50_000;
+/** Maximum number of such identifiers; beyond it, attempts that are not safe to repeat are refused. */
+const MAX_ACCEPTED_ONCE = 50_000;
 
-/** Attempts handed to this node as feeder. */
+/** Attempts that a coordinator sent to this node as feeder. */
 export interface AcceptedBatch {
   readonly coordinator: NodeId;
   readonly context: LegContext;
   readonly legs: readonly LegAttempt[];
-  /** On this node's monotonic clock. */
+  /** Deadline on this node's monotonic clock, in milliseconds. */
   readonly deadlineAt: number;
-  /** Whether an answer may wait at the feeder for others. */
+  /** Whether the feeder may delay an answer to send it with others. */
   readonly mayWait: boolean;
 }
 
-const findFeed = (state: CoreState, status: ReplicaStatus): ReplicaFeed => {
+const getFeed = (state: CoreState, status: ReplicaStatus): ReplicaFeed => {
   const endpoint = `${status.host}:${status.port}`;
   const known = state.replica.feeds.get(endpoint);
   if (known !== undefined) {
@@ -48,53 +48,53 @@
     inFlight: 0,
     serviceMs: 0,
     unansweredSince: undefined,
-    unheard: 0,
-    watched: false,
+    unanswered: 0,
+    silenceTimerSet: false,
     queue: fair ? createFairQueue() : createFirstComeQueue(),
   };
   state.replica.feeds.set(endpoint, feed);
   return feed;
 };
 
-const forgetExpired = (remembered: Map<AttemptId, number>, at: number): void => {
-  for (const [attempt, expiresAt] of remembered) {
+const removeExpired = (expiries: Map<AttemptId, number>, at: number): void => {
+  for (const [attempt, expiresAt] of expiries) {
     if (expiresAt > at) {
       return;
     }
-    remembered.delete(attempt);
+    expiries.delete(attempt);
   }
 };
 
-/** Whether the batch's message brings an attempt for the second time. */
-const isDoubled = (state: CoreState, context: LegContext, leg: LegAttempt): boolean =>
+/** Whether an attempt was accepted before: it is still held, or it must not run twice. */
+const isDuplicate = (state: CoreState, context: LegContext, leg: LegAttempt): boolean =>
   state.replica.held.has(leg.attempt) ||
   (!context.safeToRepeat && state.replica.acceptedOnce.has(leg.attempt));
 
-const rememberOnce = (state: CoreState, leg: LegAttempt, at: number): boolean => {
+const recordAcceptedOnce = (state: CoreState, leg: LegAttempt, at: number): boolean => {
   const { acceptedOnce } = state.replica;
-  forgetExpired(acceptedOnce, at);
-  if (acceptedOnce.size >= MAX_REMEMBERED_ONCE) {
+  removeExpired(acceptedOnce, at);
+  if (acceptedOnce.size >= MAX_ACCEPTED_ONCE) {
     return false;
   }
-  acceptedOnce.set(leg.attempt, at + REMEMBER_ONCE_MS);
+  acceptedOnce.set(leg.attempt, at + ACCEPTED_ONCE_VALID_MS);
   return true;
 };
 
 /**
- * Wait that a new leg of a class is to expect, in milliseconds: those of its partner that wait
- * already take their turns first, at the rate that the partner's share gives it.
+ * Predicts how long a new leg of a class waits, in milliseconds. The queued legs of its partner are
+ * sent first, at the rate given by the partner's share.
  */
-export const expectWait = (feed: ReplicaFeed, legClass: LegClass): number => {
+export const predictWait = (feed: ReplicaFeed, legClass: LegClass): number => {
   const ahead = feed.queue.sizeOf(legClass.partner);
   const share = feed.queue.size > ahead ? legClass.share : 1;
   return (ahead * feed.serviceMs) / (feed.status.slots * share);
 };
 
-const cannotBeServed = (feed: ReplicaFeed, legClass: LegClass, remainingMs: number): boolean =>
+const cannotServeInTime = (feed: ReplicaFeed, legClass: LegClass, remainingMs: number): boolean =>
   feed.queue.sizeOf(legClass.partner) >= MAX_QUEUED_PER_PARTNER ||
-  expectWait(feed, legClass) > remainingMs;
+  predictWait(feed, legClass) > remainingMs;
 
-const holdLeg = (
+const enqueueLeg = (
   state: CoreState,
   batch: AcceptedBatch,
   heldBatch: HeldBatch,
@@ -103,10 +103,10 @@
   legClass: LegClass,
   at: number,
 ): NotRunReason | undefined => {
-  if (cannotBeServed(feed, legClass, batch.deadlineAt - at)) {
+  if (cannotServeInTime(feed, legClass, batch.deadlineAt - at)) {
     return 'queue-full';
   }
-  if (!batch.context.safeToRepeat && !rememberOnce(state, leg, at)) {
+  if (!batch.context.safeToRepeat && !recordAcceptedOnce(state, leg, at)) {
     return 'queue-full';
   }
   const held: HeldAttempt = {
@@ -119,8 +119,8 @@
     deadlineAt: batch.deadlineAt,
     arrivedAt: at,
     sentAt: undefined,
-    waiting: false,
-    unwanted: false,
+    isQueued: false,
+    isCancelled: false,
   };
   state.replica.held.set(leg.attempt, held);
   state.replica.attemptsInProgress += 1;
@@ -140,7 +140,7 @@
   const legClass = classOfLegs(state, context);
   const heldBatch: HeldBatch = { size: batch.legs.length, open: 0, mayWait: batch.mayWait };
   for (const leg of batch.legs) {
-    if (isDoubled(state, context, leg)) {
+    if (isDuplicate(state, context, leg)) {
       continue;
     }
     const arrived = { coordinator, leg, arrivedAt: at };
@@ -149,14 +149,14 @@
       reportNotRun(state, arrived, 'unknown-replica', at);
       continue;
     }
-    const feed = findFeed(state, status);
+    const feed = getFeed(state, status);
     if (refuseIfLeaving(state, feed, arrived, at)) {
       continue;
     }
     const heldBack = leg.insist !== true && isFeedSilent(feed, at);
     const refusal = heldBack
       ? 'not-answering'
-      : holdLeg(state, batch, heldBatch, leg, feed, legClass, at);
+      : enqueueLeg(state, batch, heldBatch, leg, feed, legClass, at);
     if (refusal !== undefined) {
       reportNotRun(state, arrived, refusal, at);
     }
--- a/src/core/replica/dispatch-attempts.ts
+++ b/src/core/replica/dispatch-attempts.ts
@@ -1,25 +1,25 @@
-/** Sends queued attempts to a replica as its slots allow. */
+/** Sends queued attempts to a replica while this node has free slots for it. */
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
 import { connectionsOfFeeder, slotsOfFeeder } from './feeder-share.js';
 import { refuseIfLeaving } from './leaving-replicas.js';
 import { releaseHeld } from './release-held.js';
-import { noteSent, watchForSilence } from './replica-silence.js';
+import { recordAttemptSent, setSilenceTimer } from './replica-silence.js';
 import { reportNotRun } from './report-result.js';
 import type { HeldAttempt, ReplicaFeed } from './state.js';
 
-/** Slots of a replica that this node may fill. */
+/** Number of slots of a replica that this node may use. */
 const shareOfSlots = (state: CoreState, feed: ReplicaFeed): number =>
   slotsOfFeeder(feed.status.slots, state.query.policy.feedersPerReplica);
 
-/** Connections that this node may hold to a replica. */
+/** Number of connections that this node may hold to a replica. */
 const shareOfConnections = (state: CoreState, feed: ReplicaFeed): number =>
   connectionsOfFeeder(feed.status.connections, state.query.policy.feedersPerReplica);
 
 const sendAttempt = (state: CoreState, held: HeldAttempt, at: number, effects: Effect[]): void => {
   const { feed } = held;
   held.sentAt = at;
-  noteSent(feed, at);
+  recordAttemptSent(feed, at);
   effects.push({
     type: 'send-attempt',
     context: held.context,
@@ -30,10 +30,13 @@
   });
 };
 
-/** Share of the mean working time below which an attempt is not started: it would not finish. */
-const LEAST_TIME_SHARE = 0.25;
+/**
+ * An attempt is not started when less than this share of the mean service time is left before its
+ * deadline, as it would not finish.
+ */
+const MIN_TIME_SHARE = 0.25;
 
-const leastTime = (feed: ReplicaFeed): number => LEAST_TIME_SHARE * feed.serviceMs;
+const minRemainingMs = (feed: ReplicaFeed): number => MIN_TIME_SHARE * feed.serviceMs;
 
 const startOrRefuse = (
   state: CoreState,
@@ -44,7 +47,7 @@
 ): void => {
   if (refuseIfLeaving(state, feed, held, at)) {
     releaseHeld(state, held);
-  } else if (held.deadlineAt - at > leastTime(feed)) {
+  } else if (held.deadlineAt - at > minRemainingMs(feed)) {
     sendAttempt(state, held, at, effects);
   } else {
     releaseHeld(state, held);
@@ -52,7 +55,7 @@
   }
 };
 
-/** Sends attempts until the slots are filled or none waits; those past their deadline are refused. */
+/** Sends attempts until the slots are in use or the queue is empty; refuses those that are too late. */
 export const dispatchAttempts = (
   state: CoreState,
   feed: ReplicaFeed,
@@ -68,6 +71,6 @@
     startOrRefuse(state, feed, held, at, effects);
   }
   if (feed.queue.size > 0) {
-    watchForSilence(feed, at, effects);
+    setSilenceTimer(feed, at, effects);
   }
 };
--- a/src/core/replica/leaving-replicas.ts
+++ b/src/core/replica/leaving-replicas.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps new work from replicas that leave, at their feeders: what a replica says of itself reaches
- * its feeder first, and a coordinator that has not heard of it yet may still hand legs over.
+ * Refuses new work for leaving replicas at their feeders. The feeder is the first to learn from an
+ * outcome that a replica is leaving; a coordinator without that update may still send legs for it.
  */
 import type { AttemptOutcome } from '../../protocol/leg-messages.js';
 import type { Effect } from '../effect.js';
@@ -9,27 +9,28 @@
 import { reportNotRun } from './report-result.js';
 import type { HeldAttempt, ReplicaFeed } from './state.js';
 
-const saysLeaving = (outcome: AttemptOutcome): boolean =>
+const indicatesLeaving = (outcome: AttemptOutcome): boolean =>
   outcome.type === 'answered'
     ? outcome.leaving === true
     : outcome.type === 'not-run' && outcome.reason === 'leaving';
 
-/** Notes what the end of an attempt says of its replica's leaving. */
-export const noteLeavingSign = (
+/** Records that a replica is leaving if the outcome of an attempt indicates it. */
+export const recordLeavingOutcome = (
   state: CoreState,
   held: HeldAttempt,
   outcome: AttemptOutcome,
   at: number,
   effects: Effect[],
 ): void => {
-  if (saysLeaving(outcome)) {
+  if (indicatesLeaving(outcome)) {
     effects.push(...recordReplicaLeaving(state, held.leg.replica, at));
   }
 };
 
 /**
- * Refuses an attempt whose replica is known to leave; false when it is not. The refusal says for how
- * long this node believes so: the coordinator takes that over and does not count it as a new sign.
+ * Refuses an attempt if its replica is known to be leaving; returns whether it was refused. The refusal
+ * carries the remaining time of this node's record, in milliseconds. The coordinator adopts that time
+ * instead of starting a new period.
  */
 export const refuseIfLeaving = (
   state: CoreState,
@@ -37,10 +38,10 @@
   held: Pick<HeldAttempt, 'coordinator' | 'leg' | 'arrivedAt'>,
   at: number,
 ): boolean => {
-  const heldFor = remainingLeavingMs(state, held.leg.replica, at);
-  if (heldFor === 0 && feed.status.lifecycle !== 'leaving') {
+  const leavingMs = remainingLeavingMs(state, held.leg.replica, at);
+  if (leavingMs === 0 && feed.status.lifecycle !== 'leaving') {
     return false;
   }
-  reportNotRun(state, held, 'leaving', at, heldFor);
+  reportNotRun(state, held, 'leaving', at, leavingMs);
   return true;
 };
--- a/src/core/replica/leg-queue.ts
+++ b/src/core/replica/leg-queue.ts
@@ -1,26 +1,26 @@
-/** The legs that wait at a feeder for one replica, and the order in which they are sent. */
+/** Queues of legs at a feeder for one replica; they determine the order in which legs are sent. */
 import type { PartnerId } from '../identifiers.js';
 import { DeadlineHeap } from './deadline-heap.js';
 import type { HeldAttempt } from './state.js';
 
-/** A queue of attempts; each sets `waiting` of what it holds. */
+/** A queue of attempts; it maintains `isQueued` of its attempts. */
 export interface LegQueue {
-  /** Attempts that wait. */
+  /** Number of queued attempts. */
   readonly size: number;
-  /** Attempts of one partner that wait. */
+  /** Returns the number of queued attempts of one partner; a first-come queue counts all partners. */
   sizeOf(partner: PartnerId): number;
   add(held: HeldAttempt): void;
-  /** Takes the next attempt in the queue's order. */
+  /** Removes and returns the next attempt in the queue's order. */
   take(): HeldAttempt | undefined;
-  /** Removes an attempt that is no longer wanted. */
+  /** Removes a cancelled attempt. */
   remove(held: HeldAttempt): void;
 }
 
 /** Creates a queue in order of arrival. */
 export const createFirstComeQueue = (): LegQueue => {
   const waiting = new Set<HeldAttempt>();
-  const drop = (held: HeldAttempt): void => {
-    held.waiting = false;
+  const removeHeld = (held: HeldAttempt): void => {
+    held.isQueued = false;
     waiting.delete(held);
   };
   return {
@@ -29,52 +29,52 @@
     },
     sizeOf: () => waiting.size,
     add(held) {
-      held.waiting = true;
+      held.isQueued = true;
       waiting.add(held);
     },
     take() {
       for (const held of waiting) {
-        drop(held);
+        removeHeld(held);
         return held;
       }
       return undefined;
     },
-    remove: drop,
+    remove: removeHeld,
   };
 };
 
-interface RowLane {
+interface RowQueue {
   readonly heap: DeadlineHeap;
   weight: number;
-  /** Service received, divided by the weight. */
+  /** Service received, divided by the weight, as in stride scheduling. */
   pass: number;
 }
 
-interface PartnerLane {
+interface PartnerQueue {
   readonly partner: PartnerId;
-  readonly rows: Map<string, RowLane>;
+  readonly rows: Map<string, RowQueue>;
   share: number;
   pass: number;
-  /** Pass of the row served last: a row that returns starts from there. */
+  /** Pass of the row served last; a row that was empty resumes from there. */
   rowPass: number;
   size: number;
 }
 
-const findRow = (lane: PartnerLane, held: HeldAttempt): RowLane => {
+const getRowQueue = (partnerQueue: PartnerQueue, held: HeldAttempt): RowQueue => {
   const { row, weight } = held.class;
-  const known = lane.rows.get(row);
+  const known = partnerQueue.rows.get(row);
   if (known !== undefined) {
     known.weight = weight;
     return known;
   }
   const created = { heap: new DeadlineHeap(), weight, pass: 0 };
-  lane.rows.set(row, created);
+  partnerQueue.rows.set(row, created);
   return created;
 };
 
-const leastRow = (lane: PartnerLane): RowLane | undefined => {
-  let least: RowLane | undefined;
-  for (const row of lane.rows.values()) {
+const selectRow = (partnerQueue: PartnerQueue): RowQueue | undefined => {
+  let least: RowQueue | undefined;
+  for (const row of partnerQueue.rows.values()) {
     if (row.heap.size > 0 && (least === undefined || row.pass < least.pass)) {
       least = row;
     }
@@ -82,91 +82,91 @@
   return least;
 };
 
-/** Legs for which a partner that returns goes before the others. */
+/** Number of legs that are served first when a partner without queued legs becomes active again. */
 const CREDIT_LEGS = 16;
 
 /**
- * A queue by weighted fair shares: partners first, by their shares of the pool; the kinds of a
- * partner next, by the weights of their rows; the earliest deadline inside a kind. Who waits for
- * nothing leaves its share to the others and takes it back at once: it returns with a credit of
- * `CREDIT_LEGS`, so that a burst within its share goes before what the others have waiting.
+ * A queue with weighted fair shares. It selects the partner by its share of the pool, then the
+ * partner's row by weight, then the leg with the earliest deadline. Others use the share of a partner
+ * without queued legs. When such a partner becomes active again, it gets a credit of `CREDIT_LEGS`, so
+ * that a burst within its share is sent before the queued legs of the others.
  */
 class FairQueue implements LegQueue {
-  private readonly lanes = new Map<PartnerId, PartnerLane>();
+  private readonly partnerQueues = new Map<PartnerId, PartnerQueue>();
   private pass = 0;
   size = 0;
 
   sizeOf(partner: PartnerId): number {
-    return this.lanes.get(partner)?.size ?? 0;
+    return this.partnerQueues.get(partner)?.size ?? 0;
   }
 
   add(held: HeldAttempt): void {
-    const lane = this.findLane(held);
-    const row = findRow(lane, held);
-    if (lane.size === 0) {
-      lane.pass = Math.max(lane.pass, this.pass - CREDIT_LEGS / lane.share);
+    const partnerQueue = this.getPartnerQueue(held);
+    const row = getRowQueue(partnerQueue, held);
+    if (partnerQueue.size === 0) {
+      partnerQueue.pass = Math.max(partnerQueue.pass, this.pass - CREDIT_LEGS / partnerQueue.share);
     }
     if (row.heap.size === 0) {
-      row.pass = Math.max(row.pass, lane.rowPass);
+      row.pass = Math.max(row.pass, partnerQueue.rowPass);
     }
-    held.waiting = true;
+    held.isQueued = true;
     row.heap.add(held);
-    lane.size += 1;
+    partnerQueue.size += 1;
     this.size += 1;
   }
 
   take(): HeldAttempt | undefined {
-    const lane = this.leastLane();
-    const row = lane && leastRow(lane);
+    const partnerQueue = this.selectPartner();
+    const row = partnerQueue && selectRow(partnerQueue);
     const held = row?.heap.take();
-    if (lane === undefined || row === undefined || held === undefined) {
+    if (partnerQueue === undefined || row === undefined || held === undefined) {
       return undefined;
     }
-    held.waiting = false;
-    this.pass = lane.pass;
-    lane.rowPass = row.pass;
-    lane.pass += 1 / lane.share;
+    held.isQueued = false;
+    this.pass = partnerQueue.pass;
+    partnerQueue.rowPass = row.pass;
+    partnerQueue.pass += 1 / partnerQueue.share;
     row.pass += 1 / row.weight;
-    lane.size -= 1;
+    partnerQueue.size -= 1;
     this.size -= 1;
     return held;
   }
 
   remove(held: HeldAttempt): void {
-    const lane = this.lanes.get(held.class.partner);
-    const row = lane?.rows.get(held.class.row);
-    if (lane === undefined || row === undefined || !held.waiting) {
+    const partnerQueue = this.partnerQueues.get(held.class.partner);
+    const row = partnerQueue?.rows.get(held.class.row);
+    if (partnerQueue === undefined || row === undefined || !held.isQueued) {
       return;
     }
-    held.waiting = false;
+    held.isQueued = false;
     row.heap.remove();
-    lane.size -= 1;
+    partnerQueue.size -= 1;
     this.size -= 1;
   }
 
-  private findLane(held: HeldAttempt): PartnerLane {
+  private getPartnerQueue(held: HeldAttempt): PartnerQueue {
     const { partner, share } = held.class;
-    const known = this.lanes.get(partner);
+    const known = this.partnerQueues.get(partner);
     if (known !== undefined) {
       known.share = share;
       return known;
     }
-    const rows = new Map<string, RowLane>();
+    const rows = new Map<string, RowQueue>();
     const created = { partner, rows, share, pass: 0, rowPass: 0, size: 0 };
-    this.lanes.set(partner, created);
+    this.partnerQueues.set(partner, created);
     return created;
   }
 
-  private leastLane(): PartnerLane | undefined {
-    let least: PartnerLane | undefined;
-    for (const lane of this.lanes.values()) {
-      if (lane.size > 0 && (least === undefined || lane.pass < least.pass)) {
-        least = lane;
+  private selectPartner(): PartnerQueue | undefined {
+    let least: PartnerQueue | undefined;
+    for (const partnerQueue of this.partnerQueues.values()) {
+      if (partnerQueue.size > 0 && (least === undefined || partnerQueue.pass < least.pass)) {
+        least = partnerQueue;
       }
     }
     return least;
   }
 }
 
-/** Creates a queue by weighted fair shares. */
+/** Creates a queue with weighted fair shares. */
 export const createFairQueue = (): LegQueue => new FairQueue();
--- a/src/core/replica/replica-index.ts
+++ b/src/core/replica/replica-index.ts
@@ -1,9 +1,9 @@
-/** Finds what the platform publishes about a replica. */
+/** Looks up the published status of a replica. */
 import type { ReplicaStatus } from '../../catalog/partner-index.js';
 import type { PartnerId, ReplicaId } from '../identifiers.js';
 import type { CoreState } from '../state.js';
 
-const rebuild = (state: CoreState): void => {
+const rebuildIndex = (state: CoreState): void => {
   const { index } = state.replica;
   index.inForce = state.configuration.inForce;
   index.statuses.clear();
@@ -18,14 +18,14 @@
   }
 };
 
-/** The status of a replica in the configuration in force; undefined when it is not known. */
+/** Returns the status of a replica in the configuration in force; undefined if it is unknown. */
 export const findReplicaStatus = (
   state: CoreState,
   partner: PartnerId,
   replica: ReplicaId,
 ): ReplicaStatus | undefined => {
   if (state.replica.index.inForce !== state.configuration.inForce) {
-    rebuild(state);
+    rebuildIndex(state);
   }
   return state.replica.index.statuses.get(partner)?.get(replica);
 };
--- a/test/keepers/homes.test.ts
+++ b/test/keepers/homes.test.ts
@@ -128,7 +128,7 @@
 const requestedKeepers = (state: CoreState, key: string): readonly NodeId[] | undefined => {
   const request = identifier<RequestId>(key);
   requestClaim(state, request, TAWE, key, 10);
-  return state.once.own.get(request)?.keepers.nodes;
+  return state.once.ownClaims.get(request)?.keepers.nodes;
 };
 
 describe('the keepers of a partner', () => {
--- a/test/once/histories.test.ts
+++ b/test/once/histories.test.ts
@@ -1,4 +1,4 @@
-/** Histories of bookings, resends and faults, drawn by fast-check, against the rule that counts runs. */
+/** Generates histories of bookings, resends and faults and checks that no request runs more than once. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import type { Effect } from '../../src/core/effect.js';
@@ -9,11 +9,11 @@
 import { carryOutFault, faultAction, type FaultAction } from '../support/fault-actions.js';
 import {
   bookingOf,
-  createDoublingStep,
+  createDuplicatingStep,
   createOnceWorld,
-  keyNow,
+  createKeyNow,
   listFalseRefusals,
-  mostRunsOfAKey,
+  maxRunsPerKey,
   NODES,
   SETTLED_MS,
   ZONES,
@@ -32,19 +32,23 @@
   maxLength: 45,
 });
 
-interface Verdict {
-  readonly mostRuns: number;
+interface HistoryResult {
+  readonly maxRuns: number;
   readonly falseRefusals: readonly string[];
   readonly runs: number;
 }
 
-const runHistory = (actions: readonly Action[], seed: number, inner: StepFunction): Verdict => {
-  const simulation = createOnceWorld({ seed, step: createDoublingStep(seed, inner) });
+const runHistory = (
+  actions: readonly Action[],
+  seed: number,
+  inner: StepFunction,
+): HistoryResult => {
+  const simulation = createOnceWorld({ seed, step: createDuplicatingStep(seed, inner) });
   simulation.runFor(SETTLED_MS);
   const keys = new Map<number, string>();
   for (const action of actions) {
     if (action.type === 'book') {
-      const key = keys.get(action.key) ?? keyNow(simulation, action.key);
+      const key = keys.get(action.key) ?? createKeyNow(simulation, action.key);
       keys.set(action.key, key);
       simulation.call(NODES[action.node] as string, bookingOf(key));
     } else {
@@ -55,24 +59,24 @@
   NODES.forEach((node) => simulation.node(node).wake());
   simulation.runFor(5_000);
   return {
-    mostRuns: mostRunsOfAKey(simulation),
+    maxRuns: maxRunsPerKey(simulation),
     falseRefusals: listFalseRefusals(simulation),
     runs: simulation.listRuns().length,
   };
 };
 
-const forgetClaims = (state: CoreState): void => {
+const clearClaims = (state: CoreState): void => {
   state.once.kept.clear();
 };
 
-/** Cores with one rule of claims taken out each. */
+/** Changes that each break one rule of claims in the core. */
 const BROKEN_STEPS: Readonly<Record<string, (state: CoreState, event: Event) => void>> = {
-  'keepers do not remember': forgetClaims,
-  'restarted keepers vouch for every key': (state) => {
+  'keepers do not keep claims': clearClaims,
+  'restarted keepers grant every key': (state) => {
     state.keepers.startIncarnation = 0;
   },
-  'one keeper decides': (state) => {
-    for (const claim of state.once.own.values()) {
+  'claims are granted by a single keeper': (state) => {
+    for (const claim of state.once.ownClaims.values()) {
       (claim.keepers as { majority: number }).majority = 1;
     }
   },
@@ -86,18 +90,18 @@
     return effects;
   };
 
-/** A longer run: FUZZ_RUNS=2000 FUZZ_SEED=7 npx vitest run test/once/histories.test.ts */
+/** For a longer run: FUZZ_RUNS=2000 FUZZ_SEED=7 npx vitest run test/once/histories.test.ts */
 const RUNS = Number(process.env['FUZZ_RUNS'] ?? 60);
 const SEED = Number(process.env['FUZZ_SEED'] ?? 20_261_202);
 
-describe('histories of bookings and faults', () => {
-  it('run no key twice and refuse as not run nothing that ran', () => {
+describe('random histories of bookings and faults', () => {
+  it('run no key twice and report no request as not run that has run', () => {
     let runs = 0;
     fc.assert(
       fc.property(history, fc.nat(), (actions, seed) => {
         const verdict = runHistory(actions, seed, step);
         runs += verdict.runs;
-        expect(verdict.mostRuns).toBeLessThanOrEqual(1);
+        expect(verdict.maxRuns).toBeLessThanOrEqual(1);
         expect(verdict.falseRefusals).toEqual([]);
       }),
       { numRuns: RUNS, seed: SEED },
@@ -105,10 +109,10 @@
     expect(runs).toBeGreaterThan(RUNS);
   });
 
-  it.each(Object.entries(BROKEN_STEPS))('catch a core whose %s', (_, change) => {
+  it.each(Object.entries(BROKEN_STEPS))('detect a core whose %s', (_, change) => {
     const details = fc.check(
       fc.property(history, fc.nat(), (actions, seed) => {
-        return runHistory(actions, seed, breakStep(change)).mostRuns <= 1;
+        return runHistory(actions, seed, breakStep(change)).maxRuns <= 1;
       }),
       { numRuns: 300, seed: SEED, endOnFailure: true },
     );
--- a/test/replica/leaving.test.ts
+++ b/test/replica/leaving.test.ts
@@ -11,17 +11,17 @@
 
 const COORDINATOR = 'bole-0' as NodeId;
 const FEEDER = 'arada-0' as NodeId;
-/** The replica in the other zone, which only `FEEDER` feeds. */
+/** Returns the replica in the other zone, which only `FEEDER` feeds. */
 const findLeaving = (tier: VirtualTier): VirtualReplica => tier.replicas[1] as VirtualReplica;
 
 const createTier = (): VirtualTier =>
   new VirtualTier({ zones: ['bole', 'arada'], nodesPerZone: 1, services: 1, slots: 1 });
 
-const note = (tier: VirtualTier): void => {
+const recordLeaving = (tier: VirtualTier): void => {
   recordReplicaLeaving(tier.state(FEEDER), findLeaving(tier).status.replica, tier.now);
 };
 
-const isKnown = (tier: VirtualTier, node: NodeId): boolean =>
+const isKnownLeaving = (tier: VirtualTier, node: NodeId): boolean =>
   isReplicaLeaving(tier.state(node), findLeaving(tier).status.replica, tier.now);
 
 const missingReasons = (tier: VirtualTier): string[] => {
@@ -32,29 +32,29 @@
 const countSent = (effects: readonly Effect[]): number =>
   effects.filter(({ type }) => type === 'send-attempt').length;
 
-describe('the feeder of a replica that leaves', () => {
-  it('sends it nothing, even if the only other replica is frozen', () => {
+describe('the feeder of a leaving replica', () => {
+  it('sends it no attempt, even if the only other replica is frozen', () => {
     const tier = createTier();
     (tier.replicas[0] as VirtualReplica).mode = 'frozen';
-    note(tier);
+    recordLeaving(tier);
     const reasons = Array.from({ length: 5 }, () => missingReasons(tier)).flat();
     expect(findLeaving(tier).ran).toEqual([]);
     expect(reasons.length).toBeGreaterThan(0);
   });
 
-  it('tells the coordinator, for as long as it believes so itself', () => {
+  it('reports the leaving to the coordinator for the remaining time of its own record', () => {
     const tier = createTier();
-    note(tier);
+    recordLeaving(tier);
     tier.runFor(10_000);
     for (let round = 0; round < 10; round += 1) {
       tier.askAndWait(COORDINATOR);
     }
-    expect(isKnown(tier, COORDINATOR)).toBe(true);
+    expect(isKnownLeaving(tier, COORDINATOR)).toBe(true);
     tier.runFor(20_000);
-    expect(isKnown(tier, COORDINATOR)).toBe(false);
+    expect(isKnownLeaving(tier, COORDINATOR)).toBe(false);
   });
 
-  it('sends nothing of what waits once the replica has said so', () => {
+  it('refuses its queued attempts once the replica has refused one as leaving', () => {
     const tier = createTier();
     const { replica } = findLeaving(tier).status;
     const context = {
--- a/test/replica/result-batches.test.ts
+++ b/test/replica/result-batches.test.ts
@@ -10,7 +10,7 @@
 const SEED = 7;
 const SERVICES = 24;
 
-/** Items that several shards share, with whole scores so that sums do not depend on the order. */
+/** Adds items that several shards share; integer scores make sums independent of the order. */
 const withSharedItems = (outcome: AttemptOutcome): AttemptOutcome => {
   if (outcome.type !== 'answered') {
     return outcome;
@@ -24,13 +24,17 @@
   return { ...outcome, items };
 };
 
-interface Watched {
+interface ObservedTier {
   readonly tier: VirtualTier;
-  /** The lists of results sent between nodes. */
+  /** Lists of results sent between nodes, one for each message. */
   readonly batches: (readonly LegResult[])[];
 }
 
-const createTier = (options: TierOptions, policy: Partial<QueryPolicy>, copies = 1): Watched => {
+const createTier = (
+  options: TierOptions,
+  policy: Partial<QueryPolicy>,
+  copies = 1,
+): ObservedTier => {
   const tier = new VirtualTier({
     nodesPerZone: 3,
     services: SERVICES,
@@ -51,7 +55,7 @@
 
 const firstNode = (tier: VirtualTier): NodeId => tier.nodeIds[0] as NodeId;
 
-const askOnce = ({ tier }: Watched, fields = {}): Answer => {
+const askOnce = ({ tier }: ObservedTier, fields = {}): Answer => {
   const answer = tier.askAndWait(firstNode(tier), fields);
   if (answer?.outcome.type !== 'answered') {
     throw new Error(`expected an answer, got ${JSON.stringify(answer?.outcome)}`);
@@ -59,11 +63,11 @@
   return answer;
 };
 
-const listHeld = ({ batches }: Watched): number[] =>
+const listHeld = ({ batches }: ObservedTier): number[] =>
   batches.flat().flatMap(({ heldMs }) => (heldMs === undefined ? [] : [heldMs]));
 
-describe('results that wait for others at the feeder', () => {
-  it('give the same answer at the same time, for each merge and with doubled messages', () => {
+describe('delayed results', () => {
+  it('give the same answer at the same time for each merge, also with duplicate messages', () => {
     const merge = fc.constantFrom('top', 'concatenate', 'sum');
     const copies = fc.constantFrom(1, 2);
     fc.assert(
@@ -78,7 +82,7 @@
     );
   });
 
-  it('travel in far fewer messages and wait for no longer than allowed', () => {
+  it('need at least 40% fewer messages and are delayed no longer than allowed', () => {
     const atOnce = createTier({}, { resultWaitMs: 0 });
     const waited = createTier({}, { resultWaitMs: WAIT_MS });
     askOnce(atOnce);
@@ -89,8 +93,8 @@
     expect(Math.max(...listHeld(waited))).toBeLessThanOrEqual(WAIT_MS + 1e-6);
   });
 
-  it('do not make replicas seem slower', () => {
-    const slowest = ({ tier }: Watched): number[] => {
+  it('do not change the observed latency of services', () => {
+    const slowest = ({ tier }: ObservedTier): number[] => {
       const { services } = tier.state(firstNode(tier)).query.observations;
       return [...services.values()].map(({ latencyMs }) => Math.round(latencyMs * 1_000));
     };
@@ -102,7 +106,7 @@
   });
 });
 
-describe('no result waits', () => {
+describe('a result is not delayed', () => {
   it('when any answer may be the one that ends the query', () => {
     const watched = createTier({}, { resultWaitMs: WAIT_MS });
     askOnce(watched, { coverage: 0.9 });
@@ -115,7 +119,7 @@
     expect(listHeld(watched)).toEqual([]);
   });
 
-  it('when it is no answer', () => {
+  it('when it is not an answer', () => {
     const watched = createTier({}, { resultWaitMs: WAIT_MS });
     watched.tier.replicas.slice(0, SERVICES).forEach((replica) => (replica.mode = 'shedding'));
     watched.tier.askAndWait(firstNode(watched.tier));
@@ -124,19 +128,19 @@
     expect(refused.every(({ heldMs }) => heldMs === undefined)).toBe(true);
   });
 
-  it('at a node that stops: it sends what waits at once', () => {
+  it('any longer when its node starts to stop', () => {
     const { tier } = createTier({}, { resultWaitMs: 1_000 });
     tier.ask(firstNode(tier));
     tier.runFor(9);
-    const feeders = tier.nodeIds.filter((id) => tier.state(id).replica.waiting.size > 0);
+    const feeders = tier.nodeIds.filter((id) => tier.state(id).replica.delayedResults.size > 0);
     expect(feeders.length).toBeGreaterThan(0);
     for (const id of feeders) {
       tier.deliver(id, { type: 'stop-requested', at: tier.now });
-      expect(tier.state(id).replica.waiting.size).toBe(0);
+      expect(tier.state(id).replica.delayedResults.size).toBe(0);
     }
   });
 
-  it('for a coordinator that is out of reach', () => {
+  it('but discarded when its coordinator has crashed', () => {
     const { tier, batches } = createTier({}, { resultWaitMs: 20 });
     tier.ask(firstNode(tier));
     tier.runFor(9);
@@ -144,6 +148,6 @@
     tier.kill(firstNode(tier));
     tier.runFor(100);
     expect(batches).toHaveLength(sent);
-    expect(tier.nodeIds.every((id) => tier.state(id).replica.waiting.size === 0)).toBe(true);
+    expect(tier.nodeIds.every((id) => tier.state(id).replica.delayedResults.size === 0)).toBe(true);
   });
 });
