--- a/test/gateway/store-restores.test.ts
+++ b/test/gateway/store-restores.test.ts
@@ -63,7 +63,11 @@
 };
 
 /** The store goes away and returns from the copy; it resets connections, or falls silent, as it goes. */
-const restoreFrom = (network: ReaderNetwork, backup: StoreBackup, mode: 'reset' | 'silent'): void => {
+const restoreFrom = (
+  network: ReaderNetwork,
+  backup: StoreBackup,
+  mode: 'reset' | 'silent',
+): void => {
   network.setStoreDown(true);
   if (mode === 'reset') {
     network.cutWatches();
