--- a/test/gateway/process-pause.test.ts
+++ b/test/gateway/process-pause.test.ts
@@ -7,13 +7,13 @@
 const SETTLED_MS = 8_000;
 const PAUSE_MS = 5_000;
 
-/** Enough for a list of the store, or an answer of a reader. */
+/** Enough time for a list of the store or an answer of a reader. */
 const CONFIRMED_MS = 100;
 
-/** Longest time for which a gateway waits for what confirms it, where nothing does. */
+/** Upper bound of the wait for a confirmation that does not come, with a margin. */
 const MAX_CONFIRM_MS = 1_200;
 
-/** Three gateways of one zone: one reads the store, the others follow it. */
+/** Three gateways of one zone, of which one reads the store and the others follow it. */
 const networkOf = (): ReaderNetwork => {
   const network = new ReaderNetwork();
   network.store.put('configuration', 'main', configurationOf(1));
@@ -35,7 +35,7 @@
   return found;
 };
 
-/** A gateway stands still while another version comes into force. */
+/** Pauses a gateway's process while a new configuration version comes into force. */
 const pauseDuringUpdate = (network: ReaderNetwork, node: VirtualNode): void => {
   network.standStill(node, PAUSE_MS);
   network.advance(PAUSE_MS - 100);
@@ -43,8 +43,8 @@
   network.advance(100);
 };
 
-describe.each(['reads', 'follows'] as const)('a gateway that %s and stood still', (role) => {
-  it('is ready again only when what it knows has been confirmed', () => {
+describe.each(['reads', 'follows'] as const)('a gateway that %s, after a process pause', (role) => {
+  it('is ready again only when its state has been confirmed', () => {
     const network = networkOf();
     const node = nodeWithRole(network, role);
     pauseDuringUpdate(network, node);
@@ -54,7 +54,7 @@
     expect(node.version).toBe(2);
   });
 
-  it('is ready again soon where the store is away, with what it knows', () => {
+  it('is ready again soon, with its known state, if the store is unreachable', () => {
     const network = networkOf();
     const node = nodeWithRole(network, role);
     network.setStoreAway(true);
@@ -63,7 +63,7 @@
     expect(node.state.ready).toBe(true);
   });
 
-  it('is ready again soon where it can hear neither the store nor a reader', () => {
+  it('is ready again soon if it can reach neither the store nor a reader', () => {
     const network = networkOf();
     const node = nodeWithRole(network, role);
     network.setStore(node, false);
@@ -76,10 +76,10 @@
   });
 });
 
-describe('a request at a gateway that stood still', () => {
+describe('a request at a gateway after a process pause', () => {
   const FOR_MS = 4_000;
 
-  /** A gateway that reads the store, alone, has stood still until now. */
+  /** The only gateway, which reads the store, at the end of a process pause. */
   const pausedGateway = (): VirtualGateway => {
     const gateway = new VirtualGateway();
     gateway.configure(1, [routeTo({ type: 'service', service: 's0' })]);
@@ -90,7 +90,7 @@
     return gateway;
   };
 
-  it('is sent once what the gateway knows has been confirmed', () => {
+  it('is sent when the state of the gateway has been confirmed', () => {
     const gateway = pausedGateway();
     gateway.request();
     gateway.emit({ type: 'reading-due', at: gateway.now });
@@ -101,7 +101,7 @@
     expect(gateway.sent).toHaveLength(1);
   });
 
-  it('is refused with the time to come back where nothing confirms it meanwhile', () => {
+  it('is refused with a retry time if the state is not confirmed in time', () => {
     const gateway = pausedGateway();
     const call = gateway.request();
     gateway.advanceTo(gateway.now + 200);
@@ -109,7 +109,7 @@
     expect(gateway.sent).toEqual([]);
   });
 
-  it('is sent by what the gateway knows once the store is found away', () => {
+  it('is sent according to the known state when the store is found unreachable', () => {
     const gateway = pausedGateway();
     gateway.request();
     gateway.emit({ type: 'reading-due', at: gateway.now });
@@ -117,13 +117,13 @@
     expect(gateway.sent).toHaveLength(1);
   });
 
-  it('is refused at once where another gateway asks for parts of it, and may ask a third', () => {
+  it('is refused immediately as a subquery, so that the coordinator can use another feeder', () => {
     const gateway = pausedGateway();
     const call = gateway.askForParts({ shards: ['s0'] });
     expect(gateway.effects.at(-1)).toEqual({ type: 'refuse-subquery', call });
   });
 
-  it('gets no work where its time was over meanwhile, and its caller is told at once', () => {
+  it('is refused immediately without an attempt if its deadline passed during the pause', () => {
     const gateway = new VirtualGateway();
     gateway.configure(1, [routeTo({ type: 'service', service: 's0' })]);
     gateway.listReplicas(['s0']);
--- a/test/gateway/replica-identity.test.ts
+++ b/test/gateway/replica-identity.test.ts
@@ -6,7 +6,7 @@
 
 const ID = 'i-1';
 
-/** Entries of this revision or before come in a list. */
+/** Entries up to this revision are emitted as a list, later ones as changes. */
 const FIRST_REVISION = 1;
 
 const RECORD: ReplicaRecord = {
@@ -28,7 +28,7 @@
   return gateway;
 };
 
-/** The entry of the replica as the store has it at a revision; one without a value cannot be read. */
+/** Emits the replica's entry at a revision of the store; an absent value stands for an entry that cannot be decoded. */
 const list = (
   gateway: VirtualGateway,
   value: ReplicaRecord | undefined,
@@ -50,8 +50,8 @@
 
 const replicaOf = ({ state }: VirtualGateway): Replica | undefined => state.replicas.find(ID);
 
-describe('a replica that starts again under its identifier', () => {
-  it('has nothing of what was learnt of the one before', () => {
+describe('a replica that restarts under the same identifier', () => {
+  it('starts without the measurements of the previous incarnation', () => {
     const gateway = gatewayWith();
     const known = replicaOf(gateway);
     if (known !== undefined) {
@@ -70,14 +70,14 @@
     });
   });
 
-  it('does not drain because the one before did', () => {
+  it('does not inherit the draining state of the previous incarnation', () => {
     const gateway = gatewayWith();
     list(gateway, { ...RECORD, draining: true }, 2);
     list(gateway, { ...RECORD, bornAt: 2_000 }, 3);
     expect(replicaOf(gateway)).toMatchObject({ drainingSince: undefined, goneAt: undefined });
   });
 
-  it('gets connections of its own, at the address that it tells', () => {
+  it('gets new connections, at the address in its entry', () => {
     const gateway = gatewayWith();
     list(gateway, { ...RECORD, bornAt: 2_000, port: 2 }, 2);
     expect(gateway.effects).toContainEqual({ type: 'close-replica', replica: ID });
@@ -85,27 +85,27 @@
     expect(gateway.sent.at(-1)?.replica.port).toBe(2);
   });
 
-  it('is asked for the service that it tells', () => {
+  it('serves the service in its entry', () => {
     const gateway = gatewayWith();
     list(gateway, { ...RECORD, bornAt: 2_000, service: 'other' }, 2);
     expect(gateway.state.replicas.of('desk')).toEqual([]);
     expect(gateway.state.replicas.of('other')).toHaveLength(1);
   });
 
-  it('is not brought back by an entry of an earlier start in a list that is behind', () => {
+  it('is not replaced by the entry of an earlier incarnation in an outdated list', () => {
     const gateway = gatewayWith();
     list(gateway, { ...RECORD, bornAt: 2_000, port: 2 }, 2);
     list(gateway, { ...RECORD, draining: true }, FIRST_REVISION);
     expect(replicaOf(gateway)?.record).toMatchObject({ bornAt: 2_000, port: 2, draining: false });
   });
 
-  it('has started again also where the time of day of its machine has stepped back', () => {
+  it('is recognized as a new incarnation even if the clock of its machine was set back', () => {
     const gateway = gatewayWith();
     list(gateway, { ...RECORD, bornAt: 500, port: 2 }, 2);
     expect(replicaOf(gateway)?.record).toMatchObject({ bornAt: 500, port: 2 });
   });
 
-  it('goes on as it was where entries do not tell a start', () => {
+  it('keeps its measurements if entries give no start time', () => {
     const gateway = gatewayWith();
     const known = replicaOf(gateway);
     if (known !== undefined) {
@@ -117,8 +117,8 @@
   });
 });
 
-describe('a replica whose entry cannot be read', () => {
-  it('is told to followers without a value, and gets no requests there', () => {
+describe('a replica whose entry cannot be decoded', () => {
+  it('is sent to followers without a value, and gets no requests', () => {
     const gateway = gatewayWith();
     list(gateway, undefined, 2);
     const told = snapshotOf(gateway.state, 'replicas', gateway.now);
@@ -127,7 +127,7 @@
     expect(gateway.sent).toEqual([]);
   });
 
-  it('gets requests again once it has written its entry', () => {
+  it('gets requests again after it has written a valid entry', () => {
     const gateway = gatewayWith();
     list(gateway, undefined, 2);
     list(gateway, RECORD, 3);
--- a/test/gateway/replica-log.test.ts
+++ b/test/gateway/replica-log.test.ts
@@ -5,7 +5,7 @@
 
 type ReplicaObjects = Extract<StoreObjects, { collection: 'replicas' }>['objects'];
 
-/** Bytes that a pipe takes whole. */
+/** Largest write to a pipe that is atomic, in bytes. */
 const PIPE_BYTES = 4_096;
 
 const replicaNames = (service: string, count: number): readonly string[] =>
@@ -21,11 +21,11 @@
 const goneObjects = (service: string, count: number): ReplicaObjects =>
   replicaNames(service, count).map((name) => ({ name, gone: true }));
 
-/** Objects of `count` services, `each` replicas in each. */
+/** Objects of `count` services with `each` replicas per service. */
 const indexOf = (count: number, each: number, prefix = 'shard'): ReplicaObjects =>
   Array.from({ length: count }, (_, index) => replicaObjects(`${prefix}-${index}`, each)).flat();
 
-/** A gateway that knows its replicas and logs what changes. */
+/** A gateway that has read an empty list of replicas, so that it logs changes. */
 class LoggingGateway {
   private readonly gateway = new VirtualGateway();
   private revision = 1;
@@ -35,7 +35,7 @@
     this.takeLines();
   }
 
-  /** The whole list is read, as one page. */
+  /** Emits a complete list as one page. */
   readWholeList(objects: ReplicaObjects): void {
     this.revision += 1;
     const page = { objects, more: false, last: '', revision: this.revision } as const;
@@ -46,14 +46,14 @@
     });
   }
 
-  /** A watch answers. */
+  /** Emits the changes of a watch. */
   readChanges(objects: ReplicaObjects): void {
     this.revision += 1;
     const changes = { collection: 'replicas', objects, revision: this.revision } as const;
     this.gateway.emit({ type: 'changes-read', at: this.gateway.now, changes });
   }
 
-  /** What was logged about replicas since the last call. */
+  /** Returns the log lines about replicas since the last call. */
   takeLines(): readonly BeliefChange[] {
     return this.gateway.effects
       .splice(0)
@@ -74,7 +74,7 @@
     expect(JSON.stringify(lines[0]).length).toBeLessThan(PIPE_BYTES);
   });
 
-  it('has one line for a page, and none for what the page does not change', () => {
+  it('has one line for a page, which counts only the replicas that the page changes', () => {
     const gateway = new LoggingGateway();
     gateway.readWholeList(indexOf(10, 3));
     gateway.takeLines();
@@ -82,7 +82,7 @@
     expect(gateway.takeLines()).toMatchObject([{ event: 'replicas-changed', replicas: 40 }]);
   });
 
-  it('tells states apart', () => {
+  it('counts replicas by state', () => {
     const gateway = new LoggingGateway();
     gateway.readChanges([...replicaObjects('old', 3), ...replicaObjects('desk', 2)]);
     gateway.takeLines();
@@ -99,7 +99,7 @@
     ]);
   });
 
-  it('keeps a line for each replica where few change', () => {
+  it('has one line for each replica if few change', () => {
     const gateway = new LoggingGateway();
     gateway.readChanges(replicaObjects('desk', 2));
     expect(gateway.takeLines()).toEqual([
@@ -108,7 +108,7 @@
     ]);
   });
 
-  it('tells of replicas that a whole list no longer holds', () => {
+  it('has a line for each replica that a complete list no longer contains', () => {
     const gateway = new LoggingGateway();
     gateway.readChanges(indexOf(2, 3));
     gateway.takeLines();
--- a/test/gateway/split-cursor.test.ts
+++ b/test/gateway/split-cursor.test.ts
@@ -32,7 +32,7 @@
     expect(shareOf(services, 'trial')).toBeLessThan(0.15);
   });
 
-  it('get their shares in any run of one gateway, within one request', () => {
+  it('get their shares in any sequence of requests of one gateway, within one request', () => {
     fc.assert(
       fc.property(
         fc.double({ min: 0, max: 0.999, noNaN: true }),
@@ -53,7 +53,7 @@
     );
   });
 
-  it('get nothing where they have no weight', () => {
+  it('get no requests if their weight is 0', () => {
     const parts = [...PARTS, { service: 'off', weight: 0 }];
     const cursor = new SplitCursor(parts, 0.999);
     const services = Array.from({ length: 200 }, () => cursor.next());
--- a/test/gateway/store-writers.ts
+++ b/test/gateway/store-writers.ts
@@ -1,4 +1,4 @@
-/** The operator and the replicas as the store sees them: what a copy lacks they write again within seconds. */
+/** Models the operator and the replicas as writers, which rewrite the objects that a restored backup lacks. */
 import type { Random } from '../../src/core/random.js';
 import type { CollectionName } from '../../src/gateway/store/collection.js';
 import type { ReaderNetwork } from './reader-network.js';
@@ -6,15 +6,15 @@
 
 type Value = Parameters<VirtualStore['put']>[2];
 
-/** Within this time what operators and replicas wrote is written again, in milliseconds. */
+/** Time within which the operator and the replicas rewrite their objects, in milliseconds. */
 const REWRITE_MS = 2_000;
 
-/** An entry of a replica that has left and that a copy brings back lapses after this time, in milliseconds. */
+/** Time after which the restored entry of a replica that has left expires, in milliseconds. */
 const EXPIRY_MS = 3_600;
 
 const WRITTEN_COLLECTIONS = ['configuration', 'replicas', 'evacuations'] as const;
 
-/** Writes, and remembers what should stand in the store. */
+/** Writes objects and records the intended content of the store. */
 export class StoreWriters {
   private readonly intended: Record<(typeof WRITTEN_COLLECTIONS)[number], Map<string, Value>> = {
     configuration: new Map(),
@@ -31,7 +31,7 @@
     this.network.put(collection, name, value);
   }
 
-  /** The store returns from the copy, at once; all is written again, each object at a time of its own. */
+  /** Restores the store from a backup immediately, and rewrites each object at a random time within `withinMs`. */
   restoreStore(backup: StoreBackup, random: Random, withinMs = REWRITE_MS): void {
     const { network } = this;
     network.returnStore(backup);
@@ -58,7 +58,7 @@
     }
   }
 
-  /** What changes nothing raises no revision. */
+  /** Writes an object only if its content changes, so that the revision does not rise otherwise. */
   private putIfChanged(collection: CollectionName, name: string, value: Value): void {
     const { store } = this.network;
     const isSame = JSON.stringify(store.find(collection, name)) === JSON.stringify(value);
--- a/test/gateway/store.test.ts
+++ b/test/gateway/store.test.ts
@@ -10,7 +10,7 @@
       : [],
   );
 
-/** A gateway that is the only one, so that it reads the store itself. */
+/** The only gateway, which therefore reads the store itself. */
 const followingGateway = (): VirtualGateway => {
   const gateway = new VirtualGateway();
   gateway.configure(1, []);
@@ -32,8 +32,8 @@
 const probe = (gateway: VirtualGateway, answered: boolean): void =>
   gateway.emit({ type: 'probe-ended', at: gateway.now, answered });
 
-describe('a store that is out of reach', () => {
-  it('is probed, but not watched again until it answers', () => {
+describe('the collections of the store', () => {
+  it('are not called while the store is unreachable, and again after the first successful probe', () => {
     const gateway = followingGateway();
     probe(gateway, false);
     failWatch(gateway);
@@ -44,7 +44,7 @@
     expect(collectionCalls(gateway.effects)).toEqual(['configuration', 'replicas', 'gateways']);
   });
 
-  it('is watched again after a pause where only the watch failed', () => {
+  it('are watched again after a pause if only the watch failed', () => {
     const gateway = followingGateway();
     failWatch(gateway);
     expect(gateway.effects.map(({ type }) => type)).toContain('set-collection-timer');
@@ -52,7 +52,7 @@
     expect(collectionCalls(gateway.effects)).toEqual(['replicas']);
   });
 
-  it('is listed anew at once where it has forgotten its history', () => {
+  it('are listed again immediately if the store has discarded its history', () => {
     const gateway = followingGateway();
     probe(gateway, true);
     gateway.emit({
--- a/test/gateway/unreadable-objects.test.ts
+++ b/test/gateway/unreadable-objects.test.ts
@@ -1,4 +1,4 @@
-/** Many entries that cannot be read at once, among others that can. */
+/** Guards against a page with many undecodable entries that hides the valid ones or floods the log. */
 import { describe, expect, it } from 'vitest';
 import type { BeliefChange } from '../../src/gateway/log/log-event.js';
 import type { StoreObjects } from '../../src/gateway/store/store-objects.js';
@@ -7,10 +7,10 @@
 type ReplicaObject = Extract<StoreObjects, { collection: 'replicas' }>['objects'][number];
 
 const UNREADABLE_COUNT = 300;
-const PROBLEM = 'slots: is no whole number';
+const PROBLEM = 'slots: is not a whole number';
 
 const unreadableObject = (index: number): ReplicaObject => ({
-  name: `spoilt-${index}`,
+  name: `unreadable-${index}`,
   gone: false,
   problem: PROBLEM,
 });
@@ -21,7 +21,7 @@
   value: replicaRecord(id, service),
 });
 
-/** A page of which the first and the last entry can be read, and the others cannot. */
+/** Emits a page whose first and last entries are valid and whose other entries cannot be decoded. */
 const readPage = (): VirtualGateway => {
   const gateway = new VirtualGateway();
   gateway.configure(1, [routeTo(gatherOf(2, 1))]);
@@ -37,8 +37,8 @@
     .flatMap((effect) => (effect.type === 'write-log' ? [effect.change] : []))
     .filter(({ event }) => event === 'object-unreadable');
 
-describe('hundreds of entries that cannot be read', () => {
-  it('leave those that can be read to be used, wherever they stand in the page', () => {
+describe('hundreds of entries that cannot be decoded', () => {
+  it('do not prevent the use of valid entries before and after them', () => {
     const gateway = readPage();
     gateway.request();
     expect(gateway.sent.map(({ replica }) => replica.id).sort()).toEqual(['first', 'last']);
@@ -48,7 +48,11 @@
     const gateway = readPage();
     const lines = linesOf(gateway);
     expect(lines).toHaveLength(8);
-    expect(lines[0]).toMatchObject({ collection: 'replicas', name: 'spoilt-0', problem: PROBLEM });
+    expect(lines[0]).toMatchObject({
+      collection: 'replicas',
+      name: 'unreadable-0',
+      problem: PROBLEM,
+    });
     expect(lines.at(-1)).toMatchObject({ unnamed: UNREADABLE_COUNT - 8 });
     const counted = gateway.state.counters.unreadableObjects.values();
     expect(counted).toMatchObject([
--- a/test/gateway/virtual-store.ts
+++ b/test/gateway/virtual-store.ts
@@ -1,4 +1,4 @@
-/** The users' store in virtual time: collections with one counter of revisions, lists and watches. */
+/** A store in virtual time, with lists, watches and one revision counter for all collections. */
 import type { Evacuation } from '../../src/gateway/model/evacuation.js';
 import type { PeerRecord } from '../../src/gateway/model/peer-record.js';
 import type { ReplicaRecord } from '../../src/gateway/model/replica-record.js';
@@ -17,14 +17,14 @@
   readonly value: Value | undefined;
 }
 
-/** What the store held at one moment. */
+/** A backup of the store's content and history. */
 export interface StoreBackup {
   readonly revision: number;
   readonly objects: Readonly<Record<CollectionName, ReadonlyMap<string, Value>>>;
   readonly history: readonly StoredEvent[];
 }
 
-/** A configuration; without routes unless some are given. */
+/** Returns a configuration with the given routes. */
 export const configurationOf = (
   version: number,
   routes: readonly Route[] = [],
@@ -35,7 +35,7 @@
   limits: { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
 });
 
-/** A replica of `s0`. */
+/** Returns the entry of a replica of `s0`. */
 export const replicaOf = (id: string, draining = false): ReplicaRecord => ({
   id,
   service: 's0',
@@ -47,12 +47,12 @@
   coldMs: 0,
 });
 
-/** Objects with their history. */
+/** The objects of the store and the history of their changes. */
 export class VirtualStore {
   revision = 0;
-  /** Named in all answers; rises with each return from a copy. Undefined: none is named. */
+  /** Era given in all answers; rises with each restoration from a backup. Undefined if answers give none. */
   era: number | undefined;
-  /** Changes up to this revision are forgotten: a watch from before it is told that the history is gone. */
+  /** Changes up to this revision are discarded; a watch from an earlier revision is answered with `history-gone`. */
   discardedUpTo = 0;
   private objects: Record<CollectionName, Map<string, Value>> = {
     configuration: new Map(),
@@ -72,13 +72,13 @@
     }
   }
 
-  /** Drops all history; watches that wait are not told before something changes. */
+  /** Discards the history; waiting watches are answered only when something changes. */
   discardHistory(): void {
     this.discardedUpTo = this.revision;
     this.history = [];
   }
 
-  /** Whether a watch asks for changes since a revision whose successors are forgotten, or that was never given out. */
+  /** Whether the changes since a watch's revision are discarded, or the revision was never assigned. */
   isHistoryDiscarded({ revision }: WatchCall): boolean {
     return revision < this.discardedUpTo || revision > this.revision;
   }
@@ -97,7 +97,7 @@
     };
   }
 
-  /** Loses what was written since the copy; its revisions are given out again, in the next era. */
+  /** Restores a backup in a new era. Later changes are lost, and their revisions are assigned again. */
   restore({ revision, objects, history }: StoreBackup): void {
     this.revision = revision;
     this.era = (this.era ?? 0) + 1;
@@ -137,7 +137,7 @@
     } as StorePage;
   }
 
-  /** What a watch returns now; undefined while there is nothing. */
+  /** Returns the changes for a watch; undefined if there are none. */
   changes({ collection, revision }: WatchCall): StoreChanges | undefined {
     const events = this.history.filter(
       (event) => event.collection === collection && event.revision > revision,
@@ -153,7 +153,7 @@
     return { collection, objects, revision: this.revision } as StoreChanges;
   }
 
-  /** What a watch returns when its time is over. */
+  /** Returns the answer to a watch whose wait is over. */
   noChanges({ collection }: WatchCall): StoreChanges {
     return { collection, objects: [], revision: this.revision } as StoreChanges;
   }
