--- a/src/core/admission/admit-query.ts
+++ b/src/core/admission/admit-query.ts
@@ -3,9 +3,9 @@
 import type { RouteRow } from '../../table/route-row.js';
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
-import { LONGEST_RETRY_AFTER_MS, RETRY_AFTER_MS } from './limit-timing.js';
-import { ensureUse, refillTokens, rowNameOf, usableAmount } from './limit-use.js';
-import { requestUrgently } from './request-grant.js';
+import { MAX_RETRY_AFTER_MS, RETRY_AFTER_MS } from './limit-timing.js';
+import { getLimitUse, refillTokens, rowNameOf, usableAmount } from './limit-use.js';
+import { requestUrgentGrant } from './request-grant.js';
 import type { LimitUse } from './state.js';
 
 /** What the limits say to one query. */
@@ -20,30 +20,30 @@
 
 const MS_PER_SECOND = 1_000;
 
-const useOf = (state: CoreState, row: RouteRow, bound: LimitBound, at: number): LimitUse =>
-  ensureUse(state, { row: rowNameOf(row), bound }, at);
+const getRowUse = (state: CoreState, row: RouteRow, bound: LimitBound, at: number): LimitUse =>
+  getLimitUse(state, { row: rowNameOf(row), bound }, at);
 
-const noteArrival = (use: LimitUse, at: number): void => {
+const recordArrival = (use: LimitUse, at: number): void => {
   use.arrivals += 1;
   use.lastArrivalAt = at;
 };
 
 /** Milliseconds until the row has room for one more query at once; 0 when it has. */
-const waitForSlot = (row: RouteRow, use: LimitUse, at: number): number => {
+const computeSlotWait = (row: RouteRow, use: LimitUse, at: number): number => {
   if (row.concurrentLimit === undefined) {
     return 0;
   }
-  noteArrival(use, at);
+  recordArrival(use, at);
   const usable = Math.min(usableAmount(use, at), row.concurrentLimit);
   return use.used < usable ? 0 : RETRY_AFTER_MS;
 };
 
 /** Milliseconds until the row has a token for one more query; 0 when it has. */
-const waitForToken = (row: RouteRow, use: LimitUse, at: number): number => {
+const computeTokenWait = (row: RouteRow, use: LimitUse, at: number): number => {
   if (row.perSecondLimit === undefined) {
     return 0;
   }
-  noteArrival(use, at);
+  recordArrival(use, at);
   const rate = Math.min(usableAmount(use, at), row.perSecondLimit);
   refillTokens(use, rate, at);
   if (rate === 0) {
@@ -52,31 +52,31 @@
   return use.tokens >= 1 ? 0 : Math.ceil(((1 - use.tokens) * MS_PER_SECOND) / rate);
 };
 
-const refuse = (state: CoreState, uses: readonly LimitUse[], waitMs: number, at: number) => {
-  const spread = 1 + state.random.next() / 2;
+const createRefusal = (state: CoreState, uses: readonly LimitUse[], waitMs: number, at: number) => {
+  const jitterFactor = 1 + state.random.next() / 2;
   return {
     admitted: false,
-    retryAfterMs: Math.min(LONGEST_RETRY_AFTER_MS, Math.ceil(waitMs * spread)),
+    retryAfterMs: Math.min(MAX_RETRY_AFTER_MS, Math.ceil(waitMs * jitterFactor)),
     effects: uses.flatMap((use) => {
       use.refusals += 1;
-      return requestUrgently(state, use, at);
+      return requestUrgentGrant(state, use, at);
     }),
   };
 };
 
 /** Counts a query of `row` against its limits, or refuses it. */
 export const admitQuery = (state: CoreState, row: RouteRow, at: number): AdmissionDecision => {
-  const concurrent = useOf(state, row, 'concurrent', at);
-  const slotWaitMs = waitForSlot(row, concurrent, at);
+  const concurrent = getRowUse(state, row, 'concurrent', at);
+  const slotWaitMs = computeSlotWait(row, concurrent, at);
   const perSecond =
-    row.perSecondLimit === undefined ? undefined : useOf(state, row, 'per-second', at);
-  const tokenWaitMs = perSecond === undefined ? 0 : waitForToken(row, perSecond, at);
+    row.perSecondLimit === undefined ? undefined : getRowUse(state, row, 'per-second', at);
+  const tokenWaitMs = perSecond === undefined ? 0 : computeTokenWait(row, perSecond, at);
   if (slotWaitMs > 0 || tokenWaitMs > 0) {
-    const short = [
+    const exceededUses = [
       ...(slotWaitMs > 0 ? [concurrent] : []),
       ...(perSecond !== undefined && tokenWaitMs > 0 ? [perSecond] : []),
     ];
-    return refuse(state, short, Math.max(slotWaitMs, tokenWaitMs), at);
+    return createRefusal(state, exceededUses, Math.max(slotWaitMs, tokenWaitMs), at);
   }
   concurrent.used += 1;
   concurrent.peak = Math.max(concurrent.peak, concurrent.used);
@@ -88,7 +88,7 @@
 
 /** Ends a query that `admitQuery` has admitted; called once for each. */
 export const releaseQuery = (state: CoreState, row: RouteRow, at: number): Effect[] => {
-  const concurrent = useOf(state, row, 'concurrent', at);
+  const concurrent = getRowUse(state, row, 'concurrent', at);
   concurrent.used = Math.max(0, concurrent.used - 1);
   return [];
 };
--- a/src/core/admission/divide-grant.ts
+++ b/src/core/admission/divide-grant.ts
@@ -9,10 +9,21 @@
 import type { Effect } from '../effect.js';
 import type { NodeId } from '../identifiers.js';
 import type { CoreState } from '../state.js';
-import { createBook, giveSlice, noteWaiting, rebalanceBook, takeBackSlice } from './limit-book.js';
+import {
+  createBook,
+  grantSlice,
+  recordWaitingDemand,
+  rebalanceBook,
+  returnSlice,
+} from './limit-book.js';
 import { IDLE_AFTER_MS, RENEW_URGENT_MS, URGENT_GROWTH } from './limit-timing.js';
 import { limitAmount, usableAmount } from './limit-use.js';
-import { awaitsAnswer, isRenewalDue, noteLapse, requestGrant } from './request-grant.js';
+import {
+  isAwaitingAnswer,
+  isRenewalDue,
+  removeLapsedGrant,
+  requestGrant,
+} from './request-grant.js';
 import { dividerName, type GrantDivider, sliceName } from './state.js';
 
 /** For whom a divider asks that is asked at a level of the same name. */
@@ -24,13 +35,13 @@
   held: undefined,
   pending: undefined,
   demand: 0,
-  askedAt: Number.NEGATIVE_INFINITY,
+  requestedAt: Number.NEGATIVE_INFINITY,
   book: createBook(limit.bound),
-  lastAskedAt: at,
+  lastRequestAt: at,
   waiting: new Map(),
 });
 
-const ensureDivider = (
+const getDivider = (
   state: CoreState,
   limit: LimitKey,
   level: DividedLevel,
@@ -42,53 +53,53 @@
   return divider;
 };
 
-const limitOf = (state: CoreState, { row, bound }: LimitKey): number | undefined =>
+const getLimitAmount = (state: CoreState, { row, bound }: LimitKey): number | undefined =>
   limitAmount(state.configuration.inForce.rows.get(row), bound);
 
 /** How long a grant given now may run, so that it has lapsed on every clock before the divider's own. */
-const validMsOf = ({ held }: GrantDivider, at: number): number =>
+const remainingValidMs = ({ held }: GrantDivider, at: number): number =>
   held === undefined ? 0 : Math.floor((held.expiresAt - at) / (1 + CLOCK_RATE_MARGIN));
 
 /** Asks for the divider's grant, or its renewal: it reports all that may be in use below it. */
-const renewDivider = (state: CoreState, divider: GrantDivider, at: number): Effect[] => {
+const requestDividerGrant = (state: CoreState, divider: GrantDivider, at: number): Effect[] => {
   const { demand, counted } = divider.book;
-  return awaitsAnswer(divider, at) ? [] : requestGrant(state, divider, demand, counted, at);
+  return isAwaitingAnswer(divider, at) ? [] : requestGrant(state, divider, demand, counted, at);
 };
 
 /** True when those below want clearly more than was told, and it is not there. */
 const isUrgent = (divider: GrantDivider, at: number): boolean => {
   const { demand } = divider.book;
   const hasGrown = demand > divider.demand * URGENT_GROWTH && demand > usableAmount(divider, at);
-  return hasGrown && at >= divider.askedAt + RENEW_URGENT_MS;
+  return hasGrown && at >= divider.requestedAt + RENEW_URGENT_MS;
 };
 
 /** Answers one of those below out of the divider's grant, or keeps the request until there is one. */
-export const answerFromDivider = (
+export const handleDividerGrantRequest = (
   state: CoreState,
   from: NodeId,
   request: GrantRequest,
   level: DividedLevel,
   at: number,
 ): Effect[] => {
-  const limit = limitOf(state, request.limit);
+  const limit = getLimitAmount(state, request.limit);
   if (limit === undefined) {
     return [];
   }
-  const divider = ensureDivider(state, request.limit, level, at);
-  divider.lastAskedAt = at;
-  const validMs = validMsOf(divider, at);
+  const divider = getDivider(state, request.limit, level, at);
+  divider.lastRequestAt = at;
+  const validMs = remainingValidMs(divider, at);
   if (validMs <= 0) {
     divider.waiting.set(sliceName(from, request.asker, request.process), { from, request });
-    noteWaiting(divider.book, from, request, at);
-    return renewDivider(state, divider, at);
+    recordWaitingDemand(divider.book, from, request, at);
+    return requestDividerGrant(state, divider, at);
   }
-  const giving = { amount: Math.min(limit, usableAmount(divider, at)), adopting: false, validMs };
-  const effects = giveSlice(state, divider.book, from, request, giving, at);
-  return isUrgent(divider, at) ? [...effects, ...renewDivider(state, divider, at)] : effects;
+  const offer = { amount: Math.min(limit, usableAmount(divider, at)), adopting: false, validMs };
+  const effects = grantSlice(state, divider.book, from, request, offer, at);
+  return isUrgent(divider, at) ? [...effects, ...requestDividerGrant(state, divider, at)] : effects;
 };
 
 /** Answers those that waited for the divider's grant. */
-export const answerWaitingBelow = (
+export const answerWaitingRequests = (
   state: CoreState,
   divider: GrantDivider,
   at: number,
@@ -97,12 +108,12 @@
   divider.waiting.clear();
   rebalanceBook(divider.book, usableAmount(divider, at), at);
   return waiting.flatMap(({ from, request }) =>
-    answerFromDivider(state, from, request, divider.asker as DividedLevel, at),
+    handleDividerGrantRequest(state, from, request, divider.asker as DividedLevel, at),
   );
 };
 
 /** Takes a slice back into a divider's book. */
-export const takeBackFromBelow = (
+export const handleDividerGrantReturn = (
   state: CoreState,
   from: NodeId,
   returned: GrantReturn,
@@ -112,7 +123,7 @@
   const divider =
     asked === 'row' ? undefined : state.admission.dividers.get(dividerName(limit, asked));
   if (divider !== undefined) {
-    takeBackSlice(state, divider.book, from, returned, at);
+    returnSlice(state, divider.book, from, returned, at);
   }
   return [];
 };
@@ -123,18 +134,19 @@
   divider: GrantDivider,
   at: number,
 ): Effect[] => {
-  noteLapse(state, divider, at);
+  removeLapsedGrant(state, divider, at);
   rebalanceBook(divider.book, usableAmount(divider, at), at);
-  const isWanted =
-    at < divider.lastAskedAt + IDLE_AFTER_MS && limitOf(state, divider.limit) !== undefined;
-  if (!isWanted) {
+  const isNeeded =
+    at < divider.lastRequestAt + IDLE_AFTER_MS &&
+    getLimitAmount(state, divider.limit) !== undefined;
+  if (!isNeeded) {
     if (divider.held === undefined && divider.book.slices.size === 0) {
       state.admission.dividers.delete(name);
     }
     return [];
   }
-  const isShort = usableAmount(divider, at) < divider.book.demand;
-  return isRenewalDue(divider, isShort, at) ? renewDivider(state, divider, at) : [];
+  const isBelowDemand = usableAmount(divider, at) < divider.book.demand;
+  return isRenewalDue(divider, isBelowDemand, at) ? requestDividerGrant(state, divider, at) : [];
 };
 
 /** Looks after all grants that this node divides. */
--- a/src/core/admission/find-holder.ts
+++ b/src/core/admission/find-holder.ts
@@ -39,7 +39,7 @@
   };
 };
 
-const levelsOf = (state: CoreState): ZoneLevels => {
+const getZoneLevels = (state: CoreState): ZoneLevels => {
   const known = state.admission.zoneLevels;
   if (known?.viewVersion === state.membership.viewVersion) {
     return known;
@@ -49,7 +49,7 @@
   return levels;
 };
 
-const cacheOf = (state: CoreState, row: string): CachedHolder => {
+const getCachedHolder = (state: CoreState, row: string): CachedHolder => {
   const { viewVersion } = state.membership;
   const known = state.admission.holders.get(row);
   if (known?.viewVersion === viewVersion) {
@@ -62,7 +62,8 @@
 };
 
 /** The node that this node's view makes the holder of the row's limits. */
-export const findHolder = (state: CoreState, row: string): NodeId => cacheOf(state, row).holder;
+export const findHolder = (state: CoreState, row: string): NodeId =>
+  getCachedHolder(state, row).holder;
 
 /** The level above the one for which `asker` asks. */
 const levelAbove = (levels: ZoneLevels, asker: GrantAsker): GrantLevel => {
@@ -76,8 +77,8 @@
   }
 };
 
-const findAt = (state: CoreState, row: string, level: GrantLevel): NodeId => {
-  const { zoneMembers, groupMembers, group } = levelsOf(state);
+const findNodeAtLevel = (state: CoreState, row: string, level: GrantLevel): NodeId => {
+  const { zoneMembers, groupMembers, group } = getZoneLevels(state);
   const { node, zone } = state.self;
   switch (level) {
     case 'row':
@@ -91,13 +92,13 @@
 
 /** Whom this node asks for grants of the row's limits as `asker`. */
 export const findAsked = (state: CoreState, row: string, asker: GrantAsker): GrantHolder => {
-  const { asked } = cacheOf(state, row);
+  const { asked } = getCachedHolder(state, row);
   const known = asked.get(asker);
   if (known !== undefined) {
     return known;
   }
-  const level = levelAbove(levelsOf(state), asker);
-  const holder = { node: findAt(state, row, level), level };
+  const level = levelAbove(getZoneLevels(state), asker);
+  const holder = { node: findNodeAtLevel(state, row, level), level };
   asked.set(asker, holder);
   return holder;
 };
--- a/src/core/admission/give-grant.ts
+++ b/src/core/admission/give-grant.ts
@@ -4,13 +4,13 @@
 import type { NodeId } from '../identifiers.js';
 import type { CoreState } from '../state.js';
 import { findHolder } from './find-holder.js';
-import { createBook, giveSlice, takeBackSlice } from './limit-book.js';
+import { createBook, grantSlice, returnSlice } from './limit-book.js';
 import { GRANT_MS } from './limit-timing.js';
 import { limitAmount } from './limit-use.js';
 import { type LimitBook, sliceName, type Tenure } from './state.js';
-import { ensureTenure, holdsLease, keepLease } from './tenure.js';
+import { getTenure, holdsLease, requestLeaseIfDue } from './tenure.js';
 
-const ensureBook = (tenure: Tenure, bound: LimitBound): LimitBook => {
+const getBook = (tenure: Tenure, bound: LimitBound): LimitBook => {
   const book = tenure.books.get(bound) ?? createBook(bound);
   tenure.books.set(bound, book);
   return book;
@@ -20,7 +20,7 @@
 const isAdopting = (tenure: Tenure, at: number): boolean => at < tenure.adoptUntil;
 
 /** Answers a request for a slice; without the lease there is no answer. */
-export const answerGrantRequest = (
+export const handleRowGrantRequest = (
   state: CoreState,
   from: NodeId,
   request: GrantRequest,
@@ -31,13 +31,13 @@
   if (amount === undefined || findHolder(state, row) !== state.self.node) {
     return [];
   }
-  const tenure = ensureTenure(state, row, at);
-  tenure.lastAskedAt = at;
-  const leaseEffects = keepLease(state, tenure, at);
+  const tenure = getTenure(state, row, at);
+  tenure.lastRequestAt = at;
+  const leaseEffects = requestLeaseIfDue(state, tenure, at);
   if (holdsLease(tenure, at)) {
-    const giving = { amount, adopting: isAdopting(tenure, at), validMs: GRANT_MS };
-    const book = ensureBook(tenure, bound);
-    return [...leaseEffects, ...giveSlice(state, book, from, request, giving, at)];
+    const offer = { amount, adopting: isAdopting(tenure, at), validMs: GRANT_MS };
+    const book = getBook(tenure, bound);
+    return [...leaseEffects, ...grantSlice(state, book, from, request, offer, at)];
   }
   const name = sliceName(from, request.asker, request.process);
   tenure.waiting.set(`${name}|${bound}`, { from, request });
@@ -45,7 +45,7 @@
 };
 
 /** Takes a slice back into the row's book. */
-export const takeBackGrant = (
+export const handleRowGrantReturn = (
   state: CoreState,
   from: NodeId,
   returned: GrantReturn,
@@ -53,7 +53,7 @@
 ): Effect[] => {
   const book = state.admission.tenures.get(returned.limit.row)?.books.get(returned.limit.bound);
   if (book !== undefined) {
-    takeBackSlice(state, book, from, returned, at);
+    returnSlice(state, book, from, returned, at);
   }
   return [];
 };
--- a/src/core/admission/lease-vote.ts
+++ b/src/core/admission/lease-vote.ts
@@ -4,7 +4,7 @@
 import type { NodeId } from '../identifiers.js';
 import { findRoster, isNamedProcess, periodOf, wallTimeAt } from '../keepers/find-roster.js';
 import type { CoreState } from '../state.js';
-import { deliver } from './deliver.js';
+import { sendGrantMessage } from './send-grant-message.js';
 import { LEASE_MS, withRateMargin } from './limit-timing.js';
 import type { LeaseRecord } from './state.js';
 
@@ -18,7 +18,7 @@
 const mayVote = (state: CoreState, at: number): boolean =>
   at >= state.keepers.startedAt + withRateMargin(LEASE_MS) || knowsAllVotes(state, at);
 
-const isFree = (record: LeaseRecord | undefined, candidate: string, at: number): boolean =>
+const isVoteFree = (record: LeaseRecord | undefined, candidate: string, at: number): boolean =>
   record === undefined || record.candidate === candidate || at >= record.until;
 
 const releaseVote = (state: CoreState, request: LeaseRequest): void => {
@@ -44,7 +44,7 @@
 };
 
 /** Answers a candidate: votes for it unless another has the vote; or takes a vote back. */
-export const castVote = (
+export const handleLeaseRequest = (
   state: CoreState,
   from: NodeId,
   request: LeaseRequest,
@@ -55,7 +55,7 @@
     return [];
   }
   const { row, candidate, sequence } = request;
-  const granted = mayVote(state, at) && isFree(state.admission.votes.get(row), candidate, at);
+  const granted = mayVote(state, at) && isVoteFree(state.admission.votes.get(row), candidate, at);
   const first = granted && recordVote(state, request, at).first && knowsAllVotes(state, at);
-  return deliver(state, from, { type: 'lease-vote', row, sequence, granted, first }, at);
+  return sendGrantMessage(state, from, { type: 'lease-vote', row, sequence, granted, first }, at);
 };
--- a/src/core/admission/limit-book.ts
+++ b/src/core/admission/limit-book.ts
@@ -3,13 +3,18 @@
 import type { Effect } from '../effect.js';
 import type { NodeId } from '../identifiers.js';
 import type { CoreState } from '../state.js';
-import { deliver } from './deliver.js';
-import { DIVIDE_AT_ONCE_NODES, GRANT_MS, IDLE_AFTER_MS, withRateMargin } from './limit-timing.js';
+import { sendGrantMessage } from './send-grant-message.js';
+import {
+  REBALANCE_AT_ONCE_NODES,
+  GRANT_MS,
+  IDLE_AFTER_MS,
+  withRateMargin,
+} from './limit-timing.js';
 import { shareLimit } from './share-limit.js';
 import { type GivenSlice, type LimitBook, sliceName } from './state.js';
 
 /** What a holder has to give, and until when. */
-export interface Giving {
+export interface GrantOffer {
   /** Bound on the sum of all slices. */
   readonly amount: number;
   /** While grants of earlier holders may be in use, only what grantees report is given again. */
@@ -35,23 +40,23 @@
   used: 0,
   usedUntil: 0,
   demand: 0,
-  askedAt: Number.NEGATIVE_INFINITY,
+  requestedAt: Number.NEGATIVE_INFINITY,
   counted: 0,
 });
 
-const ensureSlice = (book: LimitBook, name: string): GivenSlice => {
+const getSlice = (book: LimitBook, name: string): GivenSlice => {
   const slice = book.slices.get(name) ?? createSlice(name);
   book.slices.set(name, slice);
   return slice;
 };
 
 /** Recounts a slice after a change: the most its grantee may be using. */
-const recount = (book: LimitBook, slice: GivenSlice, at: number): void => {
+const updateCounted = (book: LimitBook, slice: GivenSlice, at: number): void => {
   slice.outstanding = slice.outstanding.filter((grant) => at < grant.endsAt);
   const running = at < slice.usedUntil ? slice.used : 0;
-  const most = slice.outstanding.reduce((max, grant) => Math.max(max, grant.amount), running);
-  book.counted += most - slice.counted;
-  slice.counted = most;
+  const maxInUse = slice.outstanding.reduce((max, grant) => Math.max(max, grant.amount), running);
+  book.counted += maxInUse - slice.counted;
+  slice.counted = maxInUse;
 };
 
 /** How long a grant counts: until the last query admitted under it has met its deadline. */
@@ -60,28 +65,28 @@
   return withRateMargin(validMs) + (bound === 'concurrent' ? withRateMargin(deadlineMs) : 0);
 };
 
-const noteDemand = (book: LimitBook, slice: GivenSlice, demand: number, at: number): void => {
-  const earlier = at < slice.askedAt + IDLE_AFTER_MS ? slice.demand : 0;
+const recordDemand = (book: LimitBook, slice: GivenSlice, demand: number, at: number): void => {
+  const earlier = at < slice.requestedAt + IDLE_AFTER_MS ? slice.demand : 0;
   book.demand += demand - earlier;
   slice.demand = demand;
-  slice.askedAt = at;
+  slice.requestedAt = at;
 };
 
 /** Notes the demand of one that waits for an answer, so that it counts when there is something to give. */
-export const noteWaiting = (
+export const recordWaitingDemand = (
   book: LimitBook,
   from: NodeId,
   { asker, process, demand }: GrantRequest,
   at: number,
 ): void => {
-  noteDemand(book, ensureSlice(book, sliceName(from, asker, process)), demand, at);
+  recordDemand(book, getSlice(book, sliceName(from, asker, process)), demand, at);
 };
 
 /**
  * Takes in what the grantee says of itself. It takes only the answer to its newest request, so that
  * grants older than this message are void, but for the one it says it holds.
  */
-const takeReport = (
+const applyReport = (
   state: CoreState,
   book: LimitBook,
   slice: GivenSlice,
@@ -96,19 +101,19 @@
   );
   slice.used = used;
   slice.usedUntil = at + countedMs(state, limit, GRANT_MS);
-  noteDemand(book, slice, report.type === 'grant-request' ? report.demand : 0, at);
-  recount(book, slice, at);
+  recordDemand(book, slice, report.type === 'grant-request' ? report.demand : 0, at);
+  updateCounted(book, slice, at);
 };
 
 /** Rounds to whole queries at once, up or down by chance, so that small parts come to all in turn. */
-const roundByChance = (state: CoreState, amount: number): number => {
+const roundRandomly = (state: CoreState, amount: number): number => {
   const whole = Math.floor(amount);
   return state.random.next() < amount - whole ? whole + 1 : whole;
 };
 
 const wantedAmount = (state: CoreState, book: LimitBook, demand: number): number => {
   const wanted = Math.min(book.level, demand) + book.headroom;
-  return book.bound === 'concurrent' ? roundByChance(state, wanted) : wanted;
+  return book.bound === 'concurrent' ? roundRandomly(state, wanted) : wanted;
 };
 
 const chooseAmount = (
@@ -116,14 +121,14 @@
   book: LimitBook,
   slice: GivenSlice,
   request: GrantRequest,
-  giving: Giving,
+  giving: GrantOffer,
 ): number => {
   if (giving.adopting) {
     return Math.min(request.holds, giving.amount);
   }
   const others = book.counted - slice.counted;
-  const room = Math.max(0, giving.amount - others);
-  const amount = Math.min(room, wantedAmount(state, book, request.demand));
+  const available = Math.max(0, giving.amount - others);
+  const amount = Math.min(available, wantedAmount(state, book, request.demand));
   return book.bound === 'concurrent' ? Math.floor(amount) : amount;
 };
 
@@ -131,8 +136,8 @@
 export const rebalanceBook = (book: LimitBook, amount: number, at: number): void => {
   const demands: number[] = [];
   for (const slice of book.slices.values()) {
-    recount(book, slice, at);
-    if (at < slice.askedAt + IDLE_AFTER_MS) {
+    updateCounted(book, slice, at);
+    if (at < slice.requestedAt + IDLE_AFTER_MS) {
       demands.push(slice.demand);
     } else if (slice.counted === 0) {
       book.slices.delete(slice.name);
@@ -145,31 +150,31 @@
 };
 
 /** Answers a request out of the book. */
-export const giveSlice = (
+export const grantSlice = (
   state: CoreState,
   book: LimitBook,
   from: NodeId,
   request: GrantRequest,
-  giving: Giving,
+  giving: GrantOffer,
   at: number,
 ): Effect[] => {
   const { limit, asker, process, sequence } = request;
   const name = sliceName(from, asker, process);
   const isNew = !book.slices.has(name);
-  const slice = ensureSlice(book, name);
+  const slice = getSlice(book, name);
   if (sequence < slice.newest) {
     return [];
   }
-  takeReport(state, book, slice, request, at);
-  if (isNew && book.slices.size <= DIVIDE_AT_ONCE_NODES) {
+  applyReport(state, book, slice, request, at);
+  if (isNew && book.slices.size <= REBALANCE_AT_ONCE_NODES) {
     rebalanceBook(book, giving.amount, at);
   }
   const amount = chooseAmount(state, book, slice, request, giving);
   const { validMs, adopting } = giving;
   slice.outstanding.push({ amount, sequence, endsAt: at + countedMs(state, limit, validMs) });
-  recount(book, slice, at);
+  updateCounted(book, slice, at);
   state.counters.grants_given += 1;
-  return deliver(
+  return sendGrantMessage(
     state,
     from,
     { type: 'grant', limit, asker, amount, sequence, adopted: adopting, validMs },
@@ -178,7 +183,7 @@
 };
 
 /** Takes slices back that a grantee no longer uses. */
-export const takeBackSlice = (
+export const returnSlice = (
   state: CoreState,
   book: LimitBook,
   from: NodeId,
@@ -187,6 +192,6 @@
 ): void => {
   const slice = book.slices.get(sliceName(from, returned.asker, returned.process));
   if (slice !== undefined && returned.sequence >= slice.newest) {
-    takeReport(state, book, slice, returned, at);
+    applyReport(state, book, slice, returned, at);
   }
 };
--- a/src/core/admission/limit-timing.ts
+++ b/src/core/admission/limit-timing.ts
@@ -44,13 +44,13 @@
 export const URGENT_GROWTH = 1.5;
 
 /** Up to this many nodes, a limit is divided anew as soon as another one asks. */
-export const DIVIDE_AT_ONCE_NODES = 64;
+export const REBALANCE_AT_ONCE_NODES = 64;
 
 /** How long a limit without a query counts as in demand, in milliseconds. */
 export const IDLE_AFTER_MS = 10_000;
 
 /** Up to this many live members, grants are kept for rows without demand too. */
-export const KEEP_WARM_MEMBERS = 64;
+export const IDLE_GRANT_MAX_MEMBERS = 64;
 
 /** Share of an earlier demand that is still asked for at the next request. */
 export const DEMAND_DECAY = 0.7;
@@ -62,7 +62,7 @@
 export const RETRY_AFTER_MS = 100;
 
 /** Longest that a refused caller is told to wait, in milliseconds. */
-export const LONGEST_RETRY_AFTER_MS = 2_000;
+export const MAX_RETRY_AFTER_MS = 2_000;
 
 /** Lengthens a time so that it has passed on every clock once it has on this one. */
 export const withRateMargin = (durationMs: number): number =>
--- a/src/core/admission/limit-use.ts
+++ b/src/core/admission/limit-use.ts
@@ -26,16 +26,16 @@
   peak: 0,
   arrivals: 0,
   refusals: 0,
-  wasShort: false,
+  hadRefusals: false,
   demand: 0,
-  askedAt: at,
+  requestedAt: at,
   lastArrivalAt: Number.NEGATIVE_INFINITY,
   tokens: 0,
   tokensAt: at,
 });
 
 /** The use of `limit`, begun when there is none. */
-export const ensureUse = (state: CoreState, limit: LimitKey, at: number): LimitUse => {
+export const getLimitUse = (state: CoreState, limit: LimitKey, at: number): LimitUse => {
   const name = limitName(limit);
   const known = state.admission.uses.get(name);
   if (known !== undefined) {
@@ -52,8 +52,8 @@
 
 /** Adds the tokens that have come since the last look; none come without a valid grant. */
 export const refillTokens = (use: LimitUse, rate: number, at: number): void => {
-  const gained = (rate * (at - use.tokensAt)) / MS_PER_SECOND;
-  use.tokens = Math.min(Math.max(1, rate * BURST_SECONDS), use.tokens + gained);
+  const newTokens = (rate * (at - use.tokensAt)) / MS_PER_SECOND;
+  use.tokens = Math.min(Math.max(1, rate * BURST_SECONDS), use.tokens + newTokens);
   use.tokensAt = at;
 };
 
@@ -62,19 +62,19 @@
   if (use.limit.bound === 'concurrent') {
     return use.peak + use.refusals;
   }
-  const elapsedMs = Math.max(1, at - use.askedAt);
+  const elapsedMs = Math.max(1, at - use.requestedAt);
   return (use.arrivals * MS_PER_SECOND) / Math.max(elapsedMs, MS_PER_SECOND / 10);
 };
 
 /** Sums up the demand since the last request and begins a new span. */
-export const takeDemand = (use: LimitUse, at: number): number => {
+export const updateDemand = (use: LimitUse, at: number): number => {
   use.demand = Math.max(measureDemand(use, at), use.demand * DEMAND_DECAY);
   if (use.demand < 0.01) {
     use.demand = 0;
   }
-  use.askedAt = at;
+  use.requestedAt = at;
   use.peak = use.used;
-  use.wasShort = use.refusals > 0;
+  use.hadRefusals = use.refusals > 0;
   use.arrivals = 0;
   use.refusals = 0;
   return use.demand;
--- a/src/core/admission/reducer.ts
+++ b/src/core/admission/reducer.ts
@@ -3,25 +3,25 @@
 import type { Effect } from '../effect.js';
 import type { Event, LinkMessageArrived } from '../event.js';
 import type { CoreState } from '../state.js';
-import { receiveGrantMessage } from './receive.js';
+import { handleGrantMessage } from './handle-grant-message.js';
 import { refreshLimits } from './refresh.js';
 
 /** Sequences a process may use for each millisecond since 1970, so that no two processes share one. */
 const SEQUENCES_PER_MS = 1_024;
 
-const begin = (state: CoreState, at: number): Effect[] => {
+const handleStarted = (state: CoreState, at: number): Effect[] => {
   state.admission.sequence = state.self.incarnation * SEQUENCES_PER_MS;
   return refreshLimits(state, at);
 };
 
-const takeMessage = (state: CoreState, event: LinkMessageArrived): Effect[] => {
+const handleLinkMessage = (state: CoreState, event: LinkMessageArrived): Effect[] => {
   switch (event.message.type) {
     case 'grant-request':
     case 'grant-return':
     case 'grant':
     case 'lease-request':
     case 'lease-vote':
-      return receiveGrantMessage(state, event.from, event.message satisfies GrantMessage, event.at);
+      return handleGrantMessage(state, event.from, event.message satisfies GrantMessage, event.at);
     default:
       return [];
   }
@@ -31,11 +31,11 @@
 export const reduceAdmission = (state: CoreState, event: Event): Effect[] => {
   switch (event.type) {
     case 'started':
-      return begin(state, event.at);
+      return handleStarted(state, event.at);
     case 'timer-fired':
       return event.key.purpose === 'admission-refresh' ? refreshLimits(state, event.at) : [];
     case 'link-message-arrived':
-      return takeMessage(state, event);
+      return handleLinkMessage(state, event);
     default:
       return [];
   }
--- a/src/core/admission/refresh.ts
+++ b/src/core/admission/refresh.ts
@@ -7,16 +7,16 @@
 import {
   IDLE_AFTER_MS,
   IDLE_REFRESH_MS,
-  KEEP_WARM_MEMBERS,
+  IDLE_GRANT_MAX_MEMBERS,
   REFRESH_MS,
   RENEW_IDLE_MS,
 } from './limit-timing.js';
-import { ensureUse, limitAmount, rowNameOf, usableAmount } from './limit-use.js';
+import { getLimitUse, limitAmount, rowNameOf, usableAmount } from './limit-use.js';
 import {
-  awaitsAnswer,
-  giveUpGrant,
+  isAwaitingAnswer,
+  returnOwnGrant,
   isRenewalDue,
-  noteLapse,
+  removeLapsedGrant,
   requestOwnGrant,
 } from './request-grant.js';
 import { limitName, type LimitUse, type Tenure } from './state.js';
@@ -38,14 +38,18 @@
 };
 
 /** In a small tier, grants are held before the first query comes. */
-const warmUp = (state: CoreState, limited: readonly RouteRow[], at: number): void => {
-  if (state.membership.members.size > KEEP_WARM_MEMBERS) {
+const createUsesOfLimitedRows = (
+  state: CoreState,
+  limited: readonly RouteRow[],
+  at: number,
+): void => {
+  if (state.membership.members.size > IDLE_GRANT_MAX_MEMBERS) {
     return;
   }
   for (const row of limited) {
     for (const bound of BOUNDS) {
       if (limitAmount(row, bound) !== undefined) {
-        ensureUse(state, { row: rowNameOf(row), bound }, at);
+        getLimitUse(state, { row: rowNameOf(row), bound }, at);
       }
     }
   }
@@ -55,23 +59,25 @@
   use.used > 0 || at < use.lastArrivalAt + IDLE_AFTER_MS;
 
 /** True when the last span of the use wanted more than it got. */
-const isShort = (use: LimitUse, at: number): boolean =>
-  use.refusals > 0 || use.wasShort || usableAmount(use, at) < use.demand;
+const isBelowDemand = (use: LimitUse, at: number): boolean =>
+  use.refusals > 0 || use.hadRefusals || usableAmount(use, at) < use.demand;
 
 /** True when the use asks anew: kept without demand, it asks seldom, and in a large tier not at all. */
-const mayRenew = (state: CoreState, use: LimitUse, at: number): boolean => {
+const shouldRenew = (state: CoreState, use: LimitUse, at: number): boolean => {
   if (isInDemand(use, at)) {
-    return isRenewalDue(use, isShort(use, at), at);
+    return isRenewalDue(use, isBelowDemand(use, at), at);
   }
-  const isWarm = state.membership.members.size <= KEEP_WARM_MEMBERS;
-  const hasSome = usableAmount(use, at) > 0;
+  const keepsIdleGrants = state.membership.members.size <= IDLE_GRANT_MAX_MEMBERS;
+  const hasUsable = usableAmount(use, at) > 0;
   return (
-    isWarm && isRenewalDue(use, !hasSome, at) && at >= use.askedAt + (hasSome ? RENEW_IDLE_MS : 0)
+    keepsIdleGrants &&
+    isRenewalDue(use, !hasUsable, at) &&
+    at >= use.requestedAt + (hasUsable ? RENEW_IDLE_MS : 0)
   );
 };
 
 const refreshUse = (state: CoreState, name: string, use: LimitUse, at: number): Effect[] => {
-  noteLapse(state, use, at);
+  removeLapsedGrant(state, use, at);
   const row = state.configuration.inForce.rows.get(use.limit.row);
   if (limitAmount(row, use.limit.bound) === undefined) {
     if (use.used === 0 && use.held === undefined) {
@@ -79,7 +85,9 @@
     }
     return [];
   }
-  return mayRenew(state, use, at) && !awaitsAnswer(use, at) ? requestOwnGrant(state, use, at) : [];
+  return shouldRenew(state, use, at) && !isAwaitingAnswer(use, at)
+    ? requestOwnGrant(state, use, at)
+    : [];
 };
 
 const rebalanceTenure = (state: CoreState, tenure: Tenure, at: number): void => {
@@ -89,7 +97,7 @@
   }
 };
 
-const isForgettable = (tenure: Tenure, at: number): boolean =>
+const isUnused = (tenure: Tenure, at: number): boolean =>
   !holdsLease(tenure, at) &&
   tenure.pending === undefined &&
   tenure.waiting.size === 0 &&
@@ -100,7 +108,7 @@
   for (const tenure of state.admission.tenures.values()) {
     rebalanceTenure(state, tenure, at);
     effects.push(...refreshTenure(state, tenure, at));
-    if (isForgettable(tenure, at)) {
+    if (isUnused(tenure, at)) {
       state.admission.tenures.delete(tenure.row);
     }
   }
@@ -110,14 +118,14 @@
 const refreshUses = (state: CoreState, at: number): Effect[] =>
   [...state.admission.uses.values()].flatMap((use) =>
     state.phase === 'stopping'
-      ? giveUpGrant(state, use, at)
+      ? returnOwnGrant(state, use, at)
       : refreshUse(state, limitName(use.limit), use, at),
   );
 
 /** Looks after all limits this node uses or holds, and sets the timer for the next time. */
 export const refreshLimits = (state: CoreState, at: number): Effect[] => {
   const limited = listLimitedRows(state);
-  warmUp(state, limited, at);
+  createUsesOfLimitedRows(state, limited, at);
   const effects = [
     ...refreshTenures(state, at),
     ...refreshDividers(state, at),
--- a/src/core/admission/request-grant.ts
+++ b/src/core/admission/request-grant.ts
@@ -2,7 +2,7 @@
 import type { Grant } from '../../protocol/grant-messages.js';
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
-import { deliver } from './deliver.js';
+import { sendGrantMessage } from './send-grant-message.js';
 import { findAsked } from './find-holder.js';
 import {
   GRANT_TIMEOUT_MS,
@@ -11,7 +11,7 @@
   RENEW_URGENT_MS,
   URGENT_GROWTH,
 } from './limit-timing.js';
-import { measureDemand, takeDemand, usableAmount } from './limit-use.js';
+import { measureDemand, updateDemand, usableAmount } from './limit-use.js';
 import type { Grantee, GrantHolder, HeldGrant, LimitUse } from './state.js';
 
 /** What a row's holder gave, and may give again; a divider gives nothing on a grantee's word. */
@@ -32,8 +32,8 @@
   const { sequence } = state.admission;
   grantee.pending = { holder, sequence, sentAt: at };
   grantee.demand = demand;
-  grantee.askedAt = at;
-  return deliver(
+  grantee.requestedAt = at;
+  return sendGrantMessage(
     state,
     holder.node,
     {
@@ -54,7 +54,7 @@
 
 /** Asks for a slice for this node's own queries. */
 export const requestOwnGrant = (state: CoreState, use: LimitUse, at: number): Effect[] =>
-  requestGrant(state, use, takeDemand(use, at), use.used, at);
+  requestGrant(state, use, updateDemand(use, at), use.used, at);
 
 /** Hands back all that `holder` gave to a grantee which uses it no longer. */
 const returnGrant = (
@@ -65,7 +65,7 @@
   at: number,
 ): Effect[] => {
   state.admission.sequence += 1;
-  return deliver(
+  return sendGrantMessage(
     state,
     holder.node,
     {
@@ -82,7 +82,7 @@
 };
 
 /** Gives up the grant of a node that stops: from now on it admits nothing. */
-export const giveUpGrant = (state: CoreState, use: LimitUse, at: number): Effect[] => {
+export const returnOwnGrant = (state: CoreState, use: LimitUse, at: number): Effect[] => {
   const holder = use.held?.holder;
   use.held = undefined;
   use.pending = undefined;
@@ -90,20 +90,24 @@
 };
 
 /** True while the answer to the newest request is still to be expected. */
-export const awaitsAnswer = ({ pending }: Grantee, at: number): boolean =>
+export const isAwaitingAnswer = ({ pending }: Grantee, at: number): boolean =>
   pending !== undefined && at < pending.sentAt + GRANT_TIMEOUT_MS;
 
 /** True when a grant is to be asked for anew: soon while it is short of the demand, later otherwise. */
-export const isRenewalDue = ({ held, askedAt }: Grantee, isShort: boolean, at: number): boolean => {
+export const isRenewalDue = (
+  { held, requestedAt }: Grantee,
+  isBelowDemand: boolean,
+  at: number,
+): boolean => {
   if (held === undefined) {
     return true;
   }
   const steadyMs = held.validMs * RENEW_SHARE;
-  return at >= askedAt + (isShort ? Math.min(RENEW_MS, steadyMs) : steadyMs);
+  return at >= requestedAt + (isBelowDemand ? Math.min(RENEW_MS, steadyMs) : steadyMs);
 };
 
 /** Drops a grant that has lapsed. */
-export const noteLapse = (state: CoreState, grantee: Grantee, at: number): void => {
+export const removeLapsedGrant = (state: CoreState, grantee: Grantee, at: number): void => {
   if (grantee.held !== undefined && at >= grantee.held.expiresAt) {
     grantee.held = undefined;
     state.counters.grants_lapsed += 1;
@@ -115,9 +119,9 @@
   use.held === undefined || measureDemand(use, at) > use.demand * URGENT_GROWTH;
 
 /** Asks ahead of time because a query was refused, if the demand has grown. */
-export const requestUrgently = (state: CoreState, use: LimitUse, at: number): Effect[] => {
-  const isTooSoon = use.held !== undefined && at < use.askedAt + RENEW_URGENT_MS;
-  return isTooSoon || awaitsAnswer(use, at) || !hasGrown(use, at)
+export const requestUrgentGrant = (state: CoreState, use: LimitUse, at: number): Effect[] => {
+  const isTooSoon = use.held !== undefined && at < use.requestedAt + RENEW_URGENT_MS;
+  return isTooSoon || isAwaitingAnswer(use, at) || !hasGrown(use, at)
     ? []
     : requestOwnGrant(state, use, at);
 };
@@ -126,14 +130,14 @@
  * The amount a grant brings. One that a new holder gives again on this node's word counts only as far
  * as the node still holds it: what has lapsed since may be another node's by now.
  */
-const amountOf = (grant: Grant, grantee: Grantee, at: number): number =>
+const effectiveAmount = (grant: Grant, grantee: Grantee, at: number): number =>
   grant.adopted ? Math.min(grant.amount, usableAmount(grantee, at)) : grant.amount;
 
 const isSameHolder = (one: GrantHolder, other: GrantHolder): boolean =>
   one.node === other.node && one.level === other.level;
 
 /** A grantee that has changed its holder keeps a larger grant of the earlier one until that lapses. */
-const isBetterKept = (grantee: Grantee, grant: HeldGrant, at: number): boolean =>
+const isHeldGrantLarger = (grantee: Grantee, grant: HeldGrant, at: number): boolean =>
   grantee.held !== undefined &&
   !isSameHolder(grantee.held.holder, grant.holder) &&
   grant.amount < usableAmount(grantee, at);
@@ -142,7 +146,7 @@
  * Takes a grant if it answers the newest request; returns it, and undefined for one not taken. What an
  * earlier holder gave is handed back with it.
  */
-export const takeGrant = (
+export const applyGrant = (
   state: CoreState,
   grantee: Grantee,
   used: number,
@@ -155,18 +159,18 @@
     return [];
   }
   grantee.pending = undefined;
-  const taken: HeldGrant = {
-    amount: amountOf(grant, grantee, at),
+  const newGrant: HeldGrant = {
+    amount: effectiveAmount(grant, grantee, at),
     sequence: grant.sequence,
     expiresAt: pending.sentAt + grant.validMs,
     validMs: grant.validMs,
     holder: pending.holder,
   };
-  if (isBetterKept(grantee, taken, at)) {
+  if (isHeldGrantLarger(grantee, newGrant, at)) {
     return [];
   }
-  grantee.held = taken;
-  return held === undefined || isSameHolder(held.holder, taken.holder)
+  grantee.held = newGrant;
+  return held === undefined || isSameHolder(held.holder, newGrant.holder)
     ? []
     : returnGrant(state, grantee, held.holder, used, at);
 };
--- a/src/core/admission/deliver.ts
+++ b/src/core/admission/send-grant-message.ts
@@ -3,17 +3,17 @@
 import type { Effect } from '../effect.js';
 import type { NodeId } from '../identifiers.js';
 import type { CoreState } from '../state.js';
-import { receiveGrantMessage } from './receive.js';
+import { handleGrantMessage } from './handle-grant-message.js';
 
 /** Delivers `message` to `to`: over the link, or at once when it is this node. */
-export const deliver = (
+export const sendGrantMessage = (
   state: CoreState,
   to: NodeId,
   message: GrantMessage,
   at: number,
 ): Effect[] => {
   if (to === state.self.node) {
-    return receiveGrantMessage(state, to, message, at);
+    return handleGrantMessage(state, to, message, at);
   }
   const member = state.membership.members.get(to);
   return member === undefined
--- a/src/core/admission/share-limit.ts
+++ b/src/core/admission/share-limit.ts
@@ -11,23 +11,23 @@
 /** The level at which small demands are met whole and the larger ones get equal parts. */
 const findLevel = (demands: readonly number[], limit: number): number => {
   const ascending = [...demands].sort((a, b) => a - b);
-  let left = limit;
-  let remaining = ascending.length;
+  let remainingLimit = limit;
+  let remainingNodes = ascending.length;
   for (const demand of ascending) {
-    const equalPart = left / remaining;
+    const equalPart = remainingLimit / remainingNodes;
     if (demand > equalPart) {
       return equalPart;
     }
-    left -= demand;
-    remaining -= 1;
+    remainingLimit -= demand;
+    remainingNodes -= 1;
   }
   return Number.POSITIVE_INFINITY;
 };
 
 /** Divides `limit` over nodes with these demands by max-min fairness. */
 export const shareLimit = (demands: readonly number[], limit: number): LimitShares => {
-  const wanted = demands.reduce((sum, demand) => sum + demand, 0);
-  return wanted > limit
+  const totalDemand = demands.reduce((sum, demand) => sum + demand, 0);
+  return totalDemand > limit
     ? { level: findLevel(demands, limit), headroom: 0 }
-    : { level: Number.POSITIVE_INFINITY, headroom: (limit - wanted) / (demands.length + 1) };
+    : { level: Number.POSITIVE_INFINITY, headroom: (limit - totalDemand) / (demands.length + 1) };
 };
--- a/src/core/admission/state.ts
+++ b/src/core/admission/state.ts
@@ -42,7 +42,7 @@
   pending: PendingGrant | undefined;
   /** Demand told with the last request, and when. */
   demand: number;
-  askedAt: number;
+  requestedAt: number;
 }
 
 /** What this node uses of one limit. */
@@ -55,7 +55,7 @@
   arrivals: number;
   refusals: number;
   /** Whether a query was refused in the span before the last request. */
-  wasShort: boolean;
+  hadRefusals: boolean;
   lastArrivalAt: number;
   /** Queries that may start at once under a limit per second, as of `tokensAt`. */
   tokens: number;
@@ -80,7 +80,7 @@
   used: number;
   usedUntil: number;
   demand: number;
-  askedAt: number;
+  requestedAt: number;
   /** What counts against the limit: the most that the node may be using. */
   counted: number;
 }
@@ -122,7 +122,7 @@
   /** Until then, earlier holders' grants may be in use: only what nodes report is given again. */
   adoptUntil: number;
   pending: PendingLease | undefined;
-  lastAskedAt: number;
+  lastRequestAt: number;
   readonly books: Map<LimitBound, LimitBook>;
   /** Newest request of each node and bound that waits for the lease. */
   readonly waiting: Map<string, WaitingRequest>;
@@ -137,7 +137,7 @@
 /** This node as one that holds a grant to divide it among a zone or a group of nodes. */
 export interface GrantDivider extends Grantee {
   readonly book: LimitBook;
-  lastAskedAt: number;
+  lastRequestAt: number;
   /** Newest request of each grantee that waits for a grant to divide. */
   readonly waiting: Map<string, WaitingRequest>;
 }
--- a/src/core/admission/tenure.ts
+++ b/src/core/admission/tenure.ts
@@ -7,9 +7,9 @@
 import { findRoster, periodOf, wallTimeAt } from '../keepers/find-roster.js';
 import { CLOCK_MARGIN_MS } from '../keepers/keeper-timing.js';
 import type { CoreState } from '../state.js';
-import { deliver } from './deliver.js';
+import { sendGrantMessage } from './send-grant-message.js';
 import { findHolder } from './find-holder.js';
-import { answerGrantRequest } from './give-grant.js';
+import { handleRowGrantRequest } from './give-grant.js';
 import {
   GRANT_MS,
   IDLE_AFTER_MS,
@@ -25,13 +25,13 @@
   leaseUntil: Number.NEGATIVE_INFINITY,
   adoptUntil: Number.NEGATIVE_INFINITY,
   pending: undefined,
-  lastAskedAt: at,
+  lastRequestAt: at,
   books: new Map(),
   waiting: new Map(),
 });
 
 /** This node's tenure of the row, begun without a lease when there is none. */
-export const ensureTenure = (state: CoreState, row: string, at: number): Tenure => {
+export const getTenure = (state: CoreState, row: string, at: number): Tenure => {
   const known = state.admission.tenures.get(row);
   if (known !== undefined) {
     return known;
@@ -66,7 +66,7 @@
 const candidateName = (state: CoreState): string =>
   `${state.self.node}@${state.keepers.startIncarnation}`;
 
-const askKeepers = (
+const sendLeaseRequests = (
   state: CoreState,
   row: string,
   quorums: readonly LeaseQuorum[],
@@ -77,7 +77,12 @@
   const keepers = new Set(quorums.flatMap((quorum) => quorum.nodes));
   const candidate = candidateName(state);
   return [...keepers].flatMap((keeper) =>
-    deliver(state, keeper, { type: 'lease-request', row, candidate, sequence, release }, at),
+    sendGrantMessage(
+      state,
+      keeper,
+      { type: 'lease-request', row, candidate, sequence, release },
+      at,
+    ),
   );
 };
 
@@ -89,16 +94,16 @@
   state.admission.sequence += 1;
   const { sequence } = state.admission;
   tenure.pending = { sequence, sentAt: at, needed, votes: new Set(), first: true };
-  return askKeepers(state, tenure.row, needed, sequence, false, at);
+  return sendLeaseRequests(state, tenure.row, needed, sequence, false, at);
 };
 
-const isUnanswered = (pending: PendingLease | undefined, at: number): boolean =>
+const isAwaitingVotes = (pending: PendingLease | undefined, at: number): boolean =>
   pending !== undefined && at < pending.sentAt + VOTE_TIMEOUT_MS;
 
 /** Asks for the lease, or for its renewal, where one is due. */
-export const keepLease = (state: CoreState, tenure: Tenure, at: number): Effect[] => {
+export const requestLeaseIfDue = (state: CoreState, tenure: Tenure, at: number): Effect[] => {
   const isDue = tenure.leaseUntil - at < LEASE_RENEW_BEFORE_MS;
-  return isDue && !isUnanswered(tenure.pending, at) ? requestLease(state, tenure, at) : [];
+  return isDue && !isAwaitingVotes(tenure.pending, at) ? requestLease(state, tenure, at) : [];
 };
 
 /** Gives the lease up, so that another node may have it at once. */
@@ -111,7 +116,7 @@
   tenure.leaseUntil = Number.NEGATIVE_INFINITY;
   state.admission.sequence += 1;
   const quorums = listQuorums(state, tenure.row, at) ?? [];
-  return askKeepers(state, tenure.row, quorums, state.admission.sequence, true, at);
+  return sendLeaseRequests(state, tenure.row, quorums, state.admission.sequence, true, at);
 };
 
 const hasMajorities = (pending: PendingLease): boolean =>
@@ -132,21 +137,26 @@
   pending.needed.length === 1 &&
   findRoster(state, periodOf(wallTimeAt(state, pending.sentAt)) - 1) === undefined;
 
-const beginTenure = (state: CoreState, tenure: Tenure, pending: PendingLease, at: number): void => {
+const startTenure = (state: CoreState, tenure: Tenure, pending: PendingLease, at: number): void => {
   if (!isFirstHolder(state, pending)) {
     tenure.books.clear();
     tenure.adoptUntil = at + adoptionMs(state, tenure.row);
   }
 };
 
-const answerWaiting = (state: CoreState, tenure: Tenure, at: number): Effect[] => {
+const answerWaitingRequests = (state: CoreState, tenure: Tenure, at: number): Effect[] => {
   const waiting = [...tenure.waiting.values()];
   tenure.waiting.clear();
-  return waiting.flatMap(({ from, request }) => answerGrantRequest(state, from, request, at));
+  return waiting.flatMap(({ from, request }) => handleRowGrantRequest(state, from, request, at));
 };
 
 /** Takes a keeper's vote; with all majorities the lease runs from when they were asked. */
-export const takeVote = (state: CoreState, from: NodeId, vote: LeaseVote, at: number): Effect[] => {
+export const handleLeaseVote = (
+  state: CoreState,
+  from: NodeId,
+  vote: LeaseVote,
+  at: number,
+): Effect[] => {
   const tenure = state.admission.tenures.get(vote.row);
   const pending = tenure?.pending;
   if (tenure === undefined || pending?.sequence !== vote.sequence || !vote.granted) {
@@ -163,18 +173,18 @@
     return [];
   }
   if (!holdsLease(tenure, at)) {
-    beginTenure(state, tenure, pending, at);
+    startTenure(state, tenure, pending, at);
   }
   tenure.leaseUntil = until;
-  return answerWaiting(state, tenure, at);
+  return answerWaitingRequests(state, tenure, at);
 };
 
 /** Looks after one tenure: renews it while it is asked for and this node is the holder. */
 export const refreshTenure = (state: CoreState, tenure: Tenure, at: number): Effect[] => {
-  const isWanted = at < tenure.lastAskedAt + IDLE_AFTER_MS;
+  const isNeeded = at < tenure.lastRequestAt + IDLE_AFTER_MS;
   const isHolder = findHolder(state, tenure.row) === state.self.node;
-  if (isWanted && isHolder && state.phase !== 'stopping') {
-    return keepLease(state, tenure, at);
+  if (isNeeded && isHolder && state.phase !== 'stopping') {
+    return requestLeaseIfDue(state, tenure, at);
   }
   return releaseLease(state, tenure, at);
 };
--- a/src/core/once/claim.ts
+++ b/src/core/once/claim.ts
@@ -23,7 +23,12 @@
 const resendTimer = (request: RequestId) => ({ purpose: 'once-resend', subject: request }) as const;
 
 /** Sends a message about a claim; handles it directly if the recipient is this node. */
-const deliver = (state: CoreState, to: NodeId, message: OnceMessage, at: number): Effect[] => {
+const sendOnceMessage = (
+  state: CoreState,
+  to: NodeId,
+  message: OnceMessage,
+  at: number,
+): Effect[] => {
   if (to === state.self.node) {
     return handleOnceMessage(state, to, message, at);
   }
@@ -42,7 +47,7 @@
 ): Effect[] => {
   switch (message.type) {
     case 'claim-request':
-      return deliver(state, from, keepClaim(state, message, at), at);
+      return sendOnceMessage(state, from, keepClaim(state, message, at), at);
     case 'claim-reply':
       return handleClaimReply(state, from, message, at);
     case 'claim-release':
@@ -57,7 +62,12 @@
     .filter((keeper) => !claim.granted.has(keeper) && !claim.refused.has(keeper))
     .flatMap((keeper) =>
       claim.phase === 'requested'
-        ? deliver(state, keeper, { type: 'claim-request', partner, idempotencyKey, request }, at)
+        ? sendOnceMessage(
+            state,
+            keeper,
+            { type: 'claim-request', partner, idempotencyKey, request },
+            at,
+          )
         : [],
     );
 };
@@ -65,7 +75,7 @@
 const releaseClaim = (state: CoreState, claim: OwnClaim, at: number): Effect[] => {
   const { partner, idempotencyKey, request } = claim;
   return claim.keepers.nodes.flatMap((keeper) =>
-    deliver(state, keeper, { type: 'claim-release', partner, idempotencyKey, request }, at),
+    sendOnceMessage(state, keeper, { type: 'claim-release', partner, idempotencyKey, request }, at),
   );
 };
 
--- a/src/core/query/select-replica.ts
+++ b/src/core/query/select-replica.ts
@@ -143,7 +143,7 @@
 };
 
 const selectObserved = (state: CoreState, leg: LegState, at: number): ReplicaTarget | undefined => {
-  const { first, second, fallback: fallback, out } = drawCandidates(state, leg, at);
+  const { first, second, fallback, out } = drawCandidates(state, leg, at);
   if (first === undefined) {
     return fallback;
   }
--- a/test/admission/adopted-grant.test.ts
+++ b/test/admission/adopted-grant.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
-import { ensureUse, usableAmount } from '../../src/core/admission/limit-use.js';
-import { requestOwnGrant, takeGrant } from '../../src/core/admission/request-grant.js';
+import { getLimitUse, usableAmount } from '../../src/core/admission/limit-use.js';
+import { requestOwnGrant, applyGrant } from '../../src/core/admission/request-grant.js';
 import { identifier, type NodeId } from '../../src/core/identifiers.js';
 import { createMember } from '../../src/core/membership/state.js';
 import { createCoreState } from '../../src/core/state.js';
@@ -26,7 +26,7 @@
     holder: holder.node,
     asked: new Map(),
   });
-  const use = ensureUse(state, LIMIT, 0);
+  const use = getLimitUse(state, LIMIT, 0);
   const heldFrom = { node: holder.node, level: 'row' } as const;
   use.held = { amount: 5, sequence: 0, expiresAt: 100, validMs: 100, holder: heldFrom };
   const [sent] = requestOwnGrant(state, use, 90);
@@ -40,7 +40,7 @@
     adopted: true,
     validMs: 8_000,
   };
-  takeGrant(state, use, 0, holder.node, grant, answeredAt);
+  applyGrant(state, use, 0, holder.node, grant, answeredAt);
   return usableAmount(use, answeredAt);
 };
 
--- a/test/admission/histories.test.ts
+++ b/test/admission/histories.test.ts
@@ -28,29 +28,29 @@
 type Action = FaultAction | LoadAction;
 
 /** Some calls, or more at once than the limits have room for. */
-const load = fc.record({
+const loadAction = fc.record({
   type: fc.constantFrom('load' as const, 'rush'),
   node: fc.nat({ max: 5 }),
 });
 
 const history = fc.array(
-  fc.oneof({ weight: 1, arbitrary: load }, { weight: 3, arbitrary: faultAction }),
+  fc.oneof({ weight: 1, arbitrary: loadAction }, { weight: 3, arbitrary: faultAction }),
   {
     minLength: 10,
     maxLength: 40,
   },
 );
 
-interface Verdict {
-  readonly mostHeld: number;
-  readonly mostUsed: number;
-  readonly mostRate: number;
+interface HistoryResult {
+  readonly maxHeld: number;
+  readonly maxUsed: number;
+  readonly maxRate: number;
 }
 
 const isLoad = (action: Action): action is LoadAction =>
   action.type === 'load' || action.type === 'rush';
 
-const sendLoadOf = (simulation: Simulation, { type, node }: LoadAction): void => {
+const sendLoadAction = (simulation: Simulation, { type, node }: LoadAction): void => {
   const nodes = [NODES[node] as string];
   const [pageEveryMs, noticeEveryMs, durationMs] =
     type === 'load' ? [20, 100, 2_000] : [1, 10, 300];
@@ -58,12 +58,16 @@
   sendLoad(simulation, nodes, NOTICE, noticeEveryMs, durationMs);
 };
 
-const runHistory = (actions: readonly Action[], seed: number, inner: StepFunction): Verdict => {
+const runHistory = (
+  actions: readonly Action[],
+  seed: number,
+  inner: StepFunction,
+): HistoryResult => {
   const { simulation, observer } = createLimitWorld({ seed, step: inner });
   simulation.runFor(5_000);
   for (const action of actions) {
     if (isLoad(action)) {
-      sendLoadOf(simulation, action);
+      sendLoadAction(simulation, action);
     } else {
       carryOutFault(simulation, action, NODES, ZONES);
     }
@@ -72,13 +76,13 @@
   return observer;
 };
 
-const holds = ({ mostHeld, mostUsed, mostRate }: Verdict): boolean =>
-  mostHeld <= CONCURRENT_LIMIT &&
-  mostUsed <= CONCURRENT_LIMIT &&
-  mostRate <= PER_SECOND_LIMIT * (1 + 1e-9);
+const staysWithinLimits = ({ maxHeld, maxUsed, maxRate }: HistoryResult): boolean =>
+  maxHeld <= CONCURRENT_LIMIT &&
+  maxUsed <= CONCURRENT_LIMIT &&
+  maxRate <= PER_SECOND_LIMIT * (1 + 1e-9);
 
 /** Takes one rule out of a core after each of its steps. */
-type Breakage = (state: CoreState, effects: readonly Effect[]) => void;
+type CoreChange = (state: CoreState, effects: readonly Effect[]) => void;
 
 const setDividerRequests = (effects: readonly Effect[], fields: Partial<GrantRequest>): void => {
   for (const effect of effects) {
@@ -89,7 +93,7 @@
 };
 
 /** Cores with one rule of grants taken out each. */
-const BROKEN_CORES: Readonly<Record<string, Breakage>> = {
+const BROKEN_CORES: Readonly<Record<string, CoreChange>> = {
   'new holder does not wait for earlier grants': (state) => {
     for (const tenure of state.admission.tenures.values()) {
       tenure.adoptUntil = 0;
@@ -113,7 +117,7 @@
 };
 
 /** Cores with one rule of the divided grants taken out each. */
-const BROKEN_DIVIDERS: Readonly<Record<string, Breakage>> = {
+const BROKEN_DIVIDERS: Readonly<Record<string, CoreChange>> = {
   'dividers give past the end of their own grant': (state) => {
     for (const { held } of state.admission.dividers.values()) {
       if (held !== undefined) {
@@ -136,7 +140,7 @@
 };
 
 const breakStep =
-  (change: Breakage, inner: StepFunction): StepFunction =>
+  (change: CoreChange, inner: StepFunction): StepFunction =>
   (state, event) => {
     const effects = inner(state, event);
     change(state, effects);
@@ -147,7 +151,7 @@
 const MOST_ASKERS_FOR = { 'one level': 6, zones: 2, 'zones and groups': 1 } as const;
 
 /** A core that asks over so many levels. */
-const stepOver =
+const createLevelStep =
   (levels: keyof typeof MOST_ASKERS_FOR): StepFunction =>
   (state, event) => {
     state.admission.mostAskers = MOST_ASKERS_FOR[levels];
@@ -158,9 +162,11 @@
 const RUNS = Number(process.env['FUZZ_RUNS'] ?? 40);
 const SEED = Number(process.env['FUZZ_SEED'] ?? 20_261_202);
 
-const checkAll = (inner: StepFunction, numRuns: number): fc.RunDetails<[Action[], number]> =>
+const checkHistories = (inner: StepFunction, numRuns: number): fc.RunDetails<[Action[], number]> =>
   fc.check(
-    fc.property(history, fc.nat(), (actions, seed) => holds(runHistory(actions, seed, inner))),
+    fc.property(history, fc.nat(), (actions, seed) =>
+      staysWithinLimits(runHistory(actions, seed, inner)),
+    ),
     { numRuns, seed: SEED, endOnFailure: true },
   );
 
@@ -170,10 +176,10 @@
     it('never grant or use more than the limit', () => {
       fc.assert(
         fc.property(history, fc.nat(), (actions, seed) => {
-          const verdict = runHistory(actions, seed, stepOver(levels));
-          expect(verdict.mostHeld).toBeLessThanOrEqual(CONCURRENT_LIMIT);
-          expect(verdict.mostUsed).toBeLessThanOrEqual(CONCURRENT_LIMIT);
-          expect(verdict.mostRate).toBeLessThanOrEqual(PER_SECOND_LIMIT * (1 + 1e-9));
+          const verdict = runHistory(actions, seed, createLevelStep(levels));
+          expect(verdict.maxHeld).toBeLessThanOrEqual(CONCURRENT_LIMIT);
+          expect(verdict.maxUsed).toBeLessThanOrEqual(CONCURRENT_LIMIT);
+          expect(verdict.maxRate).toBeLessThanOrEqual(PER_SECOND_LIMIT * (1 + 1e-9));
         }),
         { numRuns: RUNS, seed: SEED },
       );
@@ -183,10 +189,10 @@
 
 describe('histories', () => {
   it.each(Object.entries(BROKEN_CORES))('catch a core whose %s', (_, change) => {
-    expect(checkAll(breakStep(change, step), 200).failed).toBe(true);
+    expect(checkHistories(breakStep(change, step), 200).failed).toBe(true);
   });
 
   it.each(Object.entries(BROKEN_DIVIDERS))('catch a core whose %s', (_, change) => {
-    expect(checkAll(breakStep(change, stepOver('zones')), 200).failed).toBe(true);
+    expect(checkHistories(breakStep(change, createLevelStep('zones')), 200).failed).toBe(true);
   });
 });
--- a/test/admission/limit-world.ts
+++ b/test/admission/limit-world.ts
@@ -58,16 +58,16 @@
 /** Follows what all live processes together may use, and what they do use. */
 export class LimitObserver implements SimulationObserver {
   simulation: Simulation | undefined;
-  mostHeld = 0;
-  mostUsed = 0;
-  mostRate = 0;
+  maxHeld = 0;
+  maxUsed = 0;
+  maxRate = 0;
   private readonly views = new Map<string, NodeView>();
 
   stepped(step: StepRecord): void {
     this.views.set(step.node, { step, clockOffset: step.event.at - step.at });
-    this.mostHeld = Math.max(this.mostHeld, this.held(ROW, 'concurrent'));
-    this.mostRate = Math.max(this.mostRate, this.held(RATED_ROW, 'per-second'));
-    this.mostUsed = Math.max(this.mostUsed, this.used());
+    this.maxHeld = Math.max(this.maxHeld, this.held(ROW, 'concurrent'));
+    this.maxRate = Math.max(this.maxRate, this.held(RATED_ROW, 'per-second'));
+    this.maxUsed = Math.max(this.maxUsed, this.used());
   }
 
   /** Sum over live processes, paused ones too, of the grants that each may still use. */
--- a/test/admission/limits.test.ts
+++ b/test/admission/limits.test.ts
@@ -26,10 +26,10 @@
 const retryUntilAnswered = (
   simulation: Simulation,
   node: string,
-  patienceMs: number,
+  maxWaitMs: number,
 ): { answered: boolean } => {
   const result = { answered: false };
-  const giveUpAt = simulation.now + patienceMs;
+  const giveUpAt = simulation.now + maxWaitMs;
   const attempt = (): void => {
     const call = simulation.call(node, PAGE);
     simulation.after(60, () => {
@@ -44,7 +44,7 @@
   return result;
 };
 
-const othersThan = (name: string): string[] => NODES.filter((node) => node !== name);
+const listOthers = (name: string): string[] => NODES.filter((node) => node !== name);
 
 describe('limits over all nodes', () => {
   it('are granted soon after a fresh start, before any query has come', () => {
@@ -67,7 +67,7 @@
     const outcomes = NODES.slice(1).map((node) => retryUntilAnswered(simulation, node, 3_000));
     simulation.runFor(4_000);
     expect(outcomes.map(({ answered }) => answered)).toEqual([true, true, true, true, true]);
-    expect(observer.mostHeld).toBeLessThanOrEqual(CONCURRENT_LIMIT);
+    expect(observer.maxHeld).toBeLessThanOrEqual(CONCURRENT_LIMIT);
   });
 
   it('bound the rate of all nodes together, with the bursts of their buckets', () => {
@@ -89,14 +89,14 @@
     const { simulation, observer } = createLimitWorld({ seed: 4 });
     simulation.runFor(15_000);
     const holder = holderOf(simulation, ROW);
-    const rest = othersThan(holder);
+    const rest = listOthers(holder);
     sendLoad(simulation, rest, PAGE, 25, 30_000);
     simulation.runFor(2_000);
     const crashedAt = simulation.now;
     simulation.node(holder).crash();
     simulation.runFor(30_000);
     expect(answeredShare(simulation, crashedAt)).toBe(1);
-    expect(observer.mostHeld).toBeLessThanOrEqual(CONCURRENT_LIMIT);
+    expect(observer.maxHeld).toBeLessThanOrEqual(CONCURRENT_LIMIT);
   });
 
   it('are granted again within 15 s when every node has restarted at once', () => {
@@ -111,27 +111,27 @@
     }
     expect(simulation.now - restartedAt).toBeLessThan(15_000);
     expect(simulation.now - restartedAt).toBeGreaterThan(8_000);
-    expect(observer.mostHeld).toBeLessThanOrEqual(CONCURRENT_LIMIT);
+    expect(observer.maxHeld).toBeLessThanOrEqual(CONCURRENT_LIMIT);
   });
 
   it('outlast the planned stop of their holder without a refusal', () => {
     const { simulation, observer } = createLimitWorld({ seed: 5 });
     simulation.runFor(15_000);
     const holder = holderOf(simulation, ROW);
-    sendLoad(simulation, othersThan(holder), PAGE, 25, 20_000);
+    sendLoad(simulation, listOthers(holder), PAGE, 25, 20_000);
     simulation.runFor(2_000);
     simulation.node(holder).requestStop();
     simulation.runFor(20_000);
     expect(simulation.node(holder).isUp).toBe(false);
     expect(answeredShare(simulation, 15_000)).toBe(1);
-    expect(observer.mostHeld).toBeLessThanOrEqual(CONCURRENT_LIMIT);
+    expect(observer.maxHeld).toBeLessThanOrEqual(CONCURRENT_LIMIT);
   });
 
   it('are handed back by a node that stops as planned', () => {
     const { simulation } = createLimitWorld({ seed: 10 });
     simulation.runFor(15_000);
     const holder = holderOf(simulation, ROW);
-    const stopping = othersThan(holder)[0] as string;
+    const stopping = listOthers(holder)[0] as string;
     const countedFor = (node: string): number | undefined =>
       simulation
         .node(holder)
@@ -148,7 +148,7 @@
     const { simulation, observer } = createLimitWorld({ seed: 6 });
     simulation.runFor(15_000);
     const holder = holderOf(simulation, ROW);
-    const cutOff = othersThan(holder)[0] as string;
+    const cutOff = listOthers(holder)[0] as string;
     simulation.network.reachability.isolate(cutOff);
     simulation.runFor(20_000);
     const alone = simulation.call(cutOff, PAGE);
@@ -156,21 +156,21 @@
     simulation.runFor(1_000);
     expect(alone.outcome).toMatchObject({ type: 'not-run', reason: 'over-limit' });
     expect(served.outcome).toMatchObject({ type: 'answered' });
-    expect(observer.mostHeld).toBeLessThanOrEqual(CONCURRENT_LIMIT);
+    expect(observer.maxHeld).toBeLessThanOrEqual(CONCURRENT_LIMIT);
   });
 
   it('are not used by a node that was paused beyond its grant and wakes', () => {
     const { simulation, observer } = createLimitWorld({ seed: 7 });
     simulation.runFor(15_000);
-    const paused = othersThan(holderOf(simulation, ROW))[0] as string;
+    const paused = listOthers(holderOf(simulation, ROW))[0] as string;
     simulation.node(paused).pause();
     const late = [1, 2, 3].map(() => simulation.call(paused, PAGE));
-    sendLoad(simulation, othersThan(paused), PAGE, 2, 30_000);
+    sendLoad(simulation, listOthers(paused), PAGE, 2, 30_000);
     simulation.runFor(25_000);
     simulation.node(paused).wake();
     simulation.runFor(1);
-    expect(observer.mostHeld).toBeLessThanOrEqual(CONCURRENT_LIMIT);
-    expect(observer.mostUsed).toBeLessThanOrEqual(CONCURRENT_LIMIT);
+    expect(observer.maxHeld).toBeLessThanOrEqual(CONCURRENT_LIMIT);
+    expect(observer.maxUsed).toBeLessThanOrEqual(CONCURRENT_LIMIT);
     simulation.runFor(1_000);
     expect(late.filter(({ outcome }) => outcome?.type === 'answered')).toEqual([]);
   });
@@ -194,9 +194,9 @@
       sheet: { ...sheet.content.sheet, rows },
     });
     simulation.runFor(6_000);
-    observer.mostUsed = 0;
+    observer.maxUsed = 0;
     simulation.runFor(8_000);
-    expect(observer.mostUsed).toBeLessThanOrEqual(4);
-    expect(observer.mostUsed).toBeGreaterThan(0);
+    expect(observer.maxUsed).toBeLessThanOrEqual(4);
+    expect(observer.maxUsed).toBeGreaterThan(0);
   });
 });
--- a/test/operator/status.test.ts
+++ b/test/operator/status.test.ts
@@ -6,7 +6,7 @@
 import { runCommandLine } from '../../src/cli/run-command-line.js';
 import { formatStatus } from '../../src/cli/status/format-status.js';
 import { watchStatus } from '../../src/cli/status/watch-status.js';
-import { ensureUse } from '../../src/core/admission/limit-use.js';
+import { getLimitUse } from '../../src/core/admission/limit-use.js';
 import { identifier, type NodeId, type ZoneName } from '../../src/core/identifiers.js';
 import { getReplicaObservation, replicaKey } from '../../src/core/query/observations.js';
 import { createServiceObservation } from '../../src/core/query/replica-observation.js';
@@ -64,7 +64,7 @@
   ]);
   addMember(fixture, 'arada-1', 3);
   addMember(fixture, 'arada-2', 0);
-  const use = ensureUse(fixture.state, { row: 'ensemble/roster/page', bound: 'concurrent' }, 0);
+  const use = getLimitUse(fixture.state, { row: 'ensemble/roster/page', bound: 'concurrent' }, 0);
   use.held = {
     amount: 12,
     sequence: 1,
