--- a/src/core/admission/admit-query.ts
+++ b/src/core/admission/admit-query.ts
@@ -1,4 +1,4 @@
-/** The door of the limits: counts a query against its row's limits, or refuses it. */
+/** Admission of queries: counts a query against its row's limits, or refuses it. */
 import type { LimitBound } from '../../protocol/grant-messages.js';
 import type { RouteRow } from '../../table/route-row.js';
 import type { Effect } from '../effect.js';
@@ -8,13 +8,13 @@
 import { requestUrgentGrant } from './request-grant.js';
 import type { LimitUse } from './state.js';
 
-/** What the limits say to one query. */
+/** The decision of a row's limits on one query. */
 export interface AdmissionDecision {
-  /** True when the query counts against the limits from now on; end it with `releaseQuery`. */
+  /** Whether the query counts against the limits from now on; end it with `releaseQuery`. */
   readonly admitted: boolean;
-  /** When a refused caller may come back, in milliseconds; 0 when admitted. */
+  /** Time after which a refused caller may retry, in milliseconds; 0 if admitted. */
   readonly retryAfterMs: number;
-  /** Effects to carry out either way. */
+  /** Effects to apply in either case. */
   readonly effects: Effect[];
 }
 
@@ -28,7 +28,7 @@
   use.lastArrivalAt = at;
 };
 
-/** Milliseconds until the row has room for one more query at once; 0 when it has. */
+/** Returns the time until one more concurrent query may start, in milliseconds; 0 if it may now. */
 const computeSlotWait = (row: RouteRow, use: LimitUse, at: number): number => {
   if (row.concurrentLimit === undefined) {
     return 0;
@@ -38,7 +38,7 @@
   return use.used < usable ? 0 : RETRY_AFTER_MS;
 };
 
-/** Milliseconds until the row has a token for one more query; 0 when it has. */
+/** Returns the time until a token is available for one more query, in milliseconds; 0 if one is. */
 const computeTokenWait = (row: RouteRow, use: LimitUse, at: number): number => {
   if (row.perSecondLimit === undefined) {
     return 0;
@@ -86,7 +86,7 @@
   return { admitted: true, retryAfterMs: 0, effects: [] };
 };
 
-/** Ends a query that `admitQuery` has admitted; called once for each. */
+/** Ends a query that `admitQuery` has admitted; must be called exactly once for each. */
 export const releaseQuery = (state: CoreState, row: RouteRow, at: number): Effect[] => {
   const concurrent = getRowUse(state, row, 'concurrent', at);
   concurrent.used = Math.max(0, concurrent.used - 1);
--- a/src/core/admission/divide-grant.ts
+++ b/src/core/admission/divide-grant.ts
@@ -1,8 +1,8 @@
 /**
- * A divider: holds one grant for a zone or a group of nodes and divides it among them. What it gives
- * ends before its own grant does and is never more than that; it needs no lease, since whoever stands
- * above counts all that it may have given. Any node that is asked does this: two dividers of one zone
- * have a grant each.
+ * A divider holds one grant for a zone or a group of nodes and divides it among them. The grants it
+ * gives end before its own grant and never exceed it in sum. It needs no lease, because the level above
+ * counts all that it may have given. Any node that receives such a request acts as a divider; two
+ * dividers of one zone each have a grant of their own.
  */
 import type { GrantRequest, GrantReturn, LimitKey } from '../../protocol/grant-messages.js';
 import { CLOCK_RATE_MARGIN } from '../keepers/keeper-timing.js';
@@ -26,7 +26,7 @@
 } from './request-grant.js';
 import { dividerName, type GrantDivider, sliceName } from './state.js';
 
-/** For whom a divider asks that is asked at a level of the same name. */
+/** The level at which a divider is asked; it requests its own grant under the same name. */
 type DividedLevel = 'group' | 'zone';
 
 const createDivider = (limit: LimitKey, asker: DividedLevel, at: number): GrantDivider => ({
@@ -56,24 +56,27 @@
 const getLimitAmount = (state: CoreState, { row, bound }: LimitKey): number | undefined =>
   limitAmount(state.configuration.inForce.rows.get(row), bound);
 
-/** How long a grant given now may run, so that it has lapsed on every clock before the divider's own. */
+/**
+ * Returns how long a grant given now may be valid, in milliseconds, so that it lapses on every clock
+ * before the divider's own grant.
+ */
 const remainingValidMs = ({ held }: GrantDivider, at: number): number =>
   held === undefined ? 0 : Math.floor((held.expiresAt - at) / (1 + CLOCK_RATE_MARGIN));
 
-/** Asks for the divider's grant, or its renewal: it reports all that may be in use below it. */
+/** Requests the divider's grant or its renewal, and reports all that its grantees may be using. */
 const requestDividerGrant = (state: CoreState, divider: GrantDivider, at: number): Effect[] => {
   const { demand, counted } = divider.book;
   return isAwaitingAnswer(divider, at) ? [] : requestGrant(state, divider, demand, counted, at);
 };
 
-/** True when those below want clearly more than was told, and it is not there. */
+/** Whether the grantees' demand clearly exceeds the reported demand and the usable amount. */
 const isUrgent = (divider: GrantDivider, at: number): boolean => {
   const { demand } = divider.book;
   const hasGrown = demand > divider.demand * URGENT_GROWTH && demand > usableAmount(divider, at);
   return hasGrown && at >= divider.requestedAt + RENEW_URGENT_MS;
 };
 
-/** Answers one of those below out of the divider's grant, or keeps the request until there is one. */
+/** Answers a grantee's request from the divider's grant, or keeps the request until it has a grant. */
 export const handleDividerGrantRequest = (
   state: CoreState,
   from: NodeId,
@@ -98,7 +101,7 @@
   return isUrgent(divider, at) ? [...effects, ...requestDividerGrant(state, divider, at)] : effects;
 };
 
-/** Answers those that waited for the divider's grant. */
+/** Answers the requests that waited for the divider's grant. */
 export const answerWaitingRequests = (
   state: CoreState,
   divider: GrantDivider,
@@ -112,7 +115,7 @@
   );
 };
 
-/** Takes a slice back into a divider's book. */
+/** Handles the return of a slice to a divider. */
 export const handleDividerGrantReturn = (
   state: CoreState,
   from: NodeId,
@@ -149,7 +152,7 @@
   return isRenewalDue(divider, isBelowDemand, at) ? requestDividerGrant(state, divider, at) : [];
 };
 
-/** Looks after all grants that this node divides. */
+/** Refreshes all grants that this node divides: renews them, rebalances them and removes unused ones. */
 export const refreshDividers = (state: CoreState, at: number): Effect[] =>
   [...state.admission.dividers].flatMap(([name, divider]) =>
     refreshDivider(state, name, divider, at),
--- a/src/core/admission/find-holder.ts
+++ b/src/core/admission/find-holder.ts
@@ -1,6 +1,7 @@
 /**
- * Finds whom to ask for a row's limits: its holder, the first live member by rendezvous; and, where
- * too many would ask that one, the first of the zone or of a group of the zone's nodes.
+ * Finds the node from which to request grants of a row's limits. It is the row's holder, the first live
+ * member by rendezvous hashing. Where too many nodes would ask the holder, it is the first member of
+ * the zone or of a group of the zone's nodes.
  */
 import type { GrantAsker, GrantLevel } from '../../protocol/grant-messages.js';
 import { hash32 } from '../hash.js';
@@ -10,7 +11,7 @@
 import type { CoreState } from '../state.js';
 import type { CachedHolder, GrantHolder, ZoneLevels } from './state.js';
 
-/** Groups are as many as a power of two, so that a member that comes or goes seldom moves others. */
+/** Returns a power of two, so that joining or leaving members rarely change the groups of others. */
 const countGroups = (zoneSize: number): number =>
   2 ** Math.ceil(Math.log2(Math.max(1, Math.sqrt(zoneSize))));
 
@@ -61,11 +62,11 @@
   return cached;
 };
 
-/** The node that this node's view makes the holder of the row's limits. */
+/** Returns the holder of the row's limits according to this node's view. */
 export const findHolder = (state: CoreState, row: string): NodeId =>
   getCachedHolder(state, row).holder;
 
-/** The level above the one for which `asker` asks. */
+/** Returns the level from which `asker` requests its grants. */
 const levelAbove = (levels: ZoneLevels, asker: GrantAsker): GrantLevel => {
   switch (asker) {
     case 'node':
@@ -90,7 +91,7 @@
   }
 };
 
-/** Whom this node asks for grants of the row's limits as `asker`. */
+/** Returns the node and level from which this node, as `asker`, requests grants of the row's limits. */
 export const findAsked = (state: CoreState, row: string, asker: GrantAsker): GrantHolder => {
   const { asked } = getCachedHolder(state, row);
   const known = asked.get(asker);
--- a/src/core/admission/give-grant.ts
+++ b/src/core/admission/give-grant.ts
@@ -1,4 +1,4 @@
-/** The row's holder: gives slices of a limit while it has the lease. */
+/** The holder of a row: grants slices of the row's limits while it has the lease. */
 import type { GrantRequest, GrantReturn, LimitBound } from '../../protocol/grant-messages.js';
 import type { Effect } from '../effect.js';
 import type { NodeId } from '../identifiers.js';
@@ -16,10 +16,10 @@
   return book;
 };
 
-/** True while grants of earlier holders may be in use. */
+/** Whether grants of earlier holders may still be in use. */
 const isAdopting = (tenure: Tenure, at: number): boolean => at < tenure.adoptUntil;
 
-/** Answers a request for a slice; without the lease there is no answer. */
+/** Handles a request for a slice: grants it with the lease, else keeps it until this node has the lease. */
 export const handleRowGrantRequest = (
   state: CoreState,
   from: NodeId,
@@ -44,7 +44,7 @@
   return leaseEffects;
 };
 
-/** Takes a slice back into the row's book. */
+/** Handles the return of a slice to the row's holder. */
 export const handleRowGrantReturn = (
   state: CoreState,
   from: NodeId,
--- a/src/core/admission/handle-grant-message.ts
+++ b/src/core/admission/handle-grant-message.ts
@@ -1,4 +1,4 @@
-/** Hands each message about limits to the part that cares for it. */
+/** Dispatches each message about limits to its handler. */
 import { match } from 'ts-pattern';
 import type {
   Grant,
@@ -59,7 +59,7 @@
   return [...effects, ...answerWaitingRequests(state, divider, at)];
 };
 
-/** Handles a message about limits from `from`, which may be this node. */
+/** Handles a message about limits from node `from`, which may be this node. */
 export const handleGrantMessage = (
   state: CoreState,
   from: NodeId,
--- a/src/core/admission/lease-vote.ts
+++ b/src/core/admission/lease-vote.ts
@@ -1,4 +1,4 @@
-/** The keeper's side of a lease: one candidate at a time has its vote. */
+/** The keeper's side of a lease: a keeper votes for one candidate at a time. */
 import type { LeaseRequest } from '../../protocol/grant-messages.js';
 import type { Effect } from '../effect.js';
 import type { NodeId } from '../identifiers.js';
@@ -8,13 +8,13 @@
 import { LEASE_MS, withRateMargin } from './limit-timing.js';
 import type { LeaseRecord } from './state.js';
 
-/** True when this process knows of every vote its node has cast in this period. */
+/** Whether this process knows of every vote that its node has cast in this period. */
 const knowsAllVotes = (state: CoreState, at: number): boolean => {
   const roster = findRoster(state, periodOf(wallTimeAt(state, at)));
   return roster !== undefined && isNamedProcess(state, roster);
 };
 
-/** A process that does not know what its node voted before abstains until that has lapsed. */
+/** Whether this process may vote: it knows its node's earlier votes, or these have expired. */
 const mayVote = (state: CoreState, at: number): boolean =>
   at >= state.keepers.startedAt + withRateMargin(LEASE_MS) || knowsAllVotes(state, at);
 
@@ -43,7 +43,7 @@
   return record;
 };
 
-/** Answers a candidate: votes for it unless another has the vote; or takes a vote back. */
+/** Handles a candidate's request: votes for it unless another has the vote, or releases its vote. */
 export const handleLeaseRequest = (
   state: CoreState,
   from: NodeId,
--- a/src/core/admission/limit-book.ts
+++ b/src/core/admission/limit-book.ts
@@ -1,4 +1,4 @@
-/** A holder's book of one limit: slices whose counted sum never grows past what there is to give. */
+/** A holder's book of one limit; new slices never raise the counted sum above the available amount. */
 import type { GrantRequest, GrantReturn, LimitKey } from '../../protocol/grant-messages.js';
 import type { Effect } from '../effect.js';
 import type { NodeId } from '../identifiers.js';
@@ -13,13 +13,13 @@
 import { shareLimit } from './share-limit.js';
 import { type GivenSlice, type LimitBook, sliceName } from './state.js';
 
-/** What a holder has to give, and until when. */
+/** The amount that a holder can grant, and for how long. */
 export interface GrantOffer {
-  /** Bound on the sum of all slices. */
+  /** Upper bound of the sum of all slices. */
   readonly amount: number;
-  /** While grants of earlier holders may be in use, only what grantees report is given again. */
+  /** Whether grants of earlier holders may be in use; then only amounts that grantees report are granted. */
   readonly adopting: boolean;
-  /** Milliseconds for which a grant given now may be used. */
+  /** How long a grant given now is valid, in milliseconds. */
   readonly validMs: number;
 }
 
@@ -50,7 +50,7 @@
   return slice;
 };
 
-/** Recounts a slice after a change: the most its grantee may be using. */
+/** Updates the counted amount of a slice: the maximum that its grantee may be using. */
 const updateCounted = (book: LimitBook, slice: GivenSlice, at: number): void => {
   slice.outstanding = slice.outstanding.filter((grant) => at < grant.endsAt);
   const running = at < slice.usedUntil ? slice.used : 0;
@@ -59,7 +59,10 @@
   slice.counted = maxInUse;
 };
 
-/** How long a grant counts: until the last query admitted under it has met its deadline. */
+/**
+ * Returns how long a grant counts, in milliseconds: until the last query admitted under it has reached
+ * its deadline.
+ */
 const countedMs = (state: CoreState, { row, bound }: LimitKey, validMs: number): number => {
   const deadlineMs = state.configuration.inForce.rows.get(row)?.deadlineMs ?? 0;
   return withRateMargin(validMs) + (bound === 'concurrent' ? withRateMargin(deadlineMs) : 0);
@@ -72,7 +75,7 @@
   slice.requestedAt = at;
 };
 
-/** Notes the demand of one that waits for an answer, so that it counts when there is something to give. */
+/** Records the demand of a grantee whose request waits, so that it counts in the next division. */
 export const recordWaitingDemand = (
   book: LimitBook,
   from: NodeId,
@@ -83,8 +86,8 @@
 };
 
 /**
- * Takes in what the grantee says of itself. It takes only the answer to its newest request, so that
- * grants older than this message are void, but for the one it says it holds.
+ * Applies a grantee's report. A grantee accepts only the answer to its newest request, so grants older
+ * than this message are void, except the grant that the report names as held.
  */
 const applyReport = (
   state: CoreState,
@@ -105,7 +108,7 @@
   updateCounted(book, slice, at);
 };
 
-/** Rounds to whole queries at once, up or down by chance, so that small parts come to all in turn. */
+/** Rounds up or down to whole concurrent queries at random, so that all get small shares in turn. */
 const roundRandomly = (state: CoreState, amount: number): number => {
   const whole = Math.floor(amount);
   return state.random.next() < amount - whole ? whole + 1 : whole;
@@ -132,7 +135,7 @@
   return book.bound === 'concurrent' ? Math.floor(amount) : amount;
 };
 
-/** Divides `amount` anew over those who have asked of late, and drops those that have not. */
+/** Divides `amount` over the grantees with recent requests and removes the idle ones. */
 export const rebalanceBook = (book: LimitBook, amount: number, at: number): void => {
   const demands: number[] = [];
   for (const slice of book.slices.values()) {
@@ -149,7 +152,7 @@
   book.headroom = shares.headroom;
 };
 
-/** Answers a request out of the book. */
+/** Grants a slice of the book in answer to a request; ignores outdated requests. */
 export const grantSlice = (
   state: CoreState,
   book: LimitBook,
@@ -182,7 +185,7 @@
   );
 };
 
-/** Takes slices back that a grantee no longer uses. */
+/** Applies a grantee's return of its slice; ignores outdated messages. */
 export const returnSlice = (
   state: CoreState,
   book: LimitBook,
--- a/src/core/admission/limit-timing.ts
+++ b/src/core/admission/limit-timing.ts
@@ -1,69 +1,70 @@
-/** Bounds and defaults of limits that hold over all nodes together. */
+/** Time limits and sizes for limits that apply to all nodes together. */
 import { CLOCK_RATE_MARGIN } from '../keepers/keeper-timing.js';
 
-/** How long a grant may be used, in milliseconds; it outlasts the loss of a holder. */
+/** Validity of a grant, in milliseconds; long enough to outlast the loss of a holder. */
 export const GRANT_MS = 8_000;
 
-/** How long a holder's lease runs without renewal, in milliseconds. */
+/** Duration of a holder's lease without renewal, in milliseconds. */
 export const LEASE_MS = 2_000;
 
-/** A lease is renewed when less than this is left of it, in milliseconds. */
+/** Remaining time below which a lease is renewed, in milliseconds. */
 export const LEASE_RENEW_BEFORE_MS = 1_300;
 
-/** How long a request for votes may stay unanswered, in milliseconds. */
+/** Timeout of a request for votes, in milliseconds. */
 export const VOTE_TIMEOUT_MS = 400;
 
-/** How long a request for a grant may stay unanswered, in milliseconds. */
+/** Timeout of a request for a grant, in milliseconds. */
 export const GRANT_TIMEOUT_MS = 800;
 
-/** How often a node looks after the limits it uses or holds, in milliseconds. */
+/** Interval at which a node refreshes the limits that it uses or holds, in milliseconds. */
 export const REFRESH_MS = 250;
 
-/** How often it looks while there are none, in milliseconds. */
+/** Interval of the refresh while there are no limits, in milliseconds. */
 export const IDLE_REFRESH_MS = 1_000;
 
 /**
- * Most grantees that ask one holder by choice; beyond them the nodes of a zone, or groups of them, ask
- * one of their own. As many cost a holder 2 KB/s at most while the demand is steady.
+ * Maximum number of grantees that ask one holder by design. Beyond it, the nodes of a zone, or of a
+ * group within it, ask a divider among themselves. This number costs a holder at most 2 KB/s while the
+ * demand is steady.
  */
 export const MOST_ASKERS = 24;
 
-/** How often a grant is renewed that does not meet the demand, in milliseconds. */
+/** Renewal interval of a grant below the demand, in milliseconds. */
 export const RENEW_MS = 1_000;
 
-/** A grant that meets the demand is renewed after this share of its time. */
+/** A grant that meets the demand is renewed after this share of its validity. */
 export const RENEW_SHARE = 1 / 3;
 
-/** How often a grant kept without demand is renewed, in milliseconds. */
+/** Minimum interval between renewals of a grant that is kept without demand, in milliseconds. */
 export const RENEW_IDLE_MS = 3_000;
 
-/** Least time between two requests that a refused query brings about, in milliseconds. */
+/** Minimum time between two grant requests caused by refused queries, in milliseconds. */
 export const RENEW_URGENT_MS = 100;
 
-/** Growth of the demand, as a factor, for which a node asks ahead of time. */
+/** Factor of demand growth above which a node requests a grant before its renewal is due. */
 export const URGENT_GROWTH = 1.5;
 
-/** Up to this many nodes, a limit is divided anew as soon as another one asks. */
+/** Maximum number of grantees for which a limit is rebalanced as soon as a new one asks. */
 export const REBALANCE_AT_ONCE_NODES = 64;
 
-/** How long a limit without a query counts as in demand, in milliseconds. */
+/** Time without a query after which a limit is no longer in demand, in milliseconds. */
 export const IDLE_AFTER_MS = 10_000;
 
-/** Up to this many live members, grants are kept for rows without demand too. */
+/** Maximum number of members up to which grants are also kept for rows without demand. */
 export const IDLE_GRANT_MAX_MEMBERS = 64;
 
-/** Share of an earlier demand that is still asked for at the next request. */
+/** Share of the previous demand that is requested at least with the next request. */
 export const DEMAND_DECAY = 0.7;
 
-/** Length of the burst a limit per second allows a node, in seconds of its slice. */
+/** Size of the burst that a limit per second allows a node, in seconds of its slice. */
 export const BURST_SECONDS = 0.1;
 
-/** When a refused caller may come back if the limit has room elsewhere, in milliseconds. */
+/** Base retry delay of a caller refused by a concurrent limit or for lack of a grant, in milliseconds. */
 export const RETRY_AFTER_MS = 100;
 
-/** Longest that a refused caller is told to wait, in milliseconds. */
+/** Maximum retry delay that a refused caller is given, in milliseconds. */
 export const MAX_RETRY_AFTER_MS = 2_000;
 
-/** Lengthens a time so that it has passed on every clock once it has on this one. */
+/** Extends a duration in milliseconds, so that once it has passed on this clock it has passed on all. */
 export const withRateMargin = (durationMs: number): number =>
   Math.ceil(durationMs * (1 + CLOCK_RATE_MARGIN));
--- a/src/core/admission/limit-use.ts
+++ b/src/core/admission/limit-use.ts
@@ -1,4 +1,4 @@
-/** What this node uses of a limit: demand, queries in progress, tokens. */
+/** This node's use of a limit: demand, queries in progress and tokens. */
 import type { LimitKey } from '../../protocol/grant-messages.js';
 import type { RouteRow } from '../../table/route-row.js';
 import { routeRowKey } from '../configuration/state.js';
@@ -8,10 +8,10 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** The limits' name of a row. */
+/** Returns the key of a row that limits use. */
 export const rowNameOf = (row: RouteRow): string => routeRowKey(row.partner, row.route, row.kind);
 
-/** The amount a row sets for a bound; undefined for no limit. */
+/** Returns the amount that a row sets for a bound; undefined if it has no such limit. */
 export const limitAmount = (
   row: RouteRow | undefined,
   bound: LimitKey['bound'],
@@ -34,7 +34,7 @@
   tokensAt: at,
 });
 
-/** The use of `limit`, begun when there is none. */
+/** Returns this node's use of `limit`; creates it if there is none. */
 export const getLimitUse = (state: CoreState, limit: LimitKey, at: number): LimitUse => {
   const name = limitName(limit);
   const known = state.admission.uses.get(name);
@@ -46,18 +46,18 @@
   return use;
 };
 
-/** What may be used of the limit, or divided, now: nothing once the grant has lapsed. */
+/** Returns the amount that may be used or divided now; 0 once the grant has lapsed. */
 export const usableAmount = ({ held }: Grantee, at: number): number =>
   held !== undefined && at < held.expiresAt ? held.amount : 0;
 
-/** Adds the tokens that have come since the last look; none come without a valid grant. */
+/** Adds the tokens since the last refill, at `rate` per second; `rate` is 0 without a valid grant. */
 export const refillTokens = (use: LimitUse, rate: number, at: number): void => {
   const newTokens = (rate * (at - use.tokensAt)) / MS_PER_SECOND;
   use.tokens = Math.min(Math.max(1, rate * BURST_SECONDS), use.tokens + newTokens);
   use.tokensAt = at;
 };
 
-/** The demand since the last request: queries at once, or queries a second. */
+/** Measures the demand since the last request, in concurrent queries or queries per second. */
 export const measureDemand = (use: LimitUse, at: number): number => {
   if (use.limit.bound === 'concurrent') {
     return use.peak + use.refusals;
@@ -66,7 +66,7 @@
   return (use.arrivals * MS_PER_SECOND) / Math.max(elapsedMs, MS_PER_SECOND / 10);
 };
 
-/** Sums up the demand since the last request and begins a new span. */
+/** Updates and returns the demand since the last request, and starts a new measuring interval. */
 export const updateDemand = (use: LimitUse, at: number): number => {
   use.demand = Math.max(measureDemand(use, at), use.demand * DEMAND_DECAY);
   if (use.demand < 0.01) {
--- a/src/core/admission/reducer.ts
+++ b/src/core/admission/reducer.ts
@@ -1,4 +1,4 @@
-/** The admission slice: limits that hold over all nodes together. */
+/** The admission slice: limits that apply to all nodes together. */
 import type { GrantMessage } from '../../protocol/grant-messages.js';
 import type { Effect } from '../effect.js';
 import type { Event, LinkMessageArrived } from '../event.js';
@@ -6,7 +6,10 @@
 import { handleGrantMessage } from './handle-grant-message.js';
 import { refreshLimits } from './refresh.js';
 
-/** Sequences a process may use for each millisecond since 1970, so that no two processes share one. */
+/**
+ * Sequence numbers reserved for each millisecond of the incarnation, which counts from 1970, so that no
+ * two processes of a node share one.
+ */
 const SEQUENCES_PER_MS = 1_024;
 
 const handleStarted = (state: CoreState, at: number): Effect[] => {
--- a/src/core/admission/refresh.ts
+++ b/src/core/admission/refresh.ts
@@ -1,4 +1,4 @@
-/** Looks after limits from time to time: renews grants and leases, divides anew, tidies up. */
+/** Refreshes limits periodically: renews grants and leases, rebalances books and removes unused state. */
 import type { RouteRow } from '../../table/route-row.js';
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
@@ -37,7 +37,7 @@
   return state.admission.limitedRows.limited;
 };
 
-/** In a small tier, grants are held before the first query comes. */
+/** Creates the uses of all limited rows in a small tier, so that grants are held before the first query. */
 const createUsesOfLimitedRows = (
   state: CoreState,
   limited: readonly RouteRow[],
@@ -58,11 +58,11 @@
 const isInDemand = (use: LimitUse, at: number): boolean =>
   use.used > 0 || at < use.lastArrivalAt + IDLE_AFTER_MS;
 
-/** True when the last span of the use wanted more than it got. */
+/** Whether the demand of the current or previous measuring interval exceeds the grant. */
 const isBelowDemand = (use: LimitUse, at: number): boolean =>
   use.refusals > 0 || use.hadRefusals || usableAmount(use, at) < use.demand;
 
-/** True when the use asks anew: kept without demand, it asks seldom, and in a large tier not at all. */
+/** Whether the use requests its grant again; without demand it does so rarely, in a large tier never. */
 const shouldRenew = (state: CoreState, use: LimitUse, at: number): boolean => {
   if (isInDemand(use, at)) {
     return isRenewalDue(use, isBelowDemand(use, at), at);
@@ -122,7 +122,7 @@
       : refreshUse(state, limitName(use.limit), use, at),
   );
 
-/** Looks after all limits this node uses or holds, and sets the timer for the next time. */
+/** Refreshes all limits that this node uses, divides or holds, and sets the timer for the next refresh. */
 export const refreshLimits = (state: CoreState, at: number): Effect[] => {
   const limited = listLimitedRows(state);
   createUsesOfLimitedRows(state, limited, at);
--- a/src/core/admission/request-grant.ts
+++ b/src/core/admission/request-grant.ts
@@ -1,4 +1,4 @@
-/** The grantee's side: asks a holder for a slice, takes the answer, and hands back what it leaves. */
+/** The grantee's side: requests slices from a holder, applies its grants and returns unused ones. */
 import type { Grant } from '../../protocol/grant-messages.js';
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
@@ -14,11 +14,11 @@
 import { measureDemand, updateDemand, usableAmount } from './limit-use.js';
 import type { Grantee, GrantHolder, HeldGrant, LimitUse } from './state.js';
 
-/** What a row's holder gave, and may give again; a divider gives nothing on a grantee's word. */
+/** Returns the amount that a row's holder may adopt from this grantee's report; dividers adopt nothing. */
 const adoptableAmount = (grantee: Grantee, asked: GrantHolder, at: number): number =>
   asked.level === 'row' && grantee.held?.holder.level === 'row' ? usableAmount(grantee, at) : 0;
 
-/** Asks for a slice; an earlier request is given up, its answer no longer taken. */
+/** Requests a slice; it replaces an earlier request, whose answer is then ignored. */
 export const requestGrant = (
   state: CoreState,
   grantee: Grantee,
@@ -52,11 +52,11 @@
   );
 };
 
-/** Asks for a slice for this node's own queries. */
+/** Requests a slice for this node's own queries. */
 export const requestOwnGrant = (state: CoreState, use: LimitUse, at: number): Effect[] =>
   requestGrant(state, use, updateDemand(use, at), use.used, at);
 
-/** Hands back all that `holder` gave to a grantee which uses it no longer. */
+/** Returns to `holder` all that it granted, once the grantee no longer uses it. */
 const returnGrant = (
   state: CoreState,
   { limit, asker }: Grantee,
@@ -81,7 +81,7 @@
   );
 };
 
-/** Gives up the grant of a node that stops: from now on it admits nothing. */
+/** Returns the grant of a stopping node, which admits no query from now on. */
 export const returnOwnGrant = (state: CoreState, use: LimitUse, at: number): Effect[] => {
   const holder = use.held?.holder;
   use.held = undefined;
@@ -89,11 +89,11 @@
   return holder === undefined ? [] : returnGrant(state, use, holder, use.used, at);
 };
 
-/** True while the answer to the newest request is still to be expected. */
+/** Whether the newest request is pending and has not timed out. */
 export const isAwaitingAnswer = ({ pending }: Grantee, at: number): boolean =>
   pending !== undefined && at < pending.sentAt + GRANT_TIMEOUT_MS;
 
-/** True when a grant is to be asked for anew: soon while it is short of the demand, later otherwise. */
+/** Whether a grant is due for renewal; a grant below the demand is renewed sooner. */
 export const isRenewalDue = (
   { held, requestedAt }: Grantee,
   isBelowDemand: boolean,
@@ -106,7 +106,7 @@
   return at >= requestedAt + (isBelowDemand ? Math.min(RENEW_MS, steadyMs) : steadyMs);
 };
 
-/** Drops a grant that has lapsed. */
+/** Removes the grant if it has lapsed, and counts it. */
 export const removeLapsedGrant = (state: CoreState, grantee: Grantee, at: number): void => {
   if (grantee.held !== undefined && at >= grantee.held.expiresAt) {
     grantee.held = undefined;
@@ -114,11 +114,11 @@
   }
 };
 
-/** True when the node wants clearly more than it told the holder last. */
+/** Whether there is no grant or the demand clearly exceeds the last reported demand. */
 const hasGrown = (use: LimitUse, at: number): boolean =>
   use.held === undefined || measureDemand(use, at) > use.demand * URGENT_GROWTH;
 
-/** Asks ahead of time because a query was refused, if the demand has grown. */
+/** Requests a grant early because a query was refused, if the demand has grown. */
 export const requestUrgentGrant = (state: CoreState, use: LimitUse, at: number): Effect[] => {
   const isTooSoon = use.held !== undefined && at < use.requestedAt + RENEW_URGENT_MS;
   return isTooSoon || isAwaitingAnswer(use, at) || !hasGrown(use, at)
@@ -127,8 +127,8 @@
 };
 
 /**
- * The amount a grant brings. One that a new holder gives again on this node's word counts only as far
- * as the node still holds it: what has lapsed since may be another node's by now.
+ * Returns the usable amount of a grant. A grant that a new holder adopted from this node's report is
+ * usable only as far as the node still holds the amount; a lapsed amount may belong to another node.
  */
 const effectiveAmount = (grant: Grant, grantee: Grantee, at: number): number =>
   grant.adopted ? Math.min(grant.amount, usableAmount(grantee, at)) : grant.amount;
@@ -136,15 +136,15 @@
 const isSameHolder = (one: GrantHolder, other: GrantHolder): boolean =>
   one.node === other.node && one.level === other.level;
 
-/** A grantee that has changed its holder keeps a larger grant of the earlier one until that lapses. */
+/** Whether the grantee keeps a larger grant of its previous holder until that grant lapses. */
 const isHeldGrantLarger = (grantee: Grantee, grant: HeldGrant, at: number): boolean =>
   grantee.held !== undefined &&
   !isSameHolder(grantee.held.holder, grant.holder) &&
   grant.amount < usableAmount(grantee, at);
 
 /**
- * Takes a grant if it answers the newest request; returns it, and undefined for one not taken. What an
- * earlier holder gave is handed back with it.
+ * Applies a grant if it answers the newest request, and ignores it otherwise. The effects return the
+ * grant of a previous holder.
  */
 export const applyGrant = (
   state: CoreState,
--- a/src/core/admission/send-grant-message.ts
+++ b/src/core/admission/send-grant-message.ts
@@ -1,11 +1,11 @@
-/** Sends a message about limits, also to this node itself. */
+/** Sends messages about limits to other nodes or to this node. */
 import type { GrantMessage } from '../../protocol/grant-messages.js';
 import type { Effect } from '../effect.js';
 import type { NodeId } from '../identifiers.js';
 import type { CoreState } from '../state.js';
 import { handleGrantMessage } from './handle-grant-message.js';
 
-/** Delivers `message` to `to`: over the link, or at once when it is this node. */
+/** Sends `message` to node `to` over its link, or handles it at once if `to` is this node. */
 export const sendGrantMessage = (
   state: CoreState,
   to: NodeId,
--- a/src/core/admission/share-limit.ts
+++ b/src/core/admission/share-limit.ts
@@ -1,14 +1,14 @@
-/** Divides a limit over the nodes that want it. */
+/** Divides a limit among the nodes that request it. */
 
-/** How a limit is divided. */
+/** The division of a limit. */
 export interface LimitShares {
-  /** Most that a node gets while nodes want more than there is; infinite otherwise. */
+  /** Maximum amount per node while the total demand exceeds the limit; infinite otherwise. */
   readonly level: number;
-  /** Given above its demand to each node while there is room. */
+  /** Amount that each node gets above its demand while the limit exceeds the total demand. */
   readonly headroom: number;
 }
 
-/** The level at which small demands are met whole and the larger ones get equal parts. */
+/** Returns the level at which smaller demands are met in full and larger ones get equal parts. */
 const findLevel = (demands: readonly number[], limit: number): number => {
   const ascending = [...demands].sort((a, b) => a - b);
   let remainingLimit = limit;
@@ -24,7 +24,7 @@
   return Number.POSITIVE_INFINITY;
 };
 
-/** Divides `limit` over nodes with these demands by max-min fairness. */
+/** Divides `limit` among nodes with these demands by max-min fairness. */
 export const shareLimit = (demands: readonly number[], limit: number): LimitShares => {
   const totalDemand = demands.reduce((sum, demand) => sum + demand, 0);
   return totalDemand > limit
--- a/src/core/admission/state.ts
+++ b/src/core/admission/state.ts
@@ -1,4 +1,4 @@
-/** State of limits that hold over all nodes together. */
+/** State of limits that apply to all nodes together. */
 import type {
   GrantAsker,
   GrantLevel,
@@ -10,135 +10,135 @@
 import type { NodeId } from '../identifiers.js';
 import { MOST_ASKERS } from './limit-timing.js';
 
-/** A node as a holder of a limit, of the whole or of a grant that it divides. */
+/** A node that grants slices: the holder of a row's limits, or a divider of its own grant. */
 export interface GrantHolder {
   readonly node: NodeId;
   readonly level: GrantLevel;
 }
 
-/** A slice of a limit that this node may use, or divide. */
+/** A slice of a limit that this node may use or divide. */
 export interface HeldGrant {
   readonly amount: number;
   readonly sequence: number;
-  /** On this node's monotonic clock; checked at each use. */
+  /** End on this node's monotonic clock, in milliseconds; checked at each use. */
   readonly expiresAt: number;
-  /** How long it ran from when it was asked for. */
+  /** Validity from the sending of its request, in milliseconds. */
   readonly validMs: number;
   readonly holder: GrantHolder;
 }
 
-/** The newest request for a grant; only its answer is taken. */
+/** The newest request for a grant; other answers are ignored. */
 export interface PendingGrant {
   readonly holder: GrantHolder;
   readonly sequence: number;
   readonly sentAt: number;
 }
 
-/** One that asks for grants of a limit: this node for itself, or for those it divides a grant among. */
+/** A requester of grants of a limit: this node for itself, or as a divider for its grantees. */
 export interface Grantee {
   readonly limit: LimitKey;
   readonly asker: GrantAsker;
   held: HeldGrant | undefined;
   pending: PendingGrant | undefined;
-  /** Demand told with the last request, and when. */
+  /** Demand reported with the last request, and the time of that request. */
   demand: number;
   requestedAt: number;
 }
 
-/** What this node uses of one limit. */
+/** This node's use of one limit. */
 export interface LimitUse extends Grantee {
-  /** Queries in progress; 0 for a limit per second. */
+  /** Number of queries in progress; 0 for a limit per second. */
   used: number;
-  /** Most queries in progress since the last request. */
+  /** Maximum number of queries in progress since the last request. */
   peak: number;
-  /** Queries that came since the last request, and those of them refused. */
+  /** Number of queries that arrived since the last request, and how many of them were refused. */
   arrivals: number;
   refusals: number;
-  /** Whether a query was refused in the span before the last request. */
+  /** Whether a query was refused in the measuring interval before the last request. */
   hadRefusals: boolean;
   lastArrivalAt: number;
-  /** Queries that may start at once under a limit per second, as of `tokensAt`. */
+  /** Number of queries that may start at once under a limit per second, as of `tokensAt`. */
   tokens: number;
   tokensAt: number;
 }
 
-/** A grant given that its node may still be using. */
+/** A grant given that its grantee may still be using. */
 export interface OutstandingGrant {
   readonly amount: number;
   readonly sequence: number;
-  /** When no query that ran under it can still be in progress, on the holder's clock. */
+  /** Time on the holder's clock after which no query admitted under it can be in progress. */
   readonly endsAt: number;
 }
 
-/** What a holder knows of one grantee's part in a limit. */
+/** A holder's record of one grantee's part of a limit. */
 export interface GivenSlice {
   /** See `sliceName`. */
   readonly name: string;
-  /** Sequence of the newest message taken; older ones come too late. */
+  /** Sequence of the newest message applied; older messages are ignored. */
   newest: number;
   outstanding: OutstandingGrant[];
   used: number;
   usedUntil: number;
   demand: number;
   requestedAt: number;
-  /** What counts against the limit: the most that the node may be using. */
+  /** Amount that counts against the limit: the maximum that the grantee may be using. */
   counted: number;
 }
 
-/** All slices of one limit as its holder gives them. */
+/** All slices of one limit that its holder has granted. */
 export interface LimitBook {
   readonly bound: LimitBound;
   readonly slices: Map<string, GivenSlice>;
-  /** Sum of the demands of those who have asked of late. */
+  /** Sum of the demands of grantees with recent requests. */
   demand: number;
   /** Sum of `counted` over the slices. */
   counted: number;
-  /** Most that a node gets while nodes want more than there is; infinite otherwise. */
+  /** Maximum amount per node while the total demand exceeds the limit; infinite otherwise. */
   level: number;
-  /** Given above its demand to each node. */
+  /** Amount that each node gets above its demand. */
   headroom: number;
 }
 
-/** A request for votes under way; each set of keepers must give its majority. */
+/** A pending request for votes; it needs a majority of each set of keepers. */
 export interface PendingLease {
   readonly sequence: number;
   readonly sentAt: number;
   readonly needed: readonly LeaseQuorum[];
   readonly votes: Set<NodeId>;
-  /** Whether each voter so far has never voted for another candidate. */
+  /** Whether no voter so far has voted for another candidate. */
   first: boolean;
 }
 
-/** A set of keepers and how many votes of it are needed. */
+/** A set of keepers and the number of its votes that are needed. */
 export interface LeaseQuorum {
   readonly nodes: readonly NodeId[];
   readonly majority: number;
 }
 
-/** This node's time as holder of a row's limits, lapsed or not. */
+/** This node's tenure as holder of a row's limits, whether or not its lease has lapsed. */
 export interface Tenure {
   readonly row: string;
   leaseUntil: number;
-  /** Until then, earlier holders' grants may be in use: only what nodes report is given again. */
+  /** Until then, grants of earlier holders may be in use, and only reported amounts are granted. */
   adoptUntil: number;
   pending: PendingLease | undefined;
   lastRequestAt: number;
   readonly books: Map<LimitBound, LimitBook>;
-  /** Newest request of each node and bound that waits for the lease. */
+  /** Newest request of each grantee and bound that waits for the lease. */
   readonly waiting: Map<string, WaitingRequest>;
 }
 
-/** A request for a grant that came before the lease was there. */
+/** A request for a grant that waits until this node has the lease or the grant to answer it. */
 export interface WaitingRequest {
   readonly from: NodeId;
   readonly request: GrantRequest;
 }
 
-/** This node as one that holds a grant to divide it among a zone or a group of nodes. */
+/** This node as the divider of a grant among a zone or a group of nodes. */
 export interface GrantDivider extends Grantee {
   readonly book: LimitBook;
   lastRequestAt: number;
-  /** Newest request of each grantee that waits for a grant to divide. */
+  /** Newest request of each grantee that waits for the divider's grant. */
   readonly waiting: Map<string, WaitingRequest>;
 }
 
@@ -147,43 +147,43 @@
   candidate: string;
   sequence: number;
   until: number;
-  /** Whether this process has voted for one candidate only. */
+  /** Whether this process has voted for a single candidate only. */
   first: boolean;
 }
 
-/** The holders of a row by rendezvous, as of a version of the view. */
+/** Cache of a row's holder and dividers by rendezvous hashing, for one version of the view. */
 export interface CachedHolder {
   readonly viewVersion: number;
   readonly holder: NodeId;
-  /** Whom this node asks for itself, for its group and for its zone, once that was needed. */
+  /** Nodes that this node asks for itself, its group and its zone; filled on demand. */
   readonly asked: Map<GrantAsker, GrantHolder>;
 }
 
-/** How this node's zone asks for grants, as of a version of the view. */
+/** Levels at which this node's zone requests grants, for one version of the view. */
 export interface ZoneLevels {
   readonly viewVersion: number;
-  /** Whom a node asks for itself. */
+  /** Level from which a node requests grants for itself. */
   readonly first: GrantLevel;
   readonly zoneMembers: readonly NodeId[];
-  /** Members of this node's group; empty where nodes ask no group. */
+  /** Members of this node's group. */
   readonly groupMembers: readonly NodeId[];
   readonly group: number;
 }
 
-/** The rows in force that have limits, as of one configuration. */
+/** Cache of the rows with limits in one configuration in force. */
 export interface LimitedRows {
   readonly rows: ReadonlyMap<string, RouteRow>;
   readonly limited: readonly RouteRow[];
 }
 
-/** Grants used, grants given and votes cast. */
+/** Grants used, grants given and votes cast by this node. */
 export interface AdmissionState {
-  /** Numbers requests; starts above all that earlier processes of this node used. */
+  /** Sequence number of the last message; starts above those of earlier processes of this node. */
   sequence: number;
-  /** By row and bound, see `limitName`. */
+  /** Uses by row and bound; see `limitName`. */
   readonly uses: Map<string, LimitUse>;
   readonly tenures: Map<string, Tenure>;
-  /** By `dividerName`. */
+  /** Dividers by `dividerName`. */
   readonly dividers: Map<string, GrantDivider>;
   readonly votes: Map<string, LeaseRecord>;
   readonly holders: Map<string, CachedHolder>;
@@ -193,7 +193,7 @@
   limitedRows: LimitedRows;
 }
 
-/** Creates the state of a node that neither holds nor gives grants. */
+/** Creates the state of a node without grants. */
 export const createAdmissionState = (): AdmissionState => ({
   sequence: 0,
   uses: new Map(),
@@ -206,16 +206,17 @@
   limitedRows: { rows: new Map(), limited: [] },
 });
 
-/** Names a limit in tables. */
+/** Returns the key of a limit. */
 export const limitName = (limit: LimitKey): string => `${limit.row}|${limit.bound}`;
 
-/** Names a divider in tables. */
+/** Returns the key of a divider. */
 export const dividerName = (limit: LimitKey, asker: GrantAsker): string =>
   `${limitName(limit)}|${asker}`;
 
 /**
- * Names a grantee's slice in a holder's book. What an earlier process of a divider was given may still
- * be in use by others, so that each process has its own; a node's own use ends with its process.
+ * Returns the key of a grantee's slice in a holder's book. Each process of a divider has its own slice,
+ * because grants of an earlier process may still be in use at other nodes. A node's own use ends with
+ * its process, so the node has a single slice.
  */
 export const sliceName = (from: NodeId, asker: GrantAsker, process: number): string =>
   asker === 'node' ? from : `${from}|${asker}|${process}`;
--- a/src/core/admission/tenure.ts
+++ b/src/core/admission/tenure.ts
@@ -1,4 +1,4 @@
-/** The holder's side of its lease: asks the keepers for votes, renews, and gives way. */
+/** The holder's side of its lease: requests the keepers' votes, renews the lease and releases it. */
 import type { LeaseVote } from '../../protocol/grant-messages.js';
 import type { Effect } from '../effect.js';
 import type { NodeId } from '../identifiers.js';
@@ -30,7 +30,7 @@
   waiting: new Map(),
 });
 
-/** This node's tenure of the row, begun without a lease when there is none. */
+/** Returns this node's tenure of the row; creates one without a lease if there is none. */
 export const getTenure = (state: CoreState, row: string, at: number): Tenure => {
   const known = state.admission.tenures.get(row);
   if (known !== undefined) {
@@ -41,12 +41,12 @@
   return tenure;
 };
 
-/** True while the lease runs, on this node's own clock. */
+/** Whether the lease is valid on this node's clock. */
 export const holdsLease = (tenure: Tenure, at: number): boolean => at < tenure.leaseUntil;
 
 /**
- * The majorities a lease beginning now needs: one of each roster whose period it may touch on any
- * clock. Undefined when a roster is missing.
+ * Returns the quorums that a lease starting now needs: a majority for each roster whose period the
+ * lease may overlap on any clock. Undefined if a roster is missing.
  */
 const listQuorums = (state: CoreState, row: string, at: number): LeaseQuorum[] | undefined => {
   const wallTime = wallTimeAt(state, at);
@@ -100,13 +100,13 @@
 const isAwaitingVotes = (pending: PendingLease | undefined, at: number): boolean =>
   pending !== undefined && at < pending.sentAt + VOTE_TIMEOUT_MS;
 
-/** Asks for the lease, or for its renewal, where one is due. */
+/** Requests the lease or its renewal if it is due and no request is pending. */
 export const requestLeaseIfDue = (state: CoreState, tenure: Tenure, at: number): Effect[] => {
   const isDue = tenure.leaseUntil - at < LEASE_RENEW_BEFORE_MS;
   return isDue && !isAwaitingVotes(tenure.pending, at) ? requestLease(state, tenure, at) : [];
 };
 
-/** Gives the lease up, so that another node may have it at once. */
+/** Releases the lease, so that another node can get it at once; discards waiting requests. */
 const releaseLease = (state: CoreState, tenure: Tenure, at: number): Effect[] => {
   tenure.pending = undefined;
   tenure.waiting.clear();
@@ -124,13 +124,16 @@
     ({ nodes, majority }) => nodes.filter((node) => pending.votes.has(node)).length >= majority,
   );
 
-/** Longest that a query admitted under an earlier holder's grant may still be in progress. */
+/**
+ * Returns the maximum time for which a query admitted under an earlier holder's grant may still be in
+ * progress, in milliseconds.
+ */
 const adoptionMs = (state: CoreState, row: string): number =>
   withRateMargin(GRANT_MS) + (state.configuration.inForce.rows.get(row)?.deadlineMs ?? 0);
 
 /**
- * True when no other node can have held the lease: every voter knows of all votes of its node in
- * this period and of none for another candidate, and the period before had no roster.
+ * Whether no other node can have held the lease. This is so if every voter knows of all votes of its
+ * node in this period, none was for another candidate, and the previous period had no roster.
  */
 const isFirstHolder = (state: CoreState, pending: PendingLease): boolean =>
   pending.first &&
@@ -150,7 +153,7 @@
   return waiting.flatMap(({ from, request }) => handleRowGrantRequest(state, from, request, at));
 };
 
-/** Takes a keeper's vote; with all majorities the lease runs from when they were asked. */
+/** Handles a keeper's vote; with all majorities, the lease runs from the sending of the request. */
 export const handleLeaseVote = (
   state: CoreState,
   from: NodeId,
@@ -179,7 +182,7 @@
   return answerWaitingRequests(state, tenure, at);
 };
 
-/** Looks after one tenure: renews it while it is asked for and this node is the holder. */
+/** Refreshes a tenure: renews its lease while it is in use and this node is the holder, else releases it. */
 export const refreshTenure = (state: CoreState, tenure: Tenure, at: number): Effect[] => {
   const isNeeded = at < tenure.lastRequestAt + IDLE_AFTER_MS;
   const isHolder = findHolder(state, tenure.row) === state.self.node;
--- a/test/admission/adopted-grant.test.ts
+++ b/test/admission/adopted-grant.test.ts
@@ -16,7 +16,10 @@
   incarnation: 1,
 });
 
-/** A node that holds 5 until 100, asks at 90, and is told at `answeredAt` that it may keep them. */
+/**
+ * Returns what a node may use that holds 5 until 100, requests a grant at 90 and gets an adopted grant
+ * of 5 at `answeredAt`.
+ */
 const usableAfterAdoption = (answeredAt: number): number => {
   const state = createCoreState({ self: identityOf('bole-1'), seeds: [], seed: 1 });
   const holder = identityOf('bole-2');
@@ -44,12 +47,12 @@
   return usableAmount(use, answeredAt);
 };
 
-describe('a grant given again by a new holder', () => {
-  it('prolongs what the node still holds', () => {
+describe('a grant that a new holder has adopted', () => {
+  it('extends a grant that the node still holds', () => {
     expect(usableAfterAdoption(99)).toBe(5);
   });
 
-  it('brings nothing back that has lapsed on the way: it may be another node’s by now', () => {
+  it('does not restore a grant that has lapsed meanwhile, as another node may have it', () => {
     expect(usableAfterAdoption(100)).toBe(0);
   });
 });
--- a/test/admission/histories.test.ts
+++ b/test/admission/histories.test.ts
@@ -1,4 +1,4 @@
-/** Histories of load and faults, drawn by fast-check, against the rule that sums up grants. */
+/** Generates histories of load and faults and checks that grants and use never exceed the limits. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { step } from '../../src/core/reducer.js';
@@ -27,7 +27,7 @@
 
 type Action = FaultAction | LoadAction;
 
-/** Some calls, or more at once than the limits have room for. */
+/** Some calls, or more calls at once than the limits allow. */
 const loadAction = fc.record({
   type: fc.constantFrom('load' as const, 'rush'),
   node: fc.nat({ max: 5 }),
@@ -81,7 +81,7 @@
   maxUsed <= CONCURRENT_LIMIT &&
   maxRate <= PER_SECOND_LIMIT * (1 + 1e-9);
 
-/** Takes one rule out of a core after each of its steps. */
+/** Changes a core after each of its steps such that one of its rules is broken. */
 type CoreChange = (state: CoreState, effects: readonly Effect[]) => void;
 
 const setDividerRequests = (effects: readonly Effect[], fields: Partial<GrantRequest>): void => {
@@ -92,14 +92,14 @@
   }
 };
 
-/** Cores with one rule of grants taken out each. */
+/** Changes that each break one rule of grants. */
 const BROKEN_CORES: Readonly<Record<string, CoreChange>> = {
   'new holder does not wait for earlier grants': (state) => {
     for (const tenure of state.admission.tenures.values()) {
       tenure.adoptUntil = 0;
     }
   },
-  'keepers forget their votes': (state) => {
+  'keepers lose their votes': (state) => {
     state.admission.votes.clear();
   },
   'grants never lapse': (state) => {
@@ -109,32 +109,32 @@
       }
     }
   },
-  'holder forgets what it gave': (state) => {
+  'holder loses its record of grants': (state) => {
     for (const tenure of state.admission.tenures.values()) {
       tenure.books.clear();
     }
   },
 };
 
-/** Cores with one rule of the divided grants taken out each. */
+/** Changes that each break one rule of divided grants. */
 const BROKEN_DIVIDERS: Readonly<Record<string, CoreChange>> = {
-  'dividers give past the end of their own grant': (state) => {
+  'dividers give grants beyond the end of their own': (state) => {
     for (const { held } of state.admission.dividers.values()) {
       if (held !== undefined) {
         (held as { expiresAt: number }).expiresAt = Number.MAX_SAFE_INTEGER;
       }
     }
   },
-  'dividers forget what they gave': (state) => {
+  'dividers lose their record of grants': (state) => {
     for (const { book } of state.admission.dividers.values()) {
       book.slices.clear();
       book.counted = 0;
     }
   },
-  'dividers do not tell what is in use below them': (_, effects) => {
+  'dividers do not report what their grantees use': (_, effects) => {
     setDividerRequests(effects, { used: 0 });
   },
-  'dividers begin anew in the name of their earlier process': (_, effects) => {
+  'dividers request grants as the same process after a restart': (_, effects) => {
     setDividerRequests(effects, { process: 1 });
   },
 };
@@ -147,10 +147,10 @@
     return effects;
   };
 
-/** How many may ask one holder, so that six nodes in three zones ask over this many levels. */
+/** Values of `mostAskers` with which six nodes in three zones use these levels. */
 const MOST_ASKERS_FOR = { 'one level': 6, zones: 2, 'zones and groups': 1 } as const;
 
-/** A core that asks over so many levels. */
+/** Creates a step function whose core requests grants over these levels. */
 const createLevelStep =
   (levels: keyof typeof MOST_ASKERS_FOR): StepFunction =>
   (state, event) => {
@@ -158,7 +158,7 @@
     return step(state, event);
   };
 
-/** A longer run: FUZZ_RUNS=1000 FUZZ_SEED=7 npx vitest run test/admission/histories.test.ts */
+/** For a longer run: FUZZ_RUNS=1000 FUZZ_SEED=7 npx vitest run test/admission/histories.test.ts */
 const RUNS = Number(process.env['FUZZ_RUNS'] ?? 40);
 const SEED = Number(process.env['FUZZ_SEED'] ?? 20_261_202);
 
@@ -171,7 +171,7 @@
   );
 
 describe.each(['one level', 'zones', 'zones and groups'] as const)(
-  'histories of load and faults over %s',
+  'random histories of load and faults with grants over %s',
   (levels) => {
     it('never grant or use more than the limit', () => {
       fc.assert(
@@ -187,12 +187,12 @@
   },
 );
 
-describe('histories', () => {
-  it.each(Object.entries(BROKEN_CORES))('catch a core whose %s', (_, change) => {
+describe('random histories', () => {
+  it.each(Object.entries(BROKEN_CORES))('detect a core whose %s', (_, change) => {
     expect(checkHistories(breakStep(change, step), 200).failed).toBe(true);
   });
 
-  it.each(Object.entries(BROKEN_DIVIDERS))('catch a core whose %s', (_, change) => {
+  it.each(Object.entries(BROKEN_DIVIDERS))('detect a core whose %s', (_, change) => {
     expect(checkHistories(breakStep(change, createLevelStep('zones')), 200).failed).toBe(true);
   });
 });
--- a/test/admission/limit-world.ts
+++ b/test/admission/limit-world.ts
@@ -1,4 +1,4 @@
-/** A simulated tier with limited rows, and an observer that sums up what its nodes may use. */
+/** A simulated tier with limited rows, and an observer that sums what its nodes may use and use. */
 import { usableAmount } from '../../src/core/admission/limit-use.js';
 import { type LimitUse, limitName } from '../../src/core/admission/state.js';
 import type { LimitBound } from '../../src/protocol/grant-messages.js';
@@ -48,14 +48,14 @@
 
 export const NOTICE: QueryRequest = { ...PAGE, kind: identifier('notice') };
 
-/** What one node has of the limits, as of its last step. */
+/** The last step of one node, whose state shows its grants. */
 interface NodeView {
   readonly step: StepRecord;
-  /** The node's clock less the simulation's. */
+  /** The node's clock minus the simulation's clock, in milliseconds. */
   readonly clockOffset: number;
 }
 
-/** Follows what all live processes together may use, and what they do use. */
+/** Records the maximum of what all live processes together may use and do use. */
 export class LimitObserver implements SimulationObserver {
   simulation: Simulation | undefined;
   maxHeld = 0;
@@ -70,12 +70,12 @@
     this.maxUsed = Math.max(this.maxUsed, this.used());
   }
 
-  /** Sum over live processes, paused ones too, of the grants that each may still use. */
+  /** Sums the grants that live processes, including paused ones, may still use. */
   held(row: string, bound: LimitBound): number {
     return this.sum(row, bound, (use, at) => usableAmount(use, at));
   }
 
-  /** Queries of the row in progress over all live processes. */
+  /** Counts the queries in progress of the row with the concurrent limit, over all live processes. */
   used(): number {
     return this.sum(ROW, 'concurrent', (use) => use.used);
   }
@@ -96,7 +96,7 @@
   }
 }
 
-/** A tier of six nodes in three zones, started, and the observer that watches it. */
+/** Creates a started tier of six nodes in three zones with its observer. */
 export const createLimitWorld = (
   options: SimulationOptions,
 ): { readonly simulation: Simulation; readonly observer: LimitObserver } => {
@@ -108,7 +108,7 @@
   return { simulation, observer };
 };
 
-/** Sends queries to `nodes` in turn, one each `everyMs`, for `durationMs`. */
+/** Sends queries to `nodes` in turn, one every `everyMs` for `durationMs`, in milliseconds. */
 export const sendLoad = (
   simulation: Simulation,
   nodes: readonly string[],
@@ -123,7 +123,7 @@
   }
 };
 
-/** Answers of a kind since `after`, as a share of all calls. */
+/** Returns the share of calls sent since `after` that were answered. */
 export const answeredShare = (simulation: Simulation, after: number): number => {
   const calls = simulation.calls.filter((call) => call.sentAt >= after);
   return calls.filter((call) => call.outcome?.type === 'answered').length / calls.length;
--- a/test/admission/limits.test.ts
+++ b/test/admission/limits.test.ts
@@ -22,7 +22,7 @@
   return findHolder(state, row);
 };
 
-/** Calls as a patient caller does: comes back when told to, until answered or out of patience. */
+/** Calls a node and retries after the given delays until answered, `maxWaitMs` milliseconds at most. */
 const retryUntilAnswered = (
   simulation: Simulation,
   node: string,
@@ -47,7 +47,7 @@
 const listOthers = (name: string): string[] => NODES.filter((node) => node !== name);
 
 describe('limits over all nodes', () => {
-  it('are granted soon after a fresh start, before any query has come', () => {
+  it('are granted within 10 s after a fresh start, before any query arrives', () => {
     const { simulation, observer } = createLimitWorld({ seed: 1 });
     simulation.runFor(10_000);
     expect(observer.held(ROW, 'concurrent')).toBeGreaterThanOrEqual(NODES.length);
@@ -57,7 +57,7 @@
     expect(answeredShare(simulation, 0)).toBe(1);
   });
 
-  it('follow the demand to the node that has it, and leave a share for the others', () => {
+  it('are granted to the node with the demand, and leave a share for the others', () => {
     const { simulation, observer } = createLimitWorld({ seed: 2 });
     simulation.runFor(6_000);
     sendLoad(simulation, ['bole-1'], PAGE, 0.5, 15_000);
@@ -70,7 +70,7 @@
     expect(observer.maxHeld).toBeLessThanOrEqual(CONCURRENT_LIMIT);
   });
 
-  it('bound the rate of all nodes together, with the bursts of their buckets', () => {
+  it('bound the rate of all nodes together, including the bursts of their buckets', () => {
     const { simulation } = createLimitWorld({ seed: 3 });
     simulation.runFor(6_000);
     const start = simulation.now;
@@ -85,7 +85,7 @@
     expect(refused?.outcome?.type === 'not-run' && refused.outcome.retryAfterMs).toBeGreaterThan(0);
   });
 
-  it('outlast the crash of their holder without a refusal', () => {
+  it('cause no refusal when their holder crashes', () => {
     const { simulation, observer } = createLimitWorld({ seed: 4 });
     simulation.runFor(15_000);
     const holder = holderOf(simulation, ROW);
@@ -99,7 +99,7 @@
     expect(observer.maxHeld).toBeLessThanOrEqual(CONCURRENT_LIMIT);
   });
 
-  it('are granted again within 15 s when every node has restarted at once', () => {
+  it('are granted again within 15 s after all nodes have restarted at once', () => {
     const { simulation, observer } = createLimitWorld({ seed: 9 });
     simulation.runFor(15_000);
     const restartedAt = simulation.now;
@@ -114,7 +114,7 @@
     expect(observer.maxHeld).toBeLessThanOrEqual(CONCURRENT_LIMIT);
   });
 
-  it('outlast the planned stop of their holder without a refusal', () => {
+  it('cause no refusal when their holder stops as planned', () => {
     const { simulation, observer } = createLimitWorld({ seed: 5 });
     simulation.runFor(15_000);
     const holder = holderOf(simulation, ROW);
@@ -127,7 +127,7 @@
     expect(observer.maxHeld).toBeLessThanOrEqual(CONCURRENT_LIMIT);
   });
 
-  it('are handed back by a node that stops as planned', () => {
+  it('are returned by a node that stops as planned', () => {
     const { simulation } = createLimitWorld({ seed: 10 });
     simulation.runFor(15_000);
     const holder = holderOf(simulation, ROW);
@@ -144,7 +144,7 @@
     expect(countedFor(stopping) ?? 0).toBe(0);
   });
 
-  it('lapse at a node that is cut off, while the others go on', () => {
+  it('lapse at a node that is cut off, while the other nodes continue to serve', () => {
     const { simulation, observer } = createLimitWorld({ seed: 6 });
     simulation.runFor(15_000);
     const holder = holderOf(simulation, ROW);
@@ -159,7 +159,7 @@
     expect(observer.maxHeld).toBeLessThanOrEqual(CONCURRENT_LIMIT);
   });
 
-  it('are not used by a node that was paused beyond its grant and wakes', () => {
+  it('are not used by a node after a process pause that outlasted its grant', () => {
     const { simulation, observer } = createLimitWorld({ seed: 7 });
     simulation.runFor(15_000);
     const paused = listOthers(holderOf(simulation, ROW))[0] as string;
@@ -175,7 +175,7 @@
     expect(late.filter(({ outcome }) => outcome?.type === 'answered')).toEqual([]);
   });
 
-  it('come down at all nodes when their row is edited', () => {
+  it('decrease at all nodes when their row is edited', () => {
     const { simulation, observer } = createLimitWorld({ seed: 8 });
     simulation.runFor(6_000);
     sendLoad(simulation, NODES, PAGE, 0.5, 20_000);
