--- a/src/core/query/select-replica.ts
+++ b/src/core/query/select-replica.ts
@@ -72,7 +72,7 @@
   return state.random.next() * (costA + costB) <= costB ? a : b;
 };
 
-/** Chooses one of two candidates: an established one over one in slow start, then the faster, by chance. */
+/** Chooses one of two candidates at random; prefers an established to a new one, and the faster one. */
 const chooseBetween = (
   state: CoreState,
   a: ReplicaTarget,
