--- a/src/core/admission/lease-vote.ts
+++ b/src/core/admission/lease-vote.ts
@@ -1,24 +1,24 @@
-/** The keeper's side of a lease: one candidate at a time has its vote. */
+/** The keeper's side of a lease: a keeper votes for one candidate at a time. */
 import type { LeaseRequest } from '../../protocol/grant-messages.js';
 import type { Effect } from '../effect.js';
 import type { NodeId } from '../identifiers.js';
 import { findRoster, isNamedProcess, periodOf, wallTimeAt } from '../keepers/find-roster.js';
 import type { CoreState } from '../state.js';
-import { deliver } from './deliver.js';
+import { sendGrantMessage } from './send-grant-message.js';
 import { LEASE_MS, withRateMargin } from './limit-timing.js';
 import type { LeaseRecord } from './state.js';
 
-/** True when this process knows of every vote its node has cast in this period. */
+/** Whether this process knows of every vote that its node has cast in this period. */
 const knowsAllVotes = (state: CoreState, at: number): boolean => {
   const roster = findRoster(state, periodOf(wallTimeAt(state, at)));
   return roster !== undefined && isNamedProcess(state, roster);
 };
 
-/** A process that does not know what its node voted before abstains until that has lapsed. */
+/** Whether this process may vote: it knows its node's earlier votes, or these have expired. */
 const mayVote = (state: CoreState, at: number): boolean =>
   at >= state.keepers.startedAt + withRateMargin(LEASE_MS) || knowsAllVotes(state, at);
 
-const isFree = (record: LeaseRecord | undefined, candidate: string, at: number): boolean =>
+const isVoteFree = (record: LeaseRecord | undefined, candidate: string, at: number): boolean =>
   record === undefined || record.candidate === candidate || at >= record.until;
 
 const releaseVote = (state: CoreState, request: LeaseRequest): void => {
@@ -43,8 +43,8 @@
   return record;
 };
 
-/** Answers a candidate: votes for it unless another has the vote; or takes a vote back. */
-export const castVote = (
+/** Handles a candidate's request: votes for it unless another has the vote, or releases its vote. */
+export const handleLeaseRequest = (
   state: CoreState,
   from: NodeId,
   request: LeaseRequest,
@@ -55,7 +55,7 @@
     return [];
   }
   const { row, candidate, sequence } = request;
-  const granted = mayVote(state, at) && isFree(state.admission.votes.get(row), candidate, at);
+  const granted = mayVote(state, at) && isVoteFree(state.admission.votes.get(row), candidate, at);
   const first = granted && recordVote(state, request, at).first && knowsAllVotes(state, at);
-  return deliver(state, from, { type: 'lease-vote', row, sequence, granted, first }, at);
+  return sendGrantMessage(state, from, { type: 'lease-vote', row, sequence, granted, first }, at);
 };
--- a/src/core/admission/share-limit.ts
+++ b/src/core/admission/share-limit.ts
@@ -1,33 +1,33 @@
-/** Divides a limit over the nodes that want it. */
+/** Divides a limit among the nodes that request it. */
 
-/** How a limit is divided. */
+/** The division of a limit. */
 export interface LimitShares {
-  /** Most that a node gets while nodes want more than there is; infinite otherwise. */
+  /** Maximum amount per node while the total demand exceeds the limit; infinite otherwise. */
   readonly level: number;
-  /** Given above its demand to each node while there is room. */
+  /** Amount that each node gets above its demand while the limit exceeds the total demand. */
   readonly headroom: number;
 }
 
-/** The level at which small demands are met whole and the larger ones get equal parts. */
+/** Returns the level at which smaller demands are met in full and larger ones get equal parts. */
 const findLevel = (demands: readonly number[], limit: number): number => {
   const ascending = [...demands].sort((a, b) => a - b);
-  let left = limit;
-  let remaining = ascending.length;
+  let remainingLimit = limit;
+  let remainingNodes = ascending.length;
   for (const demand of ascending) {
-    const equalPart = left / remaining;
+    const equalPart = remainingLimit / remainingNodes;
     if (demand > equalPart) {
       return equalPart;
     }
-    left -= demand;
-    remaining -= 1;
+    remainingLimit -= demand;
+    remainingNodes -= 1;
   }
   return Number.POSITIVE_INFINITY;
 };
 
-/** Divides `limit` over nodes with these demands by max-min fairness. */
+/** Divides `limit` among nodes with these demands by max-min fairness. */
 export const shareLimit = (demands: readonly number[], limit: number): LimitShares => {
-  const wanted = demands.reduce((sum, demand) => sum + demand, 0);
-  return wanted > limit
+  const totalDemand = demands.reduce((sum, demand) => sum + demand, 0);
+  return totalDemand > limit
     ? { level: findLevel(demands, limit), headroom: 0 }
-    : { level: Number.POSITIVE_INFINITY, headroom: (limit - wanted) / (demands.length + 1) };
+    : { level: Number.POSITIVE_INFINITY, headroom: (limit - totalDemand) / (demands.length + 1) };
 };
--- a/src/core/admission/tenure.ts
+++ b/src/core/admission/tenure.ts
@@ -1,4 +1,4 @@
-/** The holder's side of its lease: asks the keepers for votes, renews, and gives way. */
+/** The holder's side of its lease: requests the keepers' votes, renews the lease and releases it. */
 import type { LeaseVote } from '../../protocol/grant-messages.js';
 import type { Effect } from '../effect.js';
 import type { NodeId } from '../identifiers.js';
@@ -7,9 +7,9 @@
 import { findRoster, periodOf, wallTimeAt } from '../keepers/find-roster.js';
 import { CLOCK_MARGIN_MS } from '../keepers/keeper-timing.js';
 import type { CoreState } from '../state.js';
-import { deliver } from './deliver.js';
+import { sendGrantMessage } from './send-grant-message.js';
 import { findHolder } from './find-holder.js';
-import { answerGrantRequest } from './give-grant.js';
+import { handleRowGrantRequest } from './give-grant.js';
 import {
   GRANT_MS,
   IDLE_AFTER_MS,
@@ -25,13 +25,13 @@
   leaseUntil: Number.NEGATIVE_INFINITY,
   adoptUntil: Number.NEGATIVE_INFINITY,
   pending: undefined,
-  lastAskedAt: at,
+  lastRequestAt: at,
   books: new Map(),
   waiting: new Map(),
 });
 
-/** This node's tenure of the row, begun without a lease when there is none. */
-export const ensureTenure = (state: CoreState, row: string, at: number): Tenure => {
+/** Returns this node's tenure of the row; creates one without a lease if there is none. */
+export const getTenure = (state: CoreState, row: string, at: number): Tenure => {
   const known = state.admission.tenures.get(row);
   if (known !== undefined) {
     return known;
@@ -41,12 +41,12 @@
   return tenure;
 };
 
-/** True while the lease runs, on this node's own clock. */
+/** Whether the lease is valid on this node's clock. */
 export const holdsLease = (tenure: Tenure, at: number): boolean => at < tenure.leaseUntil;
 
 /**
- * The majorities a lease beginning now needs: one of each roster whose period it may touch on any
- * clock. Undefined when a roster is missing.
+ * Returns the quorums that a lease starting now needs: a majority for each roster whose period the
+ * lease may overlap on any clock. Undefined if a roster is missing.
  */
 const listQuorums = (state: CoreState, row: string, at: number): LeaseQuorum[] | undefined => {
   const wallTime = wallTimeAt(state, at);
@@ -66,7 +66,7 @@
 const candidateName = (state: CoreState): string =>
   `${state.self.node}@${state.keepers.startIncarnation}`;
 
-const askKeepers = (
+const sendLeaseRequests = (
   state: CoreState,
   row: string,
   quorums: readonly LeaseQuorum[],
@@ -77,7 +77,12 @@
   const keepers = new Set(quorums.flatMap((quorum) => quorum.nodes));
   const candidate = candidateName(state);
   return [...keepers].flatMap((keeper) =>
-    deliver(state, keeper, { type: 'lease-request', row, candidate, sequence, release }, at),
+    sendGrantMessage(
+      state,
+      keeper,
+      { type: 'lease-request', row, candidate, sequence, release },
+      at,
+    ),
   );
 };
 
@@ -89,19 +94,19 @@
   state.admission.sequence += 1;
   const { sequence } = state.admission;
   tenure.pending = { sequence, sentAt: at, needed, votes: new Set(), first: true };
-  return askKeepers(state, tenure.row, needed, sequence, false, at);
+  return sendLeaseRequests(state, tenure.row, needed, sequence, false, at);
 };
 
-const isUnanswered = (pending: PendingLease | undefined, at: number): boolean =>
+const isAwaitingVotes = (pending: PendingLease | undefined, at: number): boolean =>
   pending !== undefined && at < pending.sentAt + VOTE_TIMEOUT_MS;
 
-/** Asks for the lease, or for its renewal, where one is due. */
-export const keepLease = (state: CoreState, tenure: Tenure, at: number): Effect[] => {
+/** Requests the lease or its renewal if it is due and no request is pending. */
+export const requestLeaseIfDue = (state: CoreState, tenure: Tenure, at: number): Effect[] => {
   const isDue = tenure.leaseUntil - at < LEASE_RENEW_BEFORE_MS;
-  return isDue && !isUnanswered(tenure.pending, at) ? requestLease(state, tenure, at) : [];
+  return isDue && !isAwaitingVotes(tenure.pending, at) ? requestLease(state, tenure, at) : [];
 };
 
-/** Gives the lease up, so that another node may have it at once. */
+/** Releases the lease, so that another node can get it at once; discards waiting requests. */
 const releaseLease = (state: CoreState, tenure: Tenure, at: number): Effect[] => {
   tenure.pending = undefined;
   tenure.waiting.clear();
@@ -111,7 +116,7 @@
   tenure.leaseUntil = Number.NEGATIVE_INFINITY;
   state.admission.sequence += 1;
   const quorums = listQuorums(state, tenure.row, at) ?? [];
-  return askKeepers(state, tenure.row, quorums, state.admission.sequence, true, at);
+  return sendLeaseRequests(state, tenure.row, quorums, state.admission.sequence, true, at);
 };
 
 const hasMajorities = (pending: PendingLease): boolean =>
@@ -119,34 +124,42 @@
     ({ nodes, majority }) => nodes.filter((node) => pending.votes.has(node)).length >= majority,
   );
 
-/** Longest that a query admitted under an earlier holder's grant may still be in progress. */
+/**
+ * Returns the maximum time for which a query admitted under an earlier holder's grant may still be in
+ * progress, in milliseconds.
+ */
 const adoptionMs = (state: CoreState, row: string): number =>
   withRateMargin(GRANT_MS) + (state.configuration.inForce.rows.get(row)?.deadlineMs ?? 0);
 
 /**
- * True when no other node can have held the lease: every voter knows of all votes of its node in
- * this period and of none for another candidate, and the period before had no roster.
+ * Whether no other node can have held the lease. This is so if every voter knows of all votes of its
+ * node in this period, none was for another candidate, and the previous period had no roster.
  */
 const isFirstHolder = (state: CoreState, pending: PendingLease): boolean =>
   pending.first &&
   pending.needed.length === 1 &&
   findRoster(state, periodOf(wallTimeAt(state, pending.sentAt)) - 1) === undefined;
 
-const beginTenure = (state: CoreState, tenure: Tenure, pending: PendingLease, at: number): void => {
+const startTenure = (state: CoreState, tenure: Tenure, pending: PendingLease, at: number): void => {
   if (!isFirstHolder(state, pending)) {
     tenure.books.clear();
     tenure.adoptUntil = at + adoptionMs(state, tenure.row);
   }
 };
 
-const answerWaiting = (state: CoreState, tenure: Tenure, at: number): Effect[] => {
+const answerWaitingRequests = (state: CoreState, tenure: Tenure, at: number): Effect[] => {
   const waiting = [...tenure.waiting.values()];
   tenure.waiting.clear();
-  return waiting.flatMap(({ from, request }) => answerGrantRequest(state, from, request, at));
+  return waiting.flatMap(({ from, request }) => handleRowGrantRequest(state, from, request, at));
 };
 
-/** Takes a keeper's vote; with all majorities the lease runs from when they were asked. */
-export const takeVote = (state: CoreState, from: NodeId, vote: LeaseVote, at: number): Effect[] => {
+/** Handles a keeper's vote; with all majorities, the lease runs from the sending of the request. */
+export const handleLeaseVote = (
+  state: CoreState,
+  from: NodeId,
+  vote: LeaseVote,
+  at: number,
+): Effect[] => {
   const tenure = state.admission.tenures.get(vote.row);
   const pending = tenure?.pending;
   if (tenure === undefined || pending?.sequence !== vote.sequence || !vote.granted) {
@@ -163,18 +176,18 @@
     return [];
   }
   if (!holdsLease(tenure, at)) {
-    beginTenure(state, tenure, pending, at);
+    startTenure(state, tenure, pending, at);
   }
   tenure.leaseUntil = until;
-  return answerWaiting(state, tenure, at);
+  return answerWaitingRequests(state, tenure, at);
 };
 
-/** Looks after one tenure: renews it while it is asked for and this node is the holder. */
+/** Refreshes a tenure: renews its lease while it is in use and this node is the holder, else releases it. */
 export const refreshTenure = (state: CoreState, tenure: Tenure, at: number): Effect[] => {
-  const isWanted = at < tenure.lastAskedAt + IDLE_AFTER_MS;
+  const isNeeded = at < tenure.lastRequestAt + IDLE_AFTER_MS;
   const isHolder = findHolder(state, tenure.row) === state.self.node;
-  if (isWanted && isHolder && state.phase !== 'stopping') {
-    return keepLease(state, tenure, at);
+  if (isNeeded && isHolder && state.phase !== 'stopping') {
+    return requestLeaseIfDue(state, tenure, at);
   }
   return releaseLease(state, tenure, at);
 };
--- a/src/core/query/select-replica.ts
+++ b/src/core/query/select-replica.ts
@@ -72,7 +72,7 @@
   return state.random.next() * (costA + costB) <= costB ? a : b;
 };
 
-/** Chooses one of two candidates: an established one over one in slow start, then the faster, by chance. */
+/** Chooses one of two candidates at random; prefers an established to a new one, and the faster one. */
 const chooseBetween = (
   state: CoreState,
   a: ReplicaTarget,
@@ -143,7 +143,7 @@
 };
 
 const selectObserved = (state: CoreState, leg: LegState, at: number): ReplicaTarget | undefined => {
-  const { first, second, fallback: fallback, out } = drawCandidates(state, leg, at);
+  const { first, second, fallback, out } = drawCandidates(state, leg, at);
   if (first === undefined) {
     return fallback;
   }
--- a/test/admission/adopted-grant.test.ts
+++ b/test/admission/adopted-grant.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
-import { ensureUse, usableAmount } from '../../src/core/admission/limit-use.js';
-import { requestOwnGrant, takeGrant } from '../../src/core/admission/request-grant.js';
+import { getLimitUse, usableAmount } from '../../src/core/admission/limit-use.js';
+import { requestOwnGrant, applyGrant } from '../../src/core/admission/request-grant.js';
 import { identifier, type NodeId } from '../../src/core/identifiers.js';
 import { createMember } from '../../src/core/membership/state.js';
 import { createCoreState } from '../../src/core/state.js';
@@ -16,7 +16,10 @@
   incarnation: 1,
 });
 
-/** A node that holds 5 until 100, asks at 90, and is told at `answeredAt` that it may keep them. */
+/**
+ * Returns what a node may use that holds 5 until 100, requests a grant at 90 and gets an adopted grant
+ * of 5 at `answeredAt`.
+ */
 const usableAfterAdoption = (answeredAt: number): number => {
   const state = createCoreState({ self: identityOf('bole-1'), seeds: [], seed: 1 });
   const holder = identityOf('bole-2');
@@ -26,7 +29,7 @@
     holder: holder.node,
     asked: new Map(),
   });
-  const use = ensureUse(state, LIMIT, 0);
+  const use = getLimitUse(state, LIMIT, 0);
   const heldFrom = { node: holder.node, level: 'row' } as const;
   use.held = { amount: 5, sequence: 0, expiresAt: 100, validMs: 100, holder: heldFrom };
   const [sent] = requestOwnGrant(state, use, 90);
@@ -40,16 +43,16 @@
     adopted: true,
     validMs: 8_000,
   };
-  takeGrant(state, use, 0, holder.node, grant, answeredAt);
+  applyGrant(state, use, 0, holder.node, grant, answeredAt);
   return usableAmount(use, answeredAt);
 };
 
-describe('a grant given again by a new holder', () => {
-  it('prolongs what the node still holds', () => {
+describe('a grant that a new holder has adopted', () => {
+  it('extends a grant that the node still holds', () => {
     expect(usableAfterAdoption(99)).toBe(5);
   });
 
-  it('brings nothing back that has lapsed on the way: it may be another node’s by now', () => {
+  it('does not restore a grant that has lapsed meanwhile, as another node may have it', () => {
     expect(usableAfterAdoption(100)).toBe(0);
   });
 });
