--- a/test/platform/changing-routes.test.ts
+++ b/test/platform/changing-routes.test.ts
@@ -26,7 +26,7 @@
 
 const WITHOUT_WEIGHT = splitOf(0, 0);
 
-/** What one route is in turn: the index is cut again, and weights go to 0 and come back. */
+/** Successive targets of one route: the shards of the index change, and weights drop to 0 and rise again. */
 const TARGETS: readonly Readonly<Record<string, unknown>>[] = [
   gatherOf('shard-a', 'shard-b'),
   gatherOf('shard-c', 'shard-d'),
@@ -54,7 +54,7 @@
   await fixture.stop();
 });
 
-/** The routes of a version: one that changes its target, one that stays, and others that come and go. */
+/** The routes of a version: one with a changing target, one that stays the same, and one in every second version. */
 const routesOf = (version: number): readonly unknown[] => [
   routeSpec({ path_prefix: '/one/', ...TARGETS[version % TARGETS.length] }),
   routeSpec({ path_prefix: '/stays/', service: 'desk' }),
@@ -75,7 +75,7 @@
 };
 
 describe('requests on routes that are in every version', () => {
-  it('are never turned away while versions come in quick succession', async () => {
+  it('are never answered with a redirection or client error while versions change in quick succession', async () => {
     let isOver = false;
     const paths = ['/one/x', '/one/two/x', '/stays/x'];
     const asking = Array.from({ length: CALLERS }, () => sendUntil(paths, () => isOver));
@@ -91,7 +91,7 @@
     expect(statuses).toContain(200);
   });
 
-  it('are told when to come back, and not turned away, while no part of a split has a weight', async () => {
+  it('are refused with 503 and a retry time while no part of a split has a weight', async () => {
     await fixture.untilInForce(
       fixture.configure(routesOf(TARGETS.indexOf(WITHOUT_WEIGHT)), SERVICES),
     );
--- a/test/platform/evacuation.test.ts
+++ b/test/platform/evacuation.test.ts
@@ -36,7 +36,7 @@
   );
 
 describe('an evacuation in the store', () => {
-  it('closes a zone until it is taken away', async () => {
+  it('closes a zone until the order is removed', async () => {
     expect(await statusOf('/desk/')).toBe(200);
     fixture.store.put('evacuations', 'bole', {});
     await knowsEvacuation(true);
@@ -46,7 +46,7 @@
     expect(await statusOf('/desk/')).toBe(200);
   });
 
-  it('is known to a gateway that starts later before it serves', async () => {
+  it('is known to a gateway that starts later, before it serves', async () => {
     fixture.store.put('evacuations', 'bole', {});
     fixture.gateway.kill();
     await fixture.startGateway();
@@ -56,7 +56,7 @@
 });
 
 describe('the allowed regions of a route', () => {
-  it('are read from the configuration, and the request is refused where no replica is in them', async () => {
+  it('are read from the configuration, and a request is refused if no replica is in them', async () => {
     const answer = await fixture.ask({ id: 'far', path: '/far/' });
     expect(answer.status).toBe(503);
     expect(Number(answer.headers['retry-after'])).toBeGreaterThan(0);
--- a/test/platform/gateway-store.test.ts
+++ b/test/platform/gateway-store.test.ts
@@ -16,7 +16,7 @@
 
 const moved = (): unknown => routeSpec({ path_prefix: '/moved/', service: 'desk' });
 
-/** A configuration of one route as it stands in the store. */
+/** The content of the store's entry for a configuration with one route. */
 const specOf = (version: number, route: unknown): unknown => ({
   version,
   routes: [route],
@@ -28,7 +28,7 @@
   (await fixture.ask({ id: path, path })).status;
 
 describe('the configuration', () => {
-  it('is needed before the gateway is ready; without it nothing is refused for good', async () => {
+  it('is required before the gateway is ready; until then requests are refused only temporarily', async () => {
     fixture.store.mode = 'busy';
     await fixture.startGateway();
     expect(await statusOf('/one/')).toBe(503);
@@ -38,7 +38,7 @@
     expect(await statusOf('/one/')).toBe(200);
   });
 
-  it('comes into force again after the history was forgotten', async () => {
+  it('comes into force after the store has discarded its history', async () => {
     await fixture.serve();
     fixture.store.discardHistory();
     await fixture.untilInForce(fixture.configure([moved()], ['desk']));
@@ -46,7 +46,7 @@
     expect(await statusOf('/one/')).toBe(404);
   });
 
-  it('comes into force after the store has returned from a copy and lost what it had acknowledged', async () => {
+  it('comes into force after the store was restored from a backup and lost acknowledged writes', async () => {
     fixture.store.era = 1;
     const backup = fixture.store.backup();
     await fixture.serve();
@@ -54,7 +54,7 @@
     await fixture.untilInForce(lost);
     fixture.store.mode = 'resetting';
     fixture.store.cutConnections();
-    await until(() => !fixture.gateway.state.store.reachable, 'the loss is noticed');
+    await until(() => !fixture.gateway.state.store.reachable, 'the loss of the store is detected');
     fixture.store.restore(backup);
     fixture.store.mode = 'serving';
     const version = fixture.configure(
@@ -73,7 +73,10 @@
       await fixture.serve();
       fixture.store.mode = mode;
       fixture.store.cutConnections();
-      await until(() => !fixture.gateway.state.store.reachable, 'the loss is noticed');
+      await until(
+        () => !fixture.gateway.state.store.reachable,
+        'the loss of the store is detected',
+      );
       expect(await statusOf('/one/')).toBe(200);
       const version = fixture.configure([moved()], ['desk']);
       fixture.store.mode = 'serving';
@@ -82,7 +85,7 @@
     },
   );
 
-  it('that cannot be read leaves the last good one in force', async () => {
+  it('leaves the last valid version in force if its entry cannot be decoded', async () => {
     await fixture.serve();
     fixture.store.put('config', 'main', { version: 1_000, routes: 'none' });
     await fixture.addReplica('desk-2', 'desk');
@@ -91,7 +94,7 @@
     await fixture.untilInForce(fixture.configure([moved()], ['desk']));
   });
 
-  it('is the one object of its name: others of its kind never come into force', async () => {
+  it('is read only from the object `main`: others of its kind never come into force', async () => {
     fixture.store.put('config', 'draft', specOf(2_000, moved()));
     await fixture.serve();
     expect(await statusOf('/one/')).toBe(200);
@@ -102,7 +105,7 @@
     await fixture.untilInForce(fixture.configure([moved()], ['desk']));
   });
 
-  it('never goes back to an older version', async () => {
+  it('never reverts to an older version', async () => {
     await fixture.serve();
     const version = fixture.configure([moved()], ['desk']);
     await fixture.untilInForce(version);
@@ -115,7 +118,7 @@
 });
 
 describe('the count of gateways', () => {
-  it('takes those that have registered in the store', async () => {
+  it('includes those that have registered in the store', async () => {
     fixture.store.put('gateways', 'front-2', { zone: 'arada' });
     fixture.store.put('gateways', 'front-3', { zone: 'arada' });
     await fixture.serve();
@@ -124,7 +127,7 @@
 });
 
 describe('a stop', () => {
-  it('is told to the load balancer at once, finishes what runs and ends', async () => {
+  it('ends readiness immediately, finishes requests in progress and ends the process', async () => {
     await fixture.addReplica('slow-1', 'slow', { workMs: 400 });
     const slow = routeSpec({ path_prefix: '/slow/', service: 'slow' });
     await fixture.serve();
--- a/test/platform/invalid-entries.test.ts
+++ b/test/platform/invalid-entries.test.ts
@@ -1,4 +1,4 @@
-/** Entries of replicas that another writer has overwritten: they name no replica to use, and the others hold. */
+/** Guards against requests to a replica whose entry was overwritten with invalid content; other replicas stay in use. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { GatewayFixture, until } from './gateway-fixture.js';
@@ -39,14 +39,14 @@
   ['address without a port', () => entryWith({ address: 'nowhere' })],
   ['zone of another type', () => entryWith({ zone: null })],
   ['slots of another type', () => entryWith({ slots: 'many' })],
-  ['slots that are no whole number', () => entryWith({ slots: 1.5 })],
-  ['a state that is not known', () => entryWith({ state: 'sleeping' })],
+  ['slots that are not a whole number', () => entryWith({ slots: 1.5 })],
+  ['an unknown state', () => entryWith({ state: 'sleeping' })],
   ['cold_left_ms of another type', () => entryWith({ cold_left_ms: 'long' })],
-  ['born that is no whole number', () => entryWith({ born: 1.5 })],
+  ['born that is not a whole number', () => entryWith({ born: 1.5 })],
   ['born of another type', () => entryWith({ born: 'today' })],
   ['no fields', () => ({})],
   ['a list', () => [1, 2]],
-  ['a text', () => '\u0000\u0001'],
+  ['a string', () => '\u0000\u0001'],
   ['nothing', () => null],
 ];
 
@@ -58,17 +58,20 @@
   return replica.arrived.length - before;
 };
 
-describe('an entry of a replica that cannot be read', () => {
-  it.each(INVALID_ENTRIES)('names no replica to use: %s', async (_name, spoil) => {
-    expect(await sendRequests()).toBeGreaterThan(0);
-    fixture.store.put('servers', 'spoilt', spoil());
-    const isLogged = (): boolean =>
-      fixture.log.lines.some(({ change }) => change.event === 'object-unreadable');
-    await until(isLogged, 'it is logged');
-    expect(await sendRequests()).toBe(0);
-    expect(otherReplica.arrived.length).toBeGreaterThan(11);
-    fixture.store.put('servers', 'spoilt', replica.entry('desk', 'bole'));
-    await delay(100);
-    expect(await sendRequests()).toBeGreaterThan(0);
-  });
+describe('a replica with an invalid entry', () => {
+  it.each(INVALID_ENTRIES)(
+    'gets no requests until the entry is valid again: %s',
+    async (_name, makeEntry) => {
+      expect(await sendRequests()).toBeGreaterThan(0);
+      fixture.store.put('servers', 'spoilt', makeEntry());
+      const isLogged = (): boolean =>
+        fixture.log.lines.some(({ change }) => change.event === 'object-unreadable');
+      await until(isLogged, 'it is logged');
+      expect(await sendRequests()).toBe(0);
+      expect(otherReplica.arrived.length).toBeGreaterThan(11);
+      fixture.store.put('servers', 'spoilt', replica.entry('desk', 'bole'));
+      await delay(100);
+      expect(await sendRequests()).toBeGreaterThan(0);
+    },
+  );
 });
--- a/test/platform/operator-spec.ts
+++ b/test/platform/operator-spec.ts
@@ -1,4 +1,4 @@
-/** Configurations as the platform's operator writes them into the store. */
+/** Builds configurations in the format in which the platform's operator writes them into the store. */
 
 /** Limits of a configuration. */
 export const LIMITS = {
@@ -11,7 +11,7 @@
 /** Host of all routes. */
 export const HOST = 'shop.example';
 
-/** A route as the operator writes it; the rest is filled in. */
+/** Returns a route in the operator's format, with defaults for fields that are not given. */
 export const routeSpec = (fields: Readonly<Record<string, unknown>>): unknown => ({
   name: `route-${JSON.stringify(fields['path_prefix'])}`,
   host: HOST,
@@ -23,17 +23,17 @@
   ...fields,
 });
 
-/** Services of one configuration, all with the same bound on the connections of a replica. */
+/** Returns the services of a configuration, all with the same connection limit per replica. */
 const serviceSpecs = (services: readonly string[], maxConnections: number): readonly unknown[] =>
   services.map((name) => ({ name, health_path: '/health', max_conns: maxConnections }));
 
-/** Where the configuration stands in the store. */
+/** Kind and name of the configuration's entry in the store. */
 export const CONFIGURATION_ENTRY = { kind: 'config', name: 'main' } as const;
 
 /** Kind of the entries of replicas in the store. */
 export const REPLICA_KIND = 'servers';
 
-/** A whole configuration, as it stands in the store under `config/main`. */
+/** Returns a complete configuration, the content of the entry `config/main`. */
 export const configurationSpec = (
   version: number,
   routes: readonly unknown[],
@@ -47,13 +47,13 @@
   limits: { ...LIMITS, ...limits },
 });
 
-/** What a route does, in the terms of the product. */
+/** A route, independent of the operator's format. */
 export interface OperatorRoute {
   readonly name: string;
   readonly pathPrefix: string;
   readonly repeatable: boolean;
   readonly maxAttempts: number;
-  /** Services that take its requests: one, those of a split with equal weights, or all shards. */
+  /** Services that get its requests: a single one, the parts of a split with equal weights, or all shards. */
   readonly services: readonly string[];
   readonly gather?: { readonly maxRecords: number; readonly minCoverage: number };
 }
@@ -68,7 +68,7 @@
     : { split: services.map((each) => ({ service: each, weight: 1 })) };
 };
 
-/** The route as the operator writes it. */
+/** Converts a route to the operator's format. */
 export const operatorRouteSpec = (route: OperatorRoute): unknown =>
   routeSpec({
     name: route.name,
--- a/test/platform/settings-file.ts
+++ b/test/platform/settings-file.ts
@@ -1,11 +1,11 @@
-/** The text of a settings file, as the template makes it. */
+/** Formats settings files as the template produces them. */
 import type { GatewaySettings } from '../../src/gateway/settings.js';
 import { formatHostPort } from '../../src/settings/parse-host-port.js';
 
-/** Variable that names the settings file to a process. */
+/** Environment variable with the path of the settings file. */
 export const SETTINGS_VARIABLE = 'CROSSROAD_BOOT';
 
-/** Formats settings as a file. */
+/** Returns the text of a settings file. */
 export const settingsFileOf = ({ bounds, ...settings }: GatewaySettings): string =>
   JSON.stringify({
     ...settings,
--- a/test/platform/stand-in-replica.ts
+++ b/test/platform/stand-in-replica.ts
@@ -1,46 +1,46 @@
-/** A stand-in of the platform's replicas, written from its protocol page. */
+/** A stand-in for the platform's replicas, implemented from the description of its protocol. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** Far above what a test sends: what a caller may send is for the gateway to say. */
+/** Header limit far above what tests send, since the gateway is the one to enforce limits. */
 const MAX_HEADER_BYTES = 1_048_576;
 
-/** How a replica treats a request. */
+/** How a replica handles requests. */
 export interface ReplicaBehaviour {
-  /** Time that it works on a request, in milliseconds. */
+  /** Processing time of a request, in milliseconds. */
   workMs: number;
-  /** Requests it works on at once; those beyond are refused. */
+  /** Number of concurrent requests; further ones are refused. */
   slots: number;
-  /** Takes requests and never answers. */
+  /** Accepts requests and never answers. */
   silent: boolean;
-  /** Answers with a status of its own. */
+  /** Status of the answers. */
   status: number;
-  /** Signs its answers. */
+  /** Whether answers have a signature. */
   signed: boolean;
   body: Buffer;
-  /** Sets the signatures of one start apart from those of another under the same identifier; absent where there is none. */
+  /** Part of the signatures that distinguishes incarnations with the same identifier; absent if there is only one. */
   start?: number;
-  /** Body of the answer with a signature; absent where all answers have `body`. */
+  /** Returns the body of the answer with a signature; absent if all answers have `body`. */
   bodyOf?: (signature: string) => Buffer;
-  /** Time of work on the request for a path, in milliseconds; absent where it is `workMs` for all. */
+  /** Returns the processing time for a path, in milliseconds; absent if it is `workMs` for all. */
   workOf?: (path: string) => number;
   /** Runs requests and closes the connection in place of an answer. */
   losesAnswers: boolean;
 }
 
-/** Is told what happens at a replica. */
+/** Observes the requests of a replica. */
 export interface ReplicaObserver {
-  /** A request has arrived; `ran` is false where the replica refused it. */
+  /** A request has arrived; `ran` is false if the replica refused it. */
   arrived(request: ArrivedRequest, ran: boolean): void;
   /** The body of a request has been read. */
   read(request: ArrivedRequest): void;
-  /** The answer to a request is on its way. */
+  /** The answer to a request is being sent. */
   answered(request: ArrivedRequest, signature: string, status: number): void;
-  /** The replica no longer works on a request: it was answered, or its connection has closed. */
+  /** A request has ended: it was answered, or its connection was closed. */
   ended(request: ArrivedRequest): void;
 }
 
-/** A request as it reached the replica. */
+/** A request as received by the replica. */
 export interface ArrivedRequest {
   readonly id: string;
   readonly method: string;
@@ -97,7 +97,7 @@
     return replica;
   }
 
-  /** Its entry in the store. */
+  /** Returns the content of the replica's entry in the store. */
   entry(service: string, zone: string, state = 'ready'): unknown {
     const address = `127.0.0.1:${this.port}`;
     return { service, address, zone, version: 'v1', slots: 4, state, cold_left_ms: 0, seq: 1 };
@@ -108,7 +108,7 @@
     await new Promise((resolve) => this.server.close(resolve));
   }
 
-  /** Resets all its connections and serves on. */
+  /** Closes all connections and continues to serve. */
   cutConnections(): void {
     this.server.closeAllConnections();
   }
--- a/test/platform/stand-in-store.ts
+++ b/test/platform/stand-in-store.ts
@@ -1,8 +1,8 @@
-/** A stand-in of the platform's store, written from its protocol page. */
+/** A stand-in for the platform's store, implemented from the description of its protocol. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** An object as the store keeps it. */
+/** An object in the store's format. */
 interface StoredObject {
   readonly meta: {
     readonly name: string;
@@ -22,7 +22,7 @@
   readonly gone: boolean;
 }
 
-/** What the store held at one moment. */
+/** A backup of the store's content and history. */
 export interface StoreBackup {
   readonly revision: number;
   readonly discardedBefore: number;
@@ -30,13 +30,13 @@
   readonly events: readonly StoreEvent[];
 }
 
-/** How the store treats calls; `losing`: it does what is asked and never answers. */
+/** How the store handles calls. `losing`: it executes them and never answers. */
 export type StoreMode = 'serving' | 'busy' | 'throttling' | 'silent' | 'resetting' | 'losing';
 
 const PAGE_SIZE = 50;
 const OBJECTS_PATH = /^\/v1\/objects\/([^/?]+)(?:\/([^/?]+))?$/;
 
-/** The object in the body of a call; undefined when its connection ends before. */
+/** Reads the object in the body of a call; undefined if the connection closes first. */
 const readObject = async (incoming: IncomingMessage): Promise<StoredObject | undefined> => {
   const chunks: Buffer[] = [];
   try {
@@ -52,13 +52,13 @@
 /** A store with lists, watches and faults. */
 export class StandInStore {
   mode: StoreMode = 'serving';
-  /** Time by which answers to watches are late, in milliseconds. */
+  /** Delay of the answers to watches, in milliseconds. */
   watchDelayMs = 0;
-  /** Watches hear nothing, not even that their wait is over. */
+  /** Watches get no answer, not even when their wait is over. */
   private watchesMuted = false;
   /** Calls by kind and type, e.g. `servers watch`. */
   readonly calls: string[] = [];
-  /** Told in all answers; rises with each return from a copy. Undefined: none is told. */
+  /** Era given in all answers; rises with each restoration from a backup. Undefined if answers give none. */
   era: number | undefined;
   private kinds = new Map<string, Map<string, StoredObject>>();
   private events: StoreEvent[] = [];
@@ -84,7 +84,7 @@
     await new Promise((resolve) => this.server.close(resolve));
   }
 
-  /** Writes an object as the operator or a replica does. */
+  /** Writes an object, as the operator or a replica does. */
   put(kind: string, name: string, spec: unknown): void {
     this.revision += 1;
     const meta = { name, revision: this.revision, created: 1, finalizers: [], deleting: false };
@@ -102,7 +102,7 @@
     }
   }
 
-  /** Drops the history: watches from before hear 410. */
+  /** Discards the history: watches from earlier revisions are answered with 410. */
   discardHistory(): void {
     this.revision += 1;
     this.discardedBefore = this.revision;
@@ -121,7 +121,7 @@
     };
   }
 
-  /** Loses what was written since the copy, and gives its revisions out again in the next era. */
+  /** Restores a backup in a new era. Later changes are lost, and their revisions are assigned again. */
   restore({ revision, discardedBefore, events, kinds }: StoreBackup): void {
     this.era = (this.era ?? 0) + 1;
     this.revision = revision;
@@ -136,7 +136,7 @@
     return [...this.objectsOf(kind).keys()];
   }
 
-  /** Lets watches hear nothing for a while; those that wait are looked at again at its end. */
+  /** Suppresses or enables answers to watches; waiting watches are checked again when answers are enabled. */
   muteWatches(muted: boolean): void {
     this.watchesMuted = muted;
     if (!muted) {
@@ -144,7 +144,7 @@
     }
   }
 
-  /** Breaks all connections. */
+  /** Closes all connections. */
   cutConnections(): void {
     this.server.closeAllConnections();
   }
