--- a/src/gateway/crashes/tell-crashes.ts
+++ b/src/gateway/crashes/tell-crashes.ts
@@ -1,6 +1,6 @@
 /** Tells other gateways of requests under which replicas have ended, and takes what they tell. */
 import type { GatewayEffect } from '../effect.js';
-import type { CrashNewsDue, CrashesTold } from '../event.js';
+import type { CrashUpdatesDue, CrashUpdatesReceived } from '../event.js';
 import type { PeerRecord } from '../model/peer-record.js';
 import type { Fingerprint } from '../model/request.js';
 import { registerIfMissing } from '../peers/follow-gateways.js';
@@ -97,7 +97,7 @@
   state.registration.listedGeneration === undefined ? [] : registerIfMissing(state, at);
 
 /** Handles `crash-news-due`. */
-export const takeCrashNewsDue = (state: GatewayState, { at }: CrashNewsDue): GatewayEffect[] => {
+export const takeCrashNewsDue = (state: GatewayState, { at }: CrashUpdatesDue): GatewayEffect[] => {
   const { crashes } = state;
   crashes.tellAt = undefined;
   crashes.toldAt = at;
@@ -117,7 +117,7 @@
 /** Handles `crashes-told`: takes what is news here, and passes it on. */
 export const takeCrashesTold = (
   state: GatewayState,
-  { news, from, at }: CrashesTold,
+  { news, from, at }: CrashUpdatesReceived,
 ): GatewayEffect[] =>
   news.flatMap((each) => {
     const { fingerprint } = each;
--- a/src/gateway/effect.ts
+++ b/src/gateway/effect.ts
@@ -46,14 +46,14 @@
 }
 
 /** Sends updates about requests that have crashed replicas to other gateways. */
-export interface TellCrashes {
+export interface SendCrashUpdates {
   readonly type: 'tell-crashes';
   readonly peers: readonly PeerRecord[];
   readonly news: readonly CrashNews[];
 }
 
 /** Sets the timer of the next crash updates to other gateways. */
-export interface SetCrashNewsTimer {
+export interface SetCrashUpdateTimer {
   readonly type: 'set-crash-news-timer';
   readonly at: number;
 }
@@ -167,7 +167,7 @@
 }
 
 /** Aborts the pending list or watch of a collection. */
-export interface DropStoreCall {
+export interface AbortStoreCall {
   readonly type: 'drop-store-call';
   readonly collection: CollectionName;
 }
@@ -200,7 +200,7 @@
 }
 
 /** Sends followers an update of what was read from the store. */
-export interface TellFollowers {
+export interface SendReaderUpdate {
   readonly type: 'tell-followers';
   readonly followers: readonly FollowerId[];
   readonly news: ReaderNews;
@@ -261,8 +261,8 @@
   | OpenConnection
   | CheckReplica
   | WatchReplica
-  | TellCrashes
-  | SetCrashNewsTimer
+  | SendCrashUpdates
+  | SetCrashUpdateTimer
   | CloseReplica
   | AnswerCaller
   | ForgetCall
@@ -278,12 +278,12 @@
   | CallStore
   | SetCollectionTimer
   | SetProbeTimer
-  | DropStoreCall
+  | AbortStoreCall
   | SetRegistrationTimer
   | SetReadingTimer
   | FollowReader
   | UnfollowReader
-  | TellFollowers
+  | SendReaderUpdate
   | SetStopTimer
   | SetReadiness
   | ApplyLimits
--- a/src/gateway/event.ts
+++ b/src/gateway/event.ts
@@ -93,13 +93,13 @@
 }
 
 /** The next crash updates to other gateways are due. */
-export interface CrashNewsDue {
+export interface CrashUpdatesDue {
   readonly type: 'crash-news-due';
   readonly at: number;
 }
 
 /** Another gateway has sent updates about requests that have crashed replicas. */
-export interface CrashesTold {
+export interface CrashUpdatesReceived {
   readonly type: 'crashes-told';
   readonly at: number;
   /** Name of the gateway that sent the updates. */
@@ -237,7 +237,7 @@
 }
 
 /** A reader has sent an update. */
-export interface ReaderTold {
+export interface ReaderUpdateReceived {
   readonly type: 'reader-told';
   readonly at: number;
   /** Name under which the reader is followed. */
@@ -281,8 +281,8 @@
   | CallerLeft
   | AttemptEnded
   | ReplicaChecked
-  | CrashNewsDue
-  | CrashesTold
+  | CrashUpdatesDue
+  | CrashUpdatesReceived
   | RequestDue
   | PageRead
   | ChangesRead
@@ -299,7 +299,7 @@
   | PeerAlive
   | FollowerJoined
   | FollowerLeft
-  | ReaderTold
+  | ReaderUpdateReceived
   | ReadingDue
   | RegistrationDue
   | StopDue;
--- a/src/gateway/peers/feeder-plan.ts
+++ b/src/gateway/peers/feeder-plan.ts
@@ -44,11 +44,11 @@
 const gatewaysNearReplicas = (
   gatewaysOfRegion: readonly PeerRecord[],
   replicasByZone: ReadonlyMap<string, number>,
-  enough: number,
+  minCount: number,
 ): readonly PeerRecord[] => {
   const zones = fullZones(replicasByZone);
   const near = gatewaysOfRegion.filter(({ zone }) => zones.has(zone));
-  return near.length >= enough ? near : gatewaysOfRegion;
+  return near.length >= minCount ? near : gatewaysOfRegion;
 };
 
 /**
@@ -60,12 +60,12 @@
   shards: number,
   replicasByZone: ReadonlyMap<string, number>,
 ): readonly PeerRecord[] => {
-  const wanted = Math.max(MIN_FEEDERS, Math.ceil(shards / SHARDS_PER_FEEDER));
-  const enough = Math.max(MIN_FEEDERS, Math.ceil(shards / MAX_SHARDS_PER_FEEDER));
-  const candidates = gatewaysNearReplicas(gatewaysOfRegion, replicasByZone, enough);
-  const strongest = [...candidates].sort(byCapacity).slice(0, wanted);
-  const least = (strongest[0]?.capacity ?? 0) * WEAK_CAPACITY_SHARE;
-  return strongest.filter(({ capacity }, index) => capacity >= least || index < enough);
+  const feederCount = Math.max(MIN_FEEDERS, Math.ceil(shards / SHARDS_PER_FEEDER));
+  const minCount = Math.max(MIN_FEEDERS, Math.ceil(shards / MAX_SHARDS_PER_FEEDER));
+  const candidates = gatewaysNearReplicas(gatewaysOfRegion, replicasByZone, minCount);
+  const strongest = [...candidates].sort(byCapacity).slice(0, feederCount);
+  const minCapacity = (strongest[0]?.capacity ?? 0) * WEAK_CAPACITY_SHARE;
+  return strongest.filter(({ capacity }, index) => capacity >= minCapacity || index < minCount);
 };
 
 /** The feeders of one region for a number of shards. */
--- a/src/gateway/peers/service-share.ts
+++ b/src/gateway/peers/service-share.ts
@@ -3,7 +3,7 @@
  * gateways have in common: the connections of each replica and the slack of the retry budget.
  */
 import type { PeerRecord } from '../model/peer-record.js';
-import type { GatewayState, KnownFeederPlan } from '../state.js';
+import type { GatewayState, CachedFeederPlan } from '../state.js';
 import { FeederPlan } from './feeder-plan.js';
 
 /** Connection limit of a replica if the configuration of its service gives none. */
@@ -55,7 +55,7 @@
 
 const isCurrentPlan = (
   { peers, replicas, inForce }: GatewayState,
-  known: KnownFeederPlan,
+  known: CachedFeederPlan,
 ): boolean =>
   known.peersGeneration === peers.generation &&
   known.replicasGeneration === replicas.generation &&
--- a/src/gateway/process-pause.ts
+++ b/src/gateway/process-pause.ts
@@ -45,10 +45,10 @@
   if (pauseRecovery?.requestedAt === undefined) {
     return [];
   }
-  const isLost = reading.isReading && !store.reachable;
+  const isStoreLost = reading.isReading && !store.reachable;
   const wasConfirmed = isConfirmed(state, pauseRecovery.requestedAt);
   const afterMs = at - pauseRecovery.since;
-  if (!wasConfirmed && !isLost && afterMs < MAX_CONFIRM_MS) {
+  if (!wasConfirmed && !isStoreLost && afterMs < MAX_CONFIRM_MS) {
     return [];
   }
   state.pauseRecovery = undefined;
--- a/src/gateway/readers/take-news.ts
+++ b/src/gateway/readers/take-news.ts
@@ -3,7 +3,7 @@
  * reader. Its own watch does not return what it has been told, and its followers believe that it is current.
  */
 import type { GatewayEffect } from '../effect.js';
-import type { ReaderTold } from '../event.js';
+import type { ReaderUpdateReceived } from '../event.js';
 import type { BeliefChange } from '../log/log-event.js';
 import {
   registerIfMissing,
@@ -225,7 +225,7 @@
 /** Handles `reader-told`; what comes from a gateway that is no longer followed is dropped. */
 export const takeReaderNews = (
   state: GatewayState,
-  { reader, news, at }: ReaderTold,
+  { reader, news, at }: ReaderUpdateReceived,
 ): GatewayEffect[] => {
   const source = state.reading.sources.get(reader);
   if (source === undefined) {
--- a/src/gateway/requests/broken-attempts.ts
+++ b/src/gateway/requests/broken-attempts.ts
@@ -49,12 +49,12 @@
   if (request !== undefined) {
     request.uncheckedBreaks += 1;
   }
-  const known = state.brokenRuns.get(attempt.replica);
+  const known = state.brokenAttempts.get(attempt.replica);
   if (known !== undefined) {
     known.push({ attempt, brokenAt });
     return [];
   }
-  state.brokenRuns.set(attempt.replica, [{ attempt, brokenAt }]);
+  state.brokenAttempts.set(attempt.replica, [{ attempt, brokenAt }]);
   return [{ type: 'check-replica', replica: replica.record }];
 };
 
@@ -219,8 +219,8 @@
   state: GatewayState,
   { replica, isDown, at }: ReplicaChecked,
 ): GatewayEffect[] => {
-  const broken = state.brokenRuns.get(replica) ?? [];
-  state.brokenRuns.delete(replica);
+  const broken = state.brokenAttempts.get(replica) ?? [];
+  state.brokenAttempts.delete(replica);
   const requests = explainBreaks(state, broken);
   const unawaited = isDown ? unawaitedAt(state, replica, at) : [];
   const runs = [...broken.map(({ attempt }) => attempt), ...unawaited];
--- a/src/gateway/runtime/peers/peer-client.ts
+++ b/src/gateway/runtime/peers/peer-client.ts
@@ -4,7 +4,7 @@
  */
 import { connect } from 'node:net';
 import type { MonotonicClock } from '../../../runtime/monotonic-clock.js';
-import type { CancelSubquery, FollowReader, SendSubquery, TellCrashes } from '../../effect.js';
+import type { CancelSubquery, FollowReader, SendSubquery, SendCrashUpdates } from '../../effect.js';
 import type { PeerRecord } from '../../model/peer-record.js';
 import type { PeerProblem, SubqueryId } from '../../model/subquery.js';
 import type { CallerRequests } from '../caller-requests.js';
@@ -130,7 +130,7 @@
   }
 
   /** Tells peers of requests under which replicas have ended; it is encoded once for all of them. */
-  tellCrashes({ peers, news }: TellCrashes): void {
+  tellCrashes({ peers, news }: SendCrashUpdates): void {
     const frame = frameOf({ type: 'crashes', from: this.context.node, news });
     for (const peer of peers) {
       const link = this.links.get(peer.name) ?? this.open(peer);
--- a/src/gateway/runtime/peers/peer-port.ts
+++ b/src/gateway/runtime/peers/peer-port.ts
@@ -2,7 +2,7 @@
 import { createServer, type Server, type Socket } from 'node:net';
 import type { MonotonicClock } from '../../../runtime/monotonic-clock.js';
 import type { HostPort } from '../../../settings/node-settings.js';
-import type { AnswerSubquery, TellFollowers } from '../../effect.js';
+import type { AnswerSubquery, SendReaderUpdate } from '../../effect.js';
 import type { CallId } from '../../model/request.js';
 import type { SubqueryId } from '../../model/subquery.js';
 import type { CallerRequests } from '../caller-requests.js';
@@ -94,7 +94,7 @@
   }
 
   /** Tells followers something; it is encoded once for all of them. */
-  tell({ followers, news }: TellFollowers): void {
+  tell({ followers, news }: SendReaderUpdate): void {
     const frame = frameOf({ type: 'news', news });
     followers.forEach((follower) => this.followers.get(follower)?.sendFrame(frame));
   }
--- a/src/gateway/state.ts
+++ b/src/gateway/state.ts
@@ -42,7 +42,7 @@
 }
 
 /** A feeder plan and the inputs that it was computed from. */
-export interface KnownFeederPlan {
+export interface CachedFeederPlan {
   readonly plan: FeederPlan;
   /** Generations of the peers and of the replicas at the time. */
   readonly peersGeneration: number;
@@ -95,7 +95,7 @@
   /** The readers that this gateway follows, and its own followers. */
   readonly reading: ReadingState;
   /** The current feeder plan; undefined before the first use. */
-  feeders: KnownFeederPlan | undefined;
+  feeders: CachedFeederPlan | undefined;
   /** The plan for whose feeders connections were opened. */
   connectedPlan: FeederPlan | undefined;
   /** Delay until the first message of a feeder about a subquery. */
@@ -124,8 +124,8 @@
   readonly requests: Map<CallId, ActiveRequest>;
   readonly attempts: Map<AttemptId, ActiveAttempt>;
   nextAttempt: AttemptId;
-  /** Runs whose connection broke, by the replica that is being checked. */
-  readonly brokenRuns: Map<string, BrokenRun[]>;
+  /** Attempts whose connection broke, by the replica that is being checked. */
+  readonly brokenAttempts: Map<string, BrokenRun[]>;
   /** Runs that no request waits for any more and that may still crash their replicas. */
   readonly unawaitedRuns: UnawaitedRuns;
   /** Requests that have crashed replicas. */
@@ -185,7 +185,7 @@
   requests: new Map(),
   attempts: new Map(),
   nextAttempt: 1,
-  brokenRuns: new Map(),
+  brokenAttempts: new Map(),
   unawaitedRuns: new UnawaitedRuns(),
   crashes: createCrashState(),
   budgets: new Map(),
--- a/src/gateway/store/apply-objects.ts
+++ b/src/gateway/store/apply-objects.ts
@@ -169,8 +169,8 @@
 /** Updates the number of gateways. It does not fall below the assumed number before all gateways are listed. */
 export const countGateways = (state: GatewayState): GatewayEffect[] => {
   const previous = state.gateways;
-  const least = state.gatewaysSettled ? 1 : previous;
-  state.gateways = Math.max(least, state.peers.listedCount);
+  const minimum = state.gatewaysSettled ? 1 : previous;
+  state.gateways = Math.max(minimum, state.peers.listedCount);
   if (state.gateways === previous) {
     return [];
   }
--- a/test/gateway/crash-network.ts
+++ b/test/gateway/crash-network.ts
@@ -8,7 +8,7 @@
   GatewayEffect,
   SendAttempt,
   SendSubquery,
-  TellCrashes,
+  SendCrashUpdates,
   WatchReplica,
 } from '../../src/gateway/effect.js';
 import type { GatewayEvent } from '../../src/gateway/event.js';
@@ -654,7 +654,7 @@
     });
   }
 
-  private tell(node: CrashNode, { peers, news }: TellCrashes): void {
+  private tell(node: CrashNode, { peers, news }: SendCrashUpdates): void {
     for (const { name } of peers) {
       const to = this.nodes.find(({ record }) => record.name === name);
       this.messages += 1;
--- a/test/gateway/reader-network.ts
+++ b/test/gateway/reader-network.ts
@@ -2,7 +2,7 @@
  * Several gateways over one store in virtual time, with the messages by which readers tell the others.
  * Processes are killed and started, links cut, and the store is taken away from some.
  */
-import type { FollowReader, GatewayEffect, TellFollowers } from '../../src/gateway/effect.js';
+import type { FollowReader, GatewayEffect, SendReaderUpdate } from '../../src/gateway/effect.js';
 import type { GatewayEvent, StoreCallFailed } from '../../src/gateway/event.js';
 import type { BeliefChange } from '../../src/gateway/log/log-event.js';
 import type { FollowerId, ReaderNews } from '../../src/gateway/readers/reader-news.js';
@@ -616,7 +616,7 @@
     }
   }
 
-  private tell(node: VirtualNode, { followers, news }: TellFollowers): void {
+  private tell(node: VirtualNode, { followers, news }: SendReaderUpdate): void {
     this.onTold(news);
     for (const follow of this.follows) {
       if (follow.to === node && followers.includes(follow.id)) {
