--- a/src/gateway/crashes/publish-crashes.ts
+++ b/src/gateway/crashes/publish-crashes.ts
@@ -1,6 +1,6 @@
 /** Publishes crash histories to other gateways, and handles the updates that they send. */
 import type { GatewayEffect } from '../effect.js';
-import type { CrashNewsDue, CrashesTold } from '../event.js';
+import type { CrashUpdatesDue, CrashUpdatesReceived } from '../event.js';
 import type { PeerRecord } from '../model/peer-record.js';
 import type { Fingerprint } from '../model/request.js';
 import { registerIfMissing } from '../peers/follow-gateways.js';
@@ -106,7 +106,7 @@
 /** Handles `crash-news-due`: publishes pending updates and those due for repetition. */
 export const handleCrashUpdatesDue = (
   state: GatewayState,
-  { at }: CrashNewsDue,
+  { at }: CrashUpdatesDue,
 ): GatewayEffect[] => {
   const { crashes } = state;
   crashes.publishAt = undefined;
@@ -127,7 +127,7 @@
 /** Handles `crashes-told`: merges the received histories, and forwards those that change. */
 export const handleCrashUpdates = (
   state: GatewayState,
-  { news, from, at }: CrashesTold,
+  { news, from, at }: CrashUpdatesReceived,
 ): GatewayEffect[] =>
   news.flatMap((each) => {
     const { fingerprint } = each;
--- a/src/gateway/readers/handle-reader-update.ts
+++ b/src/gateway/readers/handle-reader-update.ts
@@ -3,7 +3,7 @@
  * Its own watch does not return changes that an update has already brought, and its followers rely on it being current.
  */
 import type { GatewayEffect } from '../effect.js';
-import type { ReaderTold } from '../event.js';
+import type { ReaderUpdateReceived } from '../event.js';
 import type { BeliefChange } from '../log/log-event.js';
 import {
   registerIfMissing,
@@ -234,7 +234,7 @@
 /** Handles `reader-told`. Updates of a gateway that is no longer followed are discarded. */
 export const handleReaderUpdate = (
   state: GatewayState,
-  { reader, news, at }: ReaderTold,
+  { reader, news, at }: ReaderUpdateReceived,
 ): GatewayEffect[] => {
   const source = state.reading.sources.get(reader);
   if (source === undefined) {
--- a/src/gateway/requests/broken-attempts.ts
+++ b/src/gateway/requests/broken-attempts.ts
@@ -53,12 +53,12 @@
   if (request !== undefined) {
     request.uncheckedBreaks += 1;
   }
-  const known = state.brokenRuns.get(attempt.replica);
+  const known = state.brokenAttempts.get(attempt.replica);
   if (known !== undefined) {
     known.push({ attempt, brokenAt });
     return [];
   }
-  state.brokenRuns.set(attempt.replica, [{ attempt, brokenAt }]);
+  state.brokenAttempts.set(attempt.replica, [{ attempt, brokenAt }]);
   return [{ type: 'check-replica', replica: replica.record }];
 };
 
@@ -237,8 +237,8 @@
   state: GatewayState,
   { replica, isDown, at }: ReplicaChecked,
 ): GatewayEffect[] => {
-  const broken = state.brokenRuns.get(replica) ?? [];
-  state.brokenRuns.delete(replica);
+  const broken = state.brokenAttempts.get(replica) ?? [];
+  state.brokenAttempts.delete(replica);
   const requests = resolveBreaks(state, broken);
   const unawaited = isDown ? removeUnawaitedRuns(state, replica, at) : [];
   const runs = [...broken.map(({ attempt }) => attempt), ...unawaited];
--- a/test/gateway/reader-network.ts
+++ b/test/gateway/reader-network.ts
@@ -2,7 +2,7 @@
  * Several gateways over one store in virtual time, with the messages by which readers tell the others.
  * Processes are killed and started, links cut, and the store is taken away from some.
  */
-import type { FollowReader, GatewayEffect, TellFollowers } from '../../src/gateway/effect.js';
+import type { FollowReader, GatewayEffect, SendReaderUpdate } from '../../src/gateway/effect.js';
 import type { GatewayEvent, StoreCallFailed } from '../../src/gateway/event.js';
 import type { BeliefChange } from '../../src/gateway/log/log-event.js';
 import type { FollowerId, ReaderUpdate } from '../../src/gateway/readers/reader-update.js';
@@ -621,7 +621,7 @@
     }
   }
 
-  private sendToFollowers(node: VirtualNode, { followers, news }: TellFollowers): void {
+  private sendToFollowers(node: VirtualNode, { followers, news }: SendReaderUpdate): void {
     this.onUpdate(news);
     for (const follow of this.follows) {
       if (follow.to === node && followers.includes(follow.id)) {
