--- a/test/gateway/reader-faults.ts
+++ b/test/gateway/reader-faults.ts
@@ -1,11 +1,11 @@
-/** Random faults for gateways that learn from each other, and how they are carried out. */
+/** Random faults for gateways that follow each other, and their application to a network. */
 import fc from 'fast-check';
 import type { ReaderNetwork, VirtualNode } from './reader-network.js';
 import { configurationOf, replicaOf } from './virtual-store.js';
 
 type NodeFault = 'kill' | 'start' | 'lose-store' | 'regain-store' | 'refuse' | 'admit';
 
-/** One fault, or a change of what the store holds. */
+/** One fault, or a change of the store's content. */
 export type Fault =
   | { readonly type: NodeFault; readonly node: number }
   | { readonly type: 'cut' | 'heal'; readonly node: number; readonly other: number }
@@ -17,7 +17,7 @@
 
 const node = fc.nat(29);
 
-/** Faults of processes, links and the store's reachability, and changes. */
+/** Faults of processes, links and the reachability of the store, and changes of its content. */
 export const fault: fc.Arbitrary<Fault> = fc.oneof(
   fc.record({ type: fc.constantFrom('kill', 'start', 'start'), node }),
   fc.record({ type: fc.constantFrom('lose-store', 'regain-store', 'refuse', 'admit'), node }),
@@ -30,20 +30,21 @@
   fc.record({ type: fc.constant('advance'), ms: fc.oneof(fc.nat(50), fc.nat(4_000)) }),
 ) as fc.Arbitrary<Fault>;
 
-/** The same, and interruptions of what the store feeds its watches. */
+/** The same, and interruptions of the store's watches. */
 export const faultOrInterruption: fc.Arbitrary<Fault> = fc.oneof(
   fault,
   fc.record({ type: fc.constantFrom('deafen', 'cut-watches', 'cut-watches', 'forget') }),
   fc.record({ type: fc.constant('slow'), node, ms: fc.constantFrom(4, 300) }),
 ) as fc.Arbitrary<Fault>;
 
-/** Carries faults out on a network. */
+/** Applies faults to a network. */
 export class Run {
+  /** The last version of the configuration that was written. */
   version = 1;
 
   constructor(
     private readonly network: ReaderNetwork,
-    /** Writes to the store; the network itself where nothing is written again. */
+    /** Writes to the store; the network itself where writes are not repeated after a restore. */
     private readonly writers: Pick<ReaderNetwork, 'put'> = network,
   ) {}
 
--- a/test/gateway/reader-fuzz.test.ts
+++ b/test/gateway/reader-fuzz.test.ts
@@ -1,4 +1,4 @@
-/** Readers under random faults: kills, restarts, cuts and a store that is away from some gateways. */
+/** Readers under random faults: kills, restarts, cut links and a store that some gateways cannot reach. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { fault, faultOrInterruption, Run } from './reader-faults.js';
@@ -8,10 +8,13 @@
 /** The bound within which a change must be known, in milliseconds. */
 const BOUND_MS = 3_000;
 
-/** Time without faults after which all that run and reach the store must know the same. */
+/** Time without faults after which all running gateways that reach the store must know its content, in milliseconds. */
 const RECOVERY_MS = 12_000;
 
-/** The store feeds no watch for so long at most, and drops its history so long after it has cut them. */
+/**
+ * Longest time for which the store withholds changes from watches, and longest time from the cut of the watches to the
+ * loss of its history, in milliseconds.
+ */
 const MAX_WITHHELD_MS = 1_000;
 const MAX_HISTORY_LOSS_DELAY_MS = 300;
 
@@ -34,7 +37,7 @@
   return network;
 };
 
-/** What a gateway must know of the replicas: those that are listed, and which of them drain. */
+/** The identifiers of the replicas that a gateway must know. */
 const replicasOf = (network: ReaderNetwork): readonly string[] => network.store.names('replicas');
 
 /** Ends all faults and starts all processes. */
@@ -59,7 +62,7 @@
   expect(network.readers().length).toBeLessThanOrEqual(3);
 };
 
-/** Replicas that drain, as the store has them. */
+/** Identifiers of the draining replicas in the store. */
 const drainingOf = ({ store }: ReaderNetwork): readonly string[] =>
   store.names('replicas').filter((id) => {
     const record = store.find('replicas', id);
@@ -76,8 +79,8 @@
   }
 };
 
-describe('gateways that learn from each other', () => {
-  it('know the same as the store after trouble, and never go back', () => {
+describe('gateways that follow each other', () => {
+  it('know the content of the store after faults, and never revert to an older version', () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 5, max: 30 }),
@@ -95,7 +98,7 @@
     );
   });
 
-  it('that reach the store know a change within the bound, whoever is cut off or killed', () => {
+  it('know a change within the bound where they reach the store, whichever others are cut off or killed', () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 5, max: 30 }),
@@ -120,7 +123,7 @@
     );
   });
 
-  it('know the same as the store after interruptions of what it tells, and never go back', () => {
+  it('know the content of the store after interruptions of watches, and never revert to an older version', () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 5, max: 30 }),
@@ -140,7 +143,7 @@
     );
   });
 
-  it('know what watches do not hear within the bound, whatever was interrupted before', () => {
+  it('know changes withheld from watches within the bound, whatever was interrupted before', () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 5, max: 30 }),
@@ -173,8 +176,8 @@
       {
         numRuns: RUNS,
         seed: SEED,
-        // A watch that ended without its change had raised the known revision: the list after the cut
-        // brought the change to the readers, at a revision that their followers knew already.
+        // A watch that ended without its change raised the known revision. The list after the cut then brought the
+        // change to the readers, but at a revision that their followers already knew.
         examples: [[5, [{ type: 'evacuate', zone: 'bole' }], 40, 0]],
       },
     );
--- a/test/gateway/reader-interruptions.test.ts
+++ b/test/gateway/reader-interruptions.test.ts
@@ -1,19 +1,16 @@
 /**
- * Seen: six seconds after the store had acknowledged a version, all gateways of a zone still routed by the one
- * before. They sent requests to the old service and answered 404 on a route that had been added, until the next
- * change. No process had ended, the store answered every probe, and the zone's reader said that it was current.
+ * Guards against gateways that keep an old configuration after an interruption of watches. Six seconds after the store
+ * had acknowledged a version, all gateways of a zone still used the previous one: they answered 404 on an added route
+ * until the next change, while the store answered every probe and the zone's reader reported that it was current.
  *
- * How it came about: the store stopped feeding watches for a second, reset them, and dropped its history. The
- * reader made its watch again between the last two. The store accepted it, fed it nothing, and answered
- * "history gone" only when something changed or the watch's time was over, which was 25 seconds.
+ * The store withheld changes from watches for 1 s, reset them, and dropped its history. The reader restarted its watch
+ * between the reset and the loss of the history. The store accepted this watch but reported "history gone" only at the
+ * next change or at the end of the watch, which waited up to 25 s; in the incident that was after 6.6 s, and at other
+ * readers after 0.1 s. A waiting watch had been taken as proof that nothing changes, and a watch that was cut had been
+ * restarted from the last known revision as if no change had been missed.
  *
- * Cause: a watch that waits was taken for proof that nothing changes, and a watch that was cut was made again
- * from the last known revision, as if nothing had been missed. What proved it: the same interruption played
- * on the code of that time, with the logs of all gateways; the reader's watch ends "history gone" 6.6 s after
- * it was made, on all other readers after 0.1 s.
- *
- * The last tests hold a cause found beside it: what a reader learns from another reader was kept from its own
- * followers, who were told that it was current.
+ * The last tests guard against a related fault: a reader did not forward updates of another reader to its own
+ * followers, although it reported to them that it was current.
  */
 import { describe, expect, it } from 'vitest';
 import type { GatewayEffect } from '../../src/gateway/effect.js';
@@ -26,16 +23,18 @@
 /** The bound within which a change must be known, in milliseconds. */
 const BOUND_MS = 3_000;
 
-/** Enough for a start, and for the lists of gateways to settle. */
+/** Time for a start, and for the lists of gateways to settle, in milliseconds. */
 const SETTLED_MS = 8_000;
 
-/** For so long the store feeds no watch. */
+/** Time for which the store withholds changes from watches, in milliseconds. */
 const WITHHELD_MS = 1_000;
 
-/** From the reset of the watches to the loss of the history: all of them have been made again by then. */
+/**
+ * Time from the reset of the watches to the loss of the history, in milliseconds: all watches have restarted by then.
+ */
 const HISTORY_LOSS_DELAY_MS = 200;
 
-/** A pause before a call is made again, a list, and the news of it. */
+/** Time for the pause before a repeated call, a list and the resulting update, in milliseconds. */
 const REREAD_MS = 170;
 
 const routeOf = (pathPrefix: string): Route => ({
@@ -70,7 +69,9 @@
   ...new Set(network.nodes.map(({ version }) => version)),
 ];
 
-/** A route is added, a replica drains and a zone is evacuated while watches hear nothing; then they are cut. */
+/**
+ * Adds a route, drains a replica and evacuates a zone while changes are withheld from watches; then cuts the watches.
+ */
 const changeWhileWithheld = (network: ReaderNetwork): void => {
   network.withholdChanges();
   const routes = [routeOf('/first/'), routeOf('/added/')];
@@ -94,7 +95,7 @@
 };
 
 describe('readers whose watches were cut', () => {
-  it('read what they missed at once even where new watches hear nothing', () => {
+  it('read missed changes at once even where new watches receive nothing', () => {
     const network = threeZones();
     changeWhileWithheld(network);
     network.advance(HISTORY_LOSS_DELAY_MS);
@@ -107,7 +108,7 @@
     }
   });
 
-  it('know it within the bound even where the new watches go silent too', () => {
+  it('know missed changes within the bound even where the new watches go silent too', () => {
     const network = threeZones();
     changeWhileWithheld(network);
     network.advance(HISTORY_LOSS_DELAY_MS);
@@ -118,7 +119,7 @@
     expect(versionsOf(network)).toEqual([2]);
   });
 
-  it('refuse nothing on a route that was added meanwhile', () => {
+  it('refuse no request on a route that was added in the meantime', () => {
     const network = threeZones();
     changeWhileWithheld(network);
     network.advance(HISTORY_LOSS_DELAY_MS);
@@ -131,8 +132,8 @@
   });
 });
 
-describe('a list after a cut', () => {
-  it('is told to followers as what it has changed', () => {
+describe('list after a cut', () => {
+  it('is published to followers as changes only', () => {
     const network = threeZones();
     const updates: ReaderUpdate[] = [];
     network.onUpdate = (news) => updates.push(news);
@@ -146,7 +147,7 @@
     );
   });
 
-  it('tells what is gone since the watch was cut', () => {
+  it('publishes objects that are gone since the watch was cut', () => {
     const network = threeZones();
     network.withholdChanges();
     network.put('replicas', 'r-1', undefined);
@@ -158,7 +159,7 @@
     }
   });
 
-  it('is repeated ever less often where the store cuts each watch that is made', () => {
+  it('is repeated with growing pauses where the store cuts each new watch', () => {
     const network = threeZones();
     network.calls.length = 0;
     for (let ms = 0; ms < 10_000; ms += 10) {
@@ -174,7 +175,7 @@
     expect(versionsOf(network)).toEqual([2]);
   });
 
-  it('brings nothing back where a reader has told more meanwhile', () => {
+  it('does not revert a newer update received in the meantime', () => {
     const network = threeZones();
     const follower = network.nodes.find(({ state }) => !state.reading.isReading) as VirtualNode;
     const [reader = ''] = follower.state.reading.sources.keys();
@@ -199,7 +200,7 @@
   });
 });
 
-describe('a change in the pause after another one', () => {
+describe('change in the pause after another one', () => {
   it('is known within the bound even where the next watch goes silent', () => {
     const network = threeZones();
     network.put('configuration', 'main', configurationOf(2));
@@ -214,8 +215,8 @@
   });
 });
 
-describe('a reader that follows another one', () => {
-  /** Gateway `bole-2` learns from `bole-1`, which reads for it and itself learns from `bole-0`. */
+describe('reader that follows another one', () => {
+  /** Gateway `bole-2` follows `bole-1`, which reads the store for it and itself follows `bole-0`. */
   const chainOf = (): readonly [
     ReaderNetwork,
     readonly [VirtualNode, VirtualNode, VirtualNode],
@@ -224,7 +225,7 @@
     const first = network.find(network.readers()[0] ?? '');
     const [last, middle] = network.nodes.filter((node) => node !== first);
     if (last === undefined || middle === undefined) {
-      throw new Error('there are fewer than three gateways');
+      throw new Error('the network has fewer than three gateways');
     }
     network.setCut(first, last, true);
     network.advance(BOUND_MS * 2);
@@ -233,7 +234,7 @@
     return [network, [first, middle, last]];
   };
 
-  it('passes on what it is told before it reads it itself', () => {
+  it('forwards updates before it reads the changes itself', () => {
     const [network, [, middle, last]] = chainOf();
     middle.storeMs = 300;
     network.put('configuration', 'main', configurationOf(2));
@@ -246,7 +247,7 @@
     expect([...last.state.evacuatedZones]).toEqual(['hall']);
   });
 
-  it('leaves no follower behind for longer than the bound', () => {
+  it('brings changes to its followers within the bound', () => {
     const [network, [, middle, last]] = chainOf();
     middle.storeMs = 300;
     network.put('configuration', 'main', configurationOf(2));
--- a/test/gateway/reader-lists.test.ts
+++ b/test/gateway/reader-lists.test.ts
@@ -1,4 +1,4 @@
-/** What lists between watches must not do: bring anything back, be told without end, or follow each other at once. */
+/** Lists between watches: they must not revert changes, be published endlessly, or be repeated without a pause. */
 import { describe, expect, it } from 'vitest';
 import type { GatewayEffect } from '../../src/gateway/effect.js';
 import type { ReplicaRecord } from '../../src/gateway/model/replica-record.js';
@@ -10,7 +10,7 @@
 const BOUND_MS = 3_000;
 const SETTLED_MS = 8_000;
 
-/** A pause before a call is made again, two pages of a list, and the news of it. */
+/** Time for the pause before a repeated call, two pages of a list and the resulting update, in milliseconds. */
 const REREAD_MS = 300;
 
 const nameOf = (index: number): string => `r-${String(index).padStart(3, '0')}`;
@@ -36,7 +36,7 @@
 const publishedUpdates = (effects: readonly GatewayEffect[]): readonly ReaderUpdate[] =>
   effects.flatMap((effect) => (effect.type === 'tell-followers' ? [effect.news] : []));
 
-/** Replicas of the news that are told not to drain. */
+/** Identifiers of the replicas that the updates publish as not draining. */
 const publishedAsServing = (news: readonly ReaderUpdate[]): readonly string[] =>
   news.flatMap((each) =>
     each.type !== 'status' && each.collection === 'replicas'
@@ -46,7 +46,7 @@
 
 describe('gateways that follow each other', () => {
   it.each(['lost', 'refused'] as const)(
-    'come to an end with two changes of one replica in one answer while the store is %s',
+    'publish a bounded number of updates for two changes of one replica in one answer while the store is %s',
     (how) => {
       const network = networkOf(2);
       const first = readerOf(network);
@@ -72,8 +72,8 @@
   );
 });
 
-describe('a store that answers, but not what was asked', () => {
-  it('is not listed because it throttles watches', () => {
+describe('store that fails calls with an answer', () => {
+  it('is not listed where it throttles watches', () => {
     const network = networkOf(200);
     network.failsCall = (call, count) =>
       call.type === 'watch' && count % 3 === 0 ? 'throttled' : undefined;
@@ -82,7 +82,7 @@
     expect(listsOf(network)).toBe(0);
   });
 
-  it('is listed for one collection only where that one cannot be read', () => {
+  it('is listed only for the collection that cannot be read', () => {
     const network = networkOf(200);
     network.failsCall = (call) => (call.collection === 'evacuations' ? 'malformed' : undefined);
     network.cutWatches();
@@ -95,7 +95,7 @@
     expect(others).toEqual([]);
   });
 
-  it('is asked ever less often where each watch finds the history gone', () => {
+  it('is called with growing pauses where the history is gone for each watch', () => {
     const network = networkOf(2);
     network.failsCall = (call) => (call.type === 'watch' ? 'history-gone' : undefined);
     network.cutWatches();
@@ -105,7 +105,7 @@
   });
 });
 
-describe('a list', () => {
+describe('list', () => {
   it('makes no warm replica cold', () => {
     const network = networkOf(100, 5_000);
     network.advance(20_000);
@@ -126,7 +126,7 @@
     }
   });
 
-  it('drops no replica that a reader tells between two of its pages', () => {
+  it('removes no replica that a reader publishes between two of its pages', () => {
     const network = networkOf(120);
     const reader = readerOf(network);
     const progress = reader.state.collections.replicas;
@@ -161,7 +161,7 @@
     }
   });
 
-  it('is begun anew by a gateway that had left it half-read', () => {
+  it('is started again by a gateway that had left it incomplete', () => {
     const network = networkOf(120);
     const first = readerOf(network);
     network.kill(first);
@@ -186,7 +186,7 @@
     }
   });
 
-  it('that was half-read tells nothing older than what was told meanwhile', () => {
+  it('that is incomplete publishes nothing older than an update received in the meantime', () => {
     const network = networkOf(2);
     const first = readerOf(network);
     network.setStore(first, false);
--- a/test/gateway/reader-logs.test.ts
+++ b/test/gateway/reader-logs.test.ts
@@ -1,4 +1,4 @@
-/** What the logs say of how a gateway came to know what is in the store, and how late that may have been. */
+/** Logs of where a gateway learnt the store's content, and how long its knowledge had been unconfirmed. */
 import { describe, expect, it } from 'vitest';
 import type { GatewayEffect } from '../../src/gateway/effect.js';
 import type { ReaderUpdate } from '../../src/gateway/readers/reader-update.js';
@@ -25,8 +25,8 @@
 const changesOf = (effects: readonly GatewayEffect[]): readonly unknown[] =>
   effects.flatMap((effect) => (effect.type === 'write-log' ? [effect.change] : []));
 
-describe('the log of a gateway', () => {
-  it('says who told a version, and for how long nothing had shown that there was none', () => {
+describe('log of a gateway', () => {
+  it('names the reader that sent a version, and how long the configuration had been unconfirmed', () => {
     const network = networkOf();
     const follower = followerOf(network);
     const [reader = ''] = follower.state.reading.sources.keys();
@@ -50,7 +50,7 @@
     });
   });
 
-  it('says that a reader is no longer current, once', () => {
+  it('reports once that a reader is no longer current', () => {
     const network = networkOf();
     const follower = followerOf(network);
     const [reader = ''] = follower.state.reading.sources.keys();
@@ -65,7 +65,7 @@
     expect(receiveStatus()).not.toContainEqual(change);
   });
 
-  it('names an object whose content cannot be read, and keeps what was known of it', () => {
+  it('names an unreadable object, whose last known content is kept', () => {
     const network = networkOf();
     const follower = followerOf(network);
     const effects = step(follower.state, {
@@ -86,8 +86,8 @@
   });
 });
 
-describe('the age of what a gateway knows', () => {
-  it('grows at a follower while no answer of the store reaches its reader', () => {
+describe('confirmation age of a gateway', () => {
+  it('grows at a follower while its reader receives no answer of the store', () => {
     const network = networkOf();
     const follower = followerOf(network);
     const age = (): number => network.now - confirmedAt(follower.state);
--- a/test/gateway/reader-network.ts
+++ b/test/gateway/reader-network.ts
@@ -1,6 +1,6 @@
 /**
- * Several gateways over one store in virtual time, with the messages by which readers tell the others.
- * Processes are killed and started, links cut, and the store is taken away from some.
+ * Several gateways over one store in virtual time, with the updates that readers send to their followers. Processes can
+ * be killed, paused and started, links can be cut, and the store can be made unreachable for some gateways.
  */
 import type { FollowReader, GatewayEffect, TellFollowers } from '../../src/gateway/effect.js';
 import type { GatewayEvent, StoreCallFailed } from '../../src/gateway/event.js';
@@ -13,18 +13,21 @@
 import type { StoreChanges } from '../../src/gateway/store/store-objects.js';
 import { type StoreCopy, VirtualStore } from './virtual-store.js';
 
+/** Duration of a call to the store, in milliseconds. */
 const STORE_MS = 4;
 
 type CollectionStoreCall = Extract<StoreCall, { collection: unknown }>;
+
+/** One-way delay between two gateways, in milliseconds. */
 const LINK_MS = 1;
 
-/** A peer whose link is cut is found silent after this time, as the client of peers does it. */
+/** Time after which a peer behind a cut link is reported silent, in milliseconds, as the peer client does. */
 const SILENCE_MS = 4_500;
 
-/** A suspect is asked so often whether it lives. */
+/** Interval at which a suspected peer is checked, in milliseconds. */
 const PEER_CHECK_MS = 500;
 
-/** Limits on what a run may do, so that a loop without end shows as a failure. */
+/** Limit on the events of a run, so that an endless loop fails the test. */
 const MAX_STEPS = 2_000_000;
 
 interface Scheduled {
@@ -44,24 +47,25 @@
   readonly token: object;
 }
 
-/** One process. */
+/** One gateway process. */
 export class VirtualNode {
   state: GatewayState;
   alive = true;
-  /** Rises with each start: what was meant for an earlier process is dropped. */
+  /** Rises with each start and end of the process: events for an earlier incarnation are discarded. */
   incarnation = 0;
   storeReachable = true;
-  /** The store refuses new connections: lists and watches fail, probes over the open one do not. */
+  /** The store refuses new connections: lists and watches fail, while probes over the open connection succeed. */
   isRefused = false;
-  /** Answers of the store take so long to reach this gateway. */
+  /** Delay of changes from the store to this gateway, in milliseconds. */
   storeMs = STORE_MS;
-  /** Until when it stands still: it takes nothing, and what comes waits. */
+  /** Until when the process is paused; events are queued until then. */
   pausedUntil = 0;
   readonly timers = new Map<string, object>();
   readonly calls = new Map<CollectionName, object>();
   readonly watches = new Map<CollectionName, PendingWatch>();
-  /** The highest version that was in force in this life. */
+  /** The highest version that was in force in this incarnation. */
   highestVersion = 0;
+  /** How often a lower version than the highest one was in force after an event. */
   regressions = 0;
 
   constructor(readonly settings: GatewaySettings) {
@@ -77,29 +81,31 @@
   }
 }
 
-/** All of them, and the clock. */
+/** The gateways, their store, and the clock. */
 export class ReaderNetwork {
   readonly store = new VirtualStore();
   readonly nodes: VirtualNode[] = [];
   now = 0;
-  /** Calls to the store, by their type. */
+  /** All calls to the store, in order. */
   readonly calls: StoreCall[] = [];
-  /** Sees what gateways log of what they believe. */
+  /** Called with each change that a gateway logs. */
   onLog: (node: VirtualNode, change: BeliefChange) => void = () => undefined;
-  /** Sees what readers tell their followers. */
+  /** Called with each update that a reader sends to its followers. */
   onUpdate: (news: ReaderUpdate) => void = () => undefined;
   private readonly queue: Scheduled[] = [];
   private readonly cuts = new Set<string>();
-  /** Watches that wait hear of no changes. */
+  /** Waiting watches receive no changes. */
   private withholdsChanges = false;
-  /** Watches that are made get no answer. */
+  /** New watches get no answer. */
   private ignoresNewWatches = false;
   /**
-   * What goes over a link that is cut comes once the link is healed, as TCP sees to it, unless the connection
-   * has been given up; otherwise it is lost.
+   * Updates sent over a cut link are held and delivered once the link is healed, like data on a TCP connection, unless
+   * the connection was closed in the meantime. Otherwise they are lost.
    */
   holdsUpdatesOfCutLinks = false;
-  /** Whether a call fails, and how; `count` rises with each call that is answered. */
+  /**
+   * The problem with which a call fails, if it does; `count` is the number of calls answered so far, this one included.
+   */
   failsCall: (call: CollectionStoreCall, count: number) => StoreCallFailed['problem'] | undefined =
     () => undefined;
   private answeredCalls = 0;
@@ -110,7 +116,7 @@
   private order = 0;
   private steps = 0;
 
-  /** Adds a gateway that is not started yet. */
+  /** Adds a gateway without starting it. */
   add(node: string, zone: string, capacity = 1, boundMs = 3_000): VirtualNode {
     const host = `10.0.0.${this.nodes.length + 1}`;
     const address = { host, port: 1 };
@@ -143,7 +149,7 @@
   find(name: string): VirtualNode {
     const found = this.nodes.find((node) => node.name === name);
     if (found === undefined) {
-      throw new Error(`there is no ${name}`);
+      throw new Error(`gateway ${name} does not exist`);
     }
     return found;
   }
@@ -160,7 +166,7 @@
     this.emit(node, { type: 'started', at: this.now });
   }
 
-  /** Stops a gateway for a time; when it goes on it notices that, and takes what has come meanwhile. */
+  /** Pauses a gateway process. When it resumes, it detects the pause and handles the events of that time. */
   pauseProcess(node: VirtualNode, forMs: number): void {
     const { incarnation } = node;
     this.schedule(forMs, () => {
@@ -175,7 +181,7 @@
     this.nodes.forEach((node) => this.start(node));
   }
 
-  /** Ends a process; its peers see their connections close. */
+  /** Kills a process; its peers see their connections close. */
   kill(node: VirtualNode): void {
     node.alive = false;
     node.incarnation += 1;
@@ -218,12 +224,12 @@
     open.forEach(({ follow, news }) => this.deliver(follow, news));
   }
 
-  /** Takes the store away from a gateway, or gives it back. */
+  /** Makes the store reachable or unreachable for a gateway. */
   setStore(node: VirtualNode, reachable: boolean): void {
     node.storeReachable = reachable;
   }
 
-  /** Lets the store refuse all but the probes of a gateway, or take its calls again. */
+  /** Makes the store refuse all calls of a gateway except probes, or accept them again. */
   setRefused(node: VirtualNode, isRefused: boolean): void {
     node.isRefused = isRefused;
     if (isRefused) {
@@ -231,46 +237,46 @@
     }
   }
 
-  /** Watches wait on, and hear nothing of what changes. */
+  /** Withholds all changes from waiting watches. */
   withholdChanges(): void {
     this.withholdsChanges = true;
   }
 
-  /** Lets all watches that are made from now on get no answer, or an answer again. */
+  /** Leaves all watches that start from now on without an answer, or answers them again. */
   setIgnoresNewWatches(ignoresNewWatches: boolean): void {
     this.ignoresNewWatches = ignoresNewWatches;
   }
 
-  /** Resets the connections of all watches that wait. */
+  /** Resets the connections of all waiting watches. */
   cutWatches(): void {
     for (const node of this.nodes) {
       [...node.watches.values()].forEach(({ call, token }) => this.refuse(node, call, token));
     }
   }
 
-  /** Drops the history of the store; watches hear again of what changes from now on. */
+  /** Drops the history of the store. Watches receive changes again from now on. */
   forgetHistory(): void {
     this.store.forgetHistory();
     this.withholdsChanges = false;
   }
 
-  /** Takes the store away from all gateways, or gives it back. */
+  /** Makes the store unreachable or reachable for all gateways. */
   setStoreDown(isDown: boolean): void {
     this.isStoreDown = isDown;
   }
 
-  /** Does something later, unless the run is over by then. */
+  /** Runs a function after a delay, unless the test has ended by then. */
   after(ms: number, run: () => void): void {
     this.schedule(ms, run);
   }
 
-  /** The store loses what was written since the copy. */
+  /** Restores the store from a backup: it loses everything written since. */
   restoreStore(backup: StoreCopy): void {
     this.store.returnFrom(backup);
     this.wakeWatches();
   }
 
-  /** The connections over which gateways watch go silent; nobody is told, and new ones work. */
+  /** Silences the connections of all waiting watches without an error; new connections work. */
   silenceWatches(): void {
     this.nodes.forEach((node) => node.watches.clear());
   }
@@ -294,7 +300,7 @@
     this.now = until;
   }
 
-  /** Gateways that read the store. */
+  /** Names of the running gateways that read the store. */
   readers(): readonly string[] {
     return this.nodes
       .filter(({ alive, state }) => alive && state.reading.isReading)
@@ -322,7 +328,7 @@
     this.queue.push({ at: this.now + inMs, order: this.order, run });
   }
 
-  /** An event for the process that lives now. */
+  /** Emits an event after a delay, to the current incarnation of the process only. */
   private emitLater(inMs: number, node: VirtualNode, event: GatewayEvent): void {
     const { incarnation } = node;
     this.schedule(inMs, () => {
@@ -335,7 +341,7 @@
   private emit(node: VirtualNode, event: GatewayEvent): void {
     if (this.now < node.pausedUntil) {
       const { incarnation } = node;
-      // What has come over connections is read before timers are looked at.
+      // Events from connections are handled before timers that are due.
       const isTimer = event.type.endsWith('-due');
       this.schedule(node.pausedUntil - this.now + Number(isTimer), () => {
         if (node.alive && node.incarnation === incarnation) {
@@ -346,7 +352,7 @@
     }
     this.steps += 1;
     if (this.steps > MAX_STEPS) {
-      throw new Error('the run does not come to an end');
+      throw new Error('the run exceeds the limit of events');
     }
     const effects = step(node.state, event);
     if (node.version < node.highestVersion) {
@@ -462,7 +468,7 @@
     this.schedule(call.timeoutMs, () => this.refuse(node, call, token));
   }
 
-  /** A call that is still wanted ends without an answer. */
+  /** Fails a call that is still in progress with no answer. */
   private refuse(node: VirtualNode, call: CollectionStoreCall, token: object): void {
     this.failCall(node, call, token, 'no-answer');
   }
@@ -524,7 +530,10 @@
     }
   }
 
-  /** A watch that is fed nothing tells of no newer revision: answers of the store are linearizable. */
+  /**
+   * The changes with which a watch ends. While changes are withheld, it also names no newer revision, since answers of
+   * the store are linearizable.
+   */
   private finalChanges(call: WatchCall): StoreChanges {
     const nothing = this.store.noChanges(call);
     return this.withholdsChanges
@@ -567,14 +576,14 @@
     return !this.cuts.has([left.name, right.name].sort().join('|'));
   }
 
-  /** A gateway by its name or, for a seed, by its address. */
+  /** Finds a gateway by its name or, for a seed, by its address. */
   private target({ peer }: FollowReader): VirtualNode | undefined {
     return this.nodes.find(
       ({ name, settings }) => name === peer.name || settings.peers.host === peer.address.host,
     );
   }
 
-  /** The name under which a gateway follows another. */
+  /** The name under which a gateway follows another one. */
   private nameOf(from: VirtualNode, to: VirtualNode): string {
     const seed = `seed ${to.settings.peers.host}`;
     return from.state.reading.sources.has(seed) ? seed : to.name;
@@ -630,7 +639,10 @@
     }
   }
 
-  /** Held news go first: a connection keeps the order. */
+  /**
+   * Delivers an update, or holds it while the link is cut. Held updates are released before later ones, as on a
+   * connection.
+   */
   private deliver(follow: Follow, news: ReaderUpdate): void {
     const { from, to } = follow;
     if (this.isLinked(from, to)) {
--- a/test/gateway/readers.test.ts
+++ b/test/gateway/readers.test.ts
@@ -8,12 +8,12 @@
 /** The bound within which a change must be known, in milliseconds. */
 const BOUND_MS = 3_000;
 
-/** Enough for a start, and for the lists of gateways to settle. */
+/** Time for a start, and for the lists of gateways to settle, in milliseconds. */
 const SETTLED_MS = 8_000;
 
 const ZONES = ['bole', 'arada', 'hall'];
 
-/** Five gateways in each of three zones, over a store that holds a configuration and replicas. */
+/** Creates and starts `perZone` gateways in each of three zones, over a store with a configuration and replicas. */
 const networkOf = (perZone = 5): ReaderNetwork => {
   const network = new ReaderNetwork();
   network.store.put('configuration', 'main', configurationOf(1));
@@ -40,7 +40,7 @@
   return network.find(name ?? '');
 };
 
-/** Puts another version in the store. */
+/** Writes another version of the configuration to the store. */
 const configure = (network: ReaderNetwork, version: number): void =>
   network.put('configuration', 'main', configurationOf(version));
 
@@ -48,7 +48,7 @@
   network.calls.filter((call) => call.type === type).length;
 
 describe('readers of the store', () => {
-  it('are one in each zone, and all others learn from them', () => {
+  it('are one per zone, and all other gateways learn changes from them', () => {
     const network = networkOf();
     expect(network.readers()).toHaveLength(ZONES.length);
     configure(network, 2);
@@ -56,7 +56,7 @@
     expect(versionsOf(network)).toEqual([2]);
   });
 
-  it('make calls that do not grow with the gateways of a zone', () => {
+  it('make a number of store calls independent of the gateways per zone', () => {
     const watchesOf = (perZone: number): number => {
       const network = networkOf(perZone);
       network.calls.length = 0;
@@ -78,7 +78,7 @@
     expect(versionsOf(network)).toEqual([2]);
   });
 
-  it('are replaced one after the other, until a gateway reads for itself', () => {
+  it('are replaced one after the other, until the last gateway reads for itself', () => {
     const network = networkOf(4);
     for (let version = 2; version < 5; version += 1) {
       network.kill(readerOf(network, 'bole'));
@@ -89,7 +89,7 @@
     }
   });
 
-  it('are replaced when the store turns them away, and come back', () => {
+  it('are replaced when they lose the store, and resume when it is back', () => {
     const network = networkOf();
     const reader = readerOf(network, 'arada');
     network.setStore(reader, false);
@@ -104,7 +104,7 @@
     expect(versionsOf(network)).toEqual([3]);
   });
 
-  it('are replaced when the store refuses their watches though it answers their probes', () => {
+  it('are replaced when the store refuses their watches but answers their probes', () => {
     const network = networkOf();
     const reader = readerOf(network, 'bole');
     network.setRefused(reader, true);
@@ -117,7 +117,7 @@
     expect(network.readers()).toHaveLength(ZONES.length);
   });
 
-  it('are replaced for those that hear nothing more from them', () => {
+  it('are replaced for followers that receive nothing from them', () => {
     const network = networkOf();
     const reader = readerOf(network, 'hall');
     const others = network.nodes.filter((node) => node !== reader);
@@ -127,7 +127,7 @@
     expect(versionsOf(network)).toEqual([2]);
   });
 
-  it('are gateways of other zones where the store turns a whole zone away', () => {
+  it('are gateways of other zones where a whole zone has lost the store', () => {
     const network = networkOf(3);
     network.nodes
       .filter(({ settings }) => settings.zone === 'bole')
@@ -138,7 +138,7 @@
     expect(versionsOf(network)).toEqual([2]);
   });
 
-  it('tell what was missed while a gateway heard nothing', () => {
+  it('send a follower the changes that it missed while it was cut off', () => {
     const network = networkOf();
     const reader = readerOf(network, 'bole');
     const isolated = network.nodes.find(
@@ -153,7 +153,7 @@
     expect(isolated.state.replicas.find('r-7')?.record.draining).toBe(true);
   });
 
-  it('bring nothing back that a gateway has read to be gone', () => {
+  it('do not revert a change that a gateway has read', () => {
     const network = networkOf();
     network.put('replicas', 'r-07', replicaOf('r-7', true));
     network.advance(BOUND_MS);
@@ -166,7 +166,7 @@
     expect(new Set(draining)).toEqual(new Set([true]));
   });
 
-  it('are asked again by hundreds of gateways only once after the store was away', () => {
+  it('remain few when all gateways lose the store and reach it again', () => {
     const network = networkOf();
     network.nodes.forEach((node) => network.setStore(node, false));
     network.advance(5_000);
@@ -181,8 +181,8 @@
   });
 });
 
-describe('news of a reader', () => {
-  it('that are older than what is known change nothing', () => {
+describe('updates of a reader', () => {
+  it('that are older than the known position change nothing', () => {
     const network = networkOf();
     const follower = network.nodes.find(
       ({ state }) => !state.reading.isReading && state.reading.sources.size > 0,
@@ -217,8 +217,8 @@
   });
 });
 
-describe('a gateway that starts', () => {
-  it('while the store is away learns all from the gateways that its settings name', () => {
+describe('gateway that starts', () => {
+  it('while the store is down learns everything from the seeds of its settings', () => {
     const network = networkOf();
     const late = network.add('bole-late', 'bole', 1, BOUND_MS);
     network.nodes.forEach((node) => network.setStore(node, false));
@@ -229,14 +229,14 @@
     expect(late.state.ready).toBe(true);
   });
 
-  it('for good is counted by all others', () => {
+  it('is counted by all others', () => {
     const network = networkOf();
     network.start(network.add('bole-late', 'bole', 1, BOUND_MS));
     network.advance(BOUND_MS);
     expect(new Set(network.nodes.map(({ state }) => state.gateways))).toEqual(new Set([16]));
   });
 
-  it('with all others serves again within a second', () => {
+  it('together with all others serves again within a second', () => {
     const network = networkOf();
     network.nodes.forEach((node) => network.kill(node));
     network.advance(1_000);
@@ -248,8 +248,8 @@
   });
 });
 
-describe('a list in several pages', () => {
-  it('misses nothing that changes while its pages are read', () => {
+describe('lists, watches and updates', () => {
+  it('miss no change while the pages of a list are read', () => {
     const network = new ReaderNetwork();
     network.store.put('configuration', 'main', configurationOf(1));
     for (let index = 0; index < 200; index += 1) {
@@ -267,7 +267,7 @@
     expect(alone.state.replicas.find('r-000')?.record.draining).toBe(true);
   });
 
-  it('hear of a change in time though the connections of all watches have gone silent', () => {
+  it('bring a change within the bound though the connections of all watches are silent', () => {
     const network = networkOf();
     network.silenceWatches();
     configure(network, 2);
@@ -275,7 +275,7 @@
     expect(versionsOf(network)).toEqual([2]);
   });
 
-  it('tell which zones are evacuated, also to gateways that start meanwhile', () => {
+  it('include evacuated zones, also for gateways that start in the meantime', () => {
     const network = networkOf();
     const evacuated = (): readonly string[] => [
       ...new Set(network.nodes.map(({ state }) => [...state.evacuatedZones].join())),
@@ -293,7 +293,7 @@
     expect(evacuated()).toEqual(['']);
   });
 
-  it('are replaced when they are cut off right after a zone was evacuated', () => {
+  it('bring an evacuation to all gateways though a reader loses the store just before', () => {
     const network = networkOf();
     const reader = readerOf(network, 'arada');
     network.setStore(reader, false);
--- a/test/gateway/restore-fuzz.test.ts
+++ b/test/gateway/restore-fuzz.test.ts
@@ -1,9 +1,9 @@
 /**
- * Returns of the store from copies, under random other faults.
+ * Restores of the store from backups, under random other faults.
  *
- * The invariant: whatever era each gateway knows, none goes back to an older version, and none uses a replica that it knew
- * to have left, as long as its entry may stand in a copy; once all has been written again, all know what the store holds,
- * within the bound.
+ * The invariants: whatever era each gateway knows, none reverts to an older version, and none uses a replica that it
+ * knew to have left while a backup may still contain its entry. Once everything has been written again, all gateways
+ * know the store's content within the bound.
  */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
@@ -16,13 +16,16 @@
 /** The bound within which a change must be known, in milliseconds. */
 const BOUND_MS = 3_000;
 
-/** Time in which what a copy lacks is written again, and entries of replicas that have left lapse, in milliseconds. */
+/**
+ * Time in which objects that a backup lacks are written again, and entries of departed replicas expire, in
+ * milliseconds.
+ */
 const REWRITE_MS = 6_000;
 
-/** Time without faults after which all that run and reach the store must know the same. */
+/** Time without faults after which all running gateways that reach the store must know its content, in milliseconds. */
 const RECOVERY_MS = 14_000;
 
-/** Copies are made so often, and kept for so long, in milliseconds. */
+/** Interval between backups, and age up to which they are kept, in milliseconds. */
 const BACKUP_INTERVAL_MS = 500;
 const MAX_BACKUP_AGE_MS = 10_000;
 
@@ -31,9 +34,9 @@
 const RUNS = 60;
 const SEED = 20_261_203;
 
-/** The store goes away, and returns from a copy of that age. */
+/** An outage of the store, after which it is restored from a backup of the given age. */
 interface Restore {
-  readonly type: 'return';
+  readonly type: 'restore';
   readonly backupAgeMs: number;
   readonly outageMs: number;
   readonly rewriteMs: number;
@@ -41,7 +44,7 @@
 }
 
 const storeRestore: fc.Arbitrary<Restore> = fc.record({
-  type: fc.constant('return'),
+  type: fc.constant('restore'),
   backupAgeMs: fc.nat(MAX_BACKUP_AGE_MS),
   outageMs: fc.oneof(fc.nat(100), fc.nat(MAX_OUTAGE_MS)),
   rewriteMs: fc.nat(2_000),
@@ -53,13 +56,14 @@
   maxLength: 40,
 });
 
-/** A network whose store keeps copies of itself. */
+/** A network with regular backups of its store. */
 class RestoringNetwork {
   readonly network = new ReaderNetwork();
   readonly writers = new StoreWriters(this.network);
   private backups: { readonly at: number; readonly backup: StoreCopy }[] = [];
-  /** Replicas that each gateway knows to have left. */
+  /** Replicas that each gateway knows to have left or to drain, with the incarnation of the gateway. */
   private readonly left = new Map<VirtualNode, Map<string, number>>();
+  /** Violations of the invariant on departed replicas. */
   readonly broken: string[] = [];
 
   constructor(gateways: number) {
@@ -80,7 +84,7 @@
   }
 
   apply(step: Fault | Restore, run: Run): void {
-    if (step.type !== 'return') {
+    if (step.type !== 'restore') {
       run.apply(step);
       return;
     }
@@ -109,7 +113,7 @@
     network.after(BACKUP_INTERVAL_MS, () => this.keepBackups());
   }
 
-  /** Notes what each gateway knows to have left, and that none of it is used again. */
+  /** Records the replicas that each gateway knows to have left, and reports those that it uses again. */
   private checkDepartures(): void {
     for (const node of this.network.nodes) {
       const known = this.left.get(node) ?? new Map<string, number>();
@@ -157,7 +161,7 @@
   }
 };
 
-/** A watch that the store does not feed, of the gateways, ends after so long, in milliseconds. */
+/** Time after which a watch of the `gateways` collection has ended where it receives no changes, in milliseconds. */
 const GATEWAYS_WATCH_MS = 30_000;
 
 const expectAllRegistered = ({ network }: RestoringNetwork): void => {
@@ -168,8 +172,8 @@
   }
 };
 
-describe('gateways over a store that returns from copies', () => {
-  it('know the same as the store after trouble, and none goes back', () => {
+describe('gateways over a store that is restored from backups', () => {
+  it('know the content of the store after faults, and never revert to an older version', () => {
     fc.assert(
       fc.property(fc.integer({ min: 3, max: 24 }), steps, (gateways, faults) => {
         const restoring = new RestoringNetwork(gateways);
@@ -187,8 +191,9 @@
     );
   });
 
-  it('use no replica again that they were told to drain, also where they have started since', () => {
-    // Seed 2, path 105: a gateway that had started after the return was told of a replica by one that had not noticed it.
+  it('use no replica again that drains, also where they have started since', () => {
+    // Seed 2, path 105: a gateway that had started after the restore received a replica from one that had not noticed
+    // it.
     const restoring = new RestoringNetwork(4);
     const run = new Run(restoring.network, restoring.writers);
     const faults: readonly (Fault | Restore)[] = [
@@ -196,7 +201,7 @@
       { type: 'kill', node: 0 },
       { type: 'slow', node: 0, ms: 4 },
       { type: 'advance', ms: 1_895 },
-      { type: 'return', backupAgeMs: 1_396, outageMs: 1_178, rewriteMs: 1_185, resets: false },
+      { type: 'restore', backupAgeMs: 1_396, outageMs: 1_178, rewriteMs: 1_185, resets: false },
       { type: 'slow', node: 0, ms: 300 },
     ];
     faults.forEach((step) => restoring.apply(step, run));
@@ -206,7 +211,7 @@
     expect(restoring.broken).toEqual([]);
   });
 
-  it('know what is written after a return within the bound, and call the store a bounded number of times', () => {
+  it('know changes after a restore within the bound, and call the store a bounded number of times', () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 3, max: 24 }),
@@ -237,7 +242,7 @@
           network.advance(REWRITE_MS);
           expect(restoring.broken).toEqual([]);
           const lists = network.calls.filter(({ type }) => type === 'list').length;
-          // At most nine gateways read; a return has each list four collections, and once more what it had begun.
+          // At most nine gateways read. Each lists four collections after a restore, and repeats lists in progress.
           expect(lists).toBeLessThanOrEqual(restores.length * 9 * 4 * 2);
         },
       ),
--- a/test/gateway/restored-objects.test.ts
+++ b/test/gateway/restored-objects.test.ts
@@ -1,4 +1,4 @@
-/** What a copy lacks or brings back, and gateways that know different eras of the store at the same moment. */
+/** Objects that a backup lacks or brings back, and gateways that know different eras of the store at the same time. */
 import { describe, expect, it } from 'vitest';
 import { createRandom } from '../../src/core/random.js';
 import type { BeliefChange } from '../../src/gateway/log/log-event.js';
@@ -11,10 +11,12 @@
 /** The bound within which a change must be known, in milliseconds. */
 const BOUND_MS = 3_000;
 
-/** Enough for a start, and for the lists of gateways to settle. */
+/** Time for a start, and for the lists of gateways to settle, in milliseconds. */
 const SETTLED_MS = 8_000;
 
-/** Time in which what a copy lacks is written again, and in which entries of replicas that have ended lapse. */
+/**
+ * Times in which objects that a backup lacks are written again, and entries of dead replicas expire, in milliseconds.
+ */
 const REWRITE_MS = 2_000;
 const EXPIRY_MS = 9_000;
 
@@ -44,7 +46,7 @@
   network.advance(OUTAGE_MS);
 };
 
-/** The store returns from the copy and nothing is written again. */
+/** Takes the store down and restores it from the backup; nothing is written again. */
 const restoreWithoutRewrites = (
   network: ReaderNetwork,
   backup: Parameters<ReaderNetwork['restoreStore']>[0],
@@ -69,8 +71,8 @@
   return lines;
 };
 
-describe('what the copy lacks', () => {
-  it('a replica that came after it is used on until its entry is back', () => {
+describe('objects that the backup lacks', () => {
+  it('a replica newer than the backup remains in use until its entry is written again', () => {
     const { network, writers } = startNetwork();
     const backup = network.store.copy();
     writers.put('replicas', 'r-new', replicaOf('r-new'));
@@ -83,7 +85,7 @@
     }
   });
 
-  it('a replica whose entry does not come back is gone after two seconds', () => {
+  it('a replica whose entry is not written again is gone after two seconds', () => {
     const { network } = startNetwork();
     const backup = network.store.copy();
     network.put('replicas', 'r-new', replicaOf('r-new'));
@@ -95,7 +97,7 @@
     expect(usedBy(network, 'r-new')).toBe(0);
   });
 
-  it('a zone that was evacuated after it stays so until the order is written again', () => {
+  it('a zone evacuated after the backup remains evacuated until its entry is written again', () => {
     const { network, writers } = startNetwork();
     const backup = network.store.copy();
     writers.put('evacuations', 'hall', { zone: 'hall' });
@@ -109,7 +111,7 @@
     }
   });
 
-  it('entries of gateways are written again, and their number is the same meanwhile', () => {
+  it('gateways write their entries again, and their count does not change in the meantime', () => {
     const { network } = startNetwork(0);
     const backup = network.store.copy();
     for (const zone of ['bole', 'arada', 'hall']) {
@@ -127,7 +129,7 @@
     expect(network.store.names('gateways').length).toBe(9);
   });
 
-  it('an entry of a gateway that is older is written again, and others keep what they know', () => {
+  it('a gateway whose entry is older writes it again, and others keep the newer one', () => {
     const { network } = startNetwork();
     const [first] = network.nodes as [VirtualNode];
     const known = network.store.find('gateways', first.name);
@@ -146,8 +148,8 @@
   });
 });
 
-describe('what the copy brings back', () => {
-  it.each(['gone', 'draining'] as const)('a replica that is %s gets nothing', (state) => {
+describe('objects that the backup brings back', () => {
+  it.each(['gone', 'draining'] as const)('a replica that is %s gets no requests', (state) => {
     const { network, writers } = startNetwork();
     const backup = network.store.copy();
     writers.put('replicas', 'r-1', state === 'gone' ? undefined : replicaOf('r-1', true));
@@ -160,7 +162,7 @@
     }
   });
 
-  it('a replica whose entry does not lapse is used again: it lives', () => {
+  it('a replica whose entry does not expire is alive and used again', () => {
     const { network } = startNetwork();
     const backup = network.store.copy();
     network.put('replicas', 'r-1', undefined);
@@ -176,21 +178,24 @@
     ['a later start', 2, 9],
     ['an earlier start', 0, 0],
     ['the same start', 1, 0],
-  ])('of a replica that has gone, %s is told from it by its time', (_what, bornAt, users) => {
-    const { network } = startNetwork();
-    const startedAt = (at: number): ReplicaRecord => ({ ...replicaOf('r-b'), bornAt: at });
-    network.put('replicas', 'r-b', startedAt(bornAt));
-    const backup = network.store.copy();
-    network.put('replicas', 'r-b', startedAt(1));
-    network.advance(500);
-    network.put('replicas', 'r-b', undefined);
-    network.advance(1_000);
-    restoreWithoutRewrites(network, backup);
-    network.advance(1_500);
-    expect(usedBy(network, 'r-b')).toBe(users);
-  });
+  ])(
+    'a replica that has gone, listed with %s, is distinguished by its start time',
+    (_what, bornAt, users) => {
+      const { network } = startNetwork();
+      const startedAt = (at: number): ReplicaRecord => ({ ...replicaOf('r-b'), bornAt: at });
+      network.put('replicas', 'r-b', startedAt(bornAt));
+      const backup = network.store.copy();
+      network.put('replicas', 'r-b', startedAt(1));
+      network.advance(500);
+      network.put('replicas', 'r-b', undefined);
+      network.advance(1_000);
+      restoreWithoutRewrites(network, backup);
+      network.advance(1_500);
+      expect(usedBy(network, 'r-b')).toBe(users);
+    },
+  );
 
-  it('a zone that was reopened after it is not evacuated again', () => {
+  it('a zone reopened after the backup is not evacuated again', () => {
     const { network, writers } = startNetwork();
     writers.put('evacuations', 'hall', { zone: 'hall' });
     network.advance(1_000);
@@ -208,7 +213,7 @@
 });
 
 describe('gateways that know different eras', () => {
-  it('do not go back where a reader that has not noticed tells one that has', () => {
+  it('discard changes of an earlier era from a reader that has not noticed the restore', () => {
     const { network } = startNetwork();
     const backup = network.store.copy();
     restoreWithoutRewrites(network, backup);
@@ -237,7 +242,7 @@
     expect(follower.state.collections.replicas).toMatchObject({ era, revision });
   });
 
-  it('ask again where the changes across a return do not go on from what they know', () => {
+  it('request a snapshot where changes across a restore do not continue from their position', () => {
     const { network } = startNetwork();
     const follower = network.nodes.find(({ state }) => !state.reading.isReading) as VirtualNode;
     const [reader] = [...follower.state.reading.sources.keys()];
@@ -260,7 +265,7 @@
     expect(follower.state.collections.replicas).toMatchObject({ era: 1, revision });
   });
 
-  it('drop an answer of before the return that comes after it, and list', () => {
+  it('discard an answer from before the restore that arrives after it', () => {
     const { network } = startNetwork();
     const reader = network.nodes.find(({ state }) => state.reading.isReading) as VirtualNode;
     const backup = network.store.copy();
@@ -281,7 +286,7 @@
     expect(reader.state.collections.replicas.revision).toBe(revision);
   });
 
-  it('pass over a reader of an earlier build, which tells no era, once they know one', () => {
+  it('replace a reader of an earlier build, which names no era, once they know one', () => {
     const { network } = startNetwork();
     const follower = network.nodes.find(({ state }) => !state.reading.isReading) as VirtualNode;
     const [source] = [...follower.state.reading.sources.values()];
@@ -299,7 +304,7 @@
     expect(uses(follower, 'r-1')).toBe(false);
   });
 
-  it('know within the bound what is written after a second return within seconds', () => {
+  it('know changes within the bound after a second restore within seconds', () => {
     const { network, writers } = startNetwork();
     const backups = [network.store.copy()];
     writers.put('configuration', 'main', configurationOf(2));
@@ -318,7 +323,7 @@
     expect(network.nodes.map(({ regressions }) => regressions)).toEqual(Array<number>(9).fill(0));
   });
 
-  it('know it where the store is cut off from some, and slow for others', () => {
+  it('know changes within the bound where some cannot reach the store and it is slow for others', () => {
     const { network, writers } = startNetwork();
     const backup = network.store.copy();
     writers.put('configuration', 'main', configurationOf(2));
@@ -337,14 +342,14 @@
   });
 });
 
-describe('a configuration that the store has lost', () => {
+describe('configuration that the store has lost', () => {
   const startAgain = (network: ReaderNetwork, nodes: readonly VirtualNode[]): void =>
     nodes.forEach((node) => {
       network.kill(node);
       network.start(node);
     });
 
-  it('is in force at a gateway that starts since, beside others that know it', () => {
+  it('is in force at a gateway that has restarted since, beside others that know it', () => {
     const { network } = startNetwork();
     const backup = network.store.copy();
     network.put('configuration', 'main', configurationOf(2));
@@ -357,7 +362,7 @@
     expect(network.nodes.map(({ version }) => version)).toEqual(Array<number>(9).fill(2));
   });
 
-  it('is told to a reader that has started since by those that follow it', () => {
+  it('is offered to a restarted reader by its followers', () => {
     const { network } = startNetwork();
     const backup = network.store.copy();
     network.put('configuration', 'main', configurationOf(2));
@@ -372,7 +377,7 @@
     expect(network.nodes.map(({ version }) => version)).toEqual(Array<number>(9).fill(2));
   });
 
-  it('is not offered again and again, nor where the store has not returned', () => {
+  it('is offered only once, and only after a restore', () => {
     const { network } = startNetwork();
     const backup = network.store.copy();
     network.put('configuration', 'main', configurationOf(2));
@@ -391,8 +396,8 @@
   });
 });
 
-describe('what a return costs', () => {
-  it('no gateway becomes unready, and one line tells both eras and what changed', () => {
+describe('cost of a restore', () => {
+  it('no gateway becomes unready, and one log line names both eras and the changes', () => {
     const { network, writers } = startNetwork();
     const backup = network.store.copy();
     writers.put('replicas', 'r-1', undefined);
@@ -411,7 +416,7 @@
     expect(lines.filter(({ event }) => event === 'ready')).toEqual([]);
   });
 
-  it('a few gateways of each zone list, whatever their number, and entries are not written at once', () => {
+  it('a few gateways of each zone list, whatever their number, and entries are written over time', () => {
     const { network } = startNetwork(0);
     const backup = network.store.copy();
     for (let index = 0; index < 90; index += 1) {
@@ -427,7 +432,8 @@
     expect(registers()).toBeLessThan(60);
     network.advance(EXPIRY_MS);
     const lists = network.calls.filter(({ type }) => type === 'list').length;
-    // Three candidates of each of three zones may read while the store is away; four collections, a page or two each.
+    // Three candidates of each of three zones may read while the store is down; four collections, one or two pages
+    // each.
     expect(lists).toBeLessThanOrEqual(9 * 4 * 2);
     expect(registers()).toBeLessThanOrEqual(2 * 90);
     expect(network.store.names('gateways').length).toBe(90);
--- a/test/gateway/store-restores.test.ts
+++ b/test/gateway/store-restores.test.ts
@@ -1,15 +1,12 @@
 /**
- * Seen: on a day on which the store was away for 2.5 s and came back from a copy some seconds old, versions of the
- * configuration that it acknowledged 5 to 8 s later were in force at no gateway in time; one came into force at two of the
- * three that read the store, and at none of those that follow them.
+ * Guards against changes that are lost after a restore of the store. The store was down for 2.5 s and was restored from
+ * a backup some seconds old. Versions of the configuration that it acknowledged 5 to 8 s later were in force at no
+ * gateway in time; one came into force at two of three readers, and at none of their followers.
  *
- * How it came about: a store that returns gives its revisions out again. The readers watched from the revision that they
- * knew, which the store did not have, and were refused; what they listed then stood at a lower revision, and was dropped as
- * older than what they knew. This went on, 20 times and more, until enough had been written; what was written meanwhile was
- * never told. A follower dropped in the same way what its reader told.
- *
- * Cause: revisions were compared across a return of the store. Proof: the first play's logs have as many lists that change
- * nothing as watches that were refused, and the same happens here, with nothing else disturbed.
+ * A restored store assigns its revisions again, and gateways compared revisions across the restore. The readers watched
+ * from a revision that the store did not have, and were refused. Their lists then had a lower revision and were
+ * discarded as outdated. This repeated 20 times and more until enough had been written, and changes of that time were
+ * never published. Followers discarded the updates of their readers in the same way.
  */
 import { describe, expect, it } from 'vitest';
 import { ReaderNetwork } from './reader-network.js';
@@ -18,16 +15,16 @@
 /** The bound within which a change must be known, in milliseconds. */
 const BOUND_MS = 3_000;
 
-/** Enough for a start, and for the lists of gateways to settle. */
+/** Time for a start, and for the lists of gateways to settle, in milliseconds. */
 const SETTLED_MS = 8_000;
 
-/** How long the store is away before it returns, in milliseconds. */
+/** Duration of the outage before the restore, in milliseconds. */
 const OUTAGE_MS = 2_500;
 
-/** The same where it falls silent: all gateways know by then that it is out of reach, and no call waits for it. */
+/** The same for a silent outage: by then all gateways have noticed it, and no call is pending. */
 const SILENT_OUTAGE_MS = 5_000;
 
-/** Changes that the store loses: more than are written in the seconds after its return. */
+/** Number of changes that the store loses: more than are written in the seconds after the restore. */
 const LOST_CHANGES = 120;
 
 const ZONES = ['bole', 'arada', 'hall'];
@@ -54,7 +51,7 @@
 const configure = (network: ReaderNetwork, version: number): void =>
   network.put('configuration', 'main', configurationOf(version));
 
-/** Writes that concern nothing the gateways act on, but raise the revision. */
+/** Writes changes that do not concern the tests, but raise the revision. */
 const writeOften = (network: ReaderNetwork, changes: number): void => {
   for (let change = 0; change < changes; change += 1) {
     const record = replicaOf('r-00');
@@ -62,7 +59,7 @@
   }
 };
 
-/** The store goes away and returns from the copy; it resets connections, or falls silent, as it goes. */
+/** Takes the store down, with reset or silent connections, and restores it from the backup. */
 const restoreFrom = (network: ReaderNetwork, backup: StoreCopy, mode: 'reset' | 'silent'): void => {
   network.setStoreDown(true);
   if (mode === 'reset') {
@@ -78,8 +75,8 @@
 
 const everywhere = (version: number): readonly number[] => Array<number>(9).fill(version);
 
-describe('after the store has returned from a copy', () => {
-  it('what it acknowledges is in force at every gateway within the bound', () => {
+describe('after a restore of the store', () => {
+  it('acknowledged versions are in force at every gateway within the bound', () => {
     const network = startNetwork();
     const backup = network.store.copy();
     writeOften(network, LOST_CHANGES);
@@ -93,7 +90,7 @@
     }
   });
 
-  it('what it acknowledges at once is in force within the bound too', () => {
+  it('a version acknowledged right after it is in force within the bound', () => {
     const network = startNetwork();
     const backup = network.store.copy();
     writeOften(network, LOST_CHANGES);
@@ -104,7 +101,7 @@
     expect(versionsOf(network)).toEqual(everywhere(2));
   });
 
-  it('nothing is missed where its revisions have overtaken what was known', () => {
+  it('no change is missed where new revisions exceed the known ones', () => {
     const network = startNetwork();
     const backup = network.store.copy();
     writeOften(network, LOST_CHANGES);
@@ -119,7 +116,7 @@
     expect(draining).toEqual(Array<boolean>(9).fill(true));
   });
 
-  it('calls to it are bounded: no lists that are dropped and watches that are refused', () => {
+  it('calls to the store are bounded, without repeated lists and refused watches', () => {
     const network = startNetwork();
     const backup = network.store.copy();
     writeOften(network, LOST_CHANGES);
@@ -128,11 +125,11 @@
     network.calls.length = 0;
     network.advance(8_000);
     const lists = network.calls.filter(({ type }) => type === 'list').length;
-    // Three readers of four collections list each once; a page holds 50 of the 60 replicas.
+    // Three readers list each of four collections once; the 60 replicas take two pages of 50.
     expect(lists).toBeLessThanOrEqual(3 * 5);
   });
 
-  it('a configuration that it lost stays in force until there is a newer one', () => {
+  it('a lost configuration stays in force until there is a newer one', () => {
     const network = startNetwork();
     const backup = network.store.copy();
     configure(network, 2);
