--- a/src/cli/explain.ts
+++ b/src/cli/explain.ts
@@ -6,7 +6,7 @@
 import {
   decidedAt,
   findRequestLines,
-  type LinesFound,
+  type FoundLines,
   type RequestLine,
 } from '../gateway/explain/read-lines.js';
 import type { Command } from './command.js';
@@ -38,7 +38,7 @@
   return [time, line.node, line.event, ...fields].join(' ');
 };
 
-const print = ({ lines, malformed }: LinesFound, json: boolean): void => {
+const print = ({ lines, malformed }: FoundLines, json: boolean): void => {
   const cause = findCause(lines);
   if (json) {
     process.stdout.write(`${JSON.stringify({ cause, malformed, lines })}\n`);
--- a/src/gateway/crashes/update-history.ts
+++ b/src/gateway/crashes/update-history.ts
@@ -1,6 +1,6 @@
 /** Updates the crash history of a request, logs the change and schedules its publication. */
 import type { GatewayEffect } from '../effect.js';
-import type { BeliefChange } from '../log/log-event.js';
+import type { StateChange } from '../log/log-event.js';
 import type { Fingerprint } from '../model/request.js';
 import type { GatewayState } from '../state.js';
 import {
@@ -68,7 +68,7 @@
   after: CrashHistory,
   { from, answer }: UpdateOrigin,
   at: number,
-): BeliefChange | undefined => {
+): StateChange | undefined => {
   if (after.level > before.level) {
     const forMs = Math.round(after.trialDueAt - at);
     return { event: 'request-blocked', fingerprint, times: after.level, forMs, from };
--- a/src/gateway/effect.ts
+++ b/src/gateway/effect.ts
@@ -1,6 +1,6 @@
 /** Every effect that the gateway's reducer asks of its driver. Effects are data. */
 import type { CrashUpdate } from './crashes/crash-update.js';
-import type { BeliefChange, TracedDecision, TraceReason } from './log/log-event.js';
+import type { StateChange, TracedDecision, TraceReason } from './log/log-event.js';
 import type { CallerLimits, GatewayConfiguration } from './model/route.js';
 import type { PeerRecord } from './model/peer-record.js';
 import type { Subquery, SubqueryId, SubqueryPart } from './model/subquery.js';
@@ -241,7 +241,7 @@
   readonly type: 'write-log';
   readonly level: 'debug' | 'info' | 'warn' | 'error';
   readonly part: GatewayLogPart;
-  readonly change: BeliefChange;
+  readonly change: StateChange;
 }
 
 /** Writes a line for each decision about a request that has ended. */
--- a/src/gateway/explain/find-cause.ts
+++ b/src/gateway/explain/find-cause.ts
@@ -4,24 +4,27 @@
 
 type LineOf<Event extends Decision['event']> = Extract<RequestLine, { readonly event: Event }>;
 
-const linesOf = <Event extends Decision['event']>(
+const linesWithEvent = <Event extends Decision['event']>(
   lines: readonly RequestLine[],
   event: Event,
 ): readonly LineOf<Event>[] => lines.filter((line): line is LineOf<Event> => line.event === event);
 
-interface AttemptStory {
+interface AttemptLines {
   readonly sent: LineOf<'attempt-sent'>;
   readonly ended: LineOf<'attempt-ended'> | undefined;
 }
 
-const attemptsAt = (lines: readonly RequestLine[], service: string): readonly AttemptStory[] => {
-  const ends = linesOf(lines, 'attempt-ended');
-  return linesOf(lines, 'attempt-sent')
+const attemptsOfService = (
+  lines: readonly RequestLine[],
+  service: string,
+): readonly AttemptLines[] => {
+  const ends = linesWithEvent(lines, 'attempt-ended');
+  return linesWithEvent(lines, 'attempt-sent')
     .filter((sent) => sent.service === service)
     .map((sent) => ({ sent, ended: ends.find(({ attempt }) => attempt === sent.attempt) }));
 };
 
-const describeAttempt = ({ sent, ended }: AttemptStory): string => {
+const describeAttempt = ({ sent, ended }: AttemptLines): string => {
   const outcome =
     ended === undefined || ended.dropped
       ? 'no answer in time'
@@ -30,8 +33,8 @@
 };
 
 const describeService = (lines: readonly RequestLine[], service: string): string => {
-  const attempts = attemptsAt(lines, service).map(describeAttempt);
-  const denied = linesOf(lines, 'budget-denied').some((line) => line.service === service);
+  const attempts = attemptsOfService(lines, service).map(describeAttempt);
+  const denied = linesWithEvent(lines, 'budget-denied').some((line) => line.service === service);
   const budget = denied ? '; a further attempt was denied by the retry budget' : '';
   return `${service}: ${attempts.join(', ') || 'no replica to send to'}${budget}`;
 };
@@ -39,8 +42,8 @@
 const describeMissing = (lines: readonly RequestLine[], missing: readonly string[]): string =>
   missing.map((service) => describeService(lines, service)).join('; ');
 
-const slowestAttempt = (lines: readonly RequestLine[]): string => {
-  const used = linesOf(lines, 'attempt-ended').filter(({ dropped }) => !dropped);
+const describeSlowestAttempt = (lines: readonly RequestLine[]): string => {
+  const used = linesWithEvent(lines, 'attempt-ended').filter(({ dropped }) => !dropped);
   const slowest = used.reduce<LineOf<'attempt-ended'> | undefined>(
     (worst, line) => (worst === undefined || line.elapsedMs > worst.elapsedMs ? line : worst),
     undefined,
@@ -67,7 +70,7 @@
   `refused: replicas ended under this request (fingerprint ${fingerprint}) in ${rounds} rounds one after the other and none answered it; it is blocked for ${forMs} ms more (block ${level}), then tried at one replica`;
 
 const describeCrashes = (lines: readonly RequestLine[]): string => {
-  const crashed = linesOf(lines, 'attempt-crashed').map(({ replica }) => replica);
+  const crashed = linesWithEvent(lines, 'attempt-crashed').map(({ replica }) => replica);
   return crashed.length === 0 ? '' : `; replicas that ended under it: ${crashed.join(', ')}`;
 };
 
@@ -92,15 +95,15 @@
     case 'partial':
       return `answered ${time} without ${missing.length} shards; ${describeMissing(lines, missing)}`;
     case 'passed-on':
-      return `a replica answered ${answer.status ?? 0} ${time}; ${slowestAttempt(lines)}`;
+      return `a replica answered ${answer.status ?? 0} ${time}; ${describeSlowestAttempt(lines)}`;
     case 'whole':
-      return `answered whole ${time}; ${slowestAttempt(lines)}`;
+      return `answered whole ${time}; ${describeSlowestAttempt(lines)}`;
   }
 };
 
 /** Where a return of the store may have to do with it: the version by which the request was routed, and when that was. */
-const describeReturn = (lines: readonly RequestLine[]): string => {
-  const [admitted] = linesOf(lines, 'request-admitted');
+const describeRestoredStore = (lines: readonly RequestLine[]): string => {
+  const [admitted] = linesWithEvent(lines, 'request-admitted');
   if (admitted?.storeReturnedMsAgo === undefined) {
     return '';
   }
@@ -110,13 +113,13 @@
 
 /** One sentence on what happened and why. */
 export const findCause = (lines: readonly RequestLine[]): string => {
-  const [left] = linesOf(lines, 'caller-left');
+  const [left] = linesWithEvent(lines, 'caller-left');
   if (left !== undefined) {
-    return `the caller left after ${left.elapsedMs} ms; ${slowestAttempt(lines)}`;
+    return `the caller left after ${left.elapsedMs} ms; ${describeSlowestAttempt(lines)}`;
   }
-  const [answer] = linesOf(lines, 'request-answered');
+  const [answer] = linesWithEvent(lines, 'request-answered');
   if (answer !== undefined) {
-    return `${explainAnswer(lines, answer)}${describeReturn(lines)}`;
+    return `${explainAnswer(lines, answer)}${describeRestoredStore(lines)}`;
   }
   return lines.length === 0
     ? 'no line speaks of the request: it was not sampled, reached no gateway, or its gateway was lost'
--- a/src/gateway/explain/read-lines.ts
+++ b/src/gateway/explain/read-lines.ts
@@ -12,7 +12,7 @@
 };
 
 /** What was found in log files. */
-export interface LinesFound {
+export interface FoundLines {
   readonly lines: readonly RequestLine[];
   /** Lines that begin like one of a gateway and are no JSON. */
   readonly malformed: number;
@@ -29,7 +29,7 @@
 export const decidedAt = ({ time, agoMs }: RequestLine): number => time - agoMs;
 
 /** Finds the lines about a request in `texts`; what stands before the first brace is left out. */
-export const findRequestLines = (texts: readonly string[], requestId: string): LinesFound => {
+export const findRequestLines = (texts: readonly string[], requestId: string): FoundLines => {
   const lines: RequestLine[] = [];
   let malformed = 0;
   for (const line of texts.flatMap((text) => text.split('\n'))) {
--- a/src/gateway/lifecycle.ts
+++ b/src/gateway/lifecycle.ts
@@ -1,7 +1,7 @@
 /** Start, readiness and stop of a gateway. */
 import type { GatewayEffect } from './effect.js';
 import type { StopDue, StopRequested } from './event.js';
-import type { BeliefChange } from './log/log-event.js';
+import type { StateChange } from './log/log-event.js';
 import { type GatewayState, canServe } from './state.js';
 
 /**
@@ -26,7 +26,7 @@
   if (ready) {
     state.phase = 'serving';
   }
-  const change: BeliefChange = { event: 'ready', ready, phase: state.phase };
+  const change: StateChange = { event: 'ready', ready, phase: state.phase };
   return [
     { type: 'set-readiness', ready },
     { type: 'write-log', level: 'info', part: 'lifecycle', change },
@@ -43,7 +43,7 @@
   }
   state.phase = 'stopping';
   state.stoppingSince = at;
-  const change: BeliefChange = {
+  const change: StateChange = {
     event: 'stopping',
     requests: state.requests.size + state.held.size,
   };
@@ -63,7 +63,7 @@
     elapsed >= ACCEPT_WHILE_STOPPING_MS && state.requests.size === 0 && state.held.size === 0;
   if (isGraceOver || isIdle) {
     state.phase = 'ended';
-    const change: BeliefChange = {
+    const change: StateChange = {
       event: 'ended',
       requests: state.requests.size,
       stopMs: Math.round(elapsed),
--- a/src/gateway/log/log-descriptions.ts
+++ b/src/gateway/log/log-descriptions.ts
@@ -1,5 +1,5 @@
 /** What each line of the log means; the reference is made from it. */
-import type { BeliefChange, Decision } from './log-event.js';
+import type { StateChange, Decision } from './log-event.js';
 
 /** What each decision means. */
 export const DECISION_DESCRIPTIONS: Readonly<Record<Decision['event'], string>> = {
@@ -24,7 +24,7 @@
 };
 
 /** What each change of belief means. */
-export const BELIEF_DESCRIPTIONS: Readonly<Record<BeliefChange['event'], string>> = {
+export const STATE_CHANGE_DESCRIPTIONS: Readonly<Record<StateChange['event'], string>> = {
   started: 'The process has opened its ports.',
   ready: 'The load balancer is told whether new callers are wanted.',
   'stood-still':
--- a/src/gateway/log/log-event.ts
+++ b/src/gateway/log/log-event.ts
@@ -147,7 +147,7 @@
 export type ReplicaState = 'listed' | 'draining' | 'gone';
 
 /** A change of what the gateway believes, or of its own life. The line has `time`, `node`, `level` and `part` besides. */
-export type BeliefChange =
+export type StateChange =
   | { readonly event: 'started' }
   | { readonly event: 'ready'; readonly ready: boolean; readonly phase: string }
   | { readonly event: 'stood-still'; readonly forMs: number; readonly suspendedMs: number }
--- a/src/gateway/log/trace.ts
+++ b/src/gateway/log/trace.ts
@@ -7,19 +7,23 @@
 import type { Decision, TracedDecision, TraceReason } from './log-event.js';
 
 /** One of so many requests without trouble is logged. */
-const SAMPLED_ONE_OF = 64;
+const SAMPLING_INTERVAL = 64;
 
 /** Decisions kept for one request. */
 const MAX_DECISIONS = 400;
 
 /** Adds a decision to those of a request. */
-export const trace = (decisions: TracedDecision[], at: number, decision: Decision): void => {
+export const recordDecision = (
+  decisions: TracedDecision[],
+  at: number,
+  decision: Decision,
+): void => {
   if (decisions.length < MAX_DECISIONS) {
     decisions.push({ at, decision });
   }
 };
 
-const isSampled = (requestId: string): boolean => hash32(requestId) % SAMPLED_ONE_OF === 0;
+const isSampled = (requestId: string): boolean => hash32(requestId) % SAMPLING_INTERVAL === 0;
 
 /** Logs the decisions of a request that has ended, if they are wanted. */
 export const writeTrace = (
--- a/src/gateway/metrics/metric-series.ts
+++ b/src/gateway/metrics/metric-series.ts
@@ -41,7 +41,7 @@
     private readonly create: () => Series,
   ) {}
 
-  find(values: readonly string[]): Series {
+  findOrCreate(values: readonly string[]): Series {
     const key = values.join(SEPARATOR);
     const known = this.series.get(key);
     if (known !== undefined) {
@@ -70,7 +70,7 @@
 
   /** Adds one; `values` are in the order of the label names. */
   add(...values: readonly string[]): void {
-    this.counts.find(values).count += 1;
+    this.counts.findOrCreate(values).count += 1;
   }
 
   values(): readonly MetricValue[] {
@@ -104,7 +104,7 @@
 
   /** Adds an observation; `values` are in the order of the label names. */
   observe(seconds: number, ...values: readonly string[]): void {
-    const buckets = this.buckets.find(values);
+    const buckets = this.buckets.findOrCreate(values);
     buckets.count += 1;
     buckets.sum += seconds;
     const index = this.bounds.findIndex((bound) => seconds <= bound);
@@ -126,10 +126,10 @@
     { counts, count, sum }: Buckets,
   ): readonly MetricValue[] {
     const { name } = this.description;
-    let below = 0;
+    let cumulative = 0;
     const bounded = this.bounds.map((le, index) => {
-      below += counts[index] ?? 0;
-      return { metricName: `${name}_bucket`, labels: { le, ...labels }, value: below };
+      cumulative += counts[index] ?? 0;
+      return { metricName: `${name}_bucket`, labels: { le, ...labels }, value: cumulative };
     });
     return [
       ...bounded,
--- a/src/gateway/process-pause.ts
+++ b/src/gateway/process-pause.ts
@@ -5,7 +5,7 @@
 import type { GatewayEffect } from './effect.js';
 import type { ProcessPaused } from './event.js';
 import { updateReadiness } from './lifecycle.js';
-import type { BeliefChange } from './log/log-event.js';
+import type { StateChange } from './log/log-event.js';
 import { routeHeldRequests } from './requests/accept-request.js';
 import type { GatewayState } from './state.js';
 import { confirmedAt } from './store/confirmation.js';
@@ -23,7 +23,7 @@
   state: GatewayState,
   { at, forMs, suspendedMs }: ProcessPaused,
 ): GatewayEffect[] => {
-  const change: BeliefChange = { event: 'stood-still', forMs: Math.round(forMs), suspendedMs };
+  const change: StateChange = { event: 'stood-still', forMs: Math.round(forMs), suspendedMs };
   const log: GatewayEffect = { type: 'write-log', level: 'warn', part: 'lifecycle', change };
   if (state.phase !== 'serving') {
     return [log];
@@ -50,7 +50,7 @@
     return [];
   }
   state.pauseRecovery = undefined;
-  const change: BeliefChange = {
+  const change: StateChange = {
     event: 'went-on',
     afterMs: Math.round(afterMs),
     isConfirmed: wasConfirmed,
--- a/src/gateway/readers/handle-reader-update.ts
+++ b/src/gateway/readers/handle-reader-update.ts
@@ -4,7 +4,7 @@
  */
 import type { GatewayEffect } from '../effect.js';
 import type { ReaderTold } from '../event.js';
-import type { BeliefChange } from '../log/log-event.js';
+import type { StateChange } from '../log/log-event.js';
 import {
   registerIfMissing,
   delayRegistration,
@@ -45,7 +45,7 @@
   if (era === known.era && revision === known.revision) {
     return [];
   }
-  const change: BeliefChange = {
+  const change: StateChange = {
     event: 'news-dropped',
     collection,
     reader: source.peer.name,
@@ -227,7 +227,7 @@
   if (isCurrent === wasCurrent) {
     return compared;
   }
-  const change: BeliefChange = { event: 'reader-status', reader: source.peer.name, isCurrent };
+  const change: StateChange = { event: 'reader-status', reader: source.peer.name, isCurrent };
   return [...compared, { type: 'write-log', level: 'info', part: 'store', change }];
 };
 
--- a/src/gateway/readers/update-reading.ts
+++ b/src/gateway/readers/update-reading.ts
@@ -5,7 +5,7 @@
  * reads the store itself. No reader is elected: a gateway reads while it has followers.
  */
 import type { GatewayEffect } from '../effect.js';
-import type { BeliefChange } from '../log/log-event.js';
+import type { StateChange } from '../log/log-event.js';
 import type { PeerRecord } from '../model/peer-record.js';
 import { expireUnconfirmed } from '../returns/unconfirmed.js';
 import { collectionsOf, type GatewayState, canServe } from '../state.js';
@@ -117,7 +117,7 @@
     isIncomparable: false,
   };
   state.reading.sources.set(peer.name, source);
-  const change: BeliefChange = { event: 'reader-followed', reader: peer.name };
+  const change: StateChange = { event: 'reader-followed', reader: peer.name };
   return [
     { type: 'follow-reader', peer, positions: knownPositions(state) },
     { type: 'write-log', level: 'info', part: 'store', change },
@@ -154,7 +154,7 @@
   }
   reading.isReading = isReading;
   const followers = reading.followers.size;
-  const change: BeliefChange = { event: 'reading-changed', isReading, followers };
+  const change: StateChange = { event: 'reading-changed', isReading, followers };
   const log: GatewayEffect = { type: 'write-log', level: 'info', part: 'store', change };
   if (!isReading) {
     return [log, ...cancelStoreCalls(state)];
--- a/src/gateway/requests/accept-request.ts
+++ b/src/gateway/requests/accept-request.ts
@@ -3,7 +3,7 @@
 import { updateHistory } from '../crashes/update-history.js';
 import type { GatewayEffect } from '../effect.js';
 import type { RequestReceived } from '../event.js';
-import { trace } from '../log/trace.js';
+import { recordDecision } from '../log/trace.js';
 import type { CallerRequest, Fingerprint, RefusalReason } from '../model/request.js';
 import type { Route } from '../model/route.js';
 import { SplitCursor, isSameSplit } from '../routing/split-cursor.js';
@@ -78,7 +78,7 @@
 };
 
 const traceAdmission = (state: GatewayState, request: ActiveRequest, at: number): void =>
-  trace(request.decisions, at, {
+  recordDecision(request.decisions, at, {
     event: 'request-admitted',
     route: request.route.name,
     fingerprint: request.request.fingerprint,
--- a/src/gateway/requests/accept-subquery.ts
+++ b/src/gateway/requests/accept-subquery.ts
@@ -1,7 +1,7 @@
 /** Admits subqueries of other gateways: requests the part of each shard from a replica. */
 import type { AnswerSubquery, GatewayEffect } from '../effect.js';
 import type { SubqueryCancelled, SubqueryReceived } from '../event.js';
-import { trace, writeTrace } from '../log/trace.js';
+import { recordDecision, writeTrace } from '../log/trace.js';
 import type { CallId } from '../model/request.js';
 import type { Route } from '../model/route.js';
 import type { Subquery } from '../model/subquery.js';
@@ -91,7 +91,7 @@
   request.isTrial = subquery.isTrial === true;
   state.requests.set(call, request);
   state.counters.subqueries.add('taken');
-  trace(request.decisions, at, {
+  recordDecision(request.decisions, at, {
     event: 'subquery-admitted',
     route: subquery.route,
     fingerprint,
@@ -114,7 +114,7 @@
   }
   state.requests.delete(call);
   const elapsedMs = Math.round(at - request.receivedAt);
-  trace(request.decisions, at, { event: 'subquery-cancelled', elapsedMs });
+  recordDecision(request.decisions, at, { event: 'subquery-cancelled', elapsedMs });
   return [
     { type: 'forget-call', call },
     ...giveUpAttempts(state, request, withinMs, at),
--- a/src/gateway/requests/attempt-result.ts
+++ b/src/gateway/requests/attempt-result.ts
@@ -2,7 +2,7 @@
 import type { GatewayEffect } from '../effect.js';
 import type { AttemptEnded, CallerLeft, RequestDue } from '../event.js';
 import type { Decision } from '../log/log-event.js';
-import { trace, writeTrace } from '../log/trace.js';
+import { recordDecision, writeTrace } from '../log/trace.js';
 import type { AttemptProblem, AttemptResult } from '../model/request.js';
 import type { GatewayState } from '../state.js';
 import { recordRunEnd, progressHeldRequests } from './broken-attempts.js';
@@ -104,7 +104,7 @@
   const elapsedSeconds = (event.at - attempt.sentAt) / MS_PER_SECOND;
   state.counters.attemptDuration.observe(elapsedSeconds, outcomeOf(event.result));
   const dropped = attempt.leg.outcome !== undefined;
-  trace(request.decisions, event.at, describeAttemptEnd(attempt, event, dropped));
+  recordDecision(request.decisions, event.at, describeAttemptEnd(attempt, event, dropped));
   if (dropped) {
     return [];
   }
@@ -142,7 +142,7 @@
   }
   state.requests.delete(call);
   const elapsedMs = Math.round(at - request.receivedAt);
-  trace(request.decisions, at, { event: 'caller-left', elapsedMs });
+  recordDecision(request.decisions, at, { event: 'caller-left', elapsedMs });
   return [
     { type: 'forget-call', call },
     ...recordInconclusive(state, request, at),
--- a/src/gateway/requests/attempts.ts
+++ b/src/gateway/requests/attempts.ts
@@ -2,7 +2,7 @@
 import type { SendAttempt } from '../effect.js';
 import type { AttemptId } from '../model/request.js';
 import type { AttemptReason } from '../log/log-event.js';
-import { trace } from '../log/trace.js';
+import { recordDecision } from '../log/trace.js';
 import { type Replica, currentSlowdown } from '../replicas/replica.js';
 import { isFed, shareOf } from '../peers/service-share.js';
 import { hasColdRateLeft, recordColdSend } from '../replicas/cold-rate.js';
@@ -99,7 +99,7 @@
   if (!taken) {
     const left = budget.left(policy, at);
     state.counters.budgetDenials.add(leg.service);
-    trace(request.decisions, at, { event: 'budget-denied', service: leg.service, left });
+    recordDecision(request.decisions, at, { event: 'budget-denied', service: leg.service, left });
   }
   return taken;
 };
@@ -113,7 +113,7 @@
 ): void => {
   const { id, service, zone } = replica.record;
   const loadAge = replica.load === undefined ? {} : { loadAgeMs: Math.round(at - replica.loadAt) };
-  trace(request.decisions, at, {
+  recordDecision(request.decisions, at, {
     event: 'attempt-sent',
     attempt: state.nextAttempt,
     reason,
--- a/src/gateway/requests/broken-attempts.ts
+++ b/src/gateway/requests/broken-attempts.ts
@@ -12,8 +12,8 @@
 } from '../crashes/update-history.js';
 import type { GatewayEffect } from '../effect.js';
 import type { AttemptEnded, ReplicaChecked } from '../event.js';
-import type { BeliefChange } from '../log/log-event.js';
-import { trace } from '../log/trace.js';
+import type { StateChange } from '../log/log-event.js';
+import { recordDecision } from '../log/trace.js';
 import type { AttemptProblem, Fingerprint } from '../model/request.js';
 import type { GatewayState } from '../state.js';
 import { provesReplicaCanRun } from './usable-answer.js';
@@ -134,7 +134,7 @@
   state.counters.replicaCrashes.add(service);
   const runs = [...broken.map(({ attempt }) => attempt), ...unawaited];
   const fingerprints = [...new Set(runs.map(({ fingerprint }) => fingerprint))];
-  const change: BeliefChange = {
+  const change: StateChange = {
     event: 'replica-crashed',
     replica,
     service,
@@ -154,7 +154,7 @@
   request.crashes += 1;
   request.crashedProbes += Number(attempt.isProbe);
   const { id, replica } = attempt;
-  trace(request.decisions, at, { event: 'attempt-crashed', attempt: id, replica });
+  recordDecision(request.decisions, at, { event: 'attempt-crashed', attempt: id, replica });
   return request.crashes >= URGENT_CRASHES && request.answeredLegs === 0;
 };
 
--- a/src/gateway/requests/check-subqueries.ts
+++ b/src/gateway/requests/check-subqueries.ts
@@ -1,7 +1,7 @@
 /** Moves legs to other feeders when a feeder fails or does not acknowledge a subquery in time. */
 import type { GatewayEffect } from '../effect.js';
-import type { BeliefChange } from '../log/log-event.js';
-import { trace } from '../log/trace.js';
+import type { StateChange } from '../log/log-event.js';
+import { recordDecision } from '../log/trace.js';
 import type { PeerProblem } from '../model/subquery.js';
 import { recordDelay, overdueAfterMs } from '../delay-estimate.js';
 import type { GatewayState } from '../state.js';
@@ -52,7 +52,7 @@
   state.peers.suspect(peer, at);
   const record = state.peers.find(peer);
   const check: GatewayEffect[] = record === undefined ? [] : [{ type: 'check-peer', peer: record }];
-  const change: BeliefChange = { event: 'peer-suspected', peer, problem };
+  const change: StateChange = { event: 'peer-suspected', peer, problem };
   const log: GatewayEffect = { type: 'write-log', level: 'warn', part: 'peer', change };
   return wasSuspect ? check : [log, ...check];
 };
@@ -75,7 +75,7 @@
   });
   state.counters.subqueries.add('moved');
   const elapsedMs = Math.round(at - sentAt);
-  trace(request.decisions, at, {
+  recordDecision(request.decisions, at, {
     event: 'subquery-failed',
     subquery: id,
     peer,
--- a/src/gateway/requests/finish.ts
+++ b/src/gateway/requests/finish.ts
@@ -4,7 +4,7 @@
 import type { GatewayEffect } from '../effect.js';
 import type { RequestReceived } from '../event.js';
 import type { Decision } from '../log/log-event.js';
-import { trace, writeTrace } from '../log/trace.js';
+import { recordDecision, writeTrace } from '../log/trace.js';
 import type { CallerResponse, CallId, MergedAnswer, RefusalReason } from '../model/request.js';
 import type { GatewayState } from '../state.js';
 import { FIRST_FAILURE_STATUS } from './usable-answer.js';
@@ -82,7 +82,7 @@
 ): GatewayEffect[] => {
   state.requests.delete(request.call);
   const decision = describeAnswer(request, response, at);
-  trace(request.decisions, at, decision);
+  recordDecision(request.decisions, at, decision);
   countAnswer(state, request, decision);
   const failed = !isSuccessful(decision) || at > request.objectiveAt + LATE_MS;
   return [
--- a/src/gateway/requests/guard.ts
+++ b/src/gateway/requests/guard.ts
@@ -7,7 +7,7 @@
  * served for as long as it was repeated.
  */
 import { hash32 } from '../../core/hash.js';
-import { trace } from '../log/trace.js';
+import { recordDecision } from '../log/trace.js';
 import type { GatewayState } from '../state.js';
 import type { ActiveRequest, Leg } from './request-state.js';
 
@@ -108,7 +108,7 @@
 export const holdLeg = (request: ActiveRequest, leg: Leg, at: number): void => {
   if (!request.legs.some(({ isHeld }) => isHeld)) {
     const { crashes, uncheckedBreaks } = request;
-    trace(request.decisions, at, { event: 'legs-held', crashes, uncheckedBreaks });
+    recordDecision(request.decisions, at, { event: 'legs-held', crashes, uncheckedBreaks });
   }
   leg.isHeld = true;
 };
--- a/src/gateway/requests/release-legs.ts
+++ b/src/gateway/requests/release-legs.ts
@@ -1,6 +1,6 @@
 /** Releases legs that were held because their request may have crashed replicas. */
 import type { GatewayEffect } from '../effect.js';
-import { trace } from '../log/trace.js';
+import { recordDecision } from '../log/trace.js';
 import type { GatewayState } from '../state.js';
 import { guardOf, maySendNext } from './guard.js';
 import type { ActiveRequest, Leg } from './request-state.js';
@@ -10,7 +10,11 @@
 /** Ends a leg that may not be sent; it counts as sent, so that the coordinator does not request it from another feeder. */
 const failHeldLeg = (request: ActiveRequest, leg: Leg, at: number): void => {
   leg.wasSent = true;
-  trace(request.decisions, at, { event: 'leg-failed', service: leg.service, runs: leg.runs });
+  recordDecision(request.decisions, at, {
+    event: 'leg-failed',
+    service: leg.service,
+    runs: leg.runs,
+  });
   endLeg(request, leg, { type: 'unanswered' });
 };
 
--- a/src/gateway/requests/report-parts.ts
+++ b/src/gateway/requests/report-parts.ts
@@ -1,6 +1,6 @@
 /** Sends the parts of a subquery to its coordinator. */
 import type { AnswerSubquery, GatewayEffect } from '../effect.js';
-import { trace, writeTrace } from '../log/trace.js';
+import { recordDecision, writeTrace } from '../log/trace.js';
 import type { ShardPart } from '../model/subquery.js';
 import type { GatewayState } from '../state.js';
 import { giveUpAttempts, LINGER_MS } from './give-up-attempts.js';
@@ -67,7 +67,7 @@
     .filter(({ outcome }) => outcome?.type !== 'answered')
     .map(({ service }) => service);
   const elapsedMs = Math.round(at - request.receivedAt);
-  trace(request.decisions, at, { event: 'parts-sent', missing, elapsedMs });
+  recordDecision(request.decisions, at, { event: 'parts-sent', missing, elapsedMs });
   const isLate = at > request.objectiveAt;
   return [
     collectUnreportedParts(request, maxRecords, true),
--- a/src/gateway/requests/retry-leg.ts
+++ b/src/gateway/requests/retry-leg.ts
@@ -1,7 +1,7 @@
 /** Retries a leg after a failure: at another replica, or at any of them after a pause. */
 import type { GatewayEffect } from '../effect.js';
 import type { AttemptReason } from '../log/log-event.js';
-import { trace } from '../log/trace.js';
+import { recordDecision } from '../log/trace.js';
 import { eligibleReplicas } from '../replicas/eligible-replicas.js';
 import { type GatewayState, pauseOutcomesOf } from '../state.js';
 import { sendAttempt } from './attempts.js';
@@ -61,13 +61,17 @@
   leg.pauses += 1;
   leg.resumeAt = resumeAt;
   const forMs = resumeAt - at;
-  trace(request.decisions, at, { event: 'leg-paused', service: leg.service, forMs });
+  recordDecision(request.decisions, at, { event: 'leg-paused', service: leg.service, forMs });
   return true;
 };
 
 /** Ends a leg for which no more attempts may be sent. */
 const failLeg = (state: GatewayState, request: ActiveRequest, leg: Leg, at: number): void => {
-  trace(request.decisions, at, { event: 'leg-failed', service: leg.service, runs: leg.runs });
+  recordDecision(request.decisions, at, {
+    event: 'leg-failed',
+    service: leg.service,
+    runs: leg.runs,
+  });
   endLeg(request, leg, { type: 'unanswered' });
   recordLegPauses(state, leg);
 };
--- a/src/gateway/requests/send-legs.ts
+++ b/src/gateway/requests/send-legs.ts
@@ -4,7 +4,7 @@
  * replicas.
  */
 import type { GatewayEffect } from '../effect.js';
-import { trace } from '../log/trace.js';
+import { recordDecision } from '../log/trace.js';
 import type { PeerRecord } from '../model/peer-record.js';
 import type { GatherTarget, Route } from '../model/route.js';
 import type { Subquery } from '../model/subquery.js';
@@ -122,7 +122,7 @@
   });
   const shards = legs.length;
   state.counters.subqueries.add('sent');
-  trace(request.decisions, at, {
+  recordDecision(request.decisions, at, {
     event: 'subquery-sent',
     subquery: id,
     peer: peer.name,
--- a/src/gateway/requests/subquery-result.ts
+++ b/src/gateway/requests/subquery-result.ts
@@ -7,8 +7,8 @@
   SubqueryAnswered,
   SubqueryFailed,
 } from '../event.js';
-import type { BeliefChange } from '../log/log-event.js';
-import { trace } from '../log/trace.js';
+import type { StateChange } from '../log/log-event.js';
+import { recordDecision } from '../log/trace.js';
 import type { SubqueryId, SubqueryPart } from '../model/subquery.js';
 import { recordDelay } from '../delay-estimate.js';
 import { recordServedRequest } from '../crashes/update-history.js';
@@ -87,7 +87,11 @@
 const failMissingLegs = (request: ActiveRequest, subquery: ActiveSubquery, at: number): void => {
   for (const leg of openLegsOf(subquery)) {
     leg.runs += 1;
-    trace(request.decisions, at, { event: 'leg-failed', service: leg.service, runs: leg.runs });
+    recordDecision(request.decisions, at, {
+      event: 'leg-failed',
+      service: leg.service,
+      runs: leg.runs,
+    });
     endLeg(request, leg, { type: 'unanswered' });
   }
 };
@@ -113,7 +117,12 @@
     leg.subquery = undefined;
   });
   state.counters.subqueries.add('moved');
-  trace(request.decisions, at, { event: 'legs-unsent', subquery: id, peer, shards: legs.length });
+  recordDecision(request.decisions, at, {
+    event: 'legs-unsent',
+    subquery: id,
+    peer,
+    shards: legs.length,
+  });
   return sendLegs(state, request, legs, isRepeat, at);
 };
 
@@ -146,7 +155,7 @@
   const elapsedMs = Math.round(at - subquery.sentAt);
   const { isFinal, unsent = [] } = part;
   const parts = part.shards.length;
-  trace(request.decisions, at, {
+  recordDecision(request.decisions, at, {
     event: 'subquery-answered',
     subquery: id,
     parts,
@@ -189,6 +198,6 @@
 export const handlePeerAlive = (state: GatewayState, { peer, at }: PeerAlive): GatewayEffect[] => {
   const wasSuspect = state.peers.isSuspect(peer, at);
   state.peers.trust(peer);
-  const change: BeliefChange = { event: 'peer-trusted', peer };
+  const change: StateChange = { event: 'peer-trusted', peer };
   return wasSuspect ? [{ type: 'write-log', level: 'info', part: 'peer', change }] : [];
 };
--- a/src/gateway/requests/unreadable-requests.ts
+++ b/src/gateway/requests/unreadable-requests.ts
@@ -1,7 +1,7 @@
 /** Counts and logs input from callers that could not be parsed as a request and was refused by the callers' port. */
 import type { GatewayEffect } from '../effect.js';
 import type { UnreadableRefused } from '../event.js';
-import type { BeliefChange } from '../log/log-event.js';
+import type { StateChange } from '../log/log-event.js';
 import type { GatewayState } from '../state.js';
 import { mayLog, NOTHING_LOGGED } from './unreadable-log.js';
 
@@ -18,7 +18,7 @@
     return [];
   }
   unreadableLogs.set(problem, { loggedAt: at, unlogged: 0 });
-  const change: BeliefChange = {
+  const change: StateChange = {
     event: 'request-unreadable',
     problem,
     status,
--- a/src/gateway/returns/record-era.ts
+++ b/src/gateway/returns/record-era.ts
@@ -1,6 +1,6 @@
 /** Records the era of the store. A later era than before means that the store was restored from a backup. */
 import type { GatewayEffect } from '../effect.js';
-import type { BeliefChange } from '../log/log-event.js';
+import type { StateChange } from '../log/log-event.js';
 import { collectionsOf, type GatewayState } from '../state.js';
 import type { CollectionName } from '../store/collection.js';
 import { beginList, callNow, isOfEarlierEra } from '../store/follow-collection.js';
@@ -72,7 +72,7 @@
     missing: new Map(),
     older: new Map(),
   };
-  const change: BeliefChange = { event: 'store-era-changed', era, previous, from };
+  const change: StateChange = { event: 'store-era-changed', era, previous, from };
   return [
     { type: 'write-log', level: 'info', part: 'store', change },
     ...relistEarlierEra(state, collection),
@@ -90,7 +90,7 @@
     return [];
   }
   returns.ongoing = undefined;
-  const change: BeliefChange = {
+  const change: StateChange = {
     event: 'store-returned',
     era: store.era,
     previous: ongoing.previousEra,
--- a/src/gateway/runtime/bounded-log.ts
+++ b/src/gateway/runtime/bounded-log.ts
@@ -4,7 +4,7 @@
  */
 import type { LogLevel } from '../../settings/log-level.js';
 import type { GatewayLogPart, WriteLog, WriteTrace } from '../effect.js';
-import type { BeliefChange } from '../log/log-event.js';
+import type { StateChange } from '../log/log-event.js';
 import type { LineSink } from './line-sink.js';
 
 /** Lines a second in the long run, and at once after a quiet time. */
@@ -77,7 +77,7 @@
   private tellDropped(): void {
     const now = this.options.monotonicNow();
     if (this.dropped > 0 && now - this.toldAt >= DROPPED_INTERVAL_MS) {
-      const change: BeliefChange = { event: 'lines-dropped', lines: this.dropped };
+      const change: StateChange = { event: 'lines-dropped', lines: this.dropped };
       this.dropped = 0;
       this.toldAt = now;
       this.emit('warn', 'lifecycle', change);
--- a/src/gateway/store/apply-collections.ts
+++ b/src/gateway/store/apply-collections.ts
@@ -1,7 +1,7 @@
 /** Handles the results of calls to the store and issues the next calls. */
 import type { GatewayEffect } from '../effect.js';
 import type { ChangesRead, CollectionDue, PageRead, StoreCallFailed } from '../event.js';
-import type { BeliefChange } from '../log/log-event.js';
+import type { StateChange } from '../log/log-event.js';
 import {
   registerIfMissing,
   delayRegistration,
@@ -55,7 +55,7 @@
 ): GatewayEffect[] => {
   const { collection, revision: knownRevision } = progress;
   endSupersededList(progress);
-  const change: BeliefChange = {
+  const change: StateChange = {
     event: 'list-dropped',
     collection,
     revision,
@@ -178,7 +178,7 @@
 ): GatewayEffect[] => {
   const progress = state.collections[collection];
   state.counters.storeFailures.add(collection, problem);
-  const change: BeliefChange = { event: 'store-call-failed', collection, problem, detail };
+  const change: StateChange = { event: 'store-call-failed', collection, problem, detail };
   const log: GatewayEffect = { type: 'write-log', level: 'warn', part: 'store', change };
   const failure = failureOf(state, problem);
   const next = recordFailure(progress, failure, state.random, at);
--- a/src/gateway/store/apply-objects.ts
+++ b/src/gateway/store/apply-objects.ts
@@ -1,6 +1,6 @@
 /** Applies objects of the store to the state, whether they come from the store itself or from a reader. */
 import type { GatewayEffect } from '../effect.js';
-import type { BeliefChange, ReplicaState } from '../log/log-event.js';
+import type { StateChange, ReplicaState } from '../log/log-event.js';
 import type { Evacuation } from '../model/evacuation.js';
 import type { PeerRecord } from '../model/peer-record.js';
 import { type GatewayConfiguration, shardsOf } from '../model/route.js';
@@ -46,7 +46,7 @@
     return [];
   }
   const { confirmedAt } = state.collections.configuration;
-  const change: BeliefChange = {
+  const change: StateChange = {
     event: 'configuration-in-force',
     version: configuration.version,
     ...(previous !== undefined && { previous }),
@@ -162,7 +162,7 @@
   } else {
     evacuatedZones.add(zone);
   }
-  const change: BeliefChange = { event: 'zone-evacuated', zone, evacuated: !gone };
+  const change: StateChange = { event: 'zone-evacuated', zone, evacuated: !gone };
   return [{ type: 'write-log', level: 'info', part: 'replica', change }];
 };
 
@@ -174,7 +174,7 @@
   if (state.gateways === previous) {
     return [];
   }
-  const change: BeliefChange = { event: 'gateways-counted', gateways: state.gateways, previous };
+  const change: StateChange = { event: 'gateways-counted', gateways: state.gateways, previous };
   return [{ type: 'write-log', level: 'info', part: 'lifecycle', change }];
 };
 
@@ -230,7 +230,7 @@
     return logged;
   }
   state.replicasListed = true;
-  const change: BeliefChange = { event: 'replicas-listed', replicas: state.replicas.size };
+  const change: StateChange = { event: 'replicas-listed', replicas: state.replicas.size };
   return [{ type: 'write-log', level: 'info', part: 'replica', change }];
 };
 
--- a/src/gateway/store/log-replica-changes.ts
+++ b/src/gateway/store/log-replica-changes.ts
@@ -1,6 +1,6 @@
 /** Logs changes of replica entries, in a bounded number of lines of bounded length. */
 import type { WriteLog } from '../effect.js';
-import type { BeliefChange, ReplicaState } from '../log/log-event.js';
+import type { StateChange, ReplicaState } from '../log/log-event.js';
 
 /** Largest number of changes of one page or watch answer that are logged one per line; a service seldom has more replicas. */
 const MAX_LINES = 4;
@@ -21,7 +21,7 @@
 type ServiceCounts = Map<string, number>;
 
 /** Counts changes by state and service. Changes of services that do not fit in the line are counted in `unnamed`. */
-const summarize = (changes: readonly ReplicaChange[]): BeliefChange => {
+const summarize = (changes: readonly ReplicaChange[]): StateChange => {
   const counted: Record<ReplicaState, ServiceCounts> = {
     listed: new Map(),
     draining: new Map(),
@@ -48,7 +48,7 @@
   };
 };
 
-const writeLog = (change: BeliefChange): WriteLog => ({
+const writeLog = (change: StateChange): WriteLog => ({
   type: 'write-log',
   level: 'info',
   part: 'replica',
--- a/src/gateway/store/log-unreadable.ts
+++ b/src/gateway/store/log-unreadable.ts
@@ -1,6 +1,6 @@
 /** Counts and logs objects of the store whose content cannot be read, in a bounded number of lines. */
 import type { WriteLog } from '../effect.js';
-import type { BeliefChange } from '../log/log-event.js';
+import type { StateChange } from '../log/log-event.js';
 import type { GatewayState } from '../state.js';
 import type { StoreObjects } from './store-objects.js';
 
@@ -17,7 +17,7 @@
   const unnamed = unreadable.length - MAX_LINES;
   return unreadable.slice(0, MAX_LINES).map(({ name, problem }, index) => {
     const isLast = index === MAX_LINES - 1;
-    const change: BeliefChange = {
+    const change: StateChange = {
       event: 'object-unreadable',
       collection,
       name,
--- a/src/gateway/store/probe-store.ts
+++ b/src/gateway/store/probe-store.ts
@@ -4,7 +4,7 @@
  * reader and can reach the store sends no probes.
  */
 import type { GatewayEffect } from '../effect.js';
-import type { BeliefChange } from '../log/log-event.js';
+import type { StateChange } from '../log/log-event.js';
 import type { GatewayState } from '../state.js';
 import { resumeCollections } from './apply-collections.js';
 
@@ -67,7 +67,7 @@
   } else {
     store.lostSince = at;
   }
-  const change: BeliefChange = answered
+  const change: StateChange = answered
     ? { event: 'store-regained', lostForMs: Math.round(at - store.lostSince) }
     : { event: 'store-lost' };
   const level = answered ? 'info' : 'warn';
--- a/src/reference/logs-page.ts
+++ b/src/reference/logs-page.ts
@@ -1,5 +1,8 @@
 /** The page of the gateway's log events, from their descriptions in the code. */
-import { BELIEF_DESCRIPTIONS, DECISION_DESCRIPTIONS } from '../gateway/log/log-descriptions.js';
+import {
+  STATE_CHANGE_DESCRIPTIONS,
+  DECISION_DESCRIPTIONS,
+} from '../gateway/log/log-descriptions.js';
 import { formatHead, formatTable, type ReferencePage } from './reference-page.js';
 
 const formatEvents = (descriptions: Readonly<Record<string, string>>): string =>
@@ -26,6 +29,6 @@
 
 ## Changes of what a gateway believes
 
-${formatEvents(BELIEF_DESCRIPTIONS)}
+${formatEvents(STATE_CHANGE_DESCRIPTIONS)}
 `,
 });
--- a/test/gateway/reader-network.ts
+++ b/test/gateway/reader-network.ts
@@ -4,7 +4,7 @@
  */
 import type { FollowReader, GatewayEffect, TellFollowers } from '../../src/gateway/effect.js';
 import type { GatewayEvent, StoreCallFailed } from '../../src/gateway/event.js';
-import type { BeliefChange } from '../../src/gateway/log/log-event.js';
+import type { StateChange } from '../../src/gateway/log/log-event.js';
 import type { FollowerId, ReaderUpdate } from '../../src/gateway/readers/reader-update.js';
 import { step } from '../../src/gateway/reducer.js';
 import type { GatewaySettings } from '../../src/gateway/settings.js';
@@ -85,7 +85,7 @@
   /** Calls to the store, by their type. */
   readonly calls: StoreCall[] = [];
   /** Sees what gateways log of what they believe. */
-  onLine: (node: VirtualNode, change: BeliefChange) => void = () => undefined;
+  onLine: (node: VirtualNode, change: StateChange) => void = () => undefined;
   /** Sees what readers tell their followers. */
   onTold: (news: ReaderUpdate) => void = () => undefined;
   private readonly queue: Scheduled[] = [];
--- a/test/gateway/replica-log.test.ts
+++ b/test/gateway/replica-log.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import type { BeliefChange } from '../../src/gateway/log/log-event.js';
+import type { StateChange } from '../../src/gateway/log/log-event.js';
 import type { StoreObjects } from '../../src/gateway/store/store-objects.js';
 import { replicaRecord, VirtualGateway } from './virtual-gateway.js';
 
@@ -54,7 +54,7 @@
   }
 
   /** What was logged about replicas since the last call. */
-  takeLines(): readonly BeliefChange[] {
+  takeLines(): readonly StateChange[] {
     return this.gateway.effects
       .splice(0)
       .flatMap((effect) =>
@@ -128,7 +128,7 @@
     gateway.readChanges(indexOf(600, 3, 'a-service-with-a-name-as-long-as-most-stores-allow-for'));
     const [line, ...others] = gateway.takeLines();
     expect(others).toEqual([]);
-    const { listed, unnamed } = line as Extract<BeliefChange, { event: 'replicas-changed' }>;
+    const { listed, unnamed } = line as Extract<StateChange, { event: 'replicas-changed' }>;
     const named = Object.values(listed ?? {}).reduce((sum, count) => sum + count, 0);
     expect(named + (unnamed ?? 0)).toBe(1_800);
     expect(JSON.stringify(line).length).toBeLessThan(PIPE_BYTES);
--- a/test/gateway/returned-objects.test.ts
+++ b/test/gateway/returned-objects.test.ts
@@ -1,7 +1,7 @@
 /** What a copy lacks or brings back, and gateways that know different eras of the store at the same moment. */
 import { describe, expect, it } from 'vitest';
 import { createRandom } from '../../src/core/random.js';
-import type { BeliefChange } from '../../src/gateway/log/log-event.js';
+import type { StateChange } from '../../src/gateway/log/log-event.js';
 import type { ReplicaRecord } from '../../src/gateway/model/replica-record.js';
 import { step } from '../../src/gateway/reducer.js';
 import { ReaderNetwork, type VirtualNode } from './reader-network.js';
@@ -63,8 +63,8 @@
 const usedBy = ({ nodes }: ReaderNetwork, id: string): number =>
   nodes.filter((node) => uses(node, id)).length;
 
-const linesOf = (network: ReaderNetwork): BeliefChange[] => {
-  const lines: BeliefChange[] = [];
+const linesOf = (network: ReaderNetwork): StateChange[] => {
+  const lines: StateChange[] = [];
   network.onLine = (_node, change) => lines.push(change);
   return lines;
 };
--- a/test/gateway/unreadable-objects.test.ts
+++ b/test/gateway/unreadable-objects.test.ts
@@ -1,6 +1,6 @@
 /** Many entries that cannot be read at once, among others that can. */
 import { describe, expect, it } from 'vitest';
-import type { BeliefChange } from '../../src/gateway/log/log-event.js';
+import type { StateChange } from '../../src/gateway/log/log-event.js';
 import type { StoreObjects } from '../../src/gateway/store/store-objects.js';
 import { gatherOf, replicaRecord, routeTo, VirtualGateway } from './virtual-gateway.js';
 
@@ -32,7 +32,7 @@
   return gateway;
 };
 
-const linesOf = ({ effects }: VirtualGateway): readonly BeliefChange[] =>
+const linesOf = ({ effects }: VirtualGateway): readonly StateChange[] =>
   effects
     .flatMap((effect) => (effect.type === 'write-log' ? [effect.change] : []))
     .filter(({ event }) => event === 'object-unreadable');
