--- a/src/gateway/runtime/peers/peer-codec.ts
+++ b/src/gateway/runtime/peers/peer-codec.ts
@@ -14,8 +14,8 @@
   isOptional,
   isText,
 } from '../../../protocol/codec/shape.js';
-import { isCrashNews } from './crash-news-shape.js';
-import { isConfiguration, isNews } from './news-shape.js';
+import { isCrashNews } from './crash-update-shape.js';
+import { isConfiguration, isNews } from './reader-update-shape.js';
 import { isPacked, packParts, packSubquery, unpackMessage } from './pack-message.js';
 import type { PartsMessage, PeerMessage, SubqueryMessage } from './peer-message.js';
 
--- a/src/gateway/runtime/replica-client.ts
+++ b/src/gateway/runtime/replica-client.ts
@@ -7,7 +7,7 @@
 import { AnswerReader, type ExchangeEnd } from './answer-reader.js';
 import type { CallerRequests, HeldRequest } from './caller-requests.js';
 import type { GatewayEventSink } from './gateway-loop.js';
-import { ConnectPatience } from './connect-patience.js';
+import { ConnectPatience } from './connect-timeout.js';
 import type { ReplicaConnection, WireRequest } from './replica-connection.js';
 import { type PoolListener, ReplicaPool } from './replica-pool.js';
 
--- a/src/gateway/runtime/replica-pool.ts
+++ b/src/gateway/runtime/replica-pool.ts
@@ -3,7 +3,7 @@
 import type { HostPort } from '../../settings/node-settings.js';
 import type { SendAttempt } from '../effect.js';
 import type { AttemptId, AttemptProblem } from '../model/request.js';
-import type { ConnectPatience } from './connect-patience.js';
+import type { ConnectPatience } from './connect-timeout.js';
 import { ReplicaConnection } from './replica-connection.js';
 
 /**
--- a/test/gateway/replica-pool.test.ts
+++ b/test/gateway/replica-pool.test.ts
@@ -1,7 +1,7 @@
 import { setTimeout as delay } from 'node:timers/promises';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import type { SendAttempt } from '../../src/gateway/effect.js';
-import { ConnectPatience } from '../../src/gateway/runtime/connect-patience.js';
+import { ConnectPatience } from '../../src/gateway/runtime/connect-timeout.js';
 import { ReplicaPool } from '../../src/gateway/runtime/replica-pool.js';
 import type { ReplicaConnection } from '../../src/gateway/runtime/replica-connection.js';
 import { RawReplica } from './raw-replica.js';
