--- a/src/gateway/runtime/early-signals.ts
+++ b/src/gateway/runtime/early-signals.ts
@@ -14,20 +14,20 @@
 
 /** The signals of this process, kept until somebody takes them. */
 export interface EarlySignals {
-  /** Hands over what has come, and from now on each order as it comes. */
-  setHandler(carryOut: (order: SignalAction) => void): void;
+  /** Hands over what has come, and from now on each action as it comes. */
+  setHandler(handle: (action: SignalAction) => void): void;
 }
 
 /** Begins to listen for signals. */
 export const listenForSignals = (): EarlySignals => {
   const kept = new Set<SignalAction>();
-  let carryOut = (order: SignalAction): void => void kept.add(order);
-  for (const [signal, order] of Object.entries(SIGNAL_ACTIONS)) {
-    process.on(signal, () => carryOut(order));
+  let handle = (action: SignalAction): void => void kept.add(action);
+  for (const [signal, action] of Object.entries(SIGNAL_ACTIONS)) {
+    process.on(signal, () => handle(action));
   }
   return {
     setHandler(next) {
-      carryOut = next;
+      handle = next;
       kept.forEach(next);
       kept.clear();
     },
--- a/src/gateway/runtime/elapsed-clock.ts
+++ b/src/gateway/runtime/elapsed-clock.ts
@@ -45,7 +45,7 @@
   /** The clocks of this process, unless others are given. */
   readonly readings?: ClockReadings;
   /** Told within a reading of the clock, which may be in the middle of anything. */
-  readonly onPause: (standstill: ProcessPause) => void;
+  readonly onPause: (pause: ProcessPause) => void;
 }
 
 const PROCESS_READINGS: ClockReadings = {
@@ -57,16 +57,16 @@
 /** Tells the time that has passed, suspensions included. */
 export class ElapsedClock implements MonotonicClock {
   private readonly readings: ClockReadings;
-  private readonly onStandstill: ElapsedClockOptions['onPause'];
+  private readonly onPause: ElapsedClockOptions['onPause'];
   private timeOfDayOffset: number;
   private bootOffset: number;
   private suspendedMs = 0;
   private latest: number;
 
-  constructor({ readings = PROCESS_READINGS, onPause: onStandstill }: ElapsedClockOptions) {
+  constructor({ readings = PROCESS_READINGS, onPause }: ElapsedClockOptions) {
     const steady = readings.steady();
     this.readings = readings;
-    this.onStandstill = onStandstill;
+    this.onPause = onPause;
     this.timeOfDayOffset = readings.timeOfDay() - steady;
     this.bootOffset = readings.sinceBoot() - steady;
     this.latest = steady;
@@ -81,7 +81,7 @@
     this.latest = Math.max(previous, steady + this.suspendedMs);
     const forMs = this.latest - previous;
     if (forMs >= PAUSE_THRESHOLD_MS) {
-      this.onStandstill({ forMs, suspendedMs: this.suspendedMs - suspendedMs });
+      this.onPause({ forMs, suspendedMs: this.suspendedMs - suspendedMs });
     }
     return this.latest;
   }
--- a/src/gateway/runtime/peers/suspect-checks.ts
+++ b/src/gateway/runtime/peers/suspect-checks.ts
@@ -34,8 +34,8 @@
   add(peer: PeerRecord, now: number): void {
     if (!this.suspects.has(peer.name)) {
       const wanted = this.requiredAnswers(peer.name, now);
-      const askedAt = Number.NEGATIVE_INFINITY;
-      this.suspects.set(peer.name, { peer, wanted, pingedAt: askedAt, promptAnswers: 0 });
+      const pingedAt = Number.NEGATIVE_INFINITY;
+      this.suspects.set(peer.name, { peer, wanted, pingedAt, promptAnswers: 0 });
     }
   }
 
--- a/src/gateway/runtime/run-gateway.ts
+++ b/src/gateway/runtime/run-gateway.ts
@@ -86,7 +86,7 @@
   const gateway = await startGateway(settings, protocol, log, earlyPort);
   const reload = watchSettings(gateway, file, log);
   log.write({ level: 'info', part: 'lifecycle', change: { event: 'started' } });
-  signals.setHandler((order) => (order === 'stop' ? gateway.stop() : reload()));
+  signals.setHandler((action) => (action === 'stop' ? gateway.stop() : reload()));
   await gateway.ended;
   await sink.end();
   return ExitCode.done;
--- a/src/gateway/runtime/start-gateway.ts
+++ b/src/gateway/runtime/start-gateway.ts
@@ -57,7 +57,7 @@
 class GatewayProcess implements RunningGateway {
   readonly ended: Promise<void>;
   readonly state: GatewayState;
-  private readonly clock = new ElapsedClock({ onPause: (stood) => this.handlePause(stood) });
+  private readonly clock = new ElapsedClock({ onPause: (pause) => this.handlePause(pause) });
   private clockTimer: NodeJS.Timeout | undefined;
   private readonly loop: GatewayLoop;
   private readonly timers: GatewayTimers;
@@ -131,9 +131,9 @@
   }
 
   /** The process's timers do not count a suspension. */
-  private handlePause(standstill: ProcessPause): void {
+  private handlePause(pause: ProcessPause): void {
     this.timers.refresh();
-    this.loop.emit({ type: 'stood-still', at: this.clock.now(), ...standstill });
+    this.loop.emit({ type: 'stood-still', at: this.clock.now(), ...pause });
   }
 
   private executeEffect(effect: GatewayEffect): void {
@@ -171,7 +171,7 @@
       .with({ type: 'open-connection' }, (open) => this.replicas.preconnect(open))
       .with({ type: 'check-replica' }, (check) => this.replicas.check(check))
       .with({ type: 'watch-replica' }, (watch) => this.replicas.watch(watch))
-      .with({ type: 'tell-crashes' }, (tell) => this.peerClient.sendCrashUpdates(tell))
+      .with({ type: 'tell-crashes' }, (update) => this.peerClient.sendCrashUpdates(update))
       .with({ type: 'set-crash-news-timer' }, ({ at }) => this.timers.set('crash-news', at))
       .with({ type: 'close-replica' }, ({ replica }) => this.replicas.close(replica))
       .with({ type: 'call-store' }, ({ call }) => this.callStore(call))
@@ -187,7 +187,7 @@
       .with({ type: 'set-reading-timer' }, ({ at }) => this.timers.set('reading', at))
       .with({ type: 'follow-reader' }, (follow) => this.peerClient.follow(follow))
       .with({ type: 'unfollow-reader' }, ({ reader }) => this.peerClient.unfollow(reader))
-      .with({ type: 'tell-followers' }, (tell) => this.peerPort.sendUpdate(tell))
+      .with({ type: 'tell-followers' }, (update) => this.peerPort.sendUpdate(update))
       .with({ type: 'set-stop-timer' }, ({ at }) => this.timers.set('stop', at))
       .with({ type: 'set-readiness' }, ({ ready }) => {
         this.readiness.setReady(ready);
--- a/test/gateway/elapsed-clock.test.ts
+++ b/test/gateway/elapsed-clock.test.ts
@@ -43,7 +43,7 @@
       timeOfDay: () => machine.timeOfDay,
       sinceBoot: () => machine.sinceBoot,
     },
-    onPause: (standstill) => pauses.push(standstill),
+    onPause: (pause) => pauses.push(pause),
   });
   clock.now();
 });
--- a/test/gateway/peer-port.test.ts
+++ b/test/gateway/peer-port.test.ts
@@ -70,8 +70,8 @@
 
 describe('a gateway that follows this one', () => {
   it('is told what it is told, and no longer once it has left', async () => {
-    const heard: PeerMessage[] = [];
-    const connection = follow(heard);
+    const received: PeerMessage[] = [];
+    const connection = follow(received);
     await until(() => typesOf().includes('follower-joined'));
     const [joined] = events;
     const followers = joined?.type === 'follower-joined' ? [joined.follower] : [];
@@ -85,13 +85,13 @@
       revision: 8,
     };
     port.sendUpdate({ type: 'tell-followers', followers, news });
-    await until(() => heard.length === 1);
-    expect(heard).toEqual([{ type: 'news', news }]);
+    await until(() => received.length === 1);
+    expect(received).toEqual([{ type: 'news', news }]);
     connection.send({ type: 'unfollow' });
     await until(() => typesOf().includes('follower-left'));
     port.sendUpdate({ type: 'tell-followers', followers, news });
     await delay(50);
-    expect(heard).toHaveLength(1);
+    expect(received).toHaveLength(1);
   });
 
   it('has left when its connection closes', async () => {
--- a/test/gateway/replica-pool.test.ts
+++ b/test/gateway/replica-pool.test.ts
@@ -81,13 +81,15 @@
 
 describe('the wait for a new connection', () => {
   it('is long at first, and follows from how long connections take', () => {
-    const patience = new ConnectTimeout();
-    expect(patience.timeoutMs).toBe(1_000);
-    Array.from({ length: 20 }, () => patience.recordConnect(7));
-    expect(patience.timeoutMs).toBe(250);
-    Array.from({ length: 20 }, (_, index) => patience.recordConnect(index % 2 === 0 ? 50 : 250));
-    expect(patience.timeoutMs).toBeGreaterThan(300);
-    expect(patience.timeoutMs).toBeLessThan(900);
+    const connectTimeout = new ConnectTimeout();
+    expect(connectTimeout.timeoutMs).toBe(1_000);
+    Array.from({ length: 20 }, () => connectTimeout.recordConnect(7));
+    expect(connectTimeout.timeoutMs).toBe(250);
+    Array.from({ length: 20 }, (_, index) =>
+      connectTimeout.recordConnect(index % 2 === 0 ? 50 : 250),
+    );
+    expect(connectTimeout.timeoutMs).toBeGreaterThan(300);
+    expect(connectTimeout.timeoutMs).toBeLessThan(900);
   });
 
   it('ends for all attempts at a replica that cannot be reached', async () => {
