--- a/src/gateway/log/log-event.ts
+++ b/src/gateway/log/log-event.ts
@@ -1,6 +1,6 @@
 /**
- * Everything that a gateway logs: decisions about requests, and changes of what it believes. Each has
- * a name, the inputs that decided, and a description for the reference.
+ * All log events of a gateway: decisions about requests, and changes of its state. Each has a name, the inputs on
+ * which it was based, and a description for the reference (`log-descriptions.ts`).
  */
 import type {
   AttemptProblem,
@@ -15,16 +15,16 @@
 /** Why an attempt was sent. */
 export type AttemptReason = 'first' | 'retry' | 'hedge';
 
-/** A decision that touches one request. Times are in milliseconds. */
+/** A decision about one request. Times are in milliseconds. */
 export type Decision =
   | {
       readonly event: 'request-admitted';
       readonly route: string;
       readonly fingerprint: Fingerprint;
       readonly version: number;
-      /** How long the version is in force. */
+      /** How long the version has been in force. */
       readonly versionAgeMs: number;
-      /** How long before the store had returned from a copy; present for 30 s after that. */
+      /** Time since the store was restored from a backup; present for 30 s after that. */
       readonly storeReturnedMsAgo?: number;
       readonly legs: number;
       readonly budgetMs: number;
@@ -37,10 +37,10 @@
       readonly service: string;
       readonly replica: string;
       readonly zone: string;
-      /** How much longer than usual the replica is expected to take. */
+      /** Factor by which the replica is expected to be slower than usual. */
       readonly slowdown: number;
       readonly pending: number;
-      /** Age of the replica's last report of its load; absent where there is none. */
+      /** Age of the replica's last load report; absent if there is none. */
       readonly loadAgeMs?: number;
     }
   | {
@@ -50,7 +50,7 @@
       readonly outcome: 'answered' | 'not-run' | AttemptProblem;
       readonly status?: number;
       readonly elapsedMs: number;
-      /** The request had its answer before; the attempt's was dropped. */
+      /** The request was answered before this attempt ended; its result was discarded. */
       readonly dropped: boolean;
     }
   | {
@@ -60,7 +60,7 @@
     }
   | {
       readonly event: 'legs-held';
-      /** Replicas that have ended under the request, and attempts that broke off unexplained. */
+      /** Replicas that the request has crashed, and interrupted attempts whose replica has not been checked yet. */
       readonly crashes: number;
       readonly uncheckedBreaks: number;
     }
@@ -114,14 +114,14 @@
       readonly status?: number;
       readonly reason?: RefusalReason;
       readonly mayHaveRun?: boolean;
-      /** What fitted no route, the version in force and since when; present where that is the reason. */
+      /** The target that matched no route, the version in force and its age; present if that is the reason. */
       readonly noRoute?: {
         readonly host: string;
         readonly path: string;
         readonly version: number;
         readonly versionAgeMs: number;
       };
-      /** Which request is blocked, by how many rounds of crashes, and for how much longer; present where that is the reason. */
+      /** The blocked request, its rounds of crashes, and the time left; present if that is the reason. */
       readonly blocked?: {
         readonly fingerprint: Fingerprint;
         readonly rounds: number;
@@ -134,19 +134,22 @@
     }
   | { readonly event: 'caller-left'; readonly elapsedMs: number };
 
-/** A decision with its time on the monotonic clock. */
+/** A decision with its time on the monotonic clock, in milliseconds. */
 export interface TracedDecision {
   readonly at: number;
   readonly decision: Decision;
 }
 
-/** Why the decisions of a request are logged. */
+/** Why the decisions about a request are logged. */
 export type TraceReason = 'failed' | 'sampled';
 
-/** What the store says of a replica. */
+/** State of a replica according to the store. */
 export type ReplicaState = 'listed' | 'draining' | 'gone';
 
-/** A change of what the gateway believes, or of its own life. The line has `time`, `node`, `level` and `part` besides. */
+/**
+ * A change of the gateway's state, of its view of other components, or of its lifecycle. The log line also has `time`,
+ * `node`, `level` and `part`.
+ */
 export type StateChange =
   | { readonly event: 'started' }
   | { readonly event: 'ready'; readonly ready: boolean; readonly phase: string }
@@ -161,18 +164,18 @@
       readonly version: number;
       readonly previous?: number;
       readonly routes: number;
-      /** Who told it: `store`, or the name of a reader. */
+      /** Source of the version: `store`, or the name of a reader. */
       readonly from: string;
-      /** How long before this it was last known that nothing newer is in the store; absent at first. */
+      /** Time since the previous configuration was last confirmed to be the latest; absent for the first one. */
       readonly unconfirmedMs?: number;
     }
   | {
       readonly event: 'object-unreadable';
       readonly collection: string;
       readonly name: string;
-      /** The field, and what is wrong with it; absent where a reader told it. */
+      /** The field, and what is wrong with it; absent if the object came from a reader. */
       readonly problem?: string;
-      /** Others that came with it and have no line; absent where all have one. */
+      /** Number of unreadable objects read with it that have no line of their own; absent if all have one. */
       readonly unnamed?: number;
     }
   | {
@@ -181,27 +184,27 @@
       readonly status: number;
       readonly detail: string;
       readonly from: string;
-      /** Others of the same problem since the last line about one. */
+      /** Number of refusals for the same problem since its last line. */
       readonly unlogged: number;
     }
   | {
       readonly event: 'store-era-changed';
       readonly era: number;
       readonly previous: number;
-      /** Who told it: `store`, or the name of a reader. */
+      /** Source of the era: `store`, or the name of a reader. */
       readonly from: string;
     }
   | {
       readonly event: 'store-returned';
       readonly era: number;
       readonly previous: number;
-      /** How long after the era was first known. */
+      /** Time since the gateway first learned of the era. */
       readonly readAfterMs: number;
       /** The version of the configuration in force. */
       readonly version: number;
-      /** Objects that the store has lost and that are known on for some seconds, by collection. */
+      /** Number of objects that the store has lost and that stay in use for some seconds, by collection. */
       readonly missing: Readonly<Record<string, number>>;
-      /** Objects that it holds as they were before, and that are not taken for some seconds, by collection. */
+      /** Number of objects that went back to an earlier state, which is not applied for some seconds, by collection. */
       readonly older: Readonly<Record<string, number>>;
     }
   | {
@@ -242,7 +245,7 @@
       readonly listed?: Readonly<Record<string, number>>;
       readonly draining?: Readonly<Record<string, number>>;
       readonly gone?: Readonly<Record<string, number>>;
-      /** Replicas of services for which the line has no room. */
+      /** Number of replicas of services for which the line has no room. */
       readonly unnamed?: number;
     }
   | { readonly event: 'zone-evacuated'; readonly zone: string; readonly evacuated: boolean }
@@ -256,25 +259,25 @@
       readonly event: 'replica-crashed';
       readonly replica: string;
       readonly service: string;
-      /** Some of the requests that it was running, those of this gateway. */
+      /** Some of the requests of this gateway that the replica was running. */
       readonly fingerprints: readonly Fingerprint[];
-      /** How many they were, and how many of them nobody waited for any more. */
+      /** Number of these requests, and how many of them were no longer awaited by anybody. */
       readonly requests: number;
       readonly unawaited: number;
     }
   | {
       readonly event: 'request-suspected';
       readonly fingerprint: Fingerprint;
-      /** Rounds of replicas that ended under it, and how many block it. */
+      /** Rounds in which the request crashed replicas, and the number of rounds that blocks it. */
       readonly rounds: number;
       readonly blockingRounds: number;
-      /** The gateway that knew it first-hand, or told it. */
+      /** This gateway, or the one that reported it. */
       readonly from: string;
     }
   | {
       readonly event: 'request-blocked';
       readonly fingerprint: Fingerprint;
-      /** How often it was blocked in a row. */
+      /** Number of consecutive blocks. */
       readonly times: number;
       readonly forMs: number;
       readonly from: string;
@@ -283,7 +286,7 @@
       readonly event: 'request-cleared';
       readonly fingerprint: Fingerprint;
       readonly from: string;
-      /** The replica that has answered it, and its status; absent where another gateway told it. */
+      /** The replica that answered, and its status; absent if another gateway reported it. */
       readonly replica?: string;
       readonly status?: number;
     }
--- a/src/gateway/log/trace.ts
+++ b/src/gateway/log/trace.ts
@@ -1,18 +1,22 @@
 /**
- * The decisions about one request, kept until its end. A request that went wrong is logged whole, the
- * others are sampled by their identifiers, so that all gateways keep the same ones.
+ * Collects the decisions about one request until it ends. All decisions about a failed request are logged. Other
+ * requests are sampled by their identifiers, so that all gateways log the same ones.
  */
 import { hash32 } from '../../core/hash.js';
 import type { GatewayEffect } from '../effect.js';
 import type { Decision, TracedDecision, TraceReason } from './log-event.js';
 
-/** One of so many requests without trouble is logged. */
+/** One of this many successful requests is logged. */
 const SAMPLING_INTERVAL = 64;
 
-/** Decisions kept for one request. */
+/** Maximum number of decisions recorded for one request. */
 const MAX_DECISIONS = 400;
 
-/** Adds a decision to those of a request. */
+/**
+ * Adds a decision to those of a request, unless the maximum is reached.
+ *
+ * @param at - milliseconds on the monotonic clock
+ */
 export const recordDecision = (
   decisions: TracedDecision[],
   at: number,
@@ -25,7 +29,7 @@
 
 const isSampled = (requestId: string): boolean => hash32(requestId) % SAMPLING_INTERVAL === 0;
 
-/** Logs the decisions of a request that has ended, if they are wanted. */
+/** Returns the effect that logs the decisions about a request that has ended; none if it succeeded and is not sampled. */
 export const writeTrace = (
   requestId: string,
   decisions: readonly TracedDecision[],
