--- a/src/gateway/metrics/gateway-counters.ts
+++ b/src/gateway/metrics/gateway-counters.ts
@@ -1,4 +1,4 @@
-/** What a gateway counts; it is part of its state. */
+/** Counters and histograms of a gateway; they are part of its state. */
 import { CounterMetric, HistogramMetric } from './metric-series.js';
 
 /** Upper bounds of the buckets of latencies, in seconds. */
@@ -6,11 +6,11 @@
   0.002, 0.005, 0.01, 0.02, 0.035, 0.055, 0.08, 0.115, 0.2, 0.3, 0.5, 1, 2, 5, 10,
 ];
 
-/** All counters and histograms. */
+/** Creates all counters and histograms of a gateway. */
 export const createGatewayCounters = () => ({
   requests: new CounterMetric({
     name: 'crossroad_gateway_requests_total',
-    help: 'Requests of callers that ended, by route and outcome; what was refused has its reason as outcome.',
+    help: 'Completed requests of callers, by route and outcome; the outcome of a refused request is the reason.',
     labelNames: ['route', 'outcome'],
   }),
   requestDuration: new HistogramMetric(
@@ -36,22 +36,22 @@
   ),
   budgetDenials: new CounterMetric({
     name: 'crossroad_gateway_budget_denials_total',
-    help: 'Further attempts that the retry budget of a service did not allow.',
+    help: 'Further attempts that the retry budget of a service denied.',
     labelNames: ['service'],
   }),
   replicaCrashes: new CounterMetric({
     name: 'crossroad_gateway_replica_crashes_total',
-    help: 'Replicas that ended while they ran requests of this gateway, by service.',
+    help: 'Replicas that crashed while they ran requests of this gateway, by service.',
     labelNames: ['service'],
   }),
   unawaitedRuns: new CounterMetric({
     name: 'crossroad_gateway_unawaited_runs_total',
-    help: 'Attempts that a replica may have run and that nobody waited for when they ended, by service and outcome.',
+    help: 'Attempts that a replica may have run and whose answer was no longer awaited when they ended, by service and outcome.',
     labelNames: ['service', 'outcome'],
   }),
   subqueries: new CounterMetric({
     name: 'crossroad_gateway_subqueries_total',
-    help: 'Subqueries: sent to feeders, moved to others, and taken as a feeder.',
+    help: 'Subqueries sent to feeders, moved to other feeders, and accepted as a feeder, by step.',
     labelNames: ['step'],
   }),
   storeCalls: new CounterMetric({
@@ -66,7 +66,7 @@
   }),
   unreadableObjects: new CounterMetric({
     name: 'crossroad_gateway_unreadable_objects_total',
-    help: 'Objects of the store whose content could not be read, by collection; once each time they are read.',
+    help: 'Objects of the store whose content could not be read, by collection; counted at each read.',
     labelNames: ['collection'],
   }),
 });
--- a/src/gateway/metrics/metric-series.ts
+++ b/src/gateway/metrics/metric-series.ts
@@ -1,25 +1,25 @@
 /**
- * Counters and histograms that cost a map look-up and an addition. They stand in the gateway's state,
- * so that the library that formats them is loaded only when somebody asks for them.
+ * Counters and histograms; an update costs a map look-up and an addition. The values are kept in the gateway's state,
+ * so that the library that formats them is loaded only with the first request for metrics.
  */
 
-/** Most series of one metric; further label values are counted under `other`. */
+/** Maximum number of series of one metric; further label values are counted under `other`. */
 const MAX_SERIES = 400;
 
-/** Label value of what has no series of its own. */
+/** Label value of observations that have no series of their own. */
 const OTHER = 'other';
 
 /** Separates label values in the key of a series. */
 const SEPARATOR = '\u0000';
 
-/** One value of a metric, as it is formatted. */
+/** One sample of a metric in the form that the formatting library expects. */
 export interface MetricValue {
   readonly metricName: string;
   readonly labels: Readonly<Record<string, string | number>>;
   readonly value: number;
 }
 
-/** What a metric is. */
+/** Name, help text and labels of a metric. */
 export interface MetricDescription {
   readonly name: string;
   readonly help: string;
@@ -32,7 +32,7 @@
 ): Readonly<Record<string, string>> =>
   Object.fromEntries(names.map((name, index) => [name, values[index] ?? OTHER]));
 
-/** Series by label values; their number is bounded. */
+/** Series by label values; their number is limited. */
 class SeriesMap<Series> {
   private readonly series = new Map<string, Series>();
 
@@ -120,7 +120,7 @@
       .flatMap(([values, buckets]) => this.valuesOf(labelsOf(labelNames, values), buckets));
   }
 
-  /** Buckets are cumulative. */
+  /** Converts the counts to cumulative buckets. */
   private valuesOf(
     labels: Readonly<Record<string, string>>,
     { counts, count, sum }: Buckets,
@@ -140,7 +140,7 @@
   }
 }
 
-/** A value that is read when somebody asks for it. */
+/** A value that is read when metrics are requested. */
 export class GaugeMetric {
   readonly type = 'gauge';
 
