--- a/src/gateway/explain/find-cause.ts
+++ b/src/gateway/explain/find-cause.ts
@@ -1,4 +1,4 @@
-/** Names the most likely cause of what happened to a request, from its log lines. */
+/** Derives the most likely cause of a request's outcome from its log lines. */
 import type { Decision } from '../log/log-event.js';
 import type { RequestLine } from './read-lines.js';
 
@@ -59,7 +59,7 @@
   version,
   versionAgeMs,
 }: NonNullable<LineOf<'request-answered'>['noRoute']>): string =>
-  `refused: no route of version ${version}, in force for ${versionAgeMs} ms, fits ${host}${path}`;
+  `refused: no route of version ${version}, in force for ${versionAgeMs} ms, matches ${host}${path}`;
 
 const describeBlock = ({
   fingerprint,
@@ -67,11 +67,13 @@
   level,
   forMs,
 }: NonNullable<LineOf<'request-answered'>['blocked']>): string =>
-  `refused: replicas ended under this request (fingerprint ${fingerprint}) in ${rounds} rounds one after the other and none answered it; it is blocked for ${forMs} ms more (block ${level}), then tried at one replica`;
+  `refused: this request (fingerprint ${fingerprint}) crashed replicas in ${rounds} consecutive rounds and none answered it; it is blocked for ${forMs} ms more (block ${level}), then sent to one replica as a trial`;
 
 const describeCrashes = (lines: readonly RequestLine[]): string => {
   const crashed = linesWithEvent(lines, 'attempt-crashed').map(({ replica }) => replica);
-  return crashed.length === 0 ? '' : `; replicas that ended under it: ${crashed.join(', ')}`;
+  return crashed.length === 0
+    ? ''
+    : `; replicas that crashed while running it: ${crashed.join(', ')}`;
 };
 
 const explainAnswer = (
@@ -89,7 +91,7 @@
         return describeBlock(answer.blocked);
       }
       if (missing.length === 0) {
-        return `refused after ${elapsedMs} ms (${answer.reason ?? 'unknown'}) before any replica was asked`;
+        return `refused after ${elapsedMs} ms (${answer.reason ?? 'unknown'}) before an attempt was sent`;
       }
       return `refused ${time} (${answer.reason ?? 'unknown'}); ${describeMissing(lines, missing)}${describeCrashes(lines)}`;
     case 'partial':
@@ -97,31 +99,31 @@
     case 'passed-on':
       return `a replica answered ${answer.status ?? 0} ${time}; ${describeSlowestAttempt(lines)}`;
     case 'whole':
-      return `answered whole ${time}; ${describeSlowestAttempt(lines)}`;
+      return `answered in full ${time}; ${describeSlowestAttempt(lines)}`;
   }
 };
 
-/** Where a return of the store may have to do with it: the version by which the request was routed, and when that was. */
+/** Names the version that routed the request if the store had been restored from a backup shortly before. */
 const describeRestoredStore = (lines: readonly RequestLine[]): string => {
   const [admitted] = linesWithEvent(lines, 'request-admitted');
   if (admitted?.storeReturnedMsAgo === undefined) {
     return '';
   }
   const { version, versionAgeMs, storeReturnedMsAgo } = admitted;
-  return `; routed by version ${version}, in force for ${versionAgeMs} ms; the store had returned from a copy ${storeReturnedMsAgo} ms before: see store-returned`;
+  return `; routed by version ${version}, in force for ${versionAgeMs} ms; the store had been restored from a backup ${storeReturnedMsAgo} ms before: see store-returned`;
 };
 
-/** One sentence on what happened and why. */
+/** Describes the outcome of a request and its most likely cause in one sentence. */
 export const findCause = (lines: readonly RequestLine[]): string => {
   const [left] = linesWithEvent(lines, 'caller-left');
   if (left !== undefined) {
-    return `the caller left after ${left.elapsedMs} ms; ${describeSlowestAttempt(lines)}`;
+    return `the caller closed its connection after ${left.elapsedMs} ms; ${describeSlowestAttempt(lines)}`;
   }
   const [answer] = linesWithEvent(lines, 'request-answered');
   if (answer !== undefined) {
     return `${explainAnswer(lines, answer)}${describeRestoredStore(lines)}`;
   }
   return lines.length === 0
-    ? 'no line speaks of the request: it was not sampled, reached no gateway, or its gateway was lost'
-    : 'no final answer was logged: the gateway was lost while the request ran';
+    ? 'no log line about the request: it was not sampled, reached no gateway, or its gateway failed'
+    : 'no final answer was logged: the gateway failed while the request ran';
 };
--- a/src/gateway/explain/read-lines.ts
+++ b/src/gateway/explain/read-lines.ts
@@ -1,4 +1,4 @@
-/** Reads the log lines of gateways that speak of one request. */
+/** Finds the log lines of gateways about one request. */
 import type { Decision } from '../log/log-event.js';
 
 /** A line about a request, as it was logged. */
@@ -11,10 +11,10 @@
   readonly agoMs: number;
 };
 
-/** What was found in log files. */
+/** The lines found in log files. */
 export interface FoundLines {
   readonly lines: readonly RequestLine[];
-  /** Lines that begin like one of a gateway and are no JSON. */
+  /** Number of lines that begin like a log line of a gateway and are not valid JSON. */
   readonly malformed: number;
 }
 
@@ -25,10 +25,13 @@
   'requestId' in value &&
   value.requestId === requestId;
 
-/** When the decision of a line was made, in milliseconds since the epoch. */
+/** Returns when the decision of a line was made, in milliseconds since the epoch. */
 export const decidedAt = ({ time, agoMs }: RequestLine): number => time - agoMs;
 
-/** Finds the lines about a request in `texts`; what stands before the first brace is left out. */
+/**
+ * Finds the lines about a request in `texts`, ordered by the time of their decisions. Any prefix before the JSON of a
+ * line is ignored.
+ */
 export const findRequestLines = (texts: readonly string[], requestId: string): FoundLines => {
   const lines: RequestLine[] = [];
   let malformed = 0;
