--- a/src/gateway/log/log-descriptions.ts
+++ b/src/gateway/log/log-descriptions.ts
@@ -79,5 +79,5 @@
     'This gateway starts to read the store itself, or leaves that to the readers that it follows.',
   'gateways-counted': 'The number of gateways that share replicas and budgets has changed.',
   'lines-dropped':
-    'Log lines were left out: the rate limit was exceeded, or standard output could not take them.',
+    'Log lines were left out: the rate limit was exceeded, or standard output could not accept them.',
 };
--- a/src/gateway/runtime/peers/peer-client.ts
+++ b/src/gateway/runtime/peers/peer-client.ts
@@ -78,8 +78,8 @@
   constructor(private readonly context: PeerClientContext) {}
 
   send({ id, call, peer, subquery }: SendSubquery): void {
-    const held = this.context.requests.find(call);
-    if (held === undefined) {
+    const pendingRequest = this.context.requests.find(call);
+    if (pendingRequest === undefined) {
       this.context.sink.emit({
         type: 'subquery-failed',
         at: this.now,
@@ -89,7 +89,7 @@
       return;
     }
     const link = this.links.get(peer.name) ?? this.openLink(peer);
-    const { method, path, requestId, passedHeaders: headers, body } = held;
+    const { method, path, requestId, passedHeaders: headers, body } = pendingRequest;
     link.usedAt = this.now;
     link.pending.add(id);
     this.linkBySubquery.set(id, link);
--- a/src/gateway/runtime/peers/peer-port.ts
+++ b/src/gateway/runtime/peers/peer-port.ts
@@ -220,9 +220,9 @@
   private startSubquery(coordinator: Coordinator, message: SubqueryMessage): void {
     const { requests, sink, clock } = this.context;
     const { id, requestId, method, path, headers, body, subquery } = message;
-    const held = { method, path, requestId, passedHeaders: headers };
+    const requestFields = { method, path, requestId, passedHeaders: headers };
     const { call, fingerprint } = requests.addPending({
-      ...held,
+      ...requestFields,
       body: body === null ? null : Buffer.from(body),
     });
     coordinator.calls.set(id, call);
--- a/src/gateway/runtime/replica-client.ts
+++ b/src/gateway/runtime/replica-client.ts
@@ -116,7 +116,7 @@
 
   private abortWaiting(attempt: AttemptId): void {
     for (const pool of this.pools.values()) {
-      if (pool.withdraw(attempt)) {
+      if (pool.removeWaiting(attempt)) {
         this.emitEnded(attempt, { type: 'failed', problem: 'aborted', mayHaveRun: false });
         return;
       }
--- a/src/gateway/runtime/replica-pool.ts
+++ b/src/gateway/runtime/replica-pool.ts
@@ -101,7 +101,7 @@
   }
 
   /** Removes a waiting attempt from the queue; returns false if it does not wait here. */
-  withdraw(attempt: AttemptId): boolean {
+  removeWaiting(attempt: AttemptId): boolean {
     const index = this.waiting.findIndex((each) => each.attempt === attempt);
     if (index >= 0) {
       this.waiting.splice(index, 1);
--- a/src/gateway/runtime/start-gateway.ts
+++ b/src/gateway/runtime/start-gateway.ts
@@ -68,7 +68,7 @@
   private readonly store: StoreClient;
   private readonly peerClient: PeerClient;
   private readonly peerPort: PeerPort;
-  private finish: () => void = () => undefined;
+  private resolveEnded: () => void = () => undefined;
 
   constructor(
     settings: GatewaySettings,
@@ -78,7 +78,7 @@
   ) {
     this.state = createGatewayState(settings, Math.floor(Math.random() * SEED_RANGE));
     this.ended = new Promise((resolve) => {
-      this.finish = resolve;
+      this.resolveEnded = resolve;
     });
     const { clock } = this;
     const sink = new GatewayLoop(this.state, (effect) => this.executeEffect(effect));
@@ -224,7 +224,7 @@
     this.peerPort.destroy();
     this.replicas.destroy();
     this.store.destroy();
-    this.finish();
+    this.resolveEnded();
   }
 }
 
--- a/test/gateway/elapsed-clock.test.ts
+++ b/test/gateway/elapsed-clock.test.ts
@@ -7,7 +7,7 @@
 let pauses: ProcessPause[];
 
 /** Advances all clocks. */
-const pass = (ms: number): void => {
+const advance = (ms: number): void => {
   machine.steady += ms;
   machine.timeOfDay += ms;
   machine.sinceBoot += ms;
@@ -22,15 +22,15 @@
 /** Advances all clocks and reads the gateway's clock often, as a running process does. */
 const run = (ms: number): void => {
   for (let left = ms; left > 0; left -= 100) {
-    pass(Math.min(100, left));
+    advance(Math.min(100, left));
     clock.now();
   }
 };
 
 /** Returns by how much the gateway's clock advances during an action. */
-const elapsed = (happen: () => void): number => {
+const elapsed = (action: () => void): number => {
   const before = clock.now();
-  happen();
+  action();
   return clock.now() - before;
 };
 
@@ -56,21 +56,21 @@
   });
 
   it.each([2_000, -2_000, 3_600_000])('ignores a change of the time of day by %i ms', (step) => {
-    const happen = (): void => {
+    const changeClocks = (): void => {
       machine.timeOfDay += step;
       run(500);
     };
-    expect(elapsed(happen)).toBe(500);
+    expect(elapsed(changeClocks)).toBe(500);
     expect(elapsed(() => suspend(4_000))).toBe(4_000);
   });
 
   it('ignores a jump of the time since boot that no other clock confirms', () => {
-    const happen = (): void => {
+    const changeClocks = (): void => {
       machine.sinceBoot += 60_000;
       machine.timeOfDay += 2_000;
       run(500);
     };
-    expect(elapsed(happen)).toBe(500);
+    expect(elapsed(changeClocks)).toBe(500);
   });
 
   it('accepts a time since boot with a resolution of 10 ms', () => {
@@ -95,14 +95,14 @@
 
   it('is detected if the process was stopped', () => {
     run(1_000);
-    pass(4_000);
+    advance(4_000);
     clock.now();
     expect(pauses).toEqual([{ forMs: 4_000, suspendedMs: 0 }]);
   });
 
   it('is not detected if the process was busy or the time of day was changed', () => {
     run(1_000);
-    pass(900);
+    advance(900);
     clock.now();
     machine.timeOfDay += 5_000;
     run(1_000);
--- a/test/gateway/peer-client.test.ts
+++ b/test/gateway/peer-client.test.ts
@@ -56,8 +56,8 @@
 });
 
 const untilEvent = async (type: GatewayEvent['type']): Promise<void> => {
-  for (let tries = 0; !events.some((event) => event.type === type); tries += 1) {
-    if (tries > 1_000) {
+  for (let polls = 0; !events.some((event) => event.type === type); polls += 1) {
+    if (polls > 1_000) {
       throw new Error(`timed out waiting for ${type}`);
     }
     await delay(10);
--- a/test/gateway/peer-port.test.ts
+++ b/test/gateway/peer-port.test.ts
@@ -21,15 +21,15 @@
 const PORT_ATTEMPTS = 5;
 
 /** Listens on a port chosen by the kernel; uses another one if a concurrent test has taken it meanwhile. */
-const listen = async (tries = PORT_ATTEMPTS): Promise<void> => {
+const listen = async (attemptsLeft = PORT_ATTEMPTS): Promise<void> => {
   address = await freeAddress();
   try {
     await port.listen(address);
   } catch (error) {
-    if (tries <= 1) {
+    if (attemptsLeft <= 1) {
       throw error;
     }
-    await listen(tries - 1);
+    await listen(attemptsLeft - 1);
   }
 };
 
@@ -58,8 +58,8 @@
 };
 
 const until = async (condition: () => boolean): Promise<void> => {
-  for (let tries = 0; !condition(); tries += 1) {
-    if (tries > 1_000) {
+  for (let polls = 0; !condition(); polls += 1) {
+    if (polls > 1_000) {
       throw new Error('timed out waiting for a condition');
     }
     await delay(5);
@@ -97,9 +97,9 @@
   it('is removed when its connection closes', async () => {
     follow([]).close();
     sockets[0]?.destroy();
-    const again = follow([]);
+    const secondConnection = follow([]);
     await until(() => typesOf().includes('follower-joined'));
-    again.close();
+    secondConnection.close();
     await until(() => typesOf().includes('follower-left'));
   });
 });
--- a/test/platform/early-port.test.ts
+++ b/test/platform/early-port.test.ts
@@ -75,21 +75,21 @@
   it('serves requests that arrive in pieces before and after, and ignores a closed connection', async () => {
     const early = await openEarlyPort(await settingsFile(settingsFileOf(fixture.settings)));
     const { callers } = fixture.settings;
-    const [halved, silent, gone] = [
+    const [split, silent, closed] = [
       await RawCaller.open(callers),
       await RawCaller.open(callers),
       await RawCaller.open(callers),
     ];
     const text = `${requestHead('POST /one/x', ['Content-Length: 4'])}body`;
-    halved.send(text.slice(0, 40));
-    gone.send(text.slice(0, 40));
+    split.send(text.slice(0, 40));
+    closed.send(text.slice(0, 40));
     await delay(50);
-    gone.close();
+    closed.close();
     const gateway = await startGateway(fixture.settings, platformProtocol, SILENT_LOG, early);
-    halved.send(text.slice(40));
+    split.send(text.slice(40));
     silent.send(text);
-    expect([await halved.statuses(1), await silent.statuses(1)]).toEqual([[200], [200]]);
-    halved.close();
+    expect([await split.statuses(1), await silent.statuses(1)]).toEqual([[200], [200]]);
+    split.close();
     silent.close();
     gateway.kill();
     await gateway.ended;
--- a/test/platform/gateway-fixture.ts
+++ b/test/platform/gateway-fixture.ts
@@ -80,22 +80,22 @@
 const startOnFreePorts = async (
   settings: GatewaySettings,
   log: GatewayLog,
-  tries = PORT_ATTEMPTS,
+  attemptsLeft = PORT_ATTEMPTS,
 ): Promise<readonly [RunningGateway, GatewaySettings]> => {
   try {
     return [await startGateway(settings, platformProtocol, log), settings];
   } catch (error) {
-    if ((error as NodeJS.ErrnoException).code !== 'EADDRINUSE' || tries <= 1) {
+    if ((error as NodeJS.ErrnoException).code !== 'EADDRINUSE' || attemptsLeft <= 1) {
       throw error;
     }
-    return startOnFreePorts({ ...settings, ...(await freeAddresses()) }, log, tries - 1);
+    return startOnFreePorts({ ...settings, ...(await freeAddresses()) }, log, attemptsLeft - 1);
   }
 };
 
 /** Waits until `condition` holds; throws after five seconds. */
 export const until = async (condition: () => boolean, what: string): Promise<void> => {
-  for (let tries = 0; !condition(); tries += 1) {
-    if (tries > 1_000) {
+  for (let polls = 0; !condition(); polls += 1) {
+    if (polls > 1_000) {
       throw new Error(`timed out waiting until ${what}`);
     }
     await delay(5);
@@ -238,8 +238,8 @@
 
   /** Starts another gateway with the same store. */
   async startPeer(node: string, capacity: number): Promise<RunningGateway> {
-    const own = { ...this.settings, node, capacity, ...(await freeAddresses()) };
-    const [peer] = await startOnFreePorts(own, new RecordingLog());
+    const peerSettings = { ...this.settings, node, capacity, ...(await freeAddresses()) };
+    const [peer] = await startOnFreePorts(peerSettings, new RecordingLog());
     this.peers.push(peer);
     return peer;
   }
--- a/test/platform/process.test.ts
+++ b/test/platform/process.test.ts
@@ -68,7 +68,7 @@
 
 const untilReady = async (): Promise<void> => {
   const { host, port } = fixture.settings.readiness;
-  for (let tries = 0; tries < 400; tries += 1) {
+  for (let polls = 0; polls < 400; polls += 1) {
     const answer = await fetch(`http://${host}:${port}/v1/ready`).catch(() => undefined);
     if (answer?.status === 200) {
       return;
@@ -79,8 +79,8 @@
 };
 
 const untilLogged = async (read: () => string, event: string): Promise<void> => {
-  for (let tries = 0; !read().includes(`"${event}"`); tries += 1) {
-    if (tries > 500) {
+  for (let polls = 0; !read().includes(`"${event}"`); polls += 1) {
+    if (polls > 500) {
       throw new Error(`timed out waiting until ${event} is logged`);
     }
     await delay(20);
@@ -133,8 +133,8 @@
 
   it('handles signals as soon as it accepts callers', async () => {
     const process = await start(settingsFileOf(fixture.settings));
-    for (let tries = 0; !(await isOpen(fixture.settings.callers.port)); tries += 1) {
-      expect(tries).toBeLessThan(1_000);
+    for (let polls = 0; !(await isOpen(fixture.settings.callers.port)); polls += 1) {
+      expect(polls).toBeLessThan(1_000);
       await delay(5);
     }
     process.kill('SIGHUP');
