--- a/src/gateway/runtime/caller-port.ts
+++ b/src/gateway/runtime/caller-port.ts
@@ -119,7 +119,7 @@
     }
   }
 
-  /** Removes a call that gets no answer. */
+  /** Removes a call; it gets no further answer. */
   forget(call: CallId): void {
     this.pendingResponses.delete(call);
     this.context.requests.remove(call);
@@ -207,7 +207,7 @@
       socket.destroy();
     } else if (!this.unreadableConnections.has(socket)) {
       this.unreadableConnections.add(socket);
-      // The refusal waits for the answer to an earlier request on the connection; sent first, it would be taken for it.
+      // Sent first, the refusal would be taken for the answer to an earlier valid request on the connection.
       const refuse = (): void => this.refuseUnreadable(unreadable, socket);
       void (pendingResponse === undefined ? refuse() : pendingResponse.once('finish', refuse));
     }
