--- a/src/gateway/effect.ts
+++ b/src/gateway/effect.ts
@@ -1,6 +1,6 @@
 /** All effects that the gateway's reducer requests from its driver. Effects are plain data. */
 import type { CrashUpdate } from './crashes/crash-update.js';
-import type { BeliefChange, TracedDecision, TraceReason } from './log/log-event.js';
+import type { StateChange, TracedDecision, TraceReason } from './log/log-event.js';
 import type { CallerLimits, GatewayConfiguration } from './model/route.js';
 import type { PeerRecord } from './model/peer-record.js';
 import type { Subquery, SubqueryId, SubqueryPart } from './model/subquery.js';
@@ -243,7 +243,7 @@
   readonly type: 'write-log';
   readonly level: 'debug' | 'info' | 'warn' | 'error';
   readonly part: GatewayLogPart;
-  readonly change: BeliefChange;
+  readonly change: StateChange;
 }
 
 /** Writes a log line for each decision about a request that has ended. */
--- a/src/gateway/explain/find-cause.ts
+++ b/src/gateway/explain/find-cause.ts
@@ -1,27 +1,30 @@
-/** Names the most likely cause of what happened to a request, from its log lines. */
+/** Derives the most likely cause of a request's outcome from its log lines. */
 import type { Decision } from '../log/log-event.js';
 import type { RequestLine } from './read-lines.js';
 
 type LineOf<Event extends Decision['event']> = Extract<RequestLine, { readonly event: Event }>;
 
-const linesOf = <Event extends Decision['event']>(
+const linesWithEvent = <Event extends Decision['event']>(
   lines: readonly RequestLine[],
   event: Event,
 ): readonly LineOf<Event>[] => lines.filter((line): line is LineOf<Event> => line.event === event);
 
-interface AttemptStory {
+interface AttemptLines {
   readonly sent: LineOf<'attempt-sent'>;
   readonly ended: LineOf<'attempt-ended'> | undefined;
 }
 
-const attemptsAt = (lines: readonly RequestLine[], service: string): readonly AttemptStory[] => {
-  const ends = linesOf(lines, 'attempt-ended');
-  return linesOf(lines, 'attempt-sent')
+const attemptsOfService = (
+  lines: readonly RequestLine[],
+  service: string,
+): readonly AttemptLines[] => {
+  const ends = linesWithEvent(lines, 'attempt-ended');
+  return linesWithEvent(lines, 'attempt-sent')
     .filter((sent) => sent.service === service)
     .map((sent) => ({ sent, ended: ends.find(({ attempt }) => attempt === sent.attempt) }));
 };
 
-const describeAttempt = ({ sent, ended }: AttemptStory): string => {
+const describeAttempt = ({ sent, ended }: AttemptLines): string => {
   const outcome =
     ended === undefined || ended.dropped
       ? 'no answer in time'
@@ -30,8 +33,8 @@
 };
 
 const describeService = (lines: readonly RequestLine[], service: string): string => {
-  const attempts = attemptsAt(lines, service).map(describeAttempt);
-  const denied = linesOf(lines, 'budget-denied').some((line) => line.service === service);
+  const attempts = attemptsOfService(lines, service).map(describeAttempt);
+  const denied = linesWithEvent(lines, 'budget-denied').some((line) => line.service === service);
   const budget = denied ? '; a further attempt was denied by the retry budget' : '';
   return `${service}: ${attempts.join(', ') || 'no replica to send to'}${budget}`;
 };
@@ -39,8 +42,8 @@
 const describeMissing = (lines: readonly RequestLine[], missing: readonly string[]): string =>
   missing.map((service) => describeService(lines, service)).join('; ');
 
-const slowestAttempt = (lines: readonly RequestLine[]): string => {
-  const used = linesOf(lines, 'attempt-ended').filter(({ dropped }) => !dropped);
+const describeSlowestAttempt = (lines: readonly RequestLine[]): string => {
+  const used = linesWithEvent(lines, 'attempt-ended').filter(({ dropped }) => !dropped);
   const slowest = used.reduce<LineOf<'attempt-ended'> | undefined>(
     (worst, line) => (worst === undefined || line.elapsedMs > worst.elapsedMs ? line : worst),
     undefined,
@@ -56,7 +59,7 @@
   version,
   versionAgeMs,
 }: NonNullable<LineOf<'request-answered'>['noRoute']>): string =>
-  `refused: no route of version ${version}, in force for ${versionAgeMs} ms, fits ${host}${path}`;
+  `refused: no route of version ${version}, in force for ${versionAgeMs} ms, matches ${host}${path}`;
 
 const describeBlock = ({
   fingerprint,
@@ -64,11 +67,13 @@
   level,
   forMs,
 }: NonNullable<LineOf<'request-answered'>['blocked']>): string =>
-  `refused: replicas ended under this request (fingerprint ${fingerprint}) in ${rounds} rounds one after the other and none answered it; it is blocked for ${forMs} ms more (block ${level}), then tried at one replica`;
+  `refused: this request (fingerprint ${fingerprint}) crashed replicas in ${rounds} consecutive rounds and none answered it; it is blocked for ${forMs} ms more (block ${level}), then sent to one replica as a trial`;
 
 const describeCrashes = (lines: readonly RequestLine[]): string => {
-  const crashed = linesOf(lines, 'attempt-crashed').map(({ replica }) => replica);
-  return crashed.length === 0 ? '' : `; replicas that ended under it: ${crashed.join(', ')}`;
+  const crashed = linesWithEvent(lines, 'attempt-crashed').map(({ replica }) => replica);
+  return crashed.length === 0
+    ? ''
+    : `; replicas that crashed while running it: ${crashed.join(', ')}`;
 };
 
 const explainAnswer = (
@@ -86,39 +91,39 @@
         return describeBlock(answer.blocked);
       }
       if (missing.length === 0) {
-        return `refused after ${elapsedMs} ms (${answer.reason ?? 'unknown'}) before any replica was asked`;
+        return `refused after ${elapsedMs} ms (${answer.reason ?? 'unknown'}) before an attempt was sent`;
       }
       return `refused ${time} (${answer.reason ?? 'unknown'}); ${describeMissing(lines, missing)}${describeCrashes(lines)}`;
     case 'partial':
       return `answered ${time} without ${missing.length} shards; ${describeMissing(lines, missing)}`;
     case 'passed-on':
-      return `a replica answered ${answer.status ?? 0} ${time}; ${slowestAttempt(lines)}`;
+      return `a replica answered ${answer.status ?? 0} ${time}; ${describeSlowestAttempt(lines)}`;
     case 'whole':
-      return `answered whole ${time}; ${slowestAttempt(lines)}`;
+      return `answered in full ${time}; ${describeSlowestAttempt(lines)}`;
   }
 };
 
-/** Where a return of the store may have to do with it: the version by which the request was routed, and when that was. */
-const describeReturn = (lines: readonly RequestLine[]): string => {
-  const [admitted] = linesOf(lines, 'request-admitted');
+/** Names the version that routed the request if the store had been restored from a backup shortly before. */
+const describeRestoredStore = (lines: readonly RequestLine[]): string => {
+  const [admitted] = linesWithEvent(lines, 'request-admitted');
   if (admitted?.storeReturnedMsAgo === undefined) {
     return '';
   }
   const { version, versionAgeMs, storeReturnedMsAgo } = admitted;
-  return `; routed by version ${version}, in force for ${versionAgeMs} ms; the store had returned from a copy ${storeReturnedMsAgo} ms before: see store-returned`;
+  return `; routed by version ${version}, in force for ${versionAgeMs} ms; the store had been restored from a backup ${storeReturnedMsAgo} ms before: see store-returned`;
 };
 
-/** One sentence on what happened and why. */
+/** Describes the outcome of a request and its most likely cause in one sentence. */
 export const findCause = (lines: readonly RequestLine[]): string => {
-  const [left] = linesOf(lines, 'caller-left');
+  const [left] = linesWithEvent(lines, 'caller-left');
   if (left !== undefined) {
-    return `the caller left after ${left.elapsedMs} ms; ${slowestAttempt(lines)}`;
+    return `the caller closed its connection after ${left.elapsedMs} ms; ${describeSlowestAttempt(lines)}`;
   }
-  const [answer] = linesOf(lines, 'request-answered');
+  const [answer] = linesWithEvent(lines, 'request-answered');
   if (answer !== undefined) {
-    return `${explainAnswer(lines, answer)}${describeReturn(lines)}`;
+    return `${explainAnswer(lines, answer)}${describeRestoredStore(lines)}`;
   }
   return lines.length === 0
-    ? 'no line speaks of the request: it was not sampled, reached no gateway, or its gateway was lost'
-    : 'no final answer was logged: the gateway was lost while the request ran';
+    ? 'no log line about the request: it was not sampled, reached no gateway, or its gateway failed'
+    : 'no final answer was logged: the gateway failed while the request ran';
 };
--- a/src/gateway/runtime/bounded-log.ts
+++ b/src/gateway/runtime/bounded-log.ts
@@ -1,27 +1,27 @@
 /**
- * Formats structured lines and keeps their number within a bound; what is left out is counted, also
- * what the sink had no room for.
+ * Formats structured log lines and limits their rate. Dropped lines are counted, including those that the sink had no
+ * room for.
  */
 import type { LogLevel } from '../../settings/log-level.js';
 import type { GatewayLogPart, WriteLog, WriteTrace } from '../effect.js';
-import type { BeliefChange } from '../log/log-event.js';
+import type { StateChange } from '../log/log-event.js';
 import type { LineSink } from './line-sink.js';
 
-/** Lines a second in the long run, and at once after a quiet time. */
+/** Long-term rate of lines per second, and maximum burst after a quiet period. */
 const LINES_PER_SECOND = 100;
 const BURST_LINES = 600;
 
-/** Samples of requests without trouble leave so many lines of the burst to the others. */
-const LINES_KEPT_FOR_FAILURES = 300;
+/** Lines of the burst that samples of successful requests may not use. */
+const LINES_RESERVED_FOR_FAILURES = 300;
 
-/** Time between two lines that tell of dropped ones, in milliseconds. */
+/** Minimum time between two lines that report dropped ones, in milliseconds. */
 const DROPPED_INTERVAL_MS = 1_000;
 
 const MS_PER_SECOND = 1_000;
 
 const LEVELS: Readonly<Record<LogLevel, number>> = { error: 0, warn: 1, info: 2, debug: 3 };
 
-/** Where the log stands: the node's name, the least level, and the clocks. */
+/** Name of the node, least severe level that is logged, sink and clocks. */
 export interface BoundedLogOptions {
   readonly node: string;
   readonly level: LogLevel;
@@ -32,18 +32,18 @@
   readonly wallNow: () => number;
 }
 
-/** Formats and bounds the lines of one process. */
+/** Formats the log lines of one process and limits their rate. */
 export class BoundedLog {
   private tokens = BURST_LINES;
   private refilledAt: number;
   private dropped = 0;
-  private toldAt = Number.NEGATIVE_INFINITY;
+  private dropsReportedAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: BoundedLogOptions) {
     this.refilledAt = options.monotonicNow();
   }
 
-  /** Writes a change of belief. */
+  /** Writes a change of state. */
   write({ level, part, change }: Omit<WriteLog, 'type'>): void {
     if (LEVELS[level] <= LEVELS[this.options.level]) {
       this.writeLine(level, part, change, 0);
@@ -55,7 +55,7 @@
     if (LEVELS[this.options.level] < LEVELS.info) {
       return;
     }
-    const kept = reason === 'sampled' ? LINES_KEPT_FOR_FAILURES : 0;
+    const kept = reason === 'sampled' ? LINES_RESERVED_FOR_FAILURES : 0;
     const now = this.options.monotonicNow();
     for (const { at, decision } of decisions) {
       const agoMs = Math.round(now - at);
@@ -70,16 +70,16 @@
       return;
     }
     this.tokens -= 1;
-    this.tellDropped();
+    this.reportDropped();
     this.emit(level, part, fields);
   }
 
-  private tellDropped(): void {
+  private reportDropped(): void {
     const now = this.options.monotonicNow();
-    if (this.dropped > 0 && now - this.toldAt >= DROPPED_INTERVAL_MS) {
-      const change: BeliefChange = { event: 'lines-dropped', lines: this.dropped };
+    if (this.dropped > 0 && now - this.dropsReportedAt >= DROPPED_INTERVAL_MS) {
+      const change: StateChange = { event: 'lines-dropped', lines: this.dropped };
       this.dropped = 0;
-      this.toldAt = now;
+      this.dropsReportedAt = now;
       this.emit('warn', 'lifecycle', change);
     }
   }
@@ -94,8 +94,8 @@
 
   private refill(): void {
     const now = this.options.monotonicNow();
-    const earned = ((now - this.refilledAt) * LINES_PER_SECOND) / MS_PER_SECOND;
-    this.tokens = Math.min(BURST_LINES, this.tokens + earned);
+    const refilled = ((now - this.refilledAt) * LINES_PER_SECOND) / MS_PER_SECOND;
+    this.tokens = Math.min(BURST_LINES, this.tokens + refilled);
     this.refilledAt = now;
   }
 }
--- a/src/gateway/runtime/caller-port.ts
+++ b/src/gateway/runtime/caller-port.ts
@@ -1,8 +1,8 @@
 /**
- * The port on which callers connect: takes their requests whole and sends the final answers.
+ * The port on which callers connect: reads complete requests and sends the final answers.
  *
- * Bytes pass through unchanged, so the port stands on Node's own server and not on hono, whose
- * requests and answers are parsed and built anew.
+ * Bytes pass through unchanged. The port therefore uses Node's HTTP server directly; hono would parse requests and
+ * rebuild answers.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { Server as NetServer, type Socket } from 'node:net';
@@ -27,24 +27,24 @@
 } from './unreadable-request.js';
 
 /**
- * Headers larger than this are refused by the parser, whatever the configuration says: as large as a body may
- * be before the first one. The parser of an open connection cannot be told of a configuration that allows more,
- * so this is far above what one allows.
+ * The parser refuses larger headers, whatever the configuration allows; equal to the limit on bodies before the first
+ * configuration. The limit of the parser cannot be changed for an open connection, so it is far above what
+ * configurations allow.
  */
 const PARSER_HEADER_BYTES = 1_048_576;
 
-/** Headers up to this size are taken also where the configuration allows less; far above what clients send. */
+/** Headers up to this size are accepted even if the configuration allows less; far above what clients send. */
 const TOLERATED_HEADER_BYTES = 65_536;
 
-/** Bounds until a configuration brings its own. */
-const FIRST_LIMITS: CallerLimits = {
+/** Limits in force until the first configuration. */
+const DEFAULT_LIMITS: CallerLimits = {
   maxHeaderBytes: PARSER_HEADER_BYTES,
   maxBodyBytes: 1_048_576,
   headerTimeoutMs: 10_000,
   idleTimeoutMs: 60_000,
 };
 
-/** What the port needs of its process. */
+/** Dependencies of the port. */
 export interface CallerPortContext {
   readonly protocol: GatewayProtocol;
   readonly requests: CallerRequests;
@@ -52,47 +52,49 @@
   readonly sink: GatewayEventSink;
 }
 
-/** The target and the headers of a request, without what separates them. */
+/** Size of a request's target and headers without separators. */
 const headerBytes = ({ url = '', rawHeaders }: IncomingMessage): number =>
   rawHeaders.reduce((sum, { length }) => sum + length, url.length);
 
-/** Listens for callers; carries out `answer-caller`, emits `request-received`, `unreadable-refused` and `caller-left`. */
+/** Listens for callers; executes `answer-caller`, emits `request-received`, `unreadable-refused` and `caller-left`. */
 export class CallerPort {
   private readonly server: Server;
-  private readonly waiting = new Map<CallId, ServerResponse>();
-  /** Connections over which a request has come. */
+  private readonly pendingResponses = new Map<CallId, ServerResponse>();
+  /** Connections on which a request has been received. */
   private readonly usedConnections = new WeakSet<Socket>();
-  /** Connections over which something came that is no request. */
+  /** Connections on which malformed input has been received. */
   private readonly unreadableConnections = new WeakSet<Socket>();
-  private limits = FIRST_LIMITS;
-  private open = true;
+  private limits = DEFAULT_LIMITS;
+  private isOpen = true;
 
   constructor(private readonly context: CallerPortContext) {
     const options = { maxHeaderSize: PARSER_HEADER_BYTES, noDelay: true, requestTimeout: 0 };
-    const take = (incoming: IncomingMessage, outgoing: ServerResponse): void =>
-      this.take(incoming, outgoing);
-    // A missing host is refused by the reducer, which counts and logs it.
-    this.server = createServer({ ...options, requireHostHeader: false }, take);
-    // An expectation that is not known is ignored (RFC 9110, section 10.1.1), not refused with 417.
-    this.server.on('checkExpectation', take);
+    const handleRequest = (incoming: IncomingMessage, outgoing: ServerResponse): void =>
+      this.handleRequest(incoming, outgoing);
+    // The reducer refuses requests without a host, to count and log them.
+    this.server = createServer({ ...options, requireHostHeader: false }, handleRequest);
+    // An unknown expectation is ignored (RFC 9110, section 10.1.1) rather than refused with 417.
+    this.server.on('checkExpectation', handleRequest);
     this.server.on('clientError', (error: NodeJS.ErrnoException, socket: Socket) =>
-      this.takeError(error, socket),
+      this.handleClientError(error, socket),
     );
-    // Node drops headers past a number, the host or the identifier among them; their size is bounded already.
+    // By default, Node drops headers beyond a maximum count, possibly the host or the request identifier. Their total
+    // size is limited already.
     this.server.maxHeadersCount = 0;
-    this.applyLimits(FIRST_LIMITS);
+    this.applyLimits(DEFAULT_LIMITS);
   }
 
   /**
-   * Listens on `address`, or takes over the port if it is open already; rejects when the address cannot be
-   * had.
+   * Listens on `address`, or takes over the early port if that has the same address.
+   *
+   * @throws if the address is not available.
    */
-  async listen(address: HostPort, early?: EarlyPort): Promise<void> {
-    if (early?.address.host !== address.host || early.address.port !== address.port) {
+  async listen(address: HostPort, earlyPort?: EarlyPort): Promise<void> {
+    if (earlyPort?.address.host !== address.host || earlyPort.address.port !== address.port) {
       return listenOn(this.server, address);
     }
-    await takeOverPort(this.server, early.server);
-    early.sockets.forEach((socket) => {
+    await takeOverPort(this.server, earlyPort.server);
+    earlyPort.sockets.forEach((socket) => {
       this.server.emit('connection', socket);
       socket.resume();
     });
@@ -106,27 +108,27 @@
 
   /** Sends the final answer of a call. */
   answer({ call, response, closeConnection }: AnswerCaller): void {
-    const outgoing = this.waiting.get(call);
+    const outgoing = this.pendingResponses.get(call);
     this.forget(call);
     if (outgoing !== undefined && !outgoing.destroyed) {
       this.send(
         outgoing,
         formatResponse(response, this.context.protocol.headers),
-        closeConnection || !this.open,
+        closeConnection || !this.isOpen,
       );
     }
   }
 
-  /** The call is over without an answer. */
+  /** Removes a call; it gets no further answer. */
   forget(call: CallId): void {
-    this.waiting.delete(call);
+    this.pendingResponses.delete(call);
     this.context.requests.remove(call);
   }
 
-  /** Takes no new connection; open ones are served until they rest. */
+  /** Accepts no new connections; open ones are served until they are idle. */
   closePort(): void {
-    if (this.open) {
-      this.open = false;
+    if (this.isOpen) {
+      this.isOpen = false;
       NetServer.prototype.close.call(this.server);
     }
   }
@@ -137,7 +139,7 @@
     this.server.closeAllConnections();
   }
 
-  private take(incoming: IncomingMessage, outgoing: ServerResponse): void {
+  private handleRequest(incoming: IncomingMessage, outgoing: ServerResponse): void {
     const { maxHeaderBytes } = this.limits;
     if (headerBytes(incoming) > Math.max(maxHeaderBytes, TOLERATED_HEADER_BYTES)) {
       incoming.resume();
@@ -146,11 +148,11 @@
       incoming.resume();
       this.emitRequest(incoming, outgoing, null);
     } else {
-      this.takeBody(incoming, outgoing);
+      this.handleBody(incoming, outgoing);
     }
   }
 
-  private takeBody(incoming: IncomingMessage, outgoing: ServerResponse): void {
+  private handleBody(incoming: IncomingMessage, outgoing: ServerResponse): void {
     const currentLimit = (): number => this.limits.maxBodyBytes;
     readBody(incoming, currentLimit, (body) =>
       body === undefined
@@ -175,8 +177,8 @@
     const requestId = findHeader(headers, protocol.headers.requestId) ?? '';
     const method = incoming.method ?? 'GET';
     const { call, fingerprint } = requests.add({ method, path, requestId, headers, body });
-    this.waiting.set(call, outgoing);
-    outgoing.once('close', () => this.noteClose(call, outgoing));
+    this.pendingResponses.set(call, outgoing);
+    outgoing.once('close', () => this.handleClose(call, outgoing));
     const isFirstOnConnection = !this.usedConnections.has(incoming.socket);
     this.usedConnections.add(incoming.socket);
     const budgetMs = Number(findHeader(headers, protocol.headers.timeBudget));
@@ -196,18 +198,18 @@
     });
   }
 
-  /** Something came that is no request, or the connection broke. */
-  private takeError(error: NodeJS.ErrnoException, socket: Socket): void {
+  /** Handles malformed input or a broken connection. */
+  private handleClientError(error: NodeJS.ErrnoException, socket: Socket): void {
     const unreadable = describeUnreadable(error.code);
-    const before = this.lastWaitingOn(socket);
-    const hasLeft = unreadable?.problem === 'cut-off' && before !== undefined;
-    if (unreadable === undefined || hasLeft) {
+    const pendingResponse = this.lastPendingOn(socket);
+    const isAborted = unreadable?.problem === 'cut-off' && pendingResponse !== undefined;
+    if (unreadable === undefined || isAborted) {
       socket.destroy();
     } else if (!this.unreadableConnections.has(socket)) {
       this.unreadableConnections.add(socket);
-      // Sent at once, the refusal would stand for the answer of a proper request that came before.
+      // Sent first, the refusal would be taken for the answer to an earlier valid request on the connection.
       const refuse = (): void => this.refuseUnreadable(unreadable, socket);
-      void (before === undefined ? refuse() : before.once('finish', refuse));
+      void (pendingResponse === undefined ? refuse() : pendingResponse.once('finish', refuse));
     }
   }
 
@@ -222,13 +224,13 @@
     sink.emit({ type: 'unreadable-refused', at: clock.now(), from, ...unreadable });
   }
 
-  /** The last request on a connection that has no answer yet. */
-  private lastWaitingOn(socket: Socket): ServerResponse | undefined {
-    return [...this.waiting.values()].filter(({ req }) => req.socket === socket).at(-1);
+  /** Returns the response to the last unanswered request on a connection. */
+  private lastPendingOn(socket: Socket): ServerResponse | undefined {
+    return [...this.pendingResponses.values()].filter(({ req }) => req.socket === socket).at(-1);
   }
 
-  private noteClose(call: CallId, outgoing: ServerResponse): void {
-    if (!outgoing.writableFinished && this.waiting.has(call)) {
+  private handleClose(call: CallId, outgoing: ServerResponse): void {
+    if (!outgoing.writableFinished && this.pendingResponses.has(call)) {
       const { sink, clock } = this.context;
       sink.emit({ type: 'caller-left', at: clock.now(), call });
     }
--- a/src/gateway/runtime/caller-requests.ts
+++ b/src/gateway/runtime/caller-requests.ts
@@ -1,10 +1,10 @@
-/** Requests of callers that have no answer yet, with their bytes. */
+/** Holds unanswered requests of callers and other gateways, with their bytes. */
 import type { CallId, Fingerprint, Header } from '../model/request.js';
 import type { HeaderNames } from '../protocol/protocol.js';
 import { fingerprintOf } from './fingerprint.js';
 import { endToEndHeaders, flattenHeaders } from './headers.js';
 
-/** A request as it came from its caller. */
+/** A request as received from its caller. */
 export interface ReceivedRequest {
   readonly method: string;
   /** Path and query, unchanged. */
@@ -14,28 +14,28 @@
   readonly body: Buffer | null;
 }
 
-/** A request that is held until its answer. */
-export interface HeldRequest {
+/** A request that is kept until it is answered. */
+export interface PendingRequest {
   readonly fingerprint: Fingerprint;
   readonly method: string;
   readonly path: string;
   readonly requestId: string;
-  /** What is passed on to replicas: a flat list of names and values. */
+  /** Headers for replicas: a flat list of names and values. */
   readonly passedHeaders: readonly string[];
   readonly body: Buffer | null;
 }
 
-/** A request that was taken. */
-export interface NamedRequest {
+/** Identifiers of an added request. */
+export interface AddedRequest {
   readonly call: CallId;
   readonly fingerprint: Fingerprint;
 }
 
 /** The requests in progress. */
 export class CallerRequests {
-  private readonly held = new Map<CallId, HeldRequest>();
+  private readonly requests = new Map<CallId, PendingRequest>();
   private nextCall: CallId = 1;
-  /** Headers that the gateway, or its HTTP client, sets itself. */
+  /** Headers that the gateway or its HTTP client sets itself. */
   private readonly ownHeaders: ReadonlySet<string>;
   private readonly callerHeaders: readonly string[];
 
@@ -44,26 +44,26 @@
     this.callerHeaders = caller;
   }
 
-  /** Takes a request of a caller and names it. */
-  add({ method, path, requestId, headers, body }: ReceivedRequest): NamedRequest {
+  /** Adds a request of a caller and assigns its identifiers. */
+  add({ method, path, requestId, headers, body }: ReceivedRequest): AddedRequest {
     const passedHeaders = flattenHeaders(endToEndHeaders(headers, this.ownHeaders));
-    return this.hold({ method, path, requestId, passedHeaders, body });
+    return this.addPending({ method, path, requestId, passedHeaders, body });
   }
 
-  /** Takes a request as replicas get it and names it. */
-  hold(request: Omit<HeldRequest, 'fingerprint'>): NamedRequest {
+  /** Adds a request whose headers are already filtered for replicas, and assigns its identifiers. */
+  addPending(request: Omit<PendingRequest, 'fingerprint'>): AddedRequest {
     const call = this.nextCall;
     this.nextCall += 1;
     const fingerprint = fingerprintOf(request, this.callerHeaders);
-    this.held.set(call, { ...request, fingerprint });
+    this.requests.set(call, { ...request, fingerprint });
     return { call, fingerprint };
   }
 
-  find(call: CallId): HeldRequest | undefined {
-    return this.held.get(call);
+  find(call: CallId): PendingRequest | undefined {
+    return this.requests.get(call);
   }
 
   remove(call: CallId): void {
-    this.held.delete(call);
+    this.requests.delete(call);
   }
 }
--- a/src/gateway/runtime/early-signals.ts
+++ b/src/gateway/runtime/early-signals.ts
@@ -1,33 +1,33 @@
 /**
- * Takes signals from the first moment of the process. Until a program listens for them, a stop and even the word
- * that the settings have changed end it, and with it the callers whose connections it has accepted.
+ * Handles signals from the start of the process. While no listener is installed, SIGTERM and even SIGHUP terminate the
+ * process and drop the connections that it has already accepted.
  */
 
-/** What a process is told by signals: to stop, or that its settings have changed. */
-export type ProcessOrder = 'stop' | 'reload';
+/** What a signal requests: to stop, or to reload the settings. */
+export type SignalAction = 'stop' | 'reload';
 
-const ORDERS: Readonly<Partial<Record<NodeJS.Signals, ProcessOrder>>> = {
+const SIGNAL_ACTIONS: Readonly<Partial<Record<NodeJS.Signals, SignalAction>>> = {
   SIGTERM: 'stop',
   SIGINT: 'stop',
   SIGHUP: 'reload',
 };
 
-/** The signals of this process, kept until somebody takes them. */
+/** Signals of this process, queued until a handler is set. */
 export interface EarlySignals {
-  /** Hands over what has come, and from now on each order as it comes. */
-  takeOver(carryOut: (order: ProcessOrder) => void): void;
+  /** Passes the queued actions to `handle`, and from then on each action at once. */
+  setHandler(handle: (action: SignalAction) => void): void;
 }
 
-/** Begins to listen for signals. */
+/** Starts to listen for signals. */
 export const listenForSignals = (): EarlySignals => {
-  const kept = new Set<ProcessOrder>();
-  let carryOut = (order: ProcessOrder): void => void kept.add(order);
-  for (const [signal, order] of Object.entries(ORDERS)) {
-    process.on(signal, () => carryOut(order));
+  const kept = new Set<SignalAction>();
+  let handle = (action: SignalAction): void => void kept.add(action);
+  for (const [signal, action] of Object.entries(SIGNAL_ACTIONS)) {
+    process.on(signal, () => handle(action));
   }
   return {
-    takeOver(next) {
-      carryOut = next;
+    setHandler(next) {
+      handle = next;
       kept.forEach(next);
       kept.clear();
     },
--- a/src/gateway/runtime/peers/peer-codec.ts
+++ b/src/gateway/runtime/peers/peer-codec.ts
@@ -1,7 +1,6 @@
 /**
- * The encoding of messages between gateways: CBOR with the names of the fields, but for those of subqueries,
- * which are lists (see `pack-message.ts`). A message of an unknown type or of the wrong shape spoils its
- * connection.
+ * Encodes and decodes messages between gateways: CBOR maps with field names, except for the messages of subqueries,
+ * which are lists (see `pack-message.ts`). A connection is closed if a message has an unknown type or the wrong shape.
  */
 import { type Either, Left, Right } from 'purify-ts/Either';
 import { decodeCbor, encodeCbor } from '../../../protocol/codec/cbor.js';
@@ -14,8 +13,8 @@
   isOptional,
   isText,
 } from '../../../protocol/codec/shape.js';
-import { isCrashNews } from './crash-news-shape.js';
-import { isConfiguration, isNews } from './news-shape.js';
+import { isCrashUpdate } from './crash-update-shape.js';
+import { isConfiguration, isReaderUpdate } from './reader-update-shape.js';
 import { isPacked, packParts, packSubquery, unpackMessage } from './pack-message.js';
 import type { PartsMessage, PeerMessage, SubqueryMessage } from './peer-message.js';
 
@@ -26,10 +25,10 @@
 
 const hasId: Check = ({ id }) => isCount(id);
 
-/** Messages that go as they are; those of subqueries are packed. */
+/** Messages that are encoded with their field names; the others are packed. */
 type NamedMessage = Exclude<PeerMessage, SubqueryMessage | PartsMessage>;
 
-const CHECKS: Readonly<Record<NamedMessage['type'], Check>> = {
+const SHAPE_CHECKS: Readonly<Record<NamedMessage['type'], Check>> = {
   cancel: (fields) => hasId(fields) && isFiniteNumber(fields['withinMs']),
   acknowledged: hasId,
   refused: hasId,
@@ -41,11 +40,11 @@
     isOptional(eras, isNumbers) &&
     isOptional(configuration, isConfiguration),
   unfollow: () => true,
-  news: ({ news }) => isNews(news),
-  crashes: ({ from, news }) => isText(from) && isListOf(news, isCrashNews),
+  news: ({ news }) => isReaderUpdate(news),
+  crashes: ({ from, news }) => isText(from) && isListOf(news, isCrashUpdate),
 };
 
-const packed = (message: PeerMessage): unknown => {
+const packIfNeeded = (message: PeerMessage): unknown => {
   switch (message.type) {
     case 'subquery':
       return packSubquery(message);
@@ -57,23 +56,26 @@
 };
 
 /** Encodes a message. */
-export const encodePeerMessage = (message: PeerMessage): Buffer => encodeCbor(packed(message));
+export const encodePeerMessage = (message: PeerMessage): Buffer =>
+  encodeCbor(packIfNeeded(message));
 
 const readNamed = (fields: Fields): Either<string, PeerMessage> => {
   const { type } = fields;
   const check =
-    isText(type) && Object.hasOwn(CHECKS, type) ? CHECKS[type as NamedMessage['type']] : undefined;
+    isText(type) && Object.hasOwn(SHAPE_CHECKS, type)
+      ? SHAPE_CHECKS[type as NamedMessage['type']]
+      : undefined;
   return check?.(fields) === true
     ? Right(fields as unknown as NamedMessage)
-    : Left(`is no ${isText(type) ? type : 'message'}`);
+    : Left(`is not a valid ${isText(type) ? type : 'message'}`);
 };
 
-/** Decodes a message; the problem says what is wrong with the bytes. */
+/** Decodes a message; on failure, the text describes the problem. */
 export const decodePeerMessage = (bytes: Uint8Array): Either<string, PeerMessage> => {
   const decoded = decodeCbor(bytes).toMaybe().extract();
   if (isPacked(decoded)) {
     const message = unpackMessage(decoded);
-    return message === undefined ? Left('is no packed message') : Right(message);
+    return message === undefined ? Left('is not a valid packed message') : Right(message);
   }
-  return isFields(decoded) ? readNamed(decoded) : Left('is no message');
+  return isFields(decoded) ? readNamed(decoded) : Left('is not a message');
 };
--- a/src/gateway/runtime/peers/peer-connection.ts
+++ b/src/gateway/runtime/peers/peer-connection.ts
@@ -1,4 +1,4 @@
-/** One TCP connection between two gateways: frames of a length and a message. */
+/** One TCP connection between two gateways; messages are framed with their length. */
 import type { Socket } from 'node:net';
 import type { MonotonicClock } from '../../../runtime/monotonic-clock.js';
 import { frameBytes } from '../../../protocol/codec/frame.js';
@@ -6,16 +6,16 @@
 import { decodePeerMessage, encodePeerMessage } from './peer-codec.js';
 import type { PeerMessage } from './peer-message.js';
 
-/** Longest message, in bytes. */
+/** Maximum size of a message, in bytes. */
 const MAX_MESSAGE_BYTES = 16 * 1024 * 1024;
 
-/** Most bytes that wait to be written; a peer that reads slower loses the connection. */
-const MAX_WAITING_BYTES = 8 * 1024 * 1024;
+/** Maximum number of bytes that wait to be written; the connection to a peer that reads more slowly is closed. */
+const MAX_PENDING_BYTES = 8 * 1024 * 1024;
 
-/** The bytes of a message as they go over a connection. */
+/** Returns a message as a frame. */
 export const frameOf = (message: PeerMessage): Buffer => frameBytes(encodePeerMessage(message));
 
-/** What a connection tells its owner. */
+/** Receives the events of a connection. */
 export interface PeerConnectionListener {
   onMessage(message: PeerMessage): void;
   /** Called once. */
@@ -24,8 +24,8 @@
 
 /** A connection that is open or opening. */
 export class PeerConnection {
-  /** When bytes last came and went, in milliseconds on the process's clock. */
-  heardAt: number;
+  /** When bytes were last received and sent, in milliseconds on the process's clock. */
+  receivedAt: number;
   sentAt: number;
   private closed = false;
   private readonly reader = new FrameReader(MAX_MESSAGE_BYTES);
@@ -35,8 +35,8 @@
     private readonly clock: MonotonicClock,
     private readonly listener: PeerConnectionListener,
   ) {
-    this.heardAt = clock.now();
-    this.sentAt = this.heardAt;
+    this.receivedAt = clock.now();
+    this.sentAt = this.receivedAt;
     socket.setNoDelay(true);
     socket.on('data', (chunk: Buffer) => this.read(chunk));
     socket.on('error', () => this.close());
@@ -44,19 +44,19 @@
     socket.on('close', () => this.close());
   }
 
-  /** Sends a message; what is sent before the connection opens waits. */
+  /** Sends a message; it is queued until the connection has opened. */
   send(message: PeerMessage): void {
     this.sendFrame(frameOf(message));
   }
 
-  /** Sends a message that was encoded before, for several connections. */
+  /** Sends a message that was encoded once for several connections. */
   sendFrame(frame: Buffer): void {
     if (this.closed) {
       return;
     }
     this.sentAt = this.clock.now();
     this.socket.write(frame);
-    if (this.socket.writableLength > MAX_WAITING_BYTES) {
+    if (this.socket.writableLength > MAX_PENDING_BYTES) {
       this.close();
     }
   }
@@ -71,16 +71,16 @@
   }
 
   private read(chunk: Buffer): void {
-    this.heardAt = this.clock.now();
+    this.receivedAt = this.clock.now();
     const reading = this.reader.read(chunk);
     if (reading.type === 'oversized') {
       this.close();
       return;
     }
-    reading.bodies.forEach((body) => this.take(body));
+    reading.bodies.forEach((body) => this.handleFrame(body));
   }
 
-  private take(body: Buffer): void {
+  private handleFrame(body: Buffer): void {
     if (!this.closed) {
       decodePeerMessage(body).caseOf({
         Left: () => this.close(),
--- a/src/gateway/runtime/peers/peer-port.ts
+++ b/src/gateway/runtime/peers/peer-port.ts
@@ -1,4 +1,4 @@
-/** The port on which other gateways send subqueries and ask to be told what is read from the store. */
+/** The port on which other gateways send subqueries and request updates of what is read from the store. */
 import { createServer, type Server, type Socket } from 'node:net';
 import type { MonotonicClock } from '../../../runtime/monotonic-clock.js';
 import type { HostPort } from '../../../settings/node-settings.js';
@@ -13,32 +13,32 @@
 import { frameOf, PeerConnection } from './peer-connection.js';
 import type { CancelMessage, FollowMessage, PeerMessage, SubqueryMessage } from './peer-message.js';
 
-/** How often connections are looked over, in milliseconds. */
+/** Interval at which connections are checked, in milliseconds. */
 const SWEEP_MS = 5_000;
 
 /**
- * A gateway that keeps a connection asks each 2 s whether this one lives (see `peer-client.ts`). One that
- * has said nothing for so long is gone without a word, in milliseconds.
+ * A connection is closed if nothing was received over it for this time, in milliseconds. Gateways send a ping over idle
+ * connections every 2 s (see `peer-client.ts`), so that a silent one has ended without closing its connection.
  */
-const SILENCE_MS = 15_000;
+const SILENCE_TIMEOUT_MS = 15_000;
 
-/** This process itself stood still when a look comes so late: nobody is judged then. */
-const STOOD_STILL_MS = 6_000;
+/** A larger time between two sweeps is a pause of this process, after which silence of peers does not count; in ms. */
+const PAUSE_THRESHOLD_MS = 6_000;
 
-/** What the port needs of its process. */
+/** Dependencies of the port. */
 export interface PeerPortContext {
   readonly requests: CallerRequests;
   readonly clock: MonotonicClock;
   readonly sink: GatewayEventSink;
 }
 
-/** One gateway that asks; `calls` are its subqueries that are not over. */
+/** A connected gateway; `calls` are its subqueries in progress. */
 interface Coordinator {
   readonly connection: PeerConnection;
   readonly calls: Map<SubqueryId, CallId>;
-  /** Subqueries that were read and have not begun. */
-  readonly arrived: Set<SubqueryId>;
-  /** Its name as a follower; undefined before it follows. */
+  /** Subqueries that were received and have not been started. */
+  readonly unstarted: Set<SubqueryId>;
+  /** Its identifier as a follower; undefined while it does not follow. */
   follower: FollowerId | undefined;
 }
 
@@ -47,7 +47,7 @@
   readonly id: SubqueryId;
 }
 
-/** Listens for other gateways; carries out the effects about subqueries of others. */
+/** Listens for other gateways; executes the effects about subqueries and followers. */
 export class PeerPort {
   private isServing = false;
   private readonly server: Server;
@@ -64,12 +64,12 @@
     this.sweepTimer = setInterval(() => this.sweep(), SWEEP_MS).unref();
   }
 
-  /** Listens on `address`; rejects when the address cannot be had. */
+  /** Listens on `address`; rejects if the address is not available. */
   listen(address: HostPort): Promise<void> {
     return listenOn(this.server, address);
   }
 
-  /** Whether subqueries are taken; peers that ask are told. */
+  /** Sets whether subqueries are accepted, which is reported in answers to pings. */
   setServing(isServing: boolean): void {
     this.isServing = isServing;
   }
@@ -93,13 +93,13 @@
     this.forget(call);
   }
 
-  /** Tells followers something; it is encoded once for all of them. */
-  tell({ followers, news }: SendReaderUpdate): void {
+  /** Sends an update to followers; the message is encoded once for all of them. */
+  sendUpdate({ followers, news }: SendReaderUpdate): void {
     const frame = frameOf({ type: 'news', news });
     followers.forEach((follower) => this.followers.get(follower)?.sendFrame(frame));
   }
 
-  /** The call is over. */
+  /** Removes a call that has ended. */
   forget(call: CallId): void {
     const open = this.openCalls.get(call);
     if (open !== undefined) {
@@ -109,7 +109,7 @@
     }
   }
 
-  /** Tells all gateways that ask to go elsewhere. */
+  /** Announces to all connected gateways that no more subqueries are accepted. */
   announceStop(): void {
     this.coordinators.forEach(({ connection }) => connection.send({ type: 'stopping' }));
   }
@@ -121,37 +121,37 @@
     this.coordinators.forEach(({ connection }) => connection.close());
   }
 
-  /** Closes the connections of gateways that have gone without a word. */
+  /** Closes connections over which nothing was received for too long. */
   private sweep(): void {
     const now = this.context.clock.now();
-    const stoodStill = now - this.sweptAt > STOOD_STILL_MS;
+    const wasPaused = now - this.sweptAt > PAUSE_THRESHOLD_MS;
     this.sweptAt = now;
     const silent = [...this.coordinators].filter(
-      ({ connection }) => now - connection.heardAt > SILENCE_MS,
+      ({ connection }) => now - connection.receivedAt > SILENCE_TIMEOUT_MS,
     );
-    if (!stoodStill) {
+    if (!wasPaused) {
       silent.forEach(({ connection }) => connection.close());
     }
   }
 
   private accept(socket: Socket): void {
     const connection = new PeerConnection(socket, this.context.clock, {
-      onMessage: (message) => this.take(coordinator, message),
-      onClosed: () => this.noteClosed(coordinator),
+      onMessage: (message) => this.handleMessage(coordinator, message),
+      onClosed: () => this.handleClosed(coordinator),
     });
     const coordinator: Coordinator = {
       connection,
       calls: new Map(),
-      arrived: new Set(),
+      unstarted: new Set(),
       follower: undefined,
     };
     this.coordinators.add(coordinator);
   }
 
-  private take(coordinator: Coordinator, message: PeerMessage): void {
+  private handleMessage(coordinator: Coordinator, message: PeerMessage): void {
     switch (message.type) {
       case 'subquery':
-        this.takeSubquery(coordinator, message);
+        this.handleSubquery(coordinator, message);
         return;
       case 'cancel':
         this.cancel(coordinator, message);
@@ -160,10 +160,10 @@
         coordinator.connection.send({ type: 'pong', isServing: this.isServing });
         return;
       case 'follow':
-        this.takeFollower(coordinator, message);
+        this.handleFollow(coordinator, message);
         return;
       case 'unfollow':
-        this.dropFollower(coordinator);
+        this.removeFollower(coordinator);
         return;
       case 'crashes': {
         const { sink, clock } = this.context;
@@ -175,7 +175,7 @@
     }
   }
 
-  private takeFollower(coordinator: Coordinator, message: FollowMessage): void {
+  private handleFollow(coordinator: Coordinator, message: FollowMessage): void {
     if (coordinator.follower === undefined) {
       coordinator.follower = this.nextFollower;
       this.nextFollower += 1;
@@ -194,7 +194,7 @@
     });
   }
 
-  private dropFollower(coordinator: Coordinator): void {
+  private removeFollower(coordinator: Coordinator): void {
     const { follower } = coordinator;
     if (follower !== undefined) {
       coordinator.follower = undefined;
@@ -205,24 +205,24 @@
   }
 
   /**
-   * A subquery begins once all that has arrived is read: a process that stood still finds it together
-   * with its cancellation, and must not begin it then.
+   * Starts a subquery after all received messages have been read. After a process pause, a subquery and its
+   * cancellation may be read together, and the subquery must not be started.
    */
-  private takeSubquery(coordinator: Coordinator, message: SubqueryMessage): void {
-    coordinator.arrived.add(message.id);
+  private handleSubquery(coordinator: Coordinator, message: SubqueryMessage): void {
+    coordinator.unstarted.add(message.id);
     setImmediate(() => {
-      if (coordinator.arrived.delete(message.id)) {
-        this.begin(coordinator, message);
+      if (coordinator.unstarted.delete(message.id)) {
+        this.startSubquery(coordinator, message);
       }
     });
   }
 
-  private begin(coordinator: Coordinator, message: SubqueryMessage): void {
+  private startSubquery(coordinator: Coordinator, message: SubqueryMessage): void {
     const { requests, sink, clock } = this.context;
     const { id, requestId, method, path, headers, body, subquery } = message;
-    const held = { method, path, requestId, passedHeaders: headers };
-    const { call, fingerprint } = requests.hold({
-      ...held,
+    const requestFields = { method, path, requestId, passedHeaders: headers };
+    const { call, fingerprint } = requests.addPending({
+      ...requestFields,
       body: body === null ? null : Buffer.from(body),
     });
     coordinator.calls.set(id, call);
@@ -232,7 +232,7 @@
   }
 
   private cancel(coordinator: Coordinator, { id, withinMs }: CancelMessage): void {
-    coordinator.arrived.delete(id);
+    coordinator.unstarted.delete(id);
     const call = coordinator.calls.get(id);
     if (call !== undefined) {
       const at = this.context.clock.now();
@@ -240,10 +240,10 @@
     }
   }
 
-  private noteClosed(coordinator: Coordinator): void {
+  private handleClosed(coordinator: Coordinator): void {
     this.coordinators.delete(coordinator);
-    coordinator.arrived.clear();
-    this.dropFollower(coordinator);
+    coordinator.unstarted.clear();
+    this.removeFollower(coordinator);
     const at = this.context.clock.now();
     for (const call of [...coordinator.calls.values()]) {
       this.context.sink.emit({ type: 'subquery-cancelled', at, call, withinMs: 0 });
--- a/src/gateway/runtime/start-gateway.ts
+++ b/src/gateway/runtime/start-gateway.ts
@@ -1,4 +1,4 @@
-/** Starts a gateway: opens its ports, builds its parts and runs the reducer over them. */
+/** Starts a gateway: creates its parts, opens its ports and runs the reducer. */
 import { match } from 'ts-pattern';
 import type {
   AbortAttempt,
@@ -18,7 +18,7 @@
 import { CallerPort } from './caller-port.js';
 import { CallerRequests } from './caller-requests.js';
 import type { EarlyPort } from './early-port.js';
-import { CLOCK_READING_INTERVAL_MS, ElapsedClock, type Standstill } from './elapsed-clock.js';
+import { CLOCK_READING_INTERVAL_MS, ElapsedClock, type ProcessPause } from './elapsed-clock.js';
 import { GatewayLoop } from './gateway-loop.js';
 import { GatewayTimers } from './gateway-timers.js';
 import { MetricsPort } from './metrics-port.js';
@@ -28,7 +28,7 @@
 import { ReplicaClient } from './replica-client.js';
 import { StoreClient } from './store-client.js';
 
-/** Bound of a drawn seed. */
+/** Exclusive upper bound of the random seed. */
 const SEED_RANGE = 0x7fff_ffff;
 
 /** Writes the log. */
@@ -37,19 +37,19 @@
   writeTrace(trace: WriteTrace): void;
 }
 
-/** Effects that each request asks for. */
+/** Effects that every request causes. */
 type FrequentEffect = SendAttempt | AbortAttempt | AnswerCaller | SetRequestTimer;
 
-/** A gateway that runs. */
+/** A running gateway. */
 export interface RunningGateway {
   readonly state: GatewayState;
   /** Resolves when the process may end. */
   readonly ended: Promise<void>;
-  /** Finishes what is in progress and ends. */
+  /** Finishes the requests in progress, then ends. */
   stop(): void;
   /** Ends at once. */
   kill(): void;
-  /** Takes settings that were read again. */
+  /** Applies settings that were read again. */
   reload(settings: GatewaySettings): void;
 }
 
@@ -57,7 +57,7 @@
 class GatewayProcess implements RunningGateway {
   readonly ended: Promise<void>;
   readonly state: GatewayState;
-  private readonly clock = new ElapsedClock({ onStandstill: (stood) => this.goOn(stood) });
+  private readonly clock = new ElapsedClock({ onPause: (pause) => this.handlePause(pause) });
   private clockTimer: NodeJS.Timeout | undefined;
   private readonly loop: GatewayLoop;
   private readonly timers: GatewayTimers;
@@ -68,7 +68,7 @@
   private readonly store: StoreClient;
   private readonly peerClient: PeerClient;
   private readonly peerPort: PeerPort;
-  private finish: () => void = () => undefined;
+  private resolveEnded: () => void = () => undefined;
 
   constructor(
     settings: GatewaySettings,
@@ -78,10 +78,10 @@
   ) {
     this.state = createGatewayState(settings, Math.floor(Math.random() * SEED_RANGE));
     this.ended = new Promise((resolve) => {
-      this.finish = resolve;
+      this.resolveEnded = resolve;
     });
     const { clock } = this;
-    const sink = new GatewayLoop(this.state, (effect) => this.carryOut(effect));
+    const sink = new GatewayLoop(this.state, (effect) => this.executeEffect(effect));
     const requests = new CallerRequests(protocol.headers);
     this.loop = sink;
     this.timers = new GatewayTimers(clock, sink);
@@ -106,7 +106,7 @@
     });
   }
 
-  async begin(): Promise<void> {
+  async start(): Promise<void> {
     const { settings } = this.state;
     await Promise.all([
       this.callers.listen(settings.callers, this.earlyPort),
@@ -130,13 +130,13 @@
     this.loop.emit({ type: 'settings-reloaded', at: this.clock.now(), settings });
   }
 
-  /** The process's timers do not count a suspension. */
-  private goOn(standstill: Standstill): void {
+  /** Handles a process pause. Node's timers do not count a suspension, so they are set again. */
+  private handlePause(pause: ProcessPause): void {
     this.timers.refresh();
-    this.loop.emit({ type: 'stood-still', at: this.clock.now(), ...standstill });
+    this.loop.emit({ type: 'stood-still', at: this.clock.now(), ...pause });
   }
 
-  private carryOut(effect: GatewayEffect): void {
+  private executeEffect(effect: GatewayEffect): void {
     switch (effect.type) {
       case 'send-attempt':
         return this.replicas.send(effect);
@@ -148,12 +148,12 @@
       case 'set-request-timer':
         return this.timers.set(effect.call, effect.at);
       default:
-        this.carryOutRare(effect);
+        this.executeRareEffect(effect);
     }
   }
 
-  /** Effects that no request asks for. */
-  private carryOutRare(effect: Exclude<GatewayEffect, FrequentEffect>): void {
+  /** Executes effects that few requests or none cause. */
+  private executeRareEffect(effect: Exclude<GatewayEffect, FrequentEffect>): void {
     match(effect)
       .with({ type: 'forget-call' }, ({ call }) => {
         this.timers.cancel(call);
@@ -165,13 +165,13 @@
       .with({ type: 'answer-subquery' }, (answer) => this.answerSubquery(answer))
       .with({ type: 'acknowledge-subquery' }, ({ call }) => this.peerPort.acknowledge(call))
       .with({ type: 'refuse-subquery' }, ({ call }) => this.peerPort.refuse(call))
-      .with({ type: 'open-peer' }, ({ peer }) => this.peerClient.prepare(peer))
+      .with({ type: 'open-peer' }, ({ peer }) => this.peerClient.preconnect(peer))
       .with({ type: 'check-peer' }, ({ peer }) => this.peerClient.check(peer))
       .with({ type: 'announce-stop' }, () => this.peerPort.announceStop())
       .with({ type: 'open-connection' }, (open) => this.replicas.preconnect(open))
       .with({ type: 'check-replica' }, (check) => this.replicas.check(check))
       .with({ type: 'watch-replica' }, (watch) => this.replicas.watch(watch))
-      .with({ type: 'tell-crashes' }, (tell) => this.peerClient.tellCrashes(tell))
+      .with({ type: 'tell-crashes' }, (update) => this.peerClient.sendCrashUpdates(update))
       .with({ type: 'set-crash-news-timer' }, ({ at }) => this.timers.set('crash-news', at))
       .with({ type: 'close-replica' }, ({ replica }) => this.replicas.close(replica))
       .with({ type: 'call-store' }, ({ call }) => this.callStore(call))
@@ -187,7 +187,7 @@
       .with({ type: 'set-reading-timer' }, ({ at }) => this.timers.set('reading', at))
       .with({ type: 'follow-reader' }, (follow) => this.peerClient.follow(follow))
       .with({ type: 'unfollow-reader' }, ({ reader }) => this.peerClient.unfollow(reader))
-      .with({ type: 'tell-followers' }, (tell) => this.peerPort.tell(tell))
+      .with({ type: 'tell-followers' }, (update) => this.peerPort.sendUpdate(update))
       .with({ type: 'set-stop-timer' }, ({ at }) => this.timers.set('stop', at))
       .with({ type: 'set-readiness' }, ({ ready }) => {
         this.readiness.setReady(ready);
@@ -224,15 +224,15 @@
     this.peerPort.destroy();
     this.replicas.destroy();
     this.store.destroy();
-    this.finish();
+    this.resolveEnded();
   }
 }
 
 /**
  * Starts a gateway.
  *
- * @param earlyPort - the callers' port, where it was opened before
- * @throws when a port cannot be opened.
+ * @param earlyPort - the callers' port, if it was opened before
+ * @throws if a port cannot be opened.
  */
 export const startGateway = async (
   settings: GatewaySettings,
@@ -242,7 +242,7 @@
 ): Promise<RunningGateway> => {
   const gateway = new GatewayProcess(settings, protocol, log, earlyPort);
   try {
-    await gateway.begin();
+    await gateway.start();
   } catch (error) {
     gateway.kill();
     throw error;
--- a/test/gateway/elapsed-clock.test.ts
+++ b/test/gateway/elapsed-clock.test.ts
@@ -1,49 +1,49 @@
 import { beforeEach, describe, expect, it } from 'vitest';
-import { ElapsedClock, type Standstill } from '../../src/gateway/runtime/elapsed-clock.js';
+import { ElapsedClock, type ProcessPause } from '../../src/gateway/runtime/elapsed-clock.js';
 
-/** What the machine's clocks say, in milliseconds; each has a start of its own. */
+/** Readings of the machine's clocks, in milliseconds; each has its own origin. */
 const machine = { steady: 0, timeOfDay: 0, sinceBoot: 0 };
 let clock: ElapsedClock;
-let standstills: Standstill[];
+let pauses: ProcessPause[];
 
-/** All clocks go on together. */
-const pass = (ms: number): void => {
+/** Advances all clocks. */
+const advance = (ms: number): void => {
   machine.steady += ms;
   machine.timeOfDay += ms;
   machine.sinceBoot += ms;
 };
 
-/** The machine is suspended: the steady clock does not count it. */
+/** Suspends the machine: the steady clock does not advance. */
 const suspend = (ms: number): void => {
   machine.timeOfDay += ms;
   machine.sinceBoot += ms;
 };
 
-/** The process looks at the clock often, as one that runs does. */
+/** Advances all clocks and reads the gateway's clock often, as a running process does. */
 const run = (ms: number): void => {
   for (let left = ms; left > 0; left -= 100) {
-    pass(Math.min(100, left));
+    advance(Math.min(100, left));
     clock.now();
   }
 };
 
-/** How far the clock goes on by what happens. */
-const elapsed = (happen: () => void): number => {
+/** Returns by how much the gateway's clock advances during an action. */
+const elapsed = (action: () => void): number => {
   const before = clock.now();
-  happen();
+  action();
   return clock.now() - before;
 };
 
 beforeEach(() => {
   Object.assign(machine, { steady: 5_000, timeOfDay: 1_700_000_000_000, sinceBoot: 90_000 });
-  standstills = [];
+  pauses = [];
   clock = new ElapsedClock({
     readings: {
       steady: () => machine.steady,
       timeOfDay: () => machine.timeOfDay,
       sinceBoot: () => machine.sinceBoot,
     },
-    onStandstill: (standstill) => standstills.push(standstill),
+    onPause: (pause) => pauses.push(pause),
   });
   clock.now();
 });
@@ -55,25 +55,25 @@
     expect(elapsed(() => suspend(700))).toBe(700);
   });
 
-  it.each([2_000, -2_000, 3_600_000])('does not count a step of the time of day: %i ms', (step) => {
-    const happen = (): void => {
+  it.each([2_000, -2_000, 3_600_000])('ignores a change of the time of day by %i ms', (step) => {
+    const changeClocks = (): void => {
       machine.timeOfDay += step;
       run(500);
     };
-    expect(elapsed(happen)).toBe(500);
+    expect(elapsed(changeClocks)).toBe(500);
     expect(elapsed(() => suspend(4_000))).toBe(4_000);
   });
 
-  it('does not believe a time since the start of the machine that no other clock agrees with', () => {
-    const happen = (): void => {
+  it('ignores a jump of the time since boot that no other clock confirms', () => {
+    const changeClocks = (): void => {
       machine.sinceBoot += 60_000;
       machine.timeOfDay += 2_000;
       run(500);
     };
-    expect(elapsed(happen)).toBe(500);
+    expect(elapsed(changeClocks)).toBe(500);
   });
 
-  it('takes times that are told in steps of 10 ms', () => {
+  it('accepts a time since boot with a resolution of 10 ms', () => {
     machine.sinceBoot += 9;
     expect(elapsed(() => suspend(4_000))).toBe(4_000);
   });
@@ -85,27 +85,27 @@
   });
 });
 
-describe('a process that stood still', () => {
-  it('is noticed where it was suspended', () => {
+describe('a process pause', () => {
+  it('is detected if the machine was suspended', () => {
     run(1_000);
     suspend(4_000);
     clock.now();
-    expect(standstills).toEqual([{ forMs: 4_000, suspendedMs: 4_000 }]);
+    expect(pauses).toEqual([{ forMs: 4_000, suspendedMs: 4_000 }]);
   });
 
-  it('is noticed where it was stopped', () => {
+  it('is detected if the process was stopped', () => {
     run(1_000);
-    pass(4_000);
+    advance(4_000);
     clock.now();
-    expect(standstills).toEqual([{ forMs: 4_000, suspendedMs: 0 }]);
+    expect(pauses).toEqual([{ forMs: 4_000, suspendedMs: 0 }]);
   });
 
-  it('is not where it was only busy, nor where the time of day was set', () => {
+  it('is not detected if the process was busy or the time of day was changed', () => {
     run(1_000);
-    pass(900);
+    advance(900);
     clock.now();
     machine.timeOfDay += 5_000;
     run(1_000);
-    expect(standstills).toEqual([]);
+    expect(pauses).toEqual([]);
   });
 });
--- a/test/gateway/peer-port.test.ts
+++ b/test/gateway/peer-port.test.ts
@@ -18,18 +18,18 @@
 let events: GatewayEvent[];
 let sockets: Socket[];
 
-const PORT_TRIES = 5;
+const PORT_ATTEMPTS = 5;
 
-/** Listens on a port of the kernel's; another one is asked for when a test beside has taken it. */
-const listen = async (tries = PORT_TRIES): Promise<void> => {
+/** Listens on a port chosen by the kernel; uses another one if a concurrent test has taken it meanwhile. */
+const listen = async (attemptsLeft = PORT_ATTEMPTS): Promise<void> => {
   address = await freeAddress();
   try {
     await port.listen(address);
   } catch (error) {
-    if (tries <= 1) {
+    if (attemptsLeft <= 1) {
       throw error;
     }
-    await listen(tries - 1);
+    await listen(attemptsLeft - 1);
   }
 };
 
@@ -46,11 +46,11 @@
   port.destroy();
 });
 
-const follow = (heard: PeerMessage[]): PeerConnection => {
+const follow = (received: PeerMessage[]): PeerConnection => {
   const socket = connect(address);
   sockets.push(socket);
   const connection = new PeerConnection(socket, clock, {
-    onMessage: (message) => heard.push(message),
+    onMessage: (message) => received.push(message),
     onClosed: () => undefined,
   });
   connection.send({ type: 'follow', revisions: { configuration: 7 } });
@@ -58,9 +58,9 @@
 };
 
 const until = async (condition: () => boolean): Promise<void> => {
-  for (let tries = 0; !condition(); tries += 1) {
-    if (tries > 1_000) {
-      throw new Error('waited in vain');
+  for (let polls = 0; !condition(); polls += 1) {
+    if (polls > 1_000) {
+      throw new Error('timed out waiting for a condition');
     }
     await delay(5);
   }
@@ -68,10 +68,10 @@
 
 const typesOf = (): readonly string[] => events.map(({ type }) => type);
 
-describe('a gateway that follows this one', () => {
-  it('is told what it is told, and no longer once it has left', async () => {
-    const heard: PeerMessage[] = [];
-    const connection = follow(heard);
+describe('a follower', () => {
+  it('receives updates until it unfollows', async () => {
+    const received: PeerMessage[] = [];
+    const connection = follow(received);
     await until(() => typesOf().includes('follower-joined'));
     const [joined] = events;
     const followers = joined?.type === 'follower-joined' ? [joined.follower] : [];
@@ -84,22 +84,22 @@
       objects: [{ name: 'main', gone: false, value: configurationOf(8) }],
       revision: 8,
     };
-    port.tell({ type: 'tell-followers', followers, news });
-    await until(() => heard.length === 1);
-    expect(heard).toEqual([{ type: 'news', news }]);
+    port.sendUpdate({ type: 'tell-followers', followers, news });
+    await until(() => received.length === 1);
+    expect(received).toEqual([{ type: 'news', news }]);
     connection.send({ type: 'unfollow' });
     await until(() => typesOf().includes('follower-left'));
-    port.tell({ type: 'tell-followers', followers, news });
+    port.sendUpdate({ type: 'tell-followers', followers, news });
     await delay(50);
-    expect(heard).toHaveLength(1);
+    expect(received).toHaveLength(1);
   });
 
-  it('has left when its connection closes', async () => {
+  it('is removed when its connection closes', async () => {
     follow([]).close();
     sockets[0]?.destroy();
-    const again = follow([]);
+    const secondConnection = follow([]);
     await until(() => typesOf().includes('follower-joined'));
-    again.close();
+    secondConnection.close();
     await until(() => typesOf().includes('follower-left'));
   });
 });
--- a/test/gateway/reader-network.ts
+++ b/test/gateway/reader-network.ts
@@ -4,7 +4,7 @@
  */
 import type { FollowReader, GatewayEffect, SendReaderUpdate } from '../../src/gateway/effect.js';
 import type { GatewayEvent, StoreCallFailed } from '../../src/gateway/event.js';
-import type { BeliefChange } from '../../src/gateway/log/log-event.js';
+import type { StateChange } from '../../src/gateway/log/log-event.js';
 import type { FollowerId, ReaderUpdate } from '../../src/gateway/readers/reader-update.js';
 import { step } from '../../src/gateway/reducer.js';
 import type { GatewaySettings } from '../../src/gateway/settings.js';
@@ -89,7 +89,7 @@
   /** All calls to the store, in order. */
   readonly calls: StoreCall[] = [];
   /** Called with each change that a gateway logs. */
-  onLog: (node: VirtualNode, change: BeliefChange) => void = () => undefined;
+  onLog: (node: VirtualNode, change: StateChange) => void = () => undefined;
   /** Called with each update that a reader sends to its followers. */
   onUpdate: (news: ReaderUpdate) => void = () => undefined;
   private readonly queue: Scheduled[] = [];
--- a/test/platform/early-port.test.ts
+++ b/test/platform/early-port.test.ts
@@ -37,8 +37,8 @@
   return file;
 };
 
-/** Asks over a connection of its own; resolves with the status. */
-const ask = (id: string): Promise<number> =>
+/** Sends a request over a new connection; resolves to the status. */
+const requestStatus = (id: string): Promise<number> =>
   new Promise((resolve, reject) => {
     const outgoing = sendRequest(
       {
@@ -56,15 +56,15 @@
     outgoing.end();
   });
 
-describe('the port that is opened early', () => {
-  it('hands its connections to the gateway, those that came before and those that come after', async () => {
+describe('the early port', () => {
+  it('passes its connections to the gateway, both earlier and later ones', async () => {
     const early = await openEarlyPort(await settingsFile(settingsFileOf(fixture.settings)));
     expect(early?.address).toEqual(fixture.settings.callers);
-    const waiting = [ask('r-1'), ask('r-2')];
+    const waiting = [requestStatus('r-1'), requestStatus('r-2')];
     await delay(100);
     const gateway = await startGateway(fixture.settings, platformProtocol, SILENT_LOG, early);
     expect(await Promise.all(waiting)).toEqual([200, 200]);
-    expect(await ask('r-3')).toBe(200);
+    expect(await requestStatus('r-3')).toBe(200);
     gateway.kill();
     await gateway.ended;
     const refused = connect(fixture.settings.callers);
@@ -72,30 +72,30 @@
     expect(error.code).toBe('ECONNREFUSED');
   });
 
-  it('serves what arrives in pieces before and after, and minds no caller that came and went', async () => {
+  it('serves requests that arrive in pieces before and after, and ignores a closed connection', async () => {
     const early = await openEarlyPort(await settingsFile(settingsFileOf(fixture.settings)));
     const { callers } = fixture.settings;
-    const [halved, silent, gone] = [
+    const [split, silent, closed] = [
       await RawCaller.open(callers),
       await RawCaller.open(callers),
       await RawCaller.open(callers),
     ];
     const text = `${requestHead('POST /one/x', ['Content-Length: 4'])}body`;
-    halved.send(text.slice(0, 40));
-    gone.send(text.slice(0, 40));
+    split.send(text.slice(0, 40));
+    closed.send(text.slice(0, 40));
     await delay(50);
-    gone.close();
+    closed.close();
     const gateway = await startGateway(fixture.settings, platformProtocol, SILENT_LOG, early);
-    halved.send(text.slice(40));
+    split.send(text.slice(40));
     silent.send(text);
-    expect([await halved.statuses(1), await silent.statuses(1)]).toEqual([[200], [200]]);
-    halved.close();
+    expect([await split.statuses(1), await silent.statuses(1)]).toEqual([[200], [200]]);
+    split.close();
     silent.close();
     gateway.kill();
     await gateway.ended;
   });
 
-  it('is left out where the settings are wrong or the address is taken', async () => {
+  it('is not opened if the settings are invalid or the address is in use', async () => {
     expect(await openEarlyPort(join(folder, 'nothing.json'))).toBeUndefined();
     expect(await openEarlyPort(await settingsFile('{"callers": 7}'))).toBeUndefined();
     const { host } = await freeAddress();
--- a/test/platform/gateway-load.ts
+++ b/test/platform/gateway-load.ts
@@ -1,4 +1,4 @@
-/** Drives a gateway with gathers at a fixed rate, to measure what a leg costs. Not a test. */
+/** Sends gathers to a gateway at a fixed rate, to measure the cost of a leg. Not a test. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { GatewayFixture } from './gateway-fixture.js';
 import { routeSpec } from './operator-spec.js';
@@ -24,7 +24,7 @@
   const elapsed: number[] = [];
   await delay(3_000);
   for (let index = 0; index < total; index += 1) {
-    void fixture.ask({ id: `r-${index}`, path: '/all/x' }).then(
+    void fixture.request({ id: `r-${index}`, path: '/all/x' }).then(
       (answer) => elapsed.push(answer.elapsedMs),
       () => undefined,
     );
--- a/test/platform/gateway-metrics.test.ts
+++ b/test/platform/gateway-metrics.test.ts
@@ -20,9 +20,9 @@
 describe('the metrics of a gateway', () => {
   it('count requests, attempts, latencies and calls to the store', async () => {
     await until(() => fixture.gateway.state.reading.isReading, 'the store is watched');
-    await fixture.ask({ id: 'r-1', path: '/one/a' });
-    await fixture.ask({ id: 'r-2', path: '/one/b' });
-    await fixture.ask({ id: 'r-3', path: '/none/' });
+    await fixture.request({ id: 'r-1', path: '/one/a' });
+    await fixture.request({ id: 'r-2', path: '/one/b' });
+    await fixture.request({ id: 'r-3', path: '/none/' });
     const { text } = await fixture.readMetrics();
     const lines = text.split('\n');
     const prefix = 'crossroad_gateway_';
@@ -38,7 +38,7 @@
     expect(text).toMatch(/crossroad_gateway_store_calls_total\{call="watch"\} \d/);
   });
 
-  it('are served at one path only, and again and again', async () => {
+  it('are served at one path only, and repeatedly', async () => {
     expect((await fixture.readMetrics('/')).status).toBe(404);
     expect((await fixture.readMetrics()).status).toBe(200);
     expect((await fixture.readMetrics()).status).toBe(200);
@@ -46,7 +46,7 @@
 });
 
 describe('a series of metrics', () => {
-  it('counts label values past the bound together', () => {
+  it('counts further label values together once the maximum is reached', () => {
     const counter = new CounterMetric({ name: 'c', help: 'h', labelNames: ['route'] });
     for (let index = 0; index < 1_000; index += 1) {
       counter.add(`route-${index}`);
--- a/test/platform/invalid-entries.test.ts
+++ b/test/platform/invalid-entries.test.ts
@@ -53,7 +53,7 @@
 const sendRequests = async (): Promise<number> => {
   const before = replica.arrived.length;
   const ids = Array.from({ length: 12 }, (_, index) => `r-${before}-${index}`);
-  const answers = await Promise.all(ids.map((id) => fixture.ask({ id, path: '/x' })));
+  const answers = await Promise.all(ids.map((id) => fixture.request({ id, path: '/x' })));
   expect(answers.map(({ status }) => status)).toEqual(ids.map(() => 200));
   return replica.arrived.length - before;
 };
