--- a/src/gateway/crashes/publish-crashes.ts
+++ b/src/gateway/crashes/publish-crashes.ts
@@ -37,8 +37,10 @@
     toCrashUpdate(fingerprint, crashes.histories.find(fingerprint, at), at),
   );
 
-const publish = (peers: readonly PeerRecord[], news: readonly CrashUpdate[]): GatewayEffect[] =>
-  peers.length === 0 || news.length === 0 ? [] : [{ type: 'tell-crashes', peers, news }];
+const publish = (peers: readonly PeerRecord[], updates: readonly CrashUpdate[]): GatewayEffect[] =>
+  peers.length === 0 || updates.length === 0
+    ? []
+    : [{ type: 'tell-crashes', peers, news: updates }];
 
 /** Publishes pending requests to all neighbours. Those beyond the size limit go with the next message. */
 const publishPending = (state: GatewayState, at: number): GatewayEffect[] => {
@@ -127,13 +129,13 @@
 /** Handles `crashes-told`: merges the received histories, and forwards those that change. */
 export const handleCrashUpdates = (
   state: GatewayState,
-  { news, from, at }: CrashesTold,
+  { news: updates, from, at }: CrashesTold,
 ): GatewayEffect[] =>
-  news.flatMap((each) => {
-    const { fingerprint } = each;
+  updates.flatMap((update) => {
+    const { fingerprint } = update;
     const merged = mergeHistories(
       state.crashes.histories.find(fingerprint, at),
-      fromCrashUpdate(each, at),
+      fromCrashUpdate(update, at),
     );
     state.crashes.knownToPeers.add(fingerprint);
     return updateHistory(state, fingerprint, merged, { from, isUrgent: true }, at);
--- a/src/gateway/crashes/update-history.ts
+++ b/src/gateway/crashes/update-history.ts
@@ -18,8 +18,8 @@
 
 /**
  * Least time between two messages to the same gateway, in milliseconds. Where many replicas crash together, the
- * histories of all their requests go in few messages. A caller that was refused reaches another gateway after about 10
- * ms.
+ * histories of all their requests go in few messages. A caller that was refused reaches another gateway after about
+ * 10 ms.
  */
 const MIN_PUBLISH_INTERVAL_MS = 4;
 
--- a/src/gateway/readers/handle-reader-update.ts
+++ b/src/gateway/readers/handle-reader-update.ts
@@ -234,22 +234,22 @@
 /** Handles `reader-told`. Updates of a gateway that is no longer followed are discarded. */
 export const handleReaderUpdate = (
   state: GatewayState,
-  { reader, news, at }: ReaderTold,
+  { reader, news: update, at }: ReaderTold,
 ): GatewayEffect[] => {
   const source = state.reading.sources.get(reader);
   if (source === undefined) {
     return [];
   }
   source.lastUpdateAt = at;
-  if (news.type === 'status') {
-    return handleStatus(state, source, news, at);
+  if (update.type === 'status') {
+    return handleStatus(state, source, update, at);
   }
-  const { era, eraAgeMs = 0, collection } = news;
+  const { era, eraAgeMs = 0, collection } = update;
   return [
     ...recordEra(state, era, { from: reader, collection, since: at - eraAgeMs }),
-    ...(news.type === 'snapshot'
-      ? applySnapshot(state, source, news, at)
-      : applyChanges(state, source, news, at)),
+    ...(update.type === 'snapshot'
+      ? applySnapshot(state, source, update, at)
+      : applyChanges(state, source, update, at)),
     ...completeRestore(state, at),
   ];
 };
--- a/src/gateway/readers/publish-to-followers.ts
+++ b/src/gateway/readers/publish-to-followers.ts
@@ -48,8 +48,8 @@
   };
 };
 
-const sendUpdate = (followers: readonly FollowerId[], news: ReaderUpdate): GatewayEffect[] =>
-  followers.length === 0 ? [] : [{ type: 'tell-followers', followers, news }];
+const sendUpdate = (followers: readonly FollowerId[], update: ReaderUpdate): GatewayEffect[] =>
+  followers.length === 0 ? [] : [{ type: 'tell-followers', followers, news: update }];
 
 const synchronizedFollowers = ({ reading }: GatewayState): readonly FollowerId[] =>
   [...reading.followers].filter(([, { isSynchronized }]) => isSynchronized).map(([id]) => id);
--- a/test/gateway/reader-network.ts
+++ b/test/gateway/reader-network.ts
@@ -630,11 +630,11 @@
     }
   }
 
-  private sendToFollowers(node: VirtualNode, { followers, news }: TellFollowers): void {
-    this.onUpdate(news);
+  private sendToFollowers(node: VirtualNode, { followers, news: update }: TellFollowers): void {
+    this.onUpdate(update);
     for (const follow of this.follows) {
       if (follow.to === node && followers.includes(follow.id)) {
-        this.deliver(follow, news);
+        this.deliver(follow, update);
       }
     }
   }
@@ -643,17 +643,17 @@
    * Delivers an update, or holds it while the link is cut. Held updates are released before later ones, as on a
    * connection.
    */
-  private deliver(follow: Follow, news: ReaderUpdate): void {
+  private deliver(follow: Follow, update: ReaderUpdate): void {
     const { from, to } = follow;
     if (this.isLinked(from, to)) {
       this.emitLater(LINK_MS, from, {
         type: 'reader-told',
         at: 0,
         reader: this.nameOf(from, to),
-        news,
+        news: update,
       });
     } else if (this.holdsUpdatesOfCutLinks) {
-      this.heldUpdates.push({ follow, news });
+      this.heldUpdates.push({ follow, news: update });
     }
   }
 
