--- a/src/cli/operator/operator-client.ts
+++ b/src/cli/operator/operator-client.ts
@@ -5,7 +5,7 @@
 import { z } from 'zod';
 import { editOutcomeBodySchema } from '../../operator-protocol/edit-outcome-body.js';
 import type { EditBody } from '../../operator-protocol/edit-body.js';
-import { findingSchema } from '../../operator-protocol/shapes.js';
+import { findingSchema } from '../../operator-protocol/shared-schemas.js';
 import { revisionsBodySchema, statusBodySchema } from '../../operator-protocol/status-body.js';
 import { historyBodySchema, tableBodySchema } from '../../operator-protocol/table-body.js';
 import type { RevisionsBody, StatusBody } from '../../operator-protocol/status-body.js';
--- a/src/operator-protocol/edit-body.ts
+++ b/src/operator-protocol/edit-body.ts
@@ -4,7 +4,13 @@
 import type { EditAction, EditRequest, RowChange } from '../table/edit.js';
 import type { Finding } from '../table/finding.js';
 import { readRow } from '../table/read-row.js';
-import { editIdSchema, kindSchema, poolShareSchema, routeSchema, versionSchema } from './shapes.js';
+import {
+  editIdSchema,
+  kindSchema,
+  poolShareSchema,
+  routeSchema,
+  versionSchema,
+} from './shared-schemas.js';
 
 /** Most changes of rows in one edit. */
 const CHANGES_LIMIT = 20_000;
--- a/src/operator-protocol/edit-outcome-body.ts
+++ b/src/operator-protocol/edit-outcome-body.ts
@@ -9,7 +9,7 @@
   rowSchema,
   sheetRowSchema,
   versionSchema,
-} from './shapes.js';
+} from './shared-schemas.js';
 
 const rowChangeSchema = z.discriminatedUnion('type', [
   z.object({ type: z.literal('set'), row: rowSchema, basedOn: versionSchema }),
--- a/src/operator-protocol/status-body.ts
+++ b/src/operator-protocol/status-body.ts
@@ -9,7 +9,7 @@
   serviceSchema,
   versionSchema,
   zoneSchema,
-} from './shapes.js';
+} from './shared-schemas.js';
 
 /** A node as the answering one knows it, with the revision it last reported. */
 const nodeRevisionSchema = z.object({
--- a/src/operator-protocol/table-body.ts
+++ b/src/operator-protocol/table-body.ts
@@ -6,7 +6,7 @@
   poolShareSchema,
   sheetRowSchema,
   versionSchema,
-} from './shapes.js';
+} from './shared-schemas.js';
 
 /** One partner's sheet as it is in force at the node. */
 const sheetBodySchema = z.object({
