--- a/src/cli/status/format-status.ts
+++ b/src/cli/status/format-status.ts
@@ -2,7 +2,9 @@
 import CliTable from 'cli-table3';
 import type { NodeRevision, StatusBody } from '../../operator-protocol/status-body.js';
 
-/** Most nodes listed one by one; a larger tier is summed up by zone and lists those that stand out. */
+/**
+ * Most nodes listed one by one; a larger tier is summed up by zone and lists those that stand out.
+ */
 const LISTED_NODES = 40;
 
 /** No colours, and no line between two rows. */
@@ -54,7 +56,7 @@
   node.zone,
   node.state,
   String(node.incarnation),
-  node.revision === null ? 'not heard yet' : String(node.revision),
+  node.revision === null ? 'not reported yet' : String(node.revision),
 ];
 
 const formatNodes = (status: StatusBody, all: boolean): string => {
--- a/src/operator-protocol/edit-body.ts
+++ b/src/operator-protocol/edit-body.ts
@@ -1,4 +1,4 @@
-/** Body of `POST /v1/edits`; partner and operator follow from the key that came with it. */
+/** Body of `POST /v1/edits`. The key of the request determines the partner and the operator. */
 import { Left, Right, type Either } from 'purify-ts';
 import { z } from 'zod';
 import type { EditAction, EditRequest, RowChange } from '../table/edit.js';
@@ -12,11 +12,11 @@
   versionSchema,
 } from './shared-schemas.js';
 
-/** Most changes of rows in one edit. */
+/** Most row changes in one edit. */
 const CHANGES_LIMIT = 20_000;
-/** Most keys of a partner. */
+/** Most keys per partner. */
 const KEYS_LIMIT = 1_000;
-/** Longest name of an edit, a key or a proposal, in characters. */
+/** Longest id of an edit, or name of a key or a proposal, in characters. */
 const TEXT_NAME_LIMIT = 100;
 /** Longest reason, in characters. */
 export const REASON_LIMIT = 500;
@@ -27,7 +27,9 @@
   .string()
   .regex(/^[A-Za-z0-9][A-Za-z0-9._:-]*$/)
   .max(TEXT_NAME_LIMIT);
-/** Shown on terminals and pages of both partners, so that nothing in it may steer those. */
+/**
+ * Control characters are refused, as the reason is shown on terminals and pages of both partners.
+ */
 const reasonSchema = z
   .string()
   .trim()
@@ -68,7 +70,7 @@
   z.object({ type: z.literal('approve-agreement'), proposal: nameSchema, shares: sharesSchema }),
 ]);
 
-/** The body before its rows are checked by their columns. */
+/** Schema of the body; `parseEditBody` validates the rows in addition. */
 export const editBodySchema = z.object({
   edit: nameSchema.pipe(editIdSchema),
   reason: reasonSchema,
@@ -103,7 +105,7 @@
   return findings.length > 0 ? Left(findings) : Right({ type: 'change-rows', changes: read });
 };
 
-/** Reads the body of an edit; all findings come at once, each with its place. */
+/** Parses the body of an edit; reports all findings together, each with its place. */
 export const parseEditBody = (body: unknown): Either<Finding[], EditBody> => {
   const parsed = editBodySchema.safeParse(body);
   if (!parsed.success) {
--- a/src/operator-protocol/edit-outcome-body.ts
+++ b/src/operator-protocol/edit-outcome-body.ts
@@ -1,4 +1,4 @@
-/** Answer of `POST /v1/edits`: the final word on an edit, with the HTTP status that goes with it. */
+/** Response of `POST /v1/edits`: the outcome of an edit, and its HTTP status. */
 import { z } from 'zod';
 import type { EditOutcome } from '../table/edit.js';
 import {
@@ -28,7 +28,7 @@
   wantedBy: z.string(),
 });
 
-/** The outcome of an edit, as JSON. */
+/** Schema of the outcome of an edit. */
 export const editOutcomeBodySchema: z.ZodType<EditOutcome> = z.discriminatedUnion('type', [
   z.object({
     type: z.literal('accepted'),
--- a/src/operator-protocol/shared-schemas.ts
+++ b/src/operator-protocol/shared-schemas.ts
@@ -1,4 +1,4 @@
-/** Shapes that several bodies of the operators' HTTP share, as zod schemas. */
+/** Zod schemas that several bodies of the operators' HTTP share. */
 import { z } from 'zod';
 import type {
   EditId,
@@ -34,13 +34,13 @@
 /** A version or revision. */
 export const versionSchema = z.int().min(0);
 
-/** A row of a sheet, checked by its columns. */
+/** A row of a sheet, validated by its columns. */
 export const rowSchema = z.unknown().transform((value, context): RouteRow => {
   const read = readRow(value, 'row', '');
   if (read.isRight()) {
     return read.unsafeCoerce();
   }
-  context.issues.push({ code: 'custom', message: 'is no row of a sheet', input: value });
+  context.issues.push({ code: 'custom', message: 'is not a row of a sheet', input: value });
   return z.NEVER;
 });
 
@@ -55,7 +55,7 @@
 /** A partner's share of the pool. */
 export const poolShareSchema = z.object({ partner: partnerSchema, share: z.number() });
 
-/** A row with its version and writer. */
+/** A row with its version and the operator who wrote it. */
 export const sheetRowSchema = z.object({
   row: rowSchema,
   rowVersion: versionSchema,
--- a/src/operator-protocol/status-body.ts
+++ b/src/operator-protocol/status-body.ts
@@ -1,4 +1,4 @@
-/** Answers about the running tier: `GET /v1/status` and `GET /v1/revisions`. */
+/** Responses about the state of the tier: `GET /v1/status` and `GET /v1/revisions`. */
 import { z } from 'zod';
 import {
   kindSchema,
@@ -11,54 +11,58 @@
   zoneSchema,
 } from './shared-schemas.js';
 
-/** A node as the answering one knows it, with the revision it last reported. */
+/** A node as the responding node sees it, with the revision that it last reported. */
 const nodeRevisionSchema = z.object({
   node: nodeSchema,
   zone: zoneSchema,
   region: z.string(),
   state: z.enum(['alive', 'suspect', 'leaving', 'dead']),
-  /** Grows with each start of the node and each suspicion it refuted. */
+  /** Incremented at each start of the node and each suspicion that it refutes. */
   incarnation: z.number(),
-  /** All changes of the store up to this revision are in force there; null when not yet heard. */
+  /**
+   * All changes of the store up to this revision are in force there; null until the node reports
+   * one.
+   */
   revision: versionSchema.nullable(),
 });
 
-/** Answer of `GET /v1/revisions`: what is in force where. */
+/** Response of `GET /v1/revisions`: the revision in force on each node. */
 export const revisionsBodySchema = z.object({
   node: nodeSchema,
   revision: versionSchema,
   nodes: z.array(nodeRevisionSchema),
 });
 
-/** A replica as the answering node sees it. */
+/** A replica as the responding node sees it. */
 const replicaBodySchema = z.object({
   partner: partnerSchema,
   service: serviceSchema,
   replica: replicaSchema,
   zone: zoneSchema,
-  /** What the platform publishes. */
+  /** The lifecycle that the platform publishes. */
   lifecycle: z.enum(['ready', 'warming', 'leaving']),
   slots: z.number(),
   connections: z.number(),
   snapshots: z.array(z.number()),
-  /** Attempts of this node in progress there. */
+  /** Attempts of this node that are in progress at the replica. */
   inProgress: z.number(),
   /**
-   * How the node treats it: `leaving` by a sign that it or a peer saw, `ejected` after failures,
-   * `shedding` while it is left alone after it refused work, else `used`.
+   * How the node treats the replica: `leaving` after this node or a peer observed that it is
+   * leaving, `ejected` after failures, `shedding` during the back-off after it refused work,
+   * otherwise `used`.
    */
   seen: z.enum(['used', 'leaving', 'ejected', 'shedding']),
-  /** Mean time from sending to the answer at this node, in milliseconds; null before the first. */
+  /** Mean latency of attempts from this node, in milliseconds; null before the first answer. */
   meanMs: z.number().nullable(),
 });
 
-/** A limit of a row with the part that this node holds. */
+/** A limit of a row with this node's grant. */
 const limitBodySchema = z.object({
   partner: partnerSchema,
   route: routeSchema,
   kind: kindSchema,
   limit: z.enum(['concurrent', 'per-second']),
-  /** The bound over all nodes. */
+  /** The limit over all nodes. */
   total: z.number(),
   /** This node's grant. */
   granted: z.number(),
@@ -66,7 +70,7 @@
   inUse: z.number(),
 });
 
-/** Answer of `GET /v1/status`. */
+/** Response of `GET /v1/status`. */
 export const statusBodySchema = z.object({
   node: nodeSchema,
   zone: zoneSchema,
@@ -82,7 +86,7 @@
 
 /** A node with its revision. */
 export type NodeRevision = z.infer<typeof nodeRevisionSchema>;
-/** What is in force where. */
+/** The revision in force on each node. */
 export type RevisionsBody = z.infer<typeof revisionsBodySchema>;
 /** The state of the tier as one node sees it. */
 export type StatusBody = z.infer<typeof statusBodySchema>;
--- a/src/operator-protocol/table-body.ts
+++ b/src/operator-protocol/table-body.ts
@@ -1,4 +1,4 @@
-/** Answers about the table: `GET /v1/table` and `GET /v1/table/{partner}/history`. */
+/** Responses about the table: `GET /v1/table` and `GET /v1/table/{partner}/history`. */
 import { z } from 'zod';
 import {
   editRecordSchema,
@@ -8,17 +8,17 @@
   versionSchema,
 } from './shared-schemas.js';
 
-/** One partner's sheet as it is in force at the node. */
+/** One partner's sheet, as in force at the node. */
 const sheetBodySchema = z.object({
   partner: partnerSchema,
   /** Version of the object `sheet/{partner}`; 0 when there is none yet. */
   version: versionSchema,
-  /** The store's revision of its last write; 0 when there is none yet. */
+  /** Store revision of the last write of the sheet; 0 when there is none yet. */
   revision: versionSchema,
   rows: z.array(sheetRowSchema),
 });
 
-/** The agreement as it is in force at the node. */
+/** The agreement, as in force at the node. */
 const agreementBodySchema = z.object({
   /** Version of the object `agreement`; 0 when there is none yet. */
   version: versionSchema,
@@ -34,24 +34,27 @@
   ),
 });
 
-/** Answer of `GET /v1/table`. */
+/** Response of `GET /v1/table`. */
 export const tableBodySchema = z.object({
   node: z.string(),
   /** All changes of the store up to this revision are in force at the node. */
   revision: versionSchema,
-  /** The partner whose operator asks; its rows are the ones that can be written. */
+  /** The partner of the requesting operator, who can write only the rows of this partner. */
   partner: partnerSchema,
   sheets: z.array(sheetBodySchema),
   agreement: agreementBodySchema,
 });
 
-/** Answer of `GET /v1/table/{partner}/history`. */
+/** Response of `GET /v1/table/{partner}/history`. */
 export const historyBodySchema = z.object({
   partner: partnerSchema,
   version: versionSchema,
   /** Newest last. */
   history: z.array(editRecordSchema),
-  /** The store gave no answer: only the newest edits, which the node holds, are shown. */
+  /**
+   * Present when the store did not answer: `history` has only the newest edits, which the node
+   * holds.
+   */
   olderMissing: z.literal(true).optional(),
 });
 
--- a/src/operator/api-routes.ts
+++ b/src/operator/api-routes.ts
@@ -1,4 +1,4 @@
-/** The operators' JSON endpoints; each needs the bearer key of an operator. */
+/** The operators' JSON endpoints; each requires an operator key as a bearer token. */
 import { Hono, type Context } from 'hono';
 import { bodyLimit } from 'hono/body-limit';
 import type { RefusalLog } from '../auth/refusal-log.js';
@@ -9,7 +9,7 @@
 import { authenticateBearer } from './authenticate-bearer.js';
 import type { OperatorContext } from './operator-context.js';
 import type { OperatorEnvironment } from './operator-identity.js';
-import { answerProblem } from './problem.js';
+import { respondWithProblem } from './problem.js';
 import { readRevisions, readStatus } from './read-status.js';
 import { readHistory } from './read-history.js';
 import { listPartners, readTable } from './read-table.js';
@@ -35,14 +35,23 @@
 const isJson = (call: Context): boolean =>
   /^application\/json\s*(;|$)/i.test(call.req.header('content-type') ?? '');
 
-const answerSubmission = (call: Context, submission: Submission): Response => {
+const respondWithSubmission = (call: Context, submission: Submission): Response => {
   switch (submission.type) {
     case 'outcome':
       return call.json(submission.outcome, EDIT_OUTCOME_STATUS[submission.outcome.type]);
     case 'not-own':
-      return answerProblem(call, 403, "Only one's own rows can be written.", submission.findings);
+      return respondWithProblem(
+        call,
+        403,
+        'Only rows of your own partner can be written.',
+        submission.findings,
+      );
     case 'busy':
-      return answerProblem(call, 503, 'Too many edits wait here; the edit was not taken.');
+      return respondWithProblem(
+        call,
+        503,
+        'Too many edits are in progress at this node; the edit was not applied.',
+      );
   }
 };
 
@@ -54,7 +63,7 @@
     const partner = identifier<PartnerId>(call.req.param('partner'));
     return listPartners(context.state()).includes(partner)
       ? call.json(await readHistory(context, partner))
-      : answerProblem(call, 404, 'There is no such partner.');
+      : respondWithProblem(call, 404, 'There is no such partner.');
   });
 };
 
@@ -62,20 +71,22 @@
   const limit = bodyLimit({
     maxSize: EDIT_BODY_LIMIT,
     onError: (call) =>
-      answerProblem(call, 413, `An edit has at most ${String(EDIT_BODY_LIMIT)} bytes.`),
+      respondWithProblem(call, 413, `An edit must not exceed ${String(EDIT_BODY_LIMIT)} bytes.`),
   });
   app.post('/v1/edits', limit, async (call) => {
     if (!isJson(call)) {
-      return answerProblem(call, 415, 'An edit is sent as application/json.');
+      return respondWithProblem(call, 415, 'An edit must be sent as application/json.');
     }
     const json = await readJson(call);
     if (json === undefined) {
-      return answerProblem(call, 400, 'The edit cannot be read.', [MALFORMED_BODY]);
+      return respondWithProblem(call, 400, 'The edit cannot be read.', [MALFORMED_BODY]);
     }
     const parsed = parseEditBody(json.body);
     return parsed.caseOf<Promise<Response> | Response>({
-      Left: (findings) => answerProblem(call, 422, 'The edit has findings.', findings),
-      Right: async (body) => answerSubmission(call, await submitEdit(call.get('identity'), body)),
+      Left: (findings) =>
+        respondWithProblem(call, 422, 'The edit is not valid; see its findings.', findings),
+      Right: async (body) =>
+        respondWithSubmission(call, await submitEdit(call.get('identity'), body)),
     });
   });
 };
--- a/src/operator/authenticate-bearer.ts
+++ b/src/operator/authenticate-bearer.ts
@@ -1,30 +1,31 @@
-/** Lets requests through that carry the bearer key of an operator. */
+/** Authentication of operators by a bearer token. */
 import type { MiddlewareHandler } from 'hono';
 import { readBearerSecret } from '../auth/bearer-secret.js';
 import type { KeyRefusal, RefusalLog } from '../auth/refusal-log.js';
 import { verifyKey, type VerifiedKey } from '../auth/verify-key.js';
 import type { OperatorContext } from './operator-context.js';
 import type { OperatorEnvironment } from './operator-identity.js';
-import { answerProblem } from './problem.js';
+import { respondWithProblem } from './problem.js';
 
-/** Said while the node starts. */
-export const STARTING = 'The node has not read the configuration in force yet; try again.';
+/** Message of a node that is starting. */
+export const NODE_STARTING_MESSAGE =
+  'The node has not read the configuration in force yet; try again.';
 
-const KEY_MISSING = 'Present an operator key as a bearer token.';
-const KEY_UNKNOWN = 'No key in force has this secret.';
+const KEY_MISSING_MESSAGE = 'Present an operator key as a bearer token.';
+const KEY_UNKNOWN_MESSAGE = 'No key in force has this secret.';
 
-/** How the verification of a secret ended. */
-export type OperatorVerdict =
+/** The result of the verification of a secret. */
+export type OperatorVerification =
   | { readonly type: 'operator'; readonly key: VerifiedKey }
-  /** The node holds no keys yet, and cannot tell an operator from a stranger. */
+  /** The node has not loaded the keys yet and cannot verify the secret. */
   | { readonly type: 'starting' }
   | { readonly type: 'refused'; readonly refusal: KeyRefusal; readonly key?: VerifiedKey };
 
-/** Verifies that a secret is an operator's key in force. */
+/** Verifies that a secret belongs to an operator key in force. */
 export const verifyOperator = (
   context: OperatorContext,
   secret: string | undefined,
-): OperatorVerdict => {
+): OperatorVerification => {
   if (context.state().phase === 'starting') {
     return { type: 'starting' };
   }
@@ -40,7 +41,7 @@
     : { type: 'refused', refusal: 'wrong-role', key };
 };
 
-/** Creates the middleware; it sets `identity`, or answers 401, 403 or 503. */
+/** Creates the middleware, which sets `identity` or responds with status 401, 403 or 503. */
 export const authenticateBearer =
   (context: OperatorContext, logRefusal: RefusalLog): MiddlewareHandler<OperatorEnvironment> =>
   async (call, next) => {
@@ -51,12 +52,16 @@
       return;
     }
     if (verdict.type === 'starting') {
-      return answerProblem(call, 503, STARTING);
+      return respondWithProblem(call, 503, NODE_STARTING_MESSAGE);
     }
     logRefusal(verdict);
     if (verdict.refusal === 'wrong-role') {
-      return answerProblem(call, 403, 'This is no key of an operator.');
+      return respondWithProblem(call, 403, 'This is not an operator key.');
     }
     call.header('WWW-Authenticate', 'Bearer');
-    return answerProblem(call, 401, verdict.refusal === 'missing' ? KEY_MISSING : KEY_UNKNOWN);
+    return respondWithProblem(
+      call,
+      401,
+      verdict.refusal === 'missing' ? KEY_MISSING_MESSAGE : KEY_UNKNOWN_MESSAGE,
+    );
   };
--- a/src/operator/create-operator-app.ts
+++ b/src/operator/create-operator-app.ts
@@ -1,11 +1,11 @@
-/** The HTTP application on the operator port: health, metrics, the table and the web page. */
+/** The HTTP application of the operator port: health, metrics, JSON endpoints and the web page. */
 import { Hono } from 'hono';
 import { createRefusalLog } from '../auth/refusal-log.js';
 import { createApiRoutes } from './api-routes.js';
 import { createHealthRoutes } from './health-routes.js';
 import type { OperatorContext } from './operator-context.js';
 import { createPageRoutes } from './page/create-page-routes.js';
-import { answerProblem } from './problem.js';
+import { respondWithProblem } from './problem.js';
 import { createSecurityHeaders } from './security-headers.js';
 import { createSessions } from './session/sessions.js';
 import { createSubmitEdit } from './submit-edit.js';
@@ -32,10 +32,10 @@
     '/',
     createPageRoutes({ context, sessions: createSessions(context), submitEdit, logRefusal }),
   );
-  app.notFound((call) => answerProblem(call, 404, 'There is nothing at this path.'));
+  app.notFound((call) => respondWithProblem(call, 404, 'There is nothing at this path.'));
   app.onError((error, call) => {
     context.log.warn(`A request failed: ${describeError(error)}.`);
-    return answerProblem(call, 500, 'The request failed; see the log of the node.');
+    return respondWithProblem(call, 500, 'The request failed; see the log of the node.');
   });
   return app;
 };
--- a/src/operator/endpoints.ts
+++ b/src/operator/endpoints.ts
@@ -1,4 +1,4 @@
-/** The endpoints of the operator port that are meant for programs, as the reference lists them. */
+/** The endpoints of the operator port for programs, from which the reference is generated. */
 import type { z } from 'zod';
 import { editBodySchema } from '../operator-protocol/edit-body.js';
 import { editOutcomeBodySchema } from '../operator-protocol/edit-outcome-body.js';
@@ -11,7 +11,7 @@
   readonly path: string;
   readonly summary: string;
   readonly needsKey: boolean;
-  /** When each status is answered. */
+  /** The meaning of each HTTP status. */
   readonly statuses: Readonly<Record<number, string>>;
   readonly request?: z.ZodType;
   readonly answer?: z.ZodType;
@@ -25,7 +25,7 @@
 
 const READ_STATUSES = { 200: 'the answer', ...KEY_STATUSES } as const;
 
-/** All endpoints, in the order of the reference. */
+/** All endpoints, in the order in which the reference lists them. */
 export const OPERATOR_ENDPOINTS: readonly OperatorEndpoint[] = [
   {
     method: 'GET',
--- a/src/operator/health-routes.ts
+++ b/src/operator/health-routes.ts
@@ -1,4 +1,4 @@
-/** Health for the platform and metrics for Prometheus; both need no key. */
+/** Health checks for the platform and metrics for Prometheus; neither requires a key. */
 import { Hono } from 'hono';
 import type { OperatorContext } from './operator-context.js';
 
--- a/src/operator/operator-context.ts
+++ b/src/operator/operator-context.ts
@@ -1,4 +1,4 @@
-/** What the operator port needs of the node behind it. */
+/** The interface between the operator port and its node. */
 import type { Maybe } from 'purify-ts';
 import type { StoreObject } from '../catalog/store-object.js';
 import type { ObjectName } from '../core/identifiers.js';
@@ -12,21 +12,23 @@
   warn(sentence: string): void;
 }
 
-/** The node as the operator port sees it. */
+/** The dependencies of the operator port. */
 export interface OperatorContext {
-  /** The core's state; read only. */
+  /** The core's state, read-only. */
   state(): CoreState;
-  /** Hands an authenticated edit to the core; resolves with its final word, never rejects. */
+  /** Submits an authenticated edit to the core. Resolves with its outcome and never rejects. */
   submitEdit(edit: EditRequest): Promise<EditOutcome>;
-  /** Reads an object from the platform's store; Nothing when there is none or no answer. */
+  /**
+   * Reads an object from the platform's store; Nothing when it does not exist or the store fails.
+   */
   fetchObject(name: ObjectName): Promise<Maybe<StoreObject>>;
-  /** Wall clock time, in milliseconds since 1970. */
+  /** Wall-clock time, in milliseconds since 1970. */
   now(): number;
-  /** Time on the clock of the core's events, in milliseconds. */
+  /** Monotonic time on the clock of the core's events, in milliseconds. */
   monotonicNow(): number;
   /**
-   * Signs the sessions of the web page. The same at all nodes, so that a session outlives the node
-   * that opened it; never shown.
+   * Key that signs the sessions of the web page. It is the same on all nodes, so that a session
+   * outlives the node that opened it, and is never shown.
    */
   readonly sessionSecret: string;
   readonly metrics: NodeMetrics;
--- a/src/operator/operator-identity.ts
+++ b/src/operator/operator-identity.ts
@@ -1,4 +1,4 @@
-/** Who an authenticated operator is. */
+/** The identity of an authenticated operator. */
 import type { PartnerId } from '../core/identifiers.js';
 
 /** An operator of a partner. */
@@ -8,7 +8,7 @@
   readonly operator: string;
 }
 
-/** Variables that routes behind authentication find in their context. */
+/** Hono variables of the routes that require authentication. */
 export interface OperatorEnvironment {
   Variables: { identity: OperatorIdentity };
 }
--- a/src/operator/page/agreement-page.ts
+++ b/src/operator/page/agreement-page.ts
@@ -1,4 +1,4 @@
-/** The agreement between the partners: what stands, what is proposed, and who approved it. */
+/** The agreement page: the shares in force, the proposals and their approvals. */
 import { html } from 'hono/html';
 import type { PartnerId } from '../../core/identifiers.js';
 import { REASON_LIMIT } from '../../operator-protocol/edit-body.js';
@@ -15,7 +15,7 @@
   readonly session: Session;
   readonly partners: readonly PartnerId[];
   readonly agreement: AgreementBody;
-  /** Creates an id for each form, so that sending a form twice is one edit. */
+  /** Creates the edit id of a form, so that a form that is sent twice is one edit. */
   newEditId(): string;
   readonly findings: readonly FormFinding[];
 }
@@ -44,7 +44,9 @@
 
 const renderApproval = (page: AgreementPage, proposal: Proposal, index: number): Markup =>
   proposal.approvedBy.includes(page.session.identity.partner)
-    ? html`<p class="hint">Your organisation has approved it; it waits for the other partner.</p>`
+    ? html`<p class="hint">
+        Your organisation has approved this proposal; the approval of the other partner is pending.
+      </p>`
     : html`<form method="post" action="/agreement/approvals">
         ${renderEditFields(page)}
         <input type="hidden" name="proposal" value="${proposal.proposal}" />
@@ -83,8 +85,8 @@
   <form method="post" action="/agreement/proposals" class="card">
     ${renderEditFields(page)}
     <p class="hint">
-      A proposal takes the place of your organisation's earlier one. It comes into force when the
-      other partner approves exactly these shares.
+      A proposal replaces your organisation's earlier one. It comes into force when the other
+      partner approves exactly these shares.
     </p>
     ${page.partners.map((partner) => renderShareField(page, partner))}
     ${renderReason('proposal-reason')}
@@ -104,7 +106,7 @@
   <h2>Proposals</h2>
   ${
     page.agreement.proposals.length === 0
-      ? html`<p class="empty">None is open.</p>`
+      ? html`<p class="empty">There are no open proposals.</p>`
       : page.agreement.proposals.map((proposal, index) => renderProposal(page, proposal, index))
   }
   <h2>Propose other shares</h2>
--- a/src/operator/page/agreement-routes.ts
+++ b/src/operator/page/agreement-routes.ts
@@ -1,4 +1,4 @@
-/** The agreement page: showing it, proposing shares and approving a proposal. */
+/** Routes of the agreement page: show it, propose shares, approve a proposal. */
 import { Hono } from 'hono';
 import type { ContentfulStatusCode } from 'hono/utils/http-status';
 import { parseEditBody } from '../../operator-protocol/edit-body.js';
@@ -7,23 +7,24 @@
 import { listPartners, readAgreement } from '../read-table.js';
 import { renderAgreementPage, shareField } from './agreement-page.js';
 import { newEditId } from './new-edit-id.js';
-import { renderNotTaken } from './outcome-page.js';
+import { renderNotApplied } from './outcome-page.js';
 import {
-  answerPage,
+  respondWithPage,
   requireSession,
   type PageCall,
   type PageEnvironment,
   type PageResponse,
   type PageServices,
 } from './page-environment.js';
-import { guardForm, submitForm, type FormPage } from './submit-form.js';
+import { formMiddleware, submitForm, type FormPage } from './submit-form.js';
 
 const AGREEMENT_PATH = '/agreement';
 const PERCENT = 100;
 
-const CONFLICT = 'Nothing was changed: the agreement has changed since your page was made.';
+const CONFLICT_MESSAGE =
+  'Nothing was changed: the agreement was changed after this page was loaded.';
 
-const answerAgreement = (
+const respondWithAgreement = (
   services: PageServices,
   call: PageCall,
   findings: readonly Finding[],
@@ -31,7 +32,7 @@
 ): PageResponse => {
   const session = call.get('session');
   const state = services.context.state();
-  return answerPage(services, call, session, {
+  return respondWithPage(services, call, session, {
     title: 'Agreement',
     path: AGREEMENT_PATH,
     status,
@@ -45,19 +46,19 @@
   });
 };
 
-const describeForm = (services: PageServices, call: PageCall): FormPage => ({
+const createFormPage = (services: PageServices, call: PageCall): FormPage => ({
   services,
   call,
   path: AGREEMENT_PATH,
-  back: AGREEMENT_PATH,
-  again: call.req.path,
-  answerFindings: (findings, status) => answerAgreement(services, call, findings, status),
-  renderConflict: (page) => renderNotTaken(page, CONFLICT),
+  returnPath: AGREEMENT_PATH,
+  resendPath: call.req.path,
+  respondWithFindings: (findings, status) => respondWithAgreement(services, call, findings, status),
+  renderConflict: (page) => renderNotApplied(page, CONFLICT_MESSAGE),
 });
 
 const submitAction = (services: PageServices, call: PageCall, action: unknown): PageResponse => {
   const fields = call.get('fields');
-  const page = describeForm(services, call);
+  const page = createFormPage(services, call);
   const body = {
     edit: fields.get('edit') ?? '',
     reason: fields.get('reason') ?? '',
@@ -65,7 +66,7 @@
     action,
   };
   return parseEditBody(body).caseOf<PageResponse>({
-    Left: (findings) => page.answerFindings(findings, EDIT_OUTCOME_STATUS.refused),
+    Left: (findings) => page.respondWithFindings(findings, EDIT_OUTCOME_STATUS.refused),
     Right: (parsed) => submitForm(page, parsed),
   });
 };
@@ -87,10 +88,10 @@
 /** Serves `/agreement`. */
 export const createAgreementRoutes = (services: PageServices): Hono<PageEnvironment> => {
   const app = new Hono<PageEnvironment>();
-  const guards = guardForm(services);
+  const guards = formMiddleware(services);
 
   app.get('/agreement', requireSession(services), (call) =>
-    answerAgreement(services, call, [], 200),
+    respondWithAgreement(services, call, [], 200),
   );
 
   app.post('/agreement/proposals', ...guards, (call) => {
--- a/src/operator/page/asset-routes.ts
+++ b/src/operator/page/asset-routes.ts
@@ -1,4 +1,4 @@
-/** The style sheet and the script of the page. */
+/** Routes of the style sheet and the script of the web page. */
 import { createHash } from 'node:crypto';
 import { Hono, type Context } from 'hono';
 import { PAGE_SCRIPT } from './page-script.js';
--- a/src/operator/page/cell-editor.ts
+++ b/src/operator/page/cell-editor.ts
@@ -1,4 +1,4 @@
-/** One cell of the sheet form: its input with label, and the findings under it. */
+/** A cell of the sheet form: its labelled input and its findings. */
 import { html, raw } from 'hono/html';
 import { mayBeEmpty } from '../../table/cell.js';
 import type { ChoiceColumn, Column, FlagColumn } from '../../table/columns.js';
@@ -11,16 +11,16 @@
 /** Longest text of an input, in characters. */
 const INPUT_LIMIT = 4_200;
 
-/** What a cell shows. */
+/** The content of a cell. */
 export interface CellContent {
   readonly column: Column;
   readonly row: FormRow;
   readonly position: number;
-  /** Findings of this very cell. */
+  /** Findings for this cell only. */
   readonly findings: readonly FormFinding[];
 }
 
-/** Element id of a cell's input; the list of findings links to it. */
+/** Element id of a cell's input, which the list of findings links to. */
 export const cellId = (position: number, column: string): string =>
   `cell-${String(position)}-${column}`;
 
@@ -79,7 +79,7 @@
         ${findings.map((finding) => html`<li>${formatFindingText(finding)}</li>`)}
       </ul>`;
 
-/** Whether the cell names the row, and so is fixed once the row stands. */
+/** Whether the cell is part of the row's key, which cannot be edited once the row exists. */
 const isFixed = ({ column, row }: CellContent): boolean =>
   row.basedOn > 0 && (column.name === 'route' || column.name === 'kind');
 
--- a/src/operator/page/column-title.ts
+++ b/src/operator/page/column-title.ts
@@ -13,5 +13,5 @@
   return unit === 'ms' ? `${columnTitle(column.name)} (ms)` : columnTitle(column.name);
 };
 
-/** The columns an operator fills in; the partner follows from the operator's key. */
+/** The columns that an operator fills in; the operator's key determines the partner. */
 export const FORM_COLUMNS: readonly Column[] = COLUMNS.filter(({ name }) => name !== 'partner');
--- a/src/operator/page/figures-page.ts
+++ b/src/operator/page/figures-page.ts
@@ -3,7 +3,7 @@
 import type { RowFigures } from '../../metrics/live-figures.js';
 import { formatCount, formatShare, type Markup } from './markup.js';
 
-/** Most rows shown, the busiest ones. */
+/** Most rows shown; the busiest ones are. */
 const ROWS_LIMIT = 200;
 
 const formatMs = (ms: number | undefined): string => (ms === undefined ? '–' : ms.toFixed(1));
@@ -24,7 +24,7 @@
     <td data-label="Unknown" class="number">${formatCount(row.unknown)}</td>
   </tr>`;
 
-/** Renders the table of figures; the page asks for it again and again. */
+/** Renders the table of figures, which the page's script reloads at intervals. */
 export const renderFigureRows = (figures: readonly RowFigures[]): Markup => {
   const busiest = [...figures].sort((left, right) => right.queries - left.queries);
   return busiest.length === 0
@@ -52,8 +52,8 @@
 /** Renders the page of figures. */
 export const renderFiguresPage = (figures: readonly RowFigures[], node: string): Markup => html`
   <p class="hint">
-    Queries that node ${node} answered in the last 30 to 60 seconds. Extra load is attempts sent
-    over legs needed, less one.
+    Queries that node ${node} answered in the last 30 to 60 seconds. Extra load is the ratio of
+    attempts sent to legs needed, minus one.
   </p>
   <p class="tools">
     <a class="button" href="/figures">Refresh</a>
--- a/src/operator/page/finding-text.ts
+++ b/src/operator/page/finding-text.ts
@@ -1,7 +1,7 @@
-/** Texts of findings. */
+/** Formats findings for the web page. */
 import type { Finding } from '../../table/finding.js';
 
-/** What a finding says, without its place. */
+/** Formats the problem and the allowed values of a finding, without its place. */
 export const formatFindingText = (finding: Finding): string =>
   finding.allowed === undefined
     ? finding.problem
--- a/src/operator/page/findings-list.ts
+++ b/src/operator/page/findings-list.ts
@@ -1,11 +1,11 @@
-/** Findings as a list on top of a page, with links to the cells they speak of. */
+/** The list of findings at the top of a page, with links to the cells concerned. */
 import { html } from 'hono/html';
 import { cellId } from './cell-editor.js';
 import { formatFindingText } from './finding-text.js';
 import type { FormFinding } from './form-edit.js';
 import { countWord, type Markup } from './markup.js';
 
-/** Most findings shown on a page; the rest is counted. */
+/** Most findings shown on a page; the others are only counted. */
 const SHOWN_LIMIT = 100;
 
 const renderPlace = (finding: FormFinding): Markup | string =>
@@ -19,7 +19,7 @@
   </li>
 `;
 
-/** Renders findings; nothing when there are none. */
+/** Renders findings; the empty string when there are none. */
 export const renderFindingsList = (findings: readonly FormFinding[]): Markup | string => {
   if (findings.length === 0) {
     return '';
--- a/src/operator/page/form-edit.ts
+++ b/src/operator/page/form-edit.ts
@@ -1,4 +1,4 @@
-/** Turns a sheet form into an edit, with all findings at their cells. */
+/** Converts a sheet form to an edit, and assigns findings to the cells of the form. */
 import { Left, Right, type Either } from 'purify-ts';
 import {
   identifier,
@@ -16,7 +16,7 @@
 import { FORM_COLUMNS } from './column-title.js';
 import { isEdited, type FormRow, type SheetForm } from './sheet-form.js';
 
-/** A finding with its place in the form, as far as it has one. */
+/** A finding with its position in the form, if it has one. */
 export interface FormFinding extends Finding {
   /** Position of the row in the form. */
   readonly position?: number;
@@ -47,7 +47,7 @@
   basedOn: row.basedOn,
 });
 
-const readSetting = (
+const readSetChange = (
   partner: PartnerId,
   row: FormRow,
   position: number,
@@ -76,7 +76,7 @@
     if (!isEdited(row)) {
       return;
     }
-    const change = row.removed ? Right(readRemoval(row)) : readSetting(partner, row, position);
+    const change = row.removed ? Right(readRemoval(row)) : readSetChange(partner, row, position);
     change.caseOf({
       Left: (problems) => findings.push(...problems),
       Right: (read) => changes.push(read),
@@ -85,8 +85,8 @@
   return findings.length > 0 ? Left(findings) : Right(changes);
 };
 
-/** Finds the cells of the form that findings of a whole edit speak of. */
-export const placeInForm = (form: SheetForm, findings: readonly Finding[]): FormFinding[] => {
+/** Assigns the findings of an edit to the rows and columns of the form. */
+export const locateInForm = (form: SheetForm, findings: readonly Finding[]): FormFinding[] => {
   const positions = new Map(form.rows.map((row, position) => [keyOf(row), position]));
   return findings.map((finding) => {
     const [, key = '', columnName] = / row (\S+)(?: column (\S+))?$/.exec(finding.place) ?? [];
@@ -100,7 +100,7 @@
   });
 };
 
-/** Reads the edit that a form asks for; undefined when nothing was changed. */
+/** Reads the edit from a form; undefined when nothing was changed. */
 export const readFormEdit = (
   partner: PartnerId,
   form: SheetForm,
@@ -111,5 +111,5 @@
     }
     const { edit, reason, seenVersion } = form;
     const body = { edit, reason, seenVersion, action: { type: 'change-rows', changes } };
-    return parseEditBody(body).mapLeft((findings) => placeInForm(form, findings));
+    return parseEditBody(body).mapLeft((findings) => locateInForm(form, findings));
   });
--- a/src/operator/page/history-page.ts
+++ b/src/operator/page/history-page.ts
@@ -1,4 +1,4 @@
-/** The edits of a partner's sheet, newest first. */
+/** The history page: the edits of a partner's sheet, newest first. */
 import { html } from 'hono/html';
 import type { PartnerId } from '../../core/identifiers.js';
 import type { HistoryBody } from '../../operator-protocol/table-body.js';
@@ -76,7 +76,7 @@
     }
     ${
       history.olderMissing === true
-        ? html`<p>The store gives no answer; older edits are not shown.</p>`
+        ? html`<p>The store did not answer; older edits are not shown.</p>`
         : ''
     }
     ${renderPaging(history.partner, page, pages)}
--- a/src/operator/page/in-force-page.ts
+++ b/src/operator/page/in-force-page.ts
@@ -1,10 +1,13 @@
-/** The page that shows what is in force where, with limits and replicas as this node sees them. */
+/**
+ * The page that shows which revision is in force on which node, and this node's view of limits and
+ * replicas.
+ */
 import { html } from 'hono/html';
 import type { StatusBody } from '../../operator-protocol/status-body.js';
 import { countWord, type Markup } from './markup.js';
 import { renderNodeList } from './node-list.js';
 
-/** Most replicas and limits listed; the rest is counted. */
+/** Most replicas and limits listed; further replicas are only counted. */
 const LISTED_LIMIT = 200;
 
 const renderObject = (object: StatusBody['objects'][number]): Markup =>
@@ -102,7 +105,7 @@
     </details>`;
 };
 
-/** Renders the page; `revision` is the one asked for. */
+/** Renders the page for `revision`. */
 export const renderInForcePage = (status: StatusBody, revision: number): Markup => html`
   <form method="get" action="/in-force" class="filter">
     <label for="revision">Revision</label>
--- a/src/operator/page/new-edit-id.ts
+++ b/src/operator/page/new-edit-id.ts
@@ -1,5 +1,5 @@
-/** Ids of edits that are made on the web page. */
+/** Ids of edits made on the web page. */
 import { randomUUID } from 'node:crypto';
 
-/** Creates an id for the edit of one form; sending the form again is the same edit. */
+/** Creates the edit id of a form; a form that is sent again keeps it and is the same edit. */
 export const newEditId = (): string => `page-${randomUUID()}`;
--- a/src/operator/page/node-list.ts
+++ b/src/operator/page/node-list.ts
@@ -1,9 +1,9 @@
-/** What is in force where: nodes by zone, and those that do not hold a revision yet. */
+/** Tables of zones and nodes that show where a revision is in force. */
 import { html } from 'hono/html';
 import type { NodeRevision, RevisionsBody } from '../../operator-protocol/status-body.js';
 import { countWord, formatCount, type Markup } from './markup.js';
 
-/** Most nodes listed by name; the rest is counted. */
+/** Most nodes listed by name; the others are only counted. */
 const LISTED_LIMIT = 200;
 
 const isLive = (node: NodeRevision): boolean => node.state === 'alive' || node.state === 'suspect';
@@ -19,7 +19,7 @@
     <th scope="row" data-label="Zone">${zone}</th>
     <td data-label="Live nodes" class="number">${formatCount(live.length)}</td>
     <td data-label="In force on" class="number">${formatCount(holding)}</td>
-    <td data-label="Not known there" class="number">${formatCount(live.length - holding)}</td>
+    <td data-label="Not confirmed" class="number">${formatCount(live.length - holding)}</td>
   </tr>`;
 };
 
@@ -30,7 +30,7 @@
     <td data-label="Zone">${node.zone}</td>
     <td data-label="State">${node.state}</td>
     <td data-label="Revision" class="number">
-      ${node.revision === null ? 'not heard yet' : node.revision}
+      ${node.revision === null ? 'not reported yet' : node.revision}
     </td>
     <td data-label="In force" class="${inForce ? 'good' : 'bad'}">
       ${inForce ? 'yes' : 'not yet'}
@@ -46,20 +46,20 @@
   return zones;
 };
 
-/** One sentence on how far a revision is. */
-export const describeSpread = (revisions: RevisionsBody, revision: number): string => {
+/** Describes in one sentence on how many live nodes a revision is in force. */
+export const describeNodesInForce = (revisions: RevisionsBody, revision: number): string => {
   const live = revisions.nodes.filter(isLive);
   const holding = live.filter((node) => holds(node, revision)).length;
   return `Revision ${String(revision)} is known to be in force on ${formatCount(holding)} of ${countWord(live.length, 'live node')}.`;
 };
 
-/** Renders zones and nodes with regard to one revision. */
+/** Renders the tables of zones and nodes for one revision. */
 export const renderNodeList = (revisions: RevisionsBody, revision: number): Markup => {
-  const late = (node: NodeRevision): number => (isLive(node) && !holds(node, revision) ? 0 : 1);
-  const listed = [...revisions.nodes].sort((left, right) => late(left) - late(right));
+  const listRank = (node: NodeRevision): number => (isLive(node) && !holds(node, revision) ? 0 : 1);
+  const listed = [...revisions.nodes].sort((left, right) => listRank(left) - listRank(right));
   const hidden = listed.length - LISTED_LIMIT;
   return html`
-    <p class="notice" role="status">${describeSpread(revisions, revision)}</p>
+    <p class="notice" role="status">${describeNodesInForce(revisions, revision)}</p>
     <h2>Zones</h2>
     <table class="plain">
       <thead>
@@ -67,7 +67,7 @@
           <th scope="col">Zone</th>
           <th scope="col">Live nodes</th>
           <th scope="col">In force on</th>
-          <th scope="col">Not known there</th>
+          <th scope="col">Not confirmed</th>
         </tr>
       </thead>
       <tbody>
@@ -77,7 +77,9 @@
       </tbody>
     </table>
     <h2>Nodes</h2>
-    <p class="hint">Live nodes that are not known to hold the revision come first.</p>
+    <p class="hint">
+      Live nodes on which the revision is not known to be in force are listed first.
+    </p>
     <table class="plain">
       <thead>
         <tr>
--- a/src/operator/page/outcome-page.ts
+++ b/src/operator/page/outcome-page.ts
@@ -1,4 +1,4 @@
-/** The pages that follow an edit: accepted, in conflict, or with a fate that is not known yet. */
+/** The pages shown after an edit: accepted, in conflict, of unknown outcome, or not applied. */
 import { html } from 'hono/html';
 import type { RevisionsBody } from '../../operator-protocol/status-body.js';
 import type { EditConflict, EditOutcome } from '../../table/edit.js';
@@ -6,9 +6,9 @@
 import type { Session } from '../session/sessions.js';
 import { columnTitleWithUnit, FORM_COLUMNS } from './column-title.js';
 import { renderFindingsList } from './findings-list.js';
-import { placeInForm } from './form-edit.js';
+import { locateInForm } from './form-edit.js';
 import type { Markup } from './markup.js';
-import { describeSpread } from './node-list.js';
+import { describeNodesInForce } from './node-list.js';
 import { renderFormToken } from './page-frame.js';
 import {
   fieldName,
@@ -19,11 +19,11 @@
   type SheetForm,
 } from './sheet-form.js';
 
-/** What surrounds an outcome. */
+/** The context in which an outcome is shown. */
 export interface OutcomePage {
   readonly session: Session;
-  /** Address of the page that the edit was made on. */
-  readonly back: string;
+  /** Path of the page on which the edit was made. */
+  readonly returnPath: string;
   readonly revisions: RevisionsBody;
 }
 
@@ -51,34 +51,36 @@
   <input type="hidden" name="seen-version" value="${form.seenVersion}" />
 `;
 
-/** Renders an accepted edit, with warnings and how far it has spread. */
+/** Renders an accepted edit, with its warnings and the number of nodes on which it is in force. */
 export const renderAccepted = (page: OutcomePage, outcome: Accepted): Markup => html`
   <p class="notice good" role="status">
     Accepted as version ${outcome.version}.
     <span id="spread" data-source="/in-force/spread?revision=${outcome.revision}"
-      >${describeSpread(page.revisions, outcome.revision)}</span
+      >${describeNodesInForce(page.revisions, outcome.revision)}</span
     >
   </p>
-  ${renderFindingsList(placeInForm({ edit: '', reason: '', seenVersion: 0, rows: [] }, outcome.findings))}
+  ${renderFindingsList(locateInForm({ edit: '', reason: '', seenVersion: 0, rows: [] }, outcome.findings))}
   <p class="tools">
     <a class="button" href="/in-force?revision=${outcome.revision}">See where it is in force</a>
-    <a class="button" href="${page.back}">Back</a>
+    <a class="button" href="${page.returnPath}">Back</a>
   </p>
 `;
 
-const standingTexts = (current: SheetRow | undefined): CellTexts | undefined =>
+const currentTexts = (current: SheetRow | undefined): CellTexts | undefined =>
   current === undefined ? undefined : formatCells(current.row);
 
 const renderDifferences = (conflict: EditConflict, wanted: FormRow | undefined): Markup => {
-  const standing = standingTexts(conflict.current);
-  const mine = wanted === undefined || wanted.removed ? undefined : wanted.cells;
-  const differing = FORM_COLUMNS.filter(({ name }) => standing?.[name] !== mine?.[name]);
+  const currentCells = currentTexts(conflict.current);
+  const wantedCells = wanted === undefined || wanted.removed ? undefined : wanted.cells;
+  const differing = FORM_COLUMNS.filter(({ name }) => currentCells?.[name] !== wantedCells?.[name]);
   return html`<table class="plain">
     <thead>
       <tr>
         <th scope="col">Column</th>
-        <th scope="col">Stands, by ${conflict.current?.writtenBy ?? 'the one who removed it'}</th>
-        <th scope="col">Wanted, by ${conflict.wantedBy}</th>
+        <th scope="col">
+          Current value, by ${conflict.current?.writtenBy ?? 'the operator who removed it'}
+        </th>
+        <th scope="col">Requested value, by ${conflict.wantedBy}</th>
       </tr>
     </thead>
     <tbody>
@@ -86,10 +88,12 @@
         (column) =>
           html`<tr>
             <th scope="row" data-label="Column">${columnTitleWithUnit(column)}</th>
-            <td data-label="Stands">
-              ${standing === undefined ? 'removed' : standing[column.name]}
+            <td data-label="Current value">
+              ${currentCells === undefined ? 'removed' : currentCells[column.name]}
+            </td>
+            <td data-label="Requested value">
+              ${wantedCells === undefined ? 'removed' : wantedCells[column.name]}
             </td>
-            <td data-label="Wanted">${mine === undefined ? 'removed' : mine[column.name]}</td>
           </tr>`,
       )}
     </tbody>
@@ -99,7 +103,7 @@
 const renderChoice = (conflict: EditConflict, position: number): Markup => html`
   <label>
     <input type="radio" name="${fieldName(position, 'resolve')}" value="theirs" checked />
-    Leave ${conflict.row} as it stands
+    Keep the current value of ${conflict.row}
   </label>
   <label>
     <input type="radio" name="${fieldName(position, 'resolve')}" value="mine" />
@@ -124,7 +128,7 @@
   </fieldset>`;
 };
 
-const renderOthers = (form: SheetForm, inConflict: ReadonlySet<string>): Markup => {
+const renderOtherRows = (form: SheetForm, inConflict: ReadonlySet<string>): Markup => {
   const others = form.rows
     .map((row, position) => ({ row, position }))
     .filter(({ row }) => isEdited(row))
@@ -142,7 +146,7 @@
   `;
 };
 
-/** Renders a conflict: both values, who wrote them, and the choice between them. */
+/** Renders a conflict: both values, their authors, and a form to choose between them. */
 export const renderConflicts = (
   page: OutcomePage,
   form: SheetForm,
@@ -153,29 +157,31 @@
   const seenVersion = Math.max(form.seenVersion, ...versions);
   return html`
     <p class="notice error" role="alert">
-      Nothing was written: somebody else has changed a row since your page was made.
+      Nothing was written: another operator changed a row after this page was loaded.
     </p>
-    <form method="post" action="${page.back}">
+    <form method="post" action="${page.returnPath}">
       ${renderHiddenForm(page, { ...form, seenVersion }, newEdit)}
       ${outcome.conflicts.map((conflict) => renderConflict(form, conflict))}
-      ${renderOthers(form, new Set(outcome.conflicts.map(({ row }) => row)))}
+      ${renderOtherRows(form, new Set(outcome.conflicts.map(({ row }) => row)))}
       <button class="main">Save as chosen</button>
-      <a class="button" href="${page.back}">Drop my changes</a>
+      <a class="button" href="${page.returnPath}">Discard my changes</a>
     </form>
   `;
 };
 
-/** Renders an edit whose fate is not known: the same form can be sent again without harm. */
+/**
+ * Renders an edit of unknown outcome; the same form can be sent again, as an edit is applied once.
+ */
 export const renderUnknown = (
   page: OutcomePage,
   fields: URLSearchParams,
   problem: string,
 ): Markup => html`
   <p class="notice error" role="alert">
-    It is not known yet whether the edit took effect: ${problem} Sending it again tells, and does
-    nothing twice.
+    It is not known yet whether the edit took effect: ${problem} Send it again to see the outcome;
+    an edit is never applied twice.
   </p>
-  <form method="post" action="${page.back}">
+  <form method="post" action="${page.returnPath}">
     ${[...fields].map(
       ([name, value]) => html`<input type="hidden" name="${name}" value="${value}" />`,
     )}
@@ -183,8 +189,8 @@
   </form>
 `;
 
-/** Renders an edit that was not taken, with the reason. */
-export const renderNotTaken = (page: OutcomePage, problem: string): Markup => html`
+/** Renders an edit that was not applied, with the reason. */
+export const renderNotApplied = (page: OutcomePage, problem: string): Markup => html`
   <p class="notice error" role="alert">${problem}</p>
-  <p><a class="button" href="${page.back}">Back</a></p>
+  <p><a class="button" href="${page.returnPath}">Back</a></p>
 `;
--- a/src/operator/page/page-environment.ts
+++ b/src/operator/page/page-environment.ts
@@ -1,10 +1,10 @@
-/** What the routes of the web page share: sessions, checks of forms, and the answer with a page. */
+/** Shared by the routes of the web page: session and form middleware, and page responses. */
 import type { Context, MiddlewareHandler } from 'hono';
 import { bodyLimit } from 'hono/body-limit';
 import { html } from 'hono/html';
 import type { ContentfulStatusCode } from 'hono/utils/http-status';
 import type { RefusalLog } from '../../auth/refusal-log.js';
-import { STARTING } from '../authenticate-bearer.js';
+import { NODE_STARTING_MESSAGE } from '../authenticate-bearer.js';
 import type { OperatorContext } from '../operator-context.js';
 import { isSameOrigin } from '../session/same-origin.js';
 import { readSessionToken } from '../session/session-cookie.js';
@@ -17,12 +17,12 @@
 /** Largest form, in bytes. */
 export const FORM_BODY_LIMIT = 1024 * 1024;
 
-/** Variables that the pages find in their context. */
+/** Hono variables of the page routes. */
 export interface PageEnvironment {
   Variables: { session: Session; fields: URLSearchParams };
 }
 
-/** What the routes of the page are made with. */
+/** Dependencies of the page routes. */
 export interface PageServices {
   readonly context: OperatorContext;
   readonly sessions: Sessions;
@@ -30,30 +30,30 @@
   readonly logRefusal: RefusalLog;
 }
 
-/** A call of a route of the page. */
+/** The Hono context of a page route. */
 export type PageCall = Context<PageEnvironment>;
 
-/** What a route of the page answers. */
+/** The response of a page route. */
 export type PageResponse = Response | Promise<Response>;
 
-/** Shown when the node takes no further edits for the moment. */
-export const BUSY_PROBLEM =
-  'Too many edits wait at this node; nothing was changed. Go back and send again.';
+/** Shown when the node has too many edits in progress. */
+export const BUSY_MESSAGE =
+  'Too many edits are in progress at this node; nothing was changed. Go back and send again.';
 
-/** What one page shows, besides the frame. */
-export interface PageAnswer {
+/** The content of a page response. */
+export interface PageOptions {
   readonly title: string;
   readonly body: Markup;
   readonly path?: PagePath;
   readonly status?: ContentfulStatusCode;
 }
 
-/** Answers with a page in its frame. */
-export const answerPage = (
+/** Responds with a whole page. */
+export const respondWithPage = (
   services: PageServices,
   call: Context,
   session: Session | undefined,
-  answer: PageAnswer,
+  answer: PageOptions,
 ): PageResponse => {
   const page = renderPage({
     title: answer.title,
@@ -65,42 +65,46 @@
   return call.html(page, answer.status ?? 200);
 };
 
-/** Answers with the form to sign in. */
-export const answerSignIn = (
+/** Responds with the sign-in form. */
+export const respondWithSignIn = (
   services: PageServices,
   call: Context,
   problem: string | undefined,
   status: ContentfulStatusCode,
 ): PageResponse =>
-  answerPage(services, call, undefined, { title: 'Sign in', body: renderSignIn(problem), status });
+  respondWithPage(services, call, undefined, {
+    title: 'Sign in',
+    body: renderSignIn(problem),
+    status,
+  });
 
-/** Lets requests through that carry a session; others get the form to sign in. */
+/** Middleware that requires a valid session; other requests receive the sign-in form. */
 export const requireSession =
   (services: PageServices): MiddlewareHandler<PageEnvironment> =>
   async (call, next) => {
     const session = services.sessions.read(readSessionToken(call));
     if (session === undefined && services.context.state().phase === 'starting') {
-      return answerSignIn(services, call, STARTING, 503);
+      return respondWithSignIn(services, call, NODE_STARTING_MESSAGE, 503);
     }
     if (session === undefined) {
       const problem =
         call.req.method === 'POST'
-          ? 'Nothing was changed: the session is over. Sign in, go back and send again.'
+          ? 'Nothing was changed: the session has expired. Sign in, go back and send again.'
           : undefined;
-      return answerSignIn(services, call, problem, 401);
+      return respondWithSignIn(services, call, problem, 401);
     }
     call.set('session', session);
     await next();
     return;
   };
 
-const answerRefusedForm = (
+const respondWithFormError = (
   services: PageServices,
   call: Context,
   status: ContentfulStatusCode,
   problem: string,
 ): PageResponse =>
-  answerPage(services, call, undefined, {
+  respondWithPage(services, call, undefined, {
     title: 'Refused',
     body: html`<p class="notice error" role="alert">${problem}</p>
       <p><a class="button" href="/table">To the table</a></p>`,
@@ -110,20 +114,28 @@
 const isForm = (call: Context): boolean =>
   /^application\/x-www-form-urlencoded\s*(;|$)/i.test(call.req.header('content-type') ?? '');
 
-/** Reads a posted form into `fields`, if it is of bounded size and from a page of this host. */
+/**
+ * Middleware that reads a posted form into `fields` after checks of its size, origin and content
+ * type.
+ */
 export const readForm = (
   services: PageServices,
 ): [MiddlewareHandler<PageEnvironment>, MiddlewareHandler<PageEnvironment>] => [
   bodyLimit({
     maxSize: FORM_BODY_LIMIT,
-    onError: (call) => answerRefusedForm(services, call, 413, 'The form is too large.'),
+    onError: (call) => respondWithFormError(services, call, 413, 'The form is too large.'),
   }),
   async (call, next) => {
     if (!isSameOrigin(call)) {
-      return answerRefusedForm(services, call, 403, 'The form came from another site.');
+      return respondWithFormError(services, call, 403, 'The form came from another site.');
     }
     if (!isForm(call)) {
-      return answerRefusedForm(services, call, 415, 'This is no form of this site.');
+      return respondWithFormError(
+        services,
+        call,
+        415,
+        'The body must be application/x-www-form-urlencoded.',
+      );
     }
     call.set('fields', new URLSearchParams(await call.req.text()));
     await next();
@@ -131,13 +143,13 @@
   },
 ];
 
-/** Lets forms through that were made for the session's operator. */
+/** Middleware that requires the form token of the session's operator. */
 export const requireFormToken =
   (services: PageServices): MiddlewareHandler<PageEnvironment> =>
   async (call, next) => {
     const token = call.get('fields').get('form-token') ?? '';
-    if (!services.sessions.ownsForm(call.get('session'), token)) {
-      return answerRefusedForm(
+    if (!services.sessions.verifyFormToken(call.get('session'), token)) {
+      return respondWithFormError(
         services,
         call,
         403,
--- a/src/operator/page/page-frame.ts
+++ b/src/operator/page/page-frame.ts
@@ -1,9 +1,9 @@
-/** The frame of every page: head, navigation, content. */
+/** The layout of all pages: head, navigation and content. */
 import { html } from 'hono/html';
 import type { Session } from '../session/sessions.js';
 import type { Markup } from './markup.js';
 
-/** Paths of the pages, as the navigation lists them. */
+/** The pages in the order of the navigation. */
 const PAGES = [
   { path: '/table', title: 'Table' },
   { path: '/history', title: 'History' },
@@ -12,10 +12,10 @@
   { path: '/figures', title: 'Figures' },
 ] as const;
 
-/** A path that the navigation lists. */
+/** Path of a page in the navigation. */
 export type PagePath = (typeof PAGES)[number]['path'];
 
-/** What a page shows. */
+/** The content of a page. */
 export interface PageContent {
   readonly title: string;
   /** The node that serves the page. */
@@ -25,7 +25,9 @@
   readonly body: Markup;
 }
 
-/** The hidden field that shows a form to be of this session. */
+/**
+ * Renders the hidden field with the session's form token, which protects against forged requests.
+ */
 export const renderFormToken = (session: Session): Markup =>
   html`<input type="hidden" name="form-token" value="${session.formToken}" />`;
 
--- a/src/operator/page/page-script.ts
+++ b/src/operator/page/page-script.ts
@@ -1,4 +1,4 @@
-/** The page's script. Everything but the refresh and the warning works without it. */
+/** The page's script; only automatic refresh and the warning about unsaved changes need it. */
 export const PAGE_SCRIPT = `'use strict';
 const FIGURES_MS = 5000;
 const SPREAD_MS = 1000;
--- a/src/operator/page/page-style.ts
+++ b/src/operator/page/page-style.ts
@@ -1,4 +1,4 @@
-/** The page's style sheet: a spreadsheet on wide screens, a card for each row on narrow ones. */
+/** The page's style sheet: a grid on wide screens, one card per row on narrow ones. */
 export const PAGE_STYLE = `
 :root {
   color-scheme: light dark;
--- a/src/operator/page/session-routes.ts
+++ b/src/operator/page/session-routes.ts
@@ -1,13 +1,13 @@
-/** Signing in and out. */
+/** Routes to sign in and out. */
 import { Hono } from 'hono';
-import { STARTING, verifyOperator } from '../authenticate-bearer.js';
+import { NODE_STARTING_MESSAGE, verifyOperator } from '../authenticate-bearer.js';
 import {
   clearSessionToken,
   readSessionToken,
   writeSessionToken,
 } from '../session/session-cookie.js';
 import {
-  answerSignIn,
+  respondWithSignIn,
   readForm,
   requireFormToken,
   requireSession,
@@ -23,7 +23,7 @@
 
   app.get('/sign-in', (call) =>
     services.sessions.read(readSessionToken(call)) === undefined
-      ? answerSignIn(services, call, undefined, 200)
+      ? respondWithSignIn(services, call, undefined, 200)
       : call.redirect('/table', SEE_OTHER),
   );
 
@@ -31,11 +31,11 @@
     const secret = (call.get('fields').get('key') ?? '').trim();
     const verdict = verifyOperator(services.context, secret === '' ? undefined : secret);
     if (verdict.type === 'starting') {
-      return answerSignIn(services, call, STARTING, 503);
+      return respondWithSignIn(services, call, NODE_STARTING_MESSAGE, 503);
     }
     if (verdict.type === 'refused') {
       services.logRefusal(verdict);
-      return answerSignIn(services, call, 'This is no key of an operator.', 401);
+      return respondWithSignIn(services, call, 'This is not an operator key.', 401);
     }
     writeSessionToken(call, services.sessions.open(verdict.key));
     return call.redirect('/table', SEE_OTHER);
--- a/src/operator/page/sheet-form.ts
+++ b/src/operator/page/sheet-form.ts
@@ -1,4 +1,6 @@
-/** The form that edits rows of a sheet: what it shows, and what comes back from the browser. */
+/**
+ * The form that edits rows of a sheet: its initial content, and parsing of the submitted fields.
+ */
 import { createHash } from 'node:crypto';
 import { defaultOf, formatCell } from '../../table/cell.js';
 import type { ColumnName } from '../../table/columns.js';
@@ -15,20 +17,20 @@
 /** One row of the form. */
 export interface FormRow {
   readonly cells: CellTexts;
-  /** The row version the form was made from; 0 for a new row. */
+  /** Version of the row when the form was created; 0 for a new row. */
   readonly basedOn: number;
-  /** Digest of the cells as the form first showed them; the row was edited when it differs. */
+  /** Digest of the cells as first shown; the row was edited if its cells have another digest. */
   readonly shown: string;
   readonly removed: boolean;
   readonly writtenBy: string;
 }
 
-/** What surrounds the rows of a form. */
+/** A sheet form with its rows. */
 export interface SheetForm {
-  /** Id of the edit; sending the form twice is one edit. */
+  /** Id of the edit; a form that is sent twice is one edit. */
   readonly edit: string;
   readonly reason: string;
-  /** Version of the sheet that the form was made from. */
+  /** Version of the sheet when the form was created. */
   readonly seenVersion: number;
   readonly rows: readonly FormRow[];
 }
@@ -43,16 +45,16 @@
     .update(JSON.stringify(FORM_COLUMNS.map(({ name }) => cells[name])))
     .digest('base64url');
 
-/** The texts of a row's cells. */
+/** Formats a row's values as the texts of its cells. */
 export const formatCells = (row: RouteRow): CellTexts => textsOf((name) => formatCell(row[name]));
 
-/** A form row that shows a row of the sheet. */
+/** Creates the form row of an existing row. */
 export const createFormRow = ({ row, rowVersion, writtenBy }: SheetRow): FormRow => {
   const cells = formatCells(row);
   return { cells, basedOn: rowVersion, shown: digestOf(cells), removed: false, writtenBy };
 };
 
-/** A form row for a row that does not stand yet, filled with defaults. */
+/** Creates the form row of a new row, filled with defaults. */
 export const createBlankRow = (): FormRow => {
   const defaults = new Map(FORM_COLUMNS.map((column) => [column.name, defaultOf(column)]));
   const cells = textsOf((name) => formatCell(defaults.get(name)));
@@ -79,11 +81,14 @@
   writtenBy: fields.get(fieldName(position, 'written-by')) ?? '',
 });
 
-const isKept = (fields: URLSearchParams, position: number): boolean =>
+const isIncluded = (fields: URLSearchParams, position: number): boolean =>
   fields.has(fieldName(position, 'based-on')) &&
   fields.get(fieldName(position, 'resolve')) !== 'theirs';
 
-/** Reads a form as the browser sent it. Rows for which the other's value was chosen are left out. */
+/**
+ * Reads a submitted form. Rows in conflict for which the operator kept the current value are left
+ * out.
+ */
 export const readSheetForm = (fields: URLSearchParams): SheetForm => {
   const positions = Array.from({ length: FORM_ROW_LIMIT }, (_, position) => position);
   return {
@@ -91,7 +96,7 @@
     reason: fields.get('reason') ?? '',
     seenVersion: readVersion(fields.get('seen-version')),
     rows: positions
-      .filter((position) => isKept(fields, position))
+      .filter((position) => isIncluded(fields, position))
       .map((position) => readFormRow(fields, position)),
   };
 };
--- a/src/operator/page/sheet-grid.ts
+++ b/src/operator/page/sheet-grid.ts
@@ -1,4 +1,4 @@
-/** The rows of a sheet as a grid: to be edited, or to be read. */
+/** The rows of a sheet as an editable or a read-only grid. */
 import { html } from 'hono/html';
 import { describeAllowed } from '../../table/cell.js';
 import { columnTitle, columnTitleWithUnit, FORM_COLUMNS } from './column-title.js';
@@ -89,7 +89,7 @@
 ): Markup => {
   const byPosition = groupByPosition(findings);
   return renderGrid(
-    `Rows of ${partner}, to be edited`,
+    `Editable rows of ${partner}`,
     renderHead(html`<th scope="col">Remove</th>`),
     form.rows.map((row, position) =>
       renderEditedRow(row, position, byPosition.get(position) ?? []),
@@ -97,18 +97,18 @@
   );
 };
 
-const renderReadRow = (row: FormRow): Markup => html`
+const renderReadOnlyRow = (row: FormRow): Markup => html`
   <tr>
     ${FORM_COLUMNS.map((column) => renderCellText(column, row))}
     <td data-label="Written by">${row.writtenBy} <small>v${row.basedOn}</small></td>
   </tr>
 `;
 
-/** Renders rows that are only read. */
-export const renderReadableGrid = (partner: string, rows: readonly FormRow[]): Markup =>
-  renderGrid(`Rows of ${partner}`, renderHead(''), rows.map(renderReadRow));
+/** Renders rows without inputs. */
+export const renderReadOnlyGrid = (partner: string, rows: readonly FormRow[]): Markup =>
+  renderGrid(`Rows of ${partner}`, renderHead(''), rows.map(renderReadOnlyRow));
 
-/** Renders what each column means. */
+/** Renders the explanation of each column. */
 export const renderColumnHelp = (): Markup => html`
   <details>
     <summary>What the columns mean</summary>
--- a/src/operator/page/sign-in-page.ts
+++ b/src/operator/page/sign-in-page.ts
@@ -1,8 +1,8 @@
-/** The page on which an operator presents a key. */
+/** The sign-in page. */
 import { html } from 'hono/html';
 import type { Markup } from './markup.js';
 
-/** Renders the sign-in form; `problem` says why the last key was not taken. */
+/** Renders the sign-in form; `problem` says why the last key was refused. */
 export const renderSignIn = (problem: string | undefined): Markup => html`
   ${problem === undefined ? '' : html`<p class="notice error" role="alert">${problem}</p>`}
   <form method="post" action="/sign-in" class="card narrow">
@@ -16,7 +16,7 @@
       autofocus
       maxlength="256"
     />
-    <p class="hint">The key your partner organisation gave you; nodes keep only its hash.</p>
+    <p class="hint">The key that your partner organisation gave you; nodes store only its hash.</p>
     <button class="main">Sign in</button>
   </form>
 `;
--- a/src/operator/page/table-page.ts
+++ b/src/operator/page/table-page.ts
@@ -1,4 +1,4 @@
-/** The page of the table: one partner's rows, editable when they are one's own. */
+/** The table page: the rows of one partner, editable for that partner's operators. */
 import { html } from 'hono/html';
 import type { PartnerId } from '../../core/identifiers.js';
 import { REASON_LIMIT } from '../../operator-protocol/edit-body.js';
@@ -8,7 +8,7 @@
 import { formatCount, type Markup } from './markup.js';
 import { renderFormToken } from './page-frame.js';
 import type { SheetForm } from './sheet-form.js';
-import { renderColumnHelp, renderEditableGrid, renderReadableGrid } from './sheet-grid.js';
+import { renderColumnHelp, renderEditableGrid, renderReadOnlyGrid } from './sheet-grid.js';
 import {
   BLANK_ROWS_LIMIT,
   tableAddress,
@@ -16,7 +16,7 @@
   type TableQuery,
 } from './table-query.js';
 
-/** What a table page shows. */
+/** The content of a table page. */
 export interface TablePage {
   readonly session: Session;
   readonly partners: readonly PartnerId[];
@@ -24,7 +24,7 @@
   readonly selected: SelectedRows;
   readonly form: SheetForm;
   readonly findings: readonly FormFinding[];
-  /** Says why nothing was sent, e.g. because nothing was changed. */
+  /** Explains why no edit was sent, e.g. because nothing was changed. */
   readonly notice?: string;
 }
 
@@ -107,7 +107,7 @@
   }
   return page.form.rows.length === 0
     ? html`<p class="empty">No rows here.</p>`
-    : renderReadableGrid(page.query.partner, page.form.rows);
+    : renderReadOnlyGrid(page.query.partner, page.form.rows);
 };
 
 /** Renders the table page. */
@@ -124,7 +124,7 @@
       </nav>
       ${renderFilter(page)} ${own ? renderAddLink(page) : ''}
     </div>
-    ${own ? '' : html`<p class="hint">Rows of the other partner can be read, not changed.</p>`}
+    ${own ? '' : html`<p class="hint">Rows of the other partner are read-only.</p>`}
     ${renderRows(page)} ${renderPaging(page)} ${renderColumnHelp()}
   `;
 };
--- a/src/operator/page/table-query.ts
+++ b/src/operator/page/table-query.ts
@@ -1,4 +1,4 @@
-/** Which part of a sheet a table page shows. */
+/** The query parameters of a table page, and the rows that they select. */
 import { identifier, type PartnerId } from '../../core/identifiers.js';
 import { compareRows } from '../../table/row-key.js';
 import type { SheetRow } from '../../table/sheet.js';
@@ -10,20 +10,20 @@
 /** Longest filter, in characters. */
 const FILTER_LIMIT = 100;
 
-/** What the address of a table page asks for. */
+/** The query of a table page. */
 export interface TableQuery {
   readonly partner: PartnerId;
   readonly filter: string;
-  /** From 1. */
+  /** Page number, from 1. */
   readonly page: number;
-  /** Blank rows to be filled in. */
+  /** Number of blank rows for new rows. */
   readonly blankRows: number;
 }
 
 /** The rows that a query selects. */
 export interface SelectedRows {
   readonly rows: readonly SheetRow[];
-  /** Rows that pass the filter. */
+  /** Number of rows that match the filter. */
   readonly matching: number;
   readonly pages: number;
   readonly page: number;
@@ -36,7 +36,7 @@
   return Number.isSafeInteger(count) && count >= 1 ? Math.min(count, maximum) : fallback;
 };
 
-/** Reads the address of a table page; a partner that is not known stands for one's own. */
+/** Reads the query of a table page; an unknown partner is replaced by the operator's own. */
 export const readTableQuery = (
   parameters: URLSearchParams,
   own: PartnerId,
@@ -51,7 +51,7 @@
   };
 };
 
-/** Writes the address of a table page. */
+/** Formats the path and query of a table page. */
 export const tableAddress = (query: TableQuery, changes: Partial<TableQuery> = {}): string => {
   const { partner, filter, page, blankRows } = { ...query, ...changes };
   const parameters = new URLSearchParams({ partner });
@@ -72,27 +72,27 @@
   return words.every((word) => text.includes(word));
 };
 
-const sortedRows = new WeakMap<readonly SheetRow[], readonly SheetRow[]>();
+const sortedRowsCache = new WeakMap<readonly SheetRow[], readonly SheetRow[]>();
 
-/** Sorts the rows of a sheet once for as long as the sheet is in force. */
-const sortOnce = (rows: readonly SheetRow[]): readonly SheetRow[] => {
-  const known = sortedRows.get(rows);
+/** Sorts the rows of a sheet; the result is cached for as long as the sheet is in force. */
+const sortRows = (rows: readonly SheetRow[]): readonly SheetRow[] => {
+  const known = sortedRowsCache.get(rows);
   if (known !== undefined) {
     return known;
   }
   const sorted = [...rows].sort((left, right) => compareRows(left.row, right.row));
-  sortedRows.set(rows, sorted);
+  sortedRowsCache.set(rows, sorted);
   return sorted;
 };
 
 /**
- * Selects the rows of one page, in the order of the sheet's CSV.
+ * Selects the rows of one page, in the order of the CSV export.
  *
- * @param rows - the rows of a sheet in force, of which the order is kept for later pages
+ * @param rows - the rows of a sheet in force; their sorted order is cached by this array
  */
 export const selectRows = (rows: readonly SheetRow[], query: TableQuery): SelectedRows => {
   const words = query.filter.toLowerCase().split(/\s+/);
-  const sorted = sortOnce(rows);
+  const sorted = sortRows(rows);
   const matching = query.filter === '' ? sorted : sorted.filter((row) => matches(row, words));
   const pages = Math.max(1, Math.ceil(matching.length / PAGE_ROWS));
   const page = Math.min(query.page, pages);
--- a/src/operator/page/table-routes.ts
+++ b/src/operator/page/table-routes.ts
@@ -1,14 +1,14 @@
-/** The table page: showing it, and taking edits of one's own rows. */
+/** Routes of the table page: show it, and edit the rows of the operator's own partner. */
 import { Hono } from 'hono';
 import type { ContentfulStatusCode } from 'hono/utils/http-status';
 import { EDIT_OUTCOME_STATUS } from '../../operator-protocol/edit-outcome-body.js';
 import { listPartners, listSheetRows, readSheet } from '../read-table.js';
 import type { Session } from '../session/sessions.js';
-import { placeInForm, readFormEdit, type FormFinding } from './form-edit.js';
+import { locateInForm, readFormEdit, type FormFinding } from './form-edit.js';
 import { newEditId } from './new-edit-id.js';
 import { renderConflicts } from './outcome-page.js';
 import {
-  answerPage,
+  respondWithPage,
   requireSession,
   type PageCall,
   type PageEnvironment,
@@ -16,7 +16,7 @@
   type PageServices,
 } from './page-environment.js';
 import { createBlankRow, createFormRow, readSheetForm, type SheetForm } from './sheet-form.js';
-import { guardForm, submitForm, type FormPage } from './submit-form.js';
+import { formMiddleware, submitForm, type FormPage } from './submit-form.js';
 import { renderTablePage, type TablePage } from './table-page.js';
 import { readTableQuery, selectRows, tableAddress, type TableQuery } from './table-query.js';
 
@@ -29,7 +29,11 @@
     listPartners(services.context.state()),
   );
 
-const createPage = (services: PageServices, session: Session, query: TableQuery): TablePage => {
+const createTablePage = (
+  services: PageServices,
+  session: Session,
+  query: TableQuery,
+): TablePage => {
   const state = services.context.state();
   const sheet = readSheet(state, query.partner);
   const selected = selectRows(listSheetRows(state, query.partner), query);
@@ -49,8 +53,8 @@
   };
 };
 
-/** What came with a posted form. */
-interface Posted {
+/** A posted form with its request. */
+interface PostedForm {
   readonly services: PageServices;
   readonly call: PageCall;
   readonly session: Session;
@@ -58,13 +62,13 @@
   readonly form: SheetForm;
 }
 
-const answerTable = (
-  posted: Posted,
+const respondWithTable = (
+  posted: PostedForm,
   status: ContentfulStatusCode,
   extra: { readonly notice?: string; readonly findings?: readonly FormFinding[] },
 ): PageResponse => {
-  const page = createPage(posted.services, posted.session, posted.query);
-  return answerPage(posted.services, posted.call, posted.session, {
+  const page = createTablePage(posted.services, posted.session, posted.query);
+  return respondWithPage(posted.services, posted.call, posted.session, {
     title: 'Table',
     path: TABLE_PATH,
     status,
@@ -72,32 +76,32 @@
   });
 };
 
-const describeForm = (posted: Posted): FormPage => {
+const createFormPage = (posted: PostedForm): FormPage => {
   const { services, call, form, query } = posted;
   const address = tableAddress(query, { blankRows: 0 });
   return {
     services,
     call,
     path: TABLE_PATH,
-    back: address,
-    again: address,
-    answerFindings: (findings, status) =>
-      answerTable(posted, status, { findings: placeInForm(form, findings) }),
+    returnPath: address,
+    resendPath: address,
+    respondWithFindings: (findings, status) =>
+      respondWithTable(posted, status, { findings: locateInForm(form, findings) }),
     renderConflict: (page, outcome) => renderConflicts(page, form, outcome, newEditId()),
   };
 };
 
-const takeForm = (services: PageServices, call: PageCall): PageResponse => {
+const handleTableForm = (services: PageServices, call: PageCall): PageResponse => {
   const session = call.get('session');
   const form = readSheetForm(call.get('fields'));
   const query = readQuery(services, call);
-  const posted: Posted = { services, call, session, query, form };
+  const posted: PostedForm = { services, call, session, query, form };
   return readFormEdit(session.identity.partner, form).caseOf<PageResponse>({
-    Left: (findings) => answerTable(posted, EDIT_OUTCOME_STATUS.refused, { findings }),
+    Left: (findings) => respondWithTable(posted, EDIT_OUTCOME_STATUS.refused, { findings }),
     Right: (body) =>
       body === undefined
-        ? answerTable(posted, 200, { notice: 'Nothing was changed, so nothing was sent.' })
-        : submitForm(describeForm(posted), body),
+        ? respondWithTable(posted, 200, { notice: 'Nothing was changed, so no edit was sent.' })
+        : submitForm(createFormPage(posted), body),
   });
 };
 
@@ -106,10 +110,10 @@
   const app = new Hono<PageEnvironment>();
   app.get(TABLE_PATH, requireSession(services), (call) => {
     const session = call.get('session');
-    const page = createPage(services, session, readQuery(services, call));
+    const page = createTablePage(services, session, readQuery(services, call));
     const body = renderTablePage(page);
-    return answerPage(services, call, session, { title: 'Table', path: TABLE_PATH, body });
+    return respondWithPage(services, call, session, { title: 'Table', path: TABLE_PATH, body });
   });
-  app.post(TABLE_PATH, ...guardForm(services), (call) => takeForm(services, call));
+  app.post(TABLE_PATH, ...formMiddleware(services), (call) => handleTableForm(services, call));
   return app;
 };
--- a/src/operator/page/view-routes.ts
+++ b/src/operator/page/view-routes.ts
@@ -1,4 +1,4 @@
-/** Pages that are only read: history, what is in force where, live figures. */
+/** Routes of the read-only pages: history, revisions in force, live figures. */
 import { Hono } from 'hono';
 import { html } from 'hono/html';
 import { identifier, type PartnerId } from '../../core/identifiers.js';
@@ -8,9 +8,9 @@
 import { renderFigureRows, renderFiguresPage } from './figures-page.js';
 import { renderHistoryPage } from './history-page.js';
 import { renderInForcePage } from './in-force-page.js';
-import { describeSpread } from './node-list.js';
+import { describeNodesInForce } from './node-list.js';
 import {
-  answerPage,
+  respondWithPage,
   requireSession,
   type PageEnvironment,
   type PageServices,
@@ -21,7 +21,7 @@
   return Number.isSafeInteger(value) && value >= 1 ? value : fallback;
 };
 
-/** Serves `/history`, `/in-force`, `/figures` and the parts of them that the script reloads. */
+/** Serves `/history`, `/in-force`, `/figures` and the fragments that the page's script reloads. */
 export const createViewRoutes = (services: PageServices): Hono<PageEnvironment> => {
   const app = new Hono<PageEnvironment>();
   const { context } = services;
@@ -34,7 +34,7 @@
     const partner = partners.includes(asked) ? asked : session.identity.partner;
     const history = await readHistory(context, partner);
     const body = renderHistoryPage(partners, history, readPositive(call.req.query('page'), 1));
-    return answerPage(services, call, session, { title: 'History', path: '/history', body });
+    return respondWithPage(services, call, session, { title: 'History', path: '/history', body });
   });
 
   app.get('/in-force', signedIn, (call) => {
@@ -42,20 +42,20 @@
     const revision = readPositive(call.req.query('revision'), status.revision);
     const body = renderInForcePage(status, revision);
     const title = 'In force';
-    return answerPage(services, call, call.get('session'), { title, path: '/in-force', body });
+    return respondWithPage(services, call, call.get('session'), { title, path: '/in-force', body });
   });
 
   app.get('/in-force/spread', signedIn, (call) => {
     const revisions = readRevisions(context.state());
     const revision = readPositive(call.req.query('revision'), revisions.revision);
-    return call.html(html`${describeSpread(revisions, revision)}`);
+    return call.html(html`${describeNodesInForce(revisions, revision)}`);
   });
 
   app.get('/figures', signedIn, (call) => {
     const figures = context.metrics.answers.readFigures();
     const body = renderFiguresPage(figures, context.state().self.node);
     const title = 'Figures';
-    return answerPage(services, call, call.get('session'), { title, path: '/figures', body });
+    return respondWithPage(services, call, call.get('session'), { title, path: '/figures', body });
   });
 
   app.get('/figures/rows', signedIn, (call) =>
--- a/src/operator/problem.ts
+++ b/src/operator/problem.ts
@@ -1,9 +1,9 @@
-/** Refusals of the operator port, as `application/problem+json`. */
+/** Error responses of the operator port, as `application/problem+json` (RFC 9457). */
 import type { Context } from 'hono';
 import type { ContentfulStatusCode } from 'hono/utils/http-status';
 import type { Finding } from '../table/finding.js';
 
-/** The body of a refusal. */
+/** The body of an error response. */
 export interface OperatorProblem {
   readonly type: 'about:blank';
   readonly title: string;
@@ -14,7 +14,7 @@
 
 const TITLES: Partial<Record<ContentfulStatusCode, string>> = {
   400: 'Malformed request',
-  401: 'Key needed',
+  401: 'Key required',
   403: 'Not allowed',
   404: 'Not found',
   413: 'Body too large',
@@ -24,8 +24,8 @@
   503: 'Busy',
 };
 
-/** Answers with a problem; `findings` name the places that are wrong. */
-export const answerProblem = (
+/** Responds with a problem; `findings` locate the errors in the request. */
+export const respondWithProblem = (
   call: Context,
   status: ContentfulStatusCode,
   detail: string,
--- a/src/operator/read-status.ts
+++ b/src/operator/read-status.ts
@@ -1,4 +1,4 @@
-/** Reads the running tier out of the core's state, in the shapes of the operators' HTTP. */
+/** Converts the core's state to the status and revision bodies of the operators' HTTP. */
 import type { ReplicaStatus, ServiceStatus } from '../catalog/partner-index.js';
 import { limitAmount, measureDemand, usableAmount } from '../core/admission/limit-use.js';
 import type { LimitUse } from '../core/admission/state.js';
@@ -27,7 +27,7 @@
   };
 };
 
-/** Plain comparison: with thousands of members, one that knows locales would hold up the loop. */
+/** Compares code units: with thousands of members, `localeCompare` would block the event loop. */
 const compareText = (left: string, right: string): number => {
   if (left === right) {
     return 0;
@@ -38,7 +38,7 @@
 const compareNodes = (left: NodeRevision, right: NodeRevision): number =>
   compareText(left.zone, right.zone) || compareText(left.node, right.node);
 
-/** Members with the revision each was last heard to hold, by zone and name. */
+/** Reads the members with the last known revision of each, sorted by zone and name. */
 const readNodes = (state: CoreState): NodeRevision[] =>
   [...state.membership.members.values()]
     .map((member) => readNode(state, member))
@@ -56,7 +56,7 @@
 ): ReplicaObservation | undefined =>
   state.query.observations.replicas.get(replicaKey(partner, endpointOf(replica)));
 
-const readSeen = (
+const classifyReplica = (
   state: CoreState,
   replica: ReplicaStatus,
   observed: ReplicaObservation | undefined,
@@ -88,7 +88,7 @@
     connections: replica.connections,
     snapshots: [...replica.snapshots],
     inProgress: countAttempts(state, replica),
-    seen: readSeen(state, replica, observed, at),
+    seen: classifyReplica(state, replica, observed, at),
     meanMs: observed?.unqueuedMs ?? null,
   };
 };
@@ -124,7 +124,7 @@
 const readLimits = (state: CoreState, at: number): LimitBody[] =>
   [...state.admission.uses.values()].flatMap((use) => readLimit(state, use, at));
 
-/** What is in force where. */
+/** Reads the revision in force on each member. */
 export const readRevisions = (state: CoreState): RevisionsBody => ({
   node: state.self.node,
   revision: state.configuration.revision,
@@ -132,9 +132,9 @@
 });
 
 /**
- * The state of the tier as this node sees it.
+ * Reads the state of the tier as this node sees it.
  *
- * @param at - now on the clock of the core's events, in milliseconds
+ * @param at - current time on the clock of the core's events, in milliseconds
  */
 export const readStatus = (state: CoreState, at: number): StatusBody => ({
   node: state.self.node,
--- a/src/operator/read-table.ts
+++ b/src/operator/read-table.ts
@@ -1,4 +1,4 @@
-/** Reads the table in force out of the core's state, in the shapes of the operators' HTTP. */
+/** Converts the table in force in the core's state to the bodies of the operators' HTTP. */
 import { identifier, type ObjectName, type PartnerId } from '../core/identifiers.js';
 import type { CoreState } from '../core/state.js';
 import type { StoreObject } from '../catalog/store-object.js';
@@ -7,19 +7,19 @@
 
 const AGREEMENT_NAME = identifier<ObjectName>('agreement');
 
-/** A sheet and the object it is the content of. */
-export interface HeldSheet {
+/** A sheet and the store object that contains it. */
+export interface SheetObject {
   readonly object: StoreObject;
   readonly sheet: Sheet;
 }
 
-/** One partner's sheet as this node holds it. */
-export const findSheet = (state: CoreState, partner: PartnerId): HeldSheet | undefined => {
+/** Finds one partner's sheet in this node's configuration. */
+export const findSheet = (state: CoreState, partner: PartnerId): SheetObject | undefined => {
   const object = state.configuration.objects.get(identifier<ObjectName>(`sheet/${partner}`));
   return object?.content.type === 'sheet' ? { object, sheet: object.content.sheet } : undefined;
 };
 
-/** Partners that have keys, a sheet or a share, in alphabetical order. */
+/** Lists the partners that have keys, a sheet or a share of the pool, in alphabetical order. */
 export const listPartners = (state: CoreState): PartnerId[] => {
   const { objects, inForce } = state.configuration;
   const partners = new Set<PartnerId>(inForce.keys.keys());
@@ -32,7 +32,7 @@
   return [...partners].sort();
 };
 
-/** One partner's sheet; empty at version 0 when there is none yet. */
+/** Reads one partner's sheet; empty at version 0 when there is none yet. */
 export const readSheet = (state: CoreState, partner: PartnerId): SheetBody => {
   const held = findSheet(state, partner);
   return {
@@ -43,11 +43,11 @@
   };
 };
 
-/** The rows of one partner's sheet, as the store object holds them. */
+/** Lists the rows of one partner's sheet, in the order of the store object. */
 export const listSheetRows = (state: CoreState, partner: PartnerId): readonly SheetRow[] =>
   findSheet(state, partner)?.sheet.rows ?? [];
 
-/** The agreement; empty at version 0 when there is none yet. */
+/** Reads the agreement; empty at version 0 when there is none yet. */
 export const readAgreement = (state: CoreState): AgreementBody => {
   const object = state.configuration.objects.get(AGREEMENT_NAME);
   const { agreement } = state.configuration.inForce;
@@ -63,7 +63,7 @@
   };
 };
 
-/** The whole table as an operator of `partner` sees it. */
+/** Reads the whole table for an operator of `partner`. */
 export const readTable = (state: CoreState, partner: PartnerId): TableBody => ({
   node: state.self.node,
   revision: state.configuration.revision,
--- a/src/operator/security-headers.ts
+++ b/src/operator/security-headers.ts
@@ -1,20 +1,23 @@
-/** Headers that keep browsers from running, framing or caching what they should not. */
+/**
+ * Response headers that prevent browsers from running foreign scripts, framing pages or caching
+ * them.
+ */
 import type { MiddlewareHandler } from 'hono';
 import { secureHeaders } from 'hono/secure-headers';
 
 const SELF = ["'self'"];
 const NONE = ["'none'"];
 
-const withoutCache: MiddlewareHandler = async (call, next) => {
+const disableCaching: MiddlewareHandler = async (call, next) => {
   await next();
   if (!call.res.headers.has('Cache-Control')) {
     call.res.headers.set('Cache-Control', 'no-store');
   }
 };
 
-/** Creates the middleware: no script or style but the page's own files, no frames, no cache. */
+/** Creates the middleware: scripts and styles only from this host, no frames, no cache. */
 export const createSecurityHeaders = (): MiddlewareHandler[] => [
-  withoutCache,
+  disableCaching,
   secureHeaders({
     contentSecurityPolicy: {
       defaultSrc: NONE,
@@ -28,7 +31,7 @@
     },
     xFrameOptions: 'DENY',
     referrerPolicy: 'same-origin',
-    // TLS ends in front of the node, so that whether to insist on it is decided there.
+    // TLS is terminated in front of the node, so strict transport security is configured there.
     strictTransportSecurity: false,
   }),
 ];
--- a/src/operator/session/same-origin.ts
+++ b/src/operator/session/same-origin.ts
@@ -1,4 +1,4 @@
-/** Refuses forms that another site sent. */
+/** Detection of forms that were sent by another site. */
 import type { Context } from 'hono';
 
 const hostOf = (origin: string): string | undefined => {
@@ -10,9 +10,9 @@
 };
 
 /**
- * Whether the browser says that the request came from a page of this very host. Browsers say so with
- * every form they post; a request that says nothing is refused. The scheme is not compared, since
- * TLS may end in front of the node.
+ * Whether the headers state that the request was sent by a page of this host. Browsers send
+ * `Sec-Fetch-Site` or `Origin` with every form; without both, the result is false. The scheme is
+ * not compared, as TLS may be terminated in front of the node.
  */
 export const isSameOrigin = (call: Context): boolean => {
   const site = call.req.header('sec-fetch-site');
--- a/src/operator/session/session-cookie.ts
+++ b/src/operator/session/session-cookie.ts
@@ -1,4 +1,4 @@
-/** The cookie that carries a session. */
+/** The cookie that contains the session token. */
 import type { Context } from 'hono';
 import { deleteCookie, getCookie, setCookie } from 'hono/cookie';
 import { SESSION_MS } from './sessions.js';
@@ -14,11 +14,11 @@
 const cookieOptions = (call: Context) =>
   ({ path: '/', httpOnly: true, sameSite: 'Strict', secure: isSecure(call) }) as const;
 
-/** Reads the token of the request's cookie. */
+/** Reads the session token from the request's cookie. */
 export const readSessionToken = (call: Context): string | undefined =>
   getCookie(call, SESSION_COOKIE);
 
-/** Hands the token to the browser. */
+/** Sets the cookie with the session token. */
 export const writeSessionToken = (call: Context, token: string): void => {
   setCookie(call, SESSION_COOKIE, token, {
     ...cookieOptions(call),
@@ -26,7 +26,7 @@
   });
 };
 
-/** Takes the token from the browser. */
+/** Deletes the cookie. */
 export const clearSessionToken = (call: Context): void => {
   deleteCookie(call, SESSION_COOKIE, cookieOptions(call));
 };
--- a/src/operator/session/sessions.ts
+++ b/src/operator/session/sessions.ts
@@ -1,8 +1,8 @@
 /**
- * Sessions of the web page, without a store: a session is a signed cookie that names the operator,
- * the key that opened it and its end. Any node verifies it, so that it outlives the node that opened
- * it; and since the key's record is looked up at each request, a rotated key ends its sessions at
- * once. The secret of the key is in no cookie.
+ * Stateless sessions of the web page. A session is a signed cookie with the operator, a fingerprint
+ * of the key that opened it and an expiry time. Any node can verify it, so a session outlives the
+ * node that opened it. The key record is looked up at each request, so the rotation of a key ends
+ * its sessions at once. The cookie does not contain the key's secret.
  */
 import { createHmac, timingSafeEqual } from 'node:crypto';
 import { z } from 'zod';
@@ -12,27 +12,27 @@
 import type { OperatorContext } from '../operator-context.js';
 import type { OperatorIdentity } from '../operator-identity.js';
 
-/** Longest time a session lasts, in milliseconds. */
+/** Lifetime of a session, in milliseconds. */
 export const SESSION_MS = 8 * 60 * 60 * 1_000;
 
-/** Longest token that is looked at, in characters. */
+/** Longest token that is verified, in characters. */
 const TOKEN_LENGTH_LIMIT = 1_024;
 
 const claimSchema = z.object({
   partner: z.string(),
   operator: z.string(),
-  /** Names the key record that opened the session, without giving its hash away. */
+  /** Fingerprint of the key record that opened the session; does not disclose the key's hash. */
   key: z.string(),
-  /** End of the session, in milliseconds since 1970. */
+  /** Expiry time of the session, in milliseconds since 1970. */
   expiresAt: z.number(),
 });
 
 type SessionClaim = z.infer<typeof claimSchema>;
 
-/** A session that was verified. */
+/** A verified session. */
 export interface Session {
   readonly identity: OperatorIdentity;
-  /** Stands in each form; another site cannot know it. */
+  /** Token in each form, which other sites cannot know. */
   readonly formToken: string;
 }
 
@@ -40,16 +40,16 @@
 export interface Sessions {
   /** Opens a session for an operator's key; returns the token for the cookie. */
   open(key: VerifiedKey): string;
-  /** Verifies a token; undefined when it is forged, over, or its key is no longer in force. */
+  /** Verifies a token; undefined if it is forged or expired, or its key is no longer in force. */
   read(token: string | undefined): Session | undefined;
-  /** Whether a form that carries `formToken` was made for this session's operator. */
-  ownsForm(session: Session, formToken: string): boolean;
+  /** Whether `formToken` is the form token of this session. */
+  verifyFormToken(session: Session, formToken: string): boolean;
 }
 
 const sign = (secret: string, purpose: string, text: string): string =>
   createHmac('sha256', secret).update(`crossroad|${purpose}|${text}`).digest('base64url');
 
-const isSame = (left: string, right: string): boolean => {
+const isEqualInConstantTime = (left: string, right: string): boolean => {
   const leftBytes = Buffer.from(left);
   const rightBytes = Buffer.from(right);
   return leftBytes.length === rightBytes.length && timingSafeEqual(leftBytes, rightBytes);
@@ -68,7 +68,7 @@
 export const createSessions = (context: OperatorContext): Sessions => {
   const { sessionSecret } = context;
 
-  const nameKey = (record: KeyRecord): string => sign(sessionSecret, 'key', record.sha256);
+  const fingerprintKey = (record: KeyRecord): string => sign(sessionSecret, 'key', record.sha256);
 
   const findRecord = (partner: PartnerId, operator: string): KeyRecord | undefined =>
     context
@@ -82,7 +82,7 @@
   const verifyClaim = (claim: SessionClaim): Session | undefined => {
     const partner = identifier<PartnerId>(claim.partner);
     const record = findRecord(partner, claim.operator);
-    if (record === undefined || !isSame(nameKey(record), claim.key)) {
+    if (record === undefined || !isEqualInConstantTime(fingerprintKey(record), claim.key)) {
       return undefined;
     }
     const isOver = claim.expiresAt <= context.now();
@@ -97,7 +97,7 @@
       const claim: SessionClaim = {
         partner: key.partner,
         operator: key.name,
-        key: record === undefined ? '' : nameKey(record),
+        key: record === undefined ? '' : fingerprintKey(record),
         expiresAt: context.now() + SESSION_MS,
       };
       const payload = Buffer.from(JSON.stringify(claim)).toString('base64url');
@@ -108,12 +108,12 @@
         return undefined;
       }
       const [payload = '', signature = ''] = token.split('.');
-      if (!isSame(sign(sessionSecret, 'session', payload), signature)) {
+      if (!isEqualInConstantTime(sign(sessionSecret, 'session', payload), signature)) {
         return undefined;
       }
       const claim = parseClaim(payload);
       return claim === undefined ? undefined : verifyClaim(claim);
     },
-    ownsForm: (session, formToken) => isSame(session.formToken, formToken),
+    verifyFormToken: (session, formToken) => isEqualInConstantTime(session.formToken, formToken),
   };
 };
