--- a/src/auth/create-key.ts
+++ b/src/auth/create-key.ts
@@ -16,7 +16,7 @@
 }
 
 /** Makes the record under which a secret is stored. */
-const recordKey = (name: string, role: KeyRole, secret: string): KeyRecord => ({
+const createKeyRecord = (name: string, role: KeyRole, secret: string): KeyRecord => ({
   name,
   role,
   sha256: hashSecret(secret).toString('hex'),
@@ -25,5 +25,5 @@
 /** Creates a key with a fresh secret. */
 export const createKey = (name: string, role: KeyRole): NewKey => {
   const secret = `${SECRET_PREFIX}${randomBytes(SECRET_BYTES).toString('base64url')}`;
-  return { secret, record: recordKey(name, role, secret) };
+  return { secret, record: createKeyRecord(name, role, secret) };
 };
--- a/src/auth/refusal-log.ts
+++ b/src/auth/refusal-log.ts
@@ -19,7 +19,7 @@
 /** Takes refused requests and writes a line now and then. */
 export type RefusalLog = (refused: RefusedRequest) => void;
 
-const describeRefused = (refused: RefusedRequest): string => {
+const describeRefusedRequest = (refused: RefusedRequest): string => {
   const holder = refused.key === undefined ? '' : ` of ${refused.key.partner}/${refused.key.name}`;
   const origin = refused.address === undefined ? '' : ` from ${refused.address}`;
   return `Refused a key${holder}${origin}: ${refused.refusal}.`;
@@ -31,15 +31,15 @@
   now: () => number,
 ): RefusalLog => {
   let lastLineAt = Number.NEGATIVE_INFINITY;
-  let unwritten = 0;
+  let suppressed = 0;
   return (refused) => {
     if (now() - lastLineAt < LINE_INTERVAL_MS) {
-      unwritten += 1;
+      suppressed += 1;
       return;
     }
-    const others = unwritten === 0 ? '' : ` ${String(unwritten)} more were not logged.`;
+    const others = suppressed === 0 ? '' : ` ${String(suppressed)} more were not logged.`;
     lastLineAt = now();
-    unwritten = 0;
-    warn(`${describeRefused(refused)}${others}`);
+    suppressed = 0;
+    warn(`${describeRefusedRequest(refused)}${others}`);
   };
 };
--- a/src/cli/operator/operator-client.ts
+++ b/src/cli/operator/operator-client.ts
@@ -16,11 +16,11 @@
 /** Longest wait for an answer, in milliseconds; longer than a node works on an edit. */
 const ANSWER_TIMEOUT_MS = 30_000;
 /** How long an edit of unknown outcome is sent again before the client gives up, in milliseconds. */
-export const RESEND_FOR_MS = 60_000;
+export const RESEND_TIMEOUT_MS = 60_000;
 /** How long a node that is starting is asked for the table again, in milliseconds. */
-const STARTING_LIMIT_MS = 15_000;
+const STARTING_TIMEOUT_MS = 15_000;
 /** Wait before it is asked again, in milliseconds. */
-const STARTING_WAIT_MS = 200;
+const STARTING_RETRY_INTERVAL_MS = 200;
 /** Status of a node that holds no keys yet. */
 const STARTING_STATUS = 503;
 /** Longest wait before an edit is sent again, in milliseconds. */
@@ -31,7 +31,7 @@
   readonly problem: string;
   readonly findings: readonly Finding[];
   /** True when the node may be asked again. */
-  readonly passing: boolean;
+  readonly isRetryable: boolean;
 }
 
 /** Where the operator port is and with which key it is asked. */
@@ -51,8 +51,8 @@
   findings: z.array(findingSchema).exactOptional(),
 });
 
-const lost = (problem: string): Either<ClientProblem, never> =>
-  Left({ problem, findings: [], passing: true });
+const retryableProblem = (problem: string): Either<ClientProblem, never> =>
+  Left({ problem, findings: [], isRetryable: true });
 
 const describeError = (error: unknown): string => {
   if (error instanceof AggregateError && error.errors.length > 0) {
@@ -80,16 +80,16 @@
     });
     return Right({ status: answer.statusCode, body: await answer.body.json() });
   } catch (error) {
-    return lost(`${target.url} gave no answer: ${describeError(error)}`);
+    return retryableProblem(`${target.url} gave no answer: ${describeError(error)}`);
   }
 };
 
-const explainRefusal = ({ status, body }: RawAnswer, url: string): ClientProblem => {
+const readProblem = ({ status, body }: RawAnswer, url: string): ClientProblem => {
   const read = problemSchema.safeParse(body);
   return {
     problem: read.success ? read.data.detail : `${url} answered with status ${status}`,
     findings: read.success ? (read.data.findings ?? []) : [],
-    passing: status >= 500,
+    isRetryable: status >= 500,
   };
 };
 
@@ -99,7 +99,7 @@
   url: string,
 ): Either<ClientProblem, Body> => {
   const read = schema.safeParse(answer.body);
-  return read.success ? Right(read.data) : Left(explainRefusal(answer, url));
+  return read.success ? Right(read.data) : Left(readProblem(answer, url));
 };
 
 const get = async <Body>(
@@ -110,24 +110,24 @@
   (await send(target, 'GET', path)).chain((answer) => readAnswer(schema, answer, target.url));
 
 /** Asks a node that has just begun until it holds what is in force, or for a while. */
-const sendWhileStarting = async (
+const sendUntilStarted = async (
   target: OperatorTarget,
   path: string,
 ): Promise<Either<ClientProblem, RawAnswer>> => {
-  const until = Date.now() + STARTING_LIMIT_MS;
+  const until = Date.now() + STARTING_TIMEOUT_MS;
   for (;;) {
     const answer = await send(target, 'GET', path);
     const isStarting = answer.map(({ status }) => status === STARTING_STATUS).orDefault(false);
-    if (!isStarting || Date.now() + STARTING_WAIT_MS > until) {
+    if (!isStarting || Date.now() + STARTING_RETRY_INTERVAL_MS > until) {
       return answer;
     }
-    await delay(STARTING_WAIT_MS);
+    await delay(STARTING_RETRY_INTERVAL_MS);
   }
 };
 
 /** Reads the whole table, also from a node that is just starting. */
 export const getTable = async (target: OperatorTarget): Promise<Either<ClientProblem, TableBody>> =>
-  (await sendWhileStarting(target, '/v1/table')).chain((answer) =>
+  (await sendUntilStarted(target, '/v1/table')).chain((answer) =>
     readAnswer(tableBodySchema, answer, target.url),
   );
 
@@ -158,7 +158,7 @@
 
 const isFinal = (answer: Either<ClientProblem, EditOutcome>): boolean =>
   answer.caseOf({
-    Left: ({ passing }) => !passing,
+    Left: ({ isRetryable }) => !isRetryable,
     Right: ({ type }) => type !== 'unknown',
   });
 
@@ -166,14 +166,14 @@
  * Sends an edit, and the same edit again while its outcome is unknown; the node sees to it that it
  * stands once.
  *
- * @param resendForMs - how long to go on, in milliseconds
+ * @param resendTimeoutMs - how long to go on, in milliseconds
  */
 export const postEdit = async (
   target: OperatorTarget,
   edit: EditBody,
-  resendForMs = RESEND_FOR_MS,
+  resendTimeoutMs = RESEND_TIMEOUT_MS,
 ): Promise<Either<ClientProblem, EditOutcome>> => {
-  const until = Date.now() + resendForMs;
+  const until = Date.now() + resendTimeoutMs;
   for (;;) {
     const answer = await postOnce(target, edit);
     const wait = RESEND_WAIT_MS * (0.5 + Math.random() / 2);
--- a/src/cli/plan.ts
+++ b/src/cli/plan.ts
@@ -67,7 +67,7 @@
 const parsePlanArguments = (args: readonly string[]) =>
   parseArgs({ args: [...args], options: OPTIONS }).values;
 
-const readAlikeReplicas = (
+const readUniformReplicas = (
   values: Values,
   replicas: string,
 ): Pick<PlanInput, 'groups' | 'routes' | 'zones'> => {
@@ -93,7 +93,7 @@
     throw new UsageError('give either --deployment or --replicas');
   }
   return deployment === undefined
-    ? readAlikeReplicas(values, replicas ?? '')
+    ? readUniformReplicas(values, replicas ?? '')
     : planOfDeployments(deploymentsNamed(readChoice('deployment', deployment, DEPLOYMENT_NAMES)));
 };
 
--- a/src/cli/replay.ts
+++ b/src/cli/replay.ts
@@ -33,7 +33,7 @@
 one did, or the file cannot be read; 2 usage.`;
 
 /** What a file came to. */
-interface Finding {
+interface ReplayReport {
   readonly result: ReplayResult | HistoryReplay;
   readonly text: string;
   readonly failed: boolean;
@@ -72,7 +72,7 @@
     ...describeSameAgain(sameAgain),
   ].join('\n');
 
-const replayRecordBytes = (bytes: Buffer): Either<string, Finding> =>
+const replayRecordBytes = (bytes: Buffer): Either<string, ReplayReport> =>
   decodeRecord(bytes)
     .map(replayRecord)
     .map((result) => ({
@@ -81,7 +81,7 @@
       failed: result.difference !== undefined,
     }));
 
-const replayHistoryBytes = (bytes: Buffer, step?: StepFunction): Either<string, Finding> =>
+const replayHistoryBytes = (bytes: Buffer, step?: StepFunction): Either<string, ReplayReport> =>
   decodeHistory(bytes)
     .chain((history) => replayHistory(history, step))
     .map((result) => ({
@@ -90,7 +90,7 @@
       failed: result.violations.length > 0,
     }));
 
-const failReading = (problem: string): ExitCode => {
+const reportReadError = (problem: string): ExitCode => {
   process.stderr.write(`crossroad replay: ${problem}\n`);
   return ExitCode.failed;
 };
@@ -124,13 +124,13 @@
       }
       const bytes = await readFileBytes(file);
       if (typeof bytes === 'string') {
-        return failReading(bytes);
+        return reportReadError(bytes);
       }
       const finding = isHistoryFile(bytes)
         ? replayHistoryBytes(bytes, step)
         : replayRecordBytes(bytes);
       return finding.caseOf({
-        Left: failReading,
+        Left: reportReadError,
         Right: ({ result, text, failed }) => {
           process.stdout.write(`${values.json ? JSON.stringify(result) : text}\n`);
           return failed ? ExitCode.failed : ExitCode.done;
--- a/src/cli/simulate.ts
+++ b/src/cli/simulate.ts
@@ -65,7 +65,7 @@
 const worstP99 = ({ run }: SimulatedScenarioResult): number =>
   Math.max(0, ...run.kinds.map(({ p99Ms }) => p99Ms));
 
-const worstEdit = ({ edits }: SimulatedScenarioResult): string =>
+const slowestEdit = ({ edits }: SimulatedScenarioResult): string =>
   edits.some(({ inForceMs }) => inForceMs === undefined)
     ? 'not in force'
     : Math.max(0, ...edits.map(({ inForceMs }) => inForceMs ?? 0)).toFixed(0);
@@ -94,7 +94,7 @@
       result.run.kinds.reduce((sum, kind) => sum + kind.calls, 0),
       worstP99(result).toFixed(1),
       worstCoverage(result).toFixed(4),
-      worstEdit(result),
+      slowestEdit(result),
       result.broken.length + result.run.violationCount,
       result.traceHash?.slice(0, 12) ?? '',
     ]);
--- a/src/cli/status.ts
+++ b/src/cli/status.ts
@@ -59,7 +59,7 @@
       times: values.watch ? times : 1,
       intervalMs: interval * MS_PER_SECOND,
       signal: interrupt.signal,
-      ask: () => getStatus(target),
+      requestStatus: () => getStatus(target),
       print,
       printProblem,
     });
--- a/src/cli/status/watch-status.ts
+++ b/src/cli/status/watch-status.ts
@@ -13,7 +13,7 @@
   readonly intervalMs: number;
   /** Ends the watch early. */
   readonly signal: AbortSignal;
-  ask(): Promise<Either<ClientProblem, StatusBody>>;
+  requestStatus(): Promise<Either<ClientProblem, StatusBody>>;
   print(status: StatusBody): void;
   printProblem(problem: ClientProblem): void;
 }
@@ -26,8 +26,8 @@
   }
 };
 
-const askOnce = async (options: WatchOptions): Promise<ExitCode> =>
-  (await options.ask()).caseOf<ExitCode>({
+const requestAndPrint = async (options: WatchOptions): Promise<ExitCode> =>
+  (await options.requestStatus()).caseOf<ExitCode>({
     Left: (problem) => {
       options.printProblem(problem);
       return ExitCode.failed;
@@ -52,7 +52,7 @@
     if (options.signal.aborted) {
       return ExitCode.done;
     }
-    code = await askOnce(options);
+    code = await requestAndPrint(options);
   }
   return code;
 };
--- a/src/cli/table/agreement-actions.ts
+++ b/src/cli/table/agreement-actions.ts
@@ -7,7 +7,7 @@
 import { ExitCode } from '../exit-code.js';
 import { UsageError } from '../flags.js';
 import { getStatus, getTable } from '../operator/operator-client.js';
-import { failWith, printError } from './print.js';
+import { reportProblem, printError } from './print.js';
 import { sendEdit } from './send-edit.js';
 import { readOperand, readReason, type TableArguments } from './table-arguments.js';
 
@@ -32,7 +32,7 @@
   const shares = rest.map(readShare);
   const table = await getTable(args.target);
   return table.caseOf<Promise<ExitCode> | ExitCode>({
-    Left: failWith,
+    Left: reportProblem,
     Right: ({ agreement }) =>
       sendEdit(args, { type: 'propose-agreement', proposal, shares }, agreement.version),
   });
@@ -44,7 +44,7 @@
   readReason(args);
   const table = await getTable(args.target);
   return table.caseOf<Promise<ExitCode> | ExitCode>({
-    Left: failWith,
+    Left: reportProblem,
     Right: ({ agreement }) => {
       const found = agreement.proposals.find((each) => each.proposal === proposal);
       if (found === undefined) {
@@ -78,7 +78,7 @@
   return table
     .chain(({ partner }) => status.map(({ objects }) => ({ partner, objects })))
     .caseOf<Promise<ExitCode> | ExitCode>({
-      Left: failWith,
+      Left: reportProblem,
       Right: ({ partner, objects }) => {
         const held = objects.find(({ name }) => name === `keys/${partner}`);
         const basedOn = args.basedOn ?? held?.version ?? 0;
--- a/src/cli/table/format-table.ts
+++ b/src/cli/table/format-table.ts
@@ -4,7 +4,7 @@
 import type { RouteRow } from '../../table/route-row.js';
 import { compareRows, rowKey } from '../../table/row-key.js';
 import type { RowDifference } from '../../table/diff-rows.js';
-import { plainText } from './print.js';
+import { replaceControlCharacters } from './print.js';
 
 const HEAD = ['row', 'services', 'merge', 'weight', 'deadline', 'coverage', 'repeat'];
 const MORE_HEAD = ['limits', 'extra load', 'snapshot', 'version', 'written by'];
@@ -69,9 +69,9 @@
     table.push([
       String(record.sheetVersion),
       new Date(record.writtenAt).toISOString(),
-      plainText(record.operator),
+      replaceControlCharacters(record.operator),
       `${record.rows.join('\n')}${more}`,
-      plainText(record.reason),
+      replaceControlCharacters(record.reason),
       record.edit,
     ]);
   }
--- a/src/cli/table/print.ts
+++ b/src/cli/table/print.ts
@@ -10,7 +10,8 @@
 };
 
 /** Makes text that others wrote harmless to a terminal: control characters become a dot. */
-export const plainText = (text: string): string => text.replace(/[\p{Cc}\p{Cf}]/gu, '·');
+export const replaceControlCharacters = (text: string): string =>
+  text.replace(/[\p{Cc}\p{Cf}]/gu, '·');
 
 /** Prints what is not data: problems, findings, progress. */
 export const printError = (text: string): void => {
@@ -29,7 +30,7 @@
   hasErrors(findings) ? ExitCode.badSettings : ExitCode.done;
 
 /** Prints why a node gave no usable answer. */
-export const failWith = (problem: ClientProblem): ExitCode => {
+export const reportProblem = (problem: ClientProblem): ExitCode => {
   printError(`crossroad table: ${problem.problem}`);
   printFindings(problem.findings);
   return hasErrors(problem.findings) ? ExitCode.badSettings : ExitCode.failed;
--- a/src/cli/table/read-actions.ts
+++ b/src/cli/table/read-actions.ts
@@ -4,15 +4,15 @@
 import { ExitCode } from '../exit-code.js';
 import { getHistory, getTable } from '../operator/operator-client.js';
 import { formatDifferences, formatHistory, formatTable } from './format-table.js';
-import { failWith, printError, printFindings, printOut } from './print.js';
-import { findSheet } from './own-sheet.js';
+import { reportProblem, printError, printFindings, printOut } from './print.js';
+import { findSheet } from './find-sheet.js';
 import { readSheetFile } from './read-sheet-file.js';
 import { readOperand, type TableArguments } from './table-arguments.js';
 
 /** `show`: the sheets and the agreement. */
 export const showTable = async (args: TableArguments): Promise<ExitCode> =>
   (await getTable(args.target)).caseOf({
-    Left: failWith,
+    Left: reportProblem,
     Right: (table) => {
       const { partner } = args;
       const sheets = partner === undefined ? table.sheets : [findSheet(table, partner)];
@@ -25,7 +25,7 @@
 /** `export`: one sheet as CSV. */
 export const exportSheet = async (args: TableArguments): Promise<ExitCode> =>
   (await getTable(args.target)).caseOf({
-    Left: failWith,
+    Left: reportProblem,
     Right: (table) => {
       const sheet = findSheet(table, args.partner);
       const rows = sheet.rows.map(({ row }) => row);
@@ -41,7 +41,7 @@
   const partner = args.partner ?? table.map((each) => each.partner).orDefault('' as never);
   const history = table.isLeft() ? table : await getHistory(args.target, partner);
   return history.caseOf({
-    Left: failWith,
+    Left: reportProblem,
     Right: (body) => {
       const records = 'history' in body ? body.history : [];
       const found = records.filter(({ edit }) => args.edit === undefined || edit === args.edit);
@@ -59,7 +59,7 @@
 export const diffSheet = async (args: TableArguments): Promise<ExitCode> => {
   const file = readOperand(args, 'CSV file');
   return (await getTable(args.target)).caseOf({
-    Left: failWith,
+    Left: reportProblem,
     Right: (table) =>
       readSheetFile(file, table.partner).caseOf<ExitCode>({
         Left: (findings) => {
--- a/src/cli/table/send-edit.ts
+++ b/src/cli/table/send-edit.ts
@@ -8,7 +8,7 @@
 import type { RouteRow } from '../../table/route-row.js';
 import { ExitCode } from '../exit-code.js';
 import { postEdit } from '../operator/operator-client.js';
-import { exitCodeOf, failWith, printError, printFindings, printOut } from './print.js';
+import { exitCodeOf, reportProblem, printError, printFindings, printOut } from './print.js';
 import { readReason, type TableArguments } from './table-arguments.js';
 import { waitUntilInForce } from './wait-until-in-force.js';
 
@@ -68,7 +68,7 @@
   action,
 });
 
-const finish = async (args: TableArguments, outcome: EditOutcome): Promise<ExitCode> => {
+const reportOutcome = async (args: TableArguments, outcome: EditOutcome): Promise<ExitCode> => {
   const code = printOutcome(outcome);
   if (outcome.type !== 'accepted' || args.waitMs === 0) {
     if (args.json) {
@@ -108,11 +108,11 @@
   const answer = await postEdit(args.target, body);
   return answer.caseOf<Promise<ExitCode> | ExitCode>({
     Left: (problem) => {
-      if (problem.passing) {
+      if (problem.isRetryable) {
         printError(`unknown: edit ${body.edit} may stand; look for it in the history`);
       }
-      return failWith(problem);
+      return reportProblem(problem);
     },
-    Right: (outcome) => finish(args, outcome),
+    Right: (outcome) => reportOutcome(args, outcome),
   });
 };
--- a/src/cli/table/wait-until-in-force.ts
+++ b/src/cli/table/wait-until-in-force.ts
@@ -4,10 +4,10 @@
 import { getRevisions, type OperatorTarget } from '../operator/operator-client.js';
 
 /** How often the node is asked, in milliseconds. */
-const ASK_EVERY_MS = 200;
+const POLL_INTERVAL_MS = 200;
 
 /** How a wait ended. */
-export interface InForce {
+export interface InForceResult {
   /** Live nodes, as the node that was asked knows them. */
   readonly nodes: number;
   /** Live nodes on which the revision is not known to be in force. */
@@ -19,12 +19,12 @@
 
 const isLive = ({ state }: NodeRevision): boolean => state === 'alive' || state === 'suspect';
 
-const lacks = (node: NodeRevision, revision: number): boolean =>
+const isBehind = (node: NodeRevision, revision: number): boolean =>
   node.revision === null || node.revision < revision;
 
-const summarize = (body: RevisionsBody, revision: number): Omit<InForce, 'elapsedMs'> => {
+const summarize = (body: RevisionsBody, revision: number): Omit<InForceResult, 'elapsedMs'> => {
   const live = body.nodes.filter(isLive);
-  return { nodes: live.length, missing: live.filter((node) => lacks(node, revision)) };
+  return { nodes: live.length, missing: live.filter((node) => isBehind(node, revision)) };
 };
 
 /** Asks `target` until all live nodes hold `revision` or `waitMs` have passed. */
@@ -32,19 +32,19 @@
   target: OperatorTarget,
   revision: number,
   waitMs: number,
-): Promise<InForce> => {
-  const began = Date.now();
+): Promise<InForceResult> => {
+  const startedAt = Date.now();
   for (;;) {
     const answer = await getRevisions(target);
-    const elapsedMs = Date.now() - began;
-    const told = answer.caseOf<InForce>({
+    const elapsedMs = Date.now() - startedAt;
+    const result = answer.caseOf<InForceResult>({
       Left: ({ problem }) => ({ nodes: 0, missing: [], elapsedMs, problem }),
       Right: (body) => ({ ...summarize(body, revision), elapsedMs }),
     });
-    const done = told.problem === undefined && told.missing.length === 0;
-    if (done || elapsedMs + ASK_EVERY_MS > waitMs) {
-      return told;
+    const done = result.problem === undefined && result.missing.length === 0;
+    if (done || elapsedMs + POLL_INTERVAL_MS > waitMs) {
+      return result;
     }
-    await delay(ASK_EVERY_MS);
+    await delay(POLL_INTERVAL_MS);
   }
 };
--- a/src/cli/table/write-actions.ts
+++ b/src/cli/table/write-actions.ts
@@ -12,8 +12,8 @@
 import { UsageError } from '../flags.js';
 import { getTable } from '../operator/operator-client.js';
 import { formatDifferences } from './format-table.js';
-import { findSheet } from './own-sheet.js';
-import { failWith, printError, printFindings } from './print.js';
+import { findSheet } from './find-sheet.js';
+import { reportProblem, printError, printFindings } from './print.js';
 import { readSheetFile } from './read-sheet-file.js';
 import { sendEdit } from './send-edit.js';
 import { readOperand, readReason, type TableArguments } from './table-arguments.js';
@@ -38,12 +38,12 @@
 ): Promise<ExitCode> => {
   const table = await getTable(args.target);
   return table.caseOf<Promise<ExitCode> | ExitCode>({
-    Left: failWith,
+    Left: reportProblem,
     Right: (body) => action(findSheet(body, undefined), body),
   });
 };
 
-const writeFile = (args: TableArguments, unwanted: UnwantedRows): Promise<ExitCode> => {
+const sendFileChanges = (args: TableArguments, unwanted: UnwantedRows): Promise<ExitCode> => {
   const file = readOperand(args, 'CSV file');
   readReason(args);
   return withOwnSheet(args, async (sheet, table) =>
@@ -63,10 +63,12 @@
 };
 
 /** `import`: adds and changes the rows of a file; other rows stay. */
-export const importSheet = (args: TableArguments): Promise<ExitCode> => writeFile(args, 'kept');
+export const importSheet = (args: TableArguments): Promise<ExitCode> =>
+  sendFileChanges(args, 'kept');
 
 /** `apply`: makes the sheet what a file says; rows that it has not are removed. */
-export const applySheet = (args: TableArguments): Promise<ExitCode> => writeFile(args, 'removed');
+export const applySheet = (args: TableArguments): Promise<ExitCode> =>
+  sendFileChanges(args, 'removed');
 
 const readCell = (text: string): { readonly name: ColumnName; readonly cell: string } => {
   const equals = text.indexOf('=');
@@ -85,7 +87,7 @@
   return column === undefined ? cell : parseCell(column, cell).orDefault(cell);
 };
 
-const splitRowName = (text: string): { readonly route: string; readonly kind: string } => {
+const parseRowKey = (text: string): { readonly route: string; readonly kind: string } => {
   const [route, kind, ...rest] = text.split('/');
   if (!route || !kind || rest.length > 0) {
     throw new UsageError(`give the ${ROW_FORM}`);
@@ -106,7 +108,7 @@
     .map(readCell)
     .map(({ name: column, cell }) => [column, readValue(column, cell)]);
   const { partner } = sheet;
-  return { ...current, partner, ...splitRowName(name), ...Object.fromEntries(given) };
+  return { ...current, partner, ...parseRowKey(name), ...Object.fromEntries(given) };
 };
 
 /** `set`: changes some columns of a row, or creates it. */
@@ -116,7 +118,7 @@
     throw new UsageError(`give the ${ROW_FORM}, then column=value`);
   }
   readReason(args);
-  splitRowName(name);
+  parseRowKey(name);
   cells.forEach(readCell);
   return withOwnSheet(args, async (sheet) => {
     const current = findRow(sheet, name);
@@ -142,7 +144,7 @@
 export const removeRow = (args: TableArguments): Promise<ExitCode> => {
   const name = readOperand(args, ROW_FORM);
   readReason(args);
-  splitRowName(name);
+  parseRowKey(name);
   return withOwnSheet(args, async (sheet) => {
     const current = findRow(sheet, name);
     if (current === undefined) {
--- a/src/rig/edit-race.ts
+++ b/src/rig/edit-race.ts
@@ -56,7 +56,7 @@
 const outcomeOf = async (racer: Racer, body: EditBody): Promise<RacedEdit['outcome']> => {
   const answer = await postEdit(racer.target, body, RESEND_FOR_MS);
   return answer.caseOf<RacedEdit['outcome']>({
-    Left: ({ passing }) => (passing ? 'unknown' : 'not-accepted'),
+    Left: ({ isRetryable: passing }) => (passing ? 'unknown' : 'not-accepted'),
     Right: ({ type }) =>
       type === 'accepted' ? 'accepted' : type === 'unknown' ? 'unknown' : 'not-accepted',
   });
--- a/test/operator/status.test.ts
+++ b/test/operator/status.test.ts
@@ -136,7 +136,7 @@
 });
 
 describe('watchStatus', () => {
-  const problem = { problem: 'no answer', findings: [], passing: true };
+  const problem = { problem: 'no answer', findings: [], isRetryable: true };
   const status = readStatus(createFilled().state, 1_000);
 
   const watch = async (answers: readonly boolean[], signal = new AbortController().signal) => {
@@ -146,7 +146,8 @@
       times: answers.length,
       intervalMs: 0,
       signal,
-      ask: () => Promise.resolve(answers[asked++] === true ? Right(status) : Left(problem)),
+      requestStatus: () =>
+        Promise.resolve(answers[asked++] === true ? Right(status) : Left(problem)),
       print: ({ node }) => printed.push(node),
       printProblem: (told) => printed.push(told.problem),
     });
