--- a/src/auth/hash-secret.ts
+++ b/src/auth/hash-secret.ts
@@ -1,4 +1,4 @@
-/** Hashing of key secrets. Secrets are random and long, so a plain digest needs no salt. */
+/** Hashing of key secrets. Secrets are long and random, so the digest needs no salt. */
 import { createHash } from 'node:crypto';
 
 /** Returns the SHA-256 digest of a secret, 32 bytes. */
--- a/src/auth/refusal-log.ts
+++ b/src/auth/refusal-log.ts
@@ -1,22 +1,22 @@
-/** Logs refused keys without the secret, and never faster than once a second. */
+/** Logs refused keys, without their secrets and at most once a second. */
 import type { VerifiedKey } from './verify-key.js';
 
-/** Shortest time between two lines, in milliseconds. */
+/** Minimum time between two log lines, in milliseconds. */
 const LINE_INTERVAL_MS = 1_000;
 
 /** Why a key was refused. */
 export type KeyRefusal = 'missing' | 'unknown' | 'wrong-role' | 'wrong-partner';
 
-/** Where a request with a refused key came from. */
+/** A request whose key was refused. */
 export interface RefusedRequest {
   readonly refusal: KeyRefusal;
-  /** Remote address, as far as it is known. */
+  /** Remote address, if known. */
   readonly address?: string;
-  /** The key when it was verified but may not do this; carries no secret. */
+  /** The key, if it is valid but does not permit the request; contains no secret. */
   readonly key?: VerifiedKey;
 }
 
-/** Takes refused requests and writes a line now and then. */
+/** Logs a refused request, unless a line was written within the last second. */
 export type RefusalLog = (refused: RefusedRequest) => void;
 
 const describeRefusedRequest = (refused: RefusedRequest): string => {
@@ -25,7 +25,7 @@
   return `Refused a key${holder}${origin}: ${refused.refusal}.`;
 };
 
-/** Creates a refusal log that writes through `warn`; `now` is in milliseconds. */
+/** Creates a refusal log that writes to `warn`; `now` returns milliseconds. */
 export const createRefusalLog = (
   warn: (sentence: string) => void,
   now: () => number,
--- a/src/auth/verify-key.ts
+++ b/src/auth/verify-key.ts
@@ -1,24 +1,24 @@
 /**
  * Verifies a presented secret against the keys in force.
  *
- * The work is the same for known and unknown secrets: one SHA-256 and one constant-time comparison
- * with every key of every partner, without an early end. What is cached is only the decoded form of
- * the stored hashes, kept per `PartnerKeys` object: when keys are rotated, the new object is decoded
- * at its first use and the old one is forgotten. No secret is ever kept.
+ * The work does not depend on whether the secret is known: it takes one SHA-256 and one
+ * constant-time comparison with each key of each partner, without an early return. Only the decoded
+ * stored hashes are cached, by `PartnerKeys` object: after a rotation of keys, the new object is
+ * decoded at its first use and the old one is garbage-collected. Secrets are never stored.
  */
 import { timingSafeEqual } from 'node:crypto';
 import type { PartnerId } from '../core/identifiers.js';
 import type { KeyRole, PartnerKeys } from '../table/partner-keys.js';
 import { hashSecret } from './hash-secret.js';
 
-/** A key that was verified: whose it is and what it allows. */
+/** A verified key, with its partner and its role. */
 export interface VerifiedKey {
   readonly partner: PartnerId;
   readonly name: string;
   readonly role: KeyRole;
 }
 
-/** Longest secret that is hashed, in characters; longer ones are refused at once. */
+/** Longest secret that is hashed, in characters; longer ones are refused without hashing. */
 export const SECRET_LENGTH_LIMIT = 256;
 
 const DIGEST_BYTES = 32;
@@ -50,9 +50,9 @@
 };
 
 /**
- * Finds the key whose secret was presented, in the keys in force.
+ * Finds the key in force that has the presented secret.
  *
- * @returns the key, or undefined when no key in force has this secret.
+ * @returns the key, or undefined if no key in force has this secret
  */
 export const verifyKey = (
   keys: ReadonlyMap<PartnerId, PartnerKeys>,
--- a/src/cli/check.ts
+++ b/src/cli/check.ts
@@ -1,4 +1,6 @@
-/** `crossroad check`: settings files and sheets, offline, e.g. in a hook of version control. */
+/**
+ * `crossroad check`: validates settings files and sheets offline, e.g. in a version control hook.
+ */
 import { readFileSync } from 'node:fs';
 import { extname } from 'node:path';
 import { parseArgs } from 'node:util';
@@ -62,7 +64,9 @@
     return checkSheet(file, partner);
   }
   const known = [...SETTINGS_EXTENSIONS, ...SHEET_EXTENSIONS].join(', ');
-  throw new UsageError(`${file} is neither settings nor a sheet; its name must end in ${known}`);
+  throw new UsageError(
+    `${file} is neither a settings file nor a sheet; its name must end in ${known}`,
+  );
 };
 
 const printFindings = (findings: readonly Finding[], json: boolean): void => {
--- a/src/cli/command.ts
+++ b/src/cli/command.ts
@@ -1,13 +1,13 @@
-/** What a subcommand is made of. */
+/** The interface of a subcommand. */
 import type { ExitCode } from './exit-code.js';
 
-/** One subcommand of `crossroad`. */
+/** A subcommand of `crossroad`. */
 export interface Command {
   readonly name: string;
-  /** One line for the list of commands. */
+  /** One-line description for the list of commands. */
   readonly summary: string;
   /** Text of `--help`. */
   readonly help: string;
-  /** Runs with the arguments after the subcommand's name. */
+  /** Runs the subcommand with the arguments after its name. */
   run(args: readonly string[]): Promise<ExitCode>;
 }
--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -1,4 +1,4 @@
-/** All subcommands, in the order in which help lists them. */
+/** All subcommands, in the order in which the help lists them. */
 import { checkCommand } from './check.js';
 import type { Command } from './command.js';
 import { demoCommand } from './demo.js';
--- a/src/cli/demo.ts
+++ b/src/cli/demo.ts
@@ -1,4 +1,4 @@
-/** `crossroad demo`: everything on loopback in one process. */
+/** `crossroad demo`: runs a whole tier on loopback in one process. */
 import { parseArgs } from 'node:util';
 import { createConsola } from 'consola/basic';
 import { DEMO_QUERIES_PER_SECOND, runDemo } from '../demo/run-demo.js';
--- a/src/cli/exit-code.ts
+++ b/src/cli/exit-code.ts
@@ -3,14 +3,14 @@
   done: 0,
   failed: 1,
   usage: 2,
-  /** Settings or table with errors; the value of EX_CONFIG in sysexits.h. */
+  /** Errors in settings or a table; the value of EX_CONFIG in sysexits.h. */
   badSettings: 78,
 } as const;
 
 /** An exit code of the command. */
 export type ExitCode = (typeof ExitCode)[keyof typeof ExitCode];
 
-/** What each exit code means. */
+/** The meaning of each exit code. */
 export const EXIT_CODE_MEANINGS: Readonly<Record<keyof typeof ExitCode, string>> = {
   done: 'done',
   failed: 'failed: refused, in conflict, not answered, or a promise was broken',
--- a/src/cli/experiment.ts
+++ b/src/cli/experiment.ts
@@ -1,4 +1,4 @@
-/** `crossroad experiment list | run | compare`: scenarios under several variants and seeds. */
+/** `crossroad experiment list | run | compare`: runs scenarios with several variants and seeds. */
 import { mkdir, writeFile } from 'node:fs/promises';
 import { dirname, join } from 'node:path';
 import { fileURLToPath } from 'node:url';
@@ -105,7 +105,7 @@
   values: Values,
 ): Scenario[] => {
   if (names.length === 0) {
-    throw new UsageError('name at least one scenario; see crossroad experiment list');
+    throw new UsageError('at least one scenario is required; see crossroad experiment list');
   }
   const factor = readNumber('rate-factor', values['rate-factor'], RATE_FACTOR_BOUNDS);
   return names.map((name) => {
@@ -115,7 +115,9 @@
     }
     const steps = stepsNotForReal(scenario);
     if (values.real && steps.length > 0) {
-      throw new UsageError(`scenario ${name} needs the simulation: ${steps.join(', ')}`);
+      throw new UsageError(
+        `scenario ${name} needs the simulation for its steps ${steps.join(', ')}`,
+      );
     }
     const load = scenario.load.map((item) => ({
       ...item,
@@ -192,7 +194,7 @@
 const compare = async (values: Values, files: readonly string[]): Promise<ExitCode> => {
   const [before, after] = files;
   if (before === undefined || after === undefined || files.length > 2) {
-    throw new UsageError('compare takes two results files');
+    throw new UsageError('compare requires two results files');
   }
   const [left, right] = await Promise.all([readExperimentFile(before), readExperimentFile(after)]);
   const findings = [left, right].flatMap((read) => read.swap().orDefault([]));
@@ -221,7 +223,7 @@
     case 'compare':
       return compare(values, names);
     default:
-      throw new UsageError('the actions are list, run and compare');
+      throw new UsageError('the action must be list, run or compare');
   }
 };
 
--- a/src/cli/explain.ts
+++ b/src/cli/explain.ts
@@ -1,4 +1,4 @@
-/** `crossroad explain`: what happened to a request, from the logs of all gateways. */
+/** `crossroad explain`: reports what happened to a request, from the logs of all gateways. */
 import { readFileSync } from 'node:fs';
 import { text as readStream } from 'node:stream/consumers';
 import { parseArgs } from 'node:util';
@@ -27,7 +27,7 @@
     ? [await readStream(process.stdin)]
     : files.map((file) => readFileSync(file, 'utf8'));
 
-/** Fields that stand in a column of their own. */
+/** Fields that are printed in a separate column or not at all. */
 const COLUMN_FIELDS = new Set(['time', 'agoMs', 'node', 'level', 'part', 'event', 'requestId']);
 
 const formatLine = (line: RequestLine): string => {
@@ -57,7 +57,7 @@
   });
   const [requestId, ...files] = positionals;
   if (requestId === undefined) {
-    throw new UsageError('name the request');
+    throw new UsageError('the id of the request is required');
   }
   const found = findRequestLines(await readTexts(files), requestId);
   print(found, values.json);
--- a/src/cli/flags.ts
+++ b/src/cli/flags.ts
@@ -1,21 +1,21 @@
-/** Reading of flags: numbers, choices and addresses, with one error for wrong usage. */
+/** Parsing of flag values: numbers, choices and addresses. */
 import type { Command } from './command.js';
 import { ExitCode } from './exit-code.js';
 
-/** A flag or argument that makes no sense; its message says which and what is allowed. */
+/** An invalid flag or argument. The message names it and says what is allowed. */
 export class UsageError extends Error {}
 
-/** Bounds of a number. */
+/** Inclusive bounds of a number. */
 export interface NumberBounds {
   readonly least: number;
   readonly most: number;
   readonly integer?: boolean;
 }
 
-/** Ports that a flag may name. */
+/** Bounds of port numbers. */
 export const PORT_BOUNDS: NumberBounds = { least: 0, most: 65_535, integer: true };
 
-/** Reads a number within bounds. */
+/** Parses a number within bounds; throws a `UsageError` for other text. */
 export const readNumber = (flag: string, text: string, bounds: NumberBounds): number => {
   const value = Number(text);
   const whole = bounds.integer !== true || Number.isInteger(value);
@@ -26,7 +26,7 @@
   return value;
 };
 
-/** Reads one of a few words. */
+/** Parses one of `choices`; throws a `UsageError` for other text. */
 export const readChoice = <Choice extends string>(
   flag: string,
   text: string,
@@ -39,7 +39,7 @@
   return chosen;
 };
 
-/** A host and a port from `host:port`. */
+/** Parses a host and a port from `host:port`; throws a `UsageError` for other text. */
 export const readHostPort = (flag: string, text: string): { host: string; port: number } => {
   const colon = text.lastIndexOf(':');
   if (colon < 1) {
@@ -52,7 +52,7 @@
   error instanceof UsageError ||
   (error instanceof Error && 'code' in error && String(error.code).startsWith('ERR_PARSE_ARGS'));
 
-/** A command whose usage errors are printed and end it with `ExitCode.usage`. */
+/** Wraps a command so that usage errors are printed and it returns `ExitCode.usage`. */
 export const defineCommand = (command: Command): Command => ({
   ...command,
   async run(args) {
--- a/src/cli/interrupt-signal.ts
+++ b/src/cli/interrupt-signal.ts
@@ -1,6 +1,6 @@
-/** Turns the signals that end a command into an abort signal, for commands that wind up first. */
+/** Converts SIGINT and SIGTERM to an abort signal, for commands that clean up before they exit. */
 
-/** An abort signal for SIGINT and SIGTERM; `release` gives the signals their usual effect back. */
+/** An abort signal for SIGINT and SIGTERM; `release` removes the signal handlers. */
 export interface InterruptSignal {
   readonly signal: AbortSignal;
   release(): void;
--- a/src/cli/key.ts
+++ b/src/cli/key.ts
@@ -1,4 +1,4 @@
-/** `crossroad key new`: creates a key and prints its secret and the record to store. */
+/** `crossroad key new`: creates a key, and prints its secret and the record for the store. */
 import { parseArgs } from 'node:util';
 import { createKey, type NewKey } from '../auth/create-key.js';
 import type { KeyRole } from '../table/partner-keys.js';
@@ -43,7 +43,7 @@
 const createFromArguments = (args: readonly string[]): ExitCode => {
   const { values, positionals } = parseKeyArguments(args);
   if (positionals.length !== 1 || positionals[0] !== 'new') {
-    throw new UsageError('the only action is "new"');
+    throw new UsageError('the action must be "new"');
   }
   if (values.name === undefined || !NAME_PATTERN.test(values.name)) {
     throw new UsageError('--name must be 1 to 63 of a-z, 0-9, ".", "_" and "-"');
--- a/src/cli/load.ts
+++ b/src/cli/load.ts
@@ -1,4 +1,4 @@
-/** `crossroad load`: a bounded open-loop load that checks every answer. */
+/** `crossroad load`: generates an open-loop load for a limited time and checks every answer. */
 import { parseArgs } from 'node:util';
 import { createConsola } from 'consola/basic';
 import type { Deployment } from '../deployments/deployment.js';
@@ -58,7 +58,7 @@
 
 const nodeUrls = (nodes: readonly string[] | undefined): string[] => {
   if (nodes === undefined || nodes.length === 0) {
-    throw new UsageError('--node is needed at least once');
+    throw new UsageError('--node is required at least once');
   }
   return nodes.map((node) => {
     const { host, port } = readHostPort('node', node);
@@ -81,7 +81,7 @@
   const known = new Set(deployments.flatMap(({ rows }) => rows.map(({ route }) => String(route))));
   const unknown = routes.filter((route) => !known.has(route));
   if (unknown.length > 0) {
-    throw new UsageError(`--route names no route: ${unknown.join(', ')}`);
+    throw new UsageError(`--route: unknown route ${unknown.join(', ')}`);
   }
 };
 
--- a/src/cli/node.ts
+++ b/src/cli/node.ts
@@ -1,4 +1,4 @@
-/** `crossroad node`: runs one node until it is told to stop. */
+/** `crossroad node`: runs one node until SIGTERM or SIGINT. */
 import { readFile } from 'node:fs/promises';
 import { parseArgs } from 'node:util';
 import { type Either, Left, Right } from 'purify-ts';
--- a/src/cli/operator/operator-client.ts
+++ b/src/cli/operator/operator-client.ts
@@ -1,4 +1,4 @@
-/** Speaks with the operator port of a node. */
+/** HTTP client for the operator port of a node. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { Left, Right, type Either } from 'purify-ts';
 import { request } from 'undici';
@@ -13,28 +13,28 @@
 import type { EditOutcome } from '../../table/edit.js';
 import type { Finding } from '../../table/finding.js';
 
-/** Longest wait for an answer, in milliseconds; longer than a node works on an edit. */
+/** Timeout of a request, in milliseconds; longer than a node works on an edit. */
 const ANSWER_TIMEOUT_MS = 30_000;
-/** How long an edit of unknown outcome is sent again before the client gives up, in milliseconds. */
+/** For how long an edit of unknown outcome is sent again, in milliseconds. */
 export const RESEND_TIMEOUT_MS = 60_000;
-/** How long a node that is starting is asked for the table again, in milliseconds. */
+/** For how long requests to a starting node are repeated, in milliseconds. */
 const STARTING_TIMEOUT_MS = 15_000;
-/** Wait before it is asked again, in milliseconds. */
+/** Time between two requests to a starting node, in milliseconds. */
 const STARTING_RETRY_INTERVAL_MS = 200;
-/** Status of a node that holds no keys yet. */
+/** HTTP status from a starting node, which holds no keys yet. */
 const STARTING_STATUS = 503;
-/** Longest wait before an edit is sent again, in milliseconds. */
+/** Maximum delay before an edit is sent again, in milliseconds. */
 const RESEND_WAIT_MS = 2_000;
 
-/** Why a node gave no answer that can be used. */
+/** An error response of a node, or the failure to get a response. */
 export interface ClientProblem {
   readonly problem: string;
   readonly findings: readonly Finding[];
-  /** True when the node may be asked again. */
+  /** Whether the request may succeed if it is repeated. */
   readonly isRetryable: boolean;
 }
 
-/** Where the operator port is and with which key it is asked. */
+/** The operator port of a node and the key for its requests. */
 export interface OperatorTarget {
   /** Base URL of the operator port. */
   readonly url: string;
@@ -80,7 +80,7 @@
     });
     return Right({ status: answer.statusCode, body: await answer.body.json() });
   } catch (error) {
-    return retryableProblem(`${target.url} gave no answer: ${describeError(error)}`);
+    return retryableProblem(`no answer from ${target.url}: ${describeError(error)}`);
   }
 };
 
@@ -109,7 +109,7 @@
 ): Promise<Either<ClientProblem, Body>> =>
   (await send(target, 'GET', path)).chain((answer) => readAnswer(schema, answer, target.url));
 
-/** Asks a node that has just begun until it holds what is in force, or for a while. */
+/** Sends a request; repeats it while the node is starting, up to `STARTING_TIMEOUT_MS`. */
 const sendUntilStarted = async (
   target: OperatorTarget,
   path: string,
@@ -125,7 +125,7 @@
   }
 };
 
-/** Reads the whole table, also from a node that is just starting. */
+/** Reads the whole table; waits for a node that is starting. */
 export const getTable = async (target: OperatorTarget): Promise<Either<ClientProblem, TableBody>> =>
   (await sendUntilStarted(target, '/v1/table')).chain((answer) =>
     readAnswer(tableBodySchema, answer, target.url),
@@ -142,7 +142,7 @@
 export const getStatus = (target: OperatorTarget): Promise<Either<ClientProblem, StatusBody>> =>
   get(target, '/v1/status', statusBodySchema);
 
-/** Reads what is in force where. */
+/** Reads the revision in force on each node. */
 export const getRevisions = (
   target: OperatorTarget,
 ): Promise<Either<ClientProblem, RevisionsBody>> =>
@@ -163,10 +163,10 @@
   });
 
 /**
- * Sends an edit, and the same edit again while its outcome is unknown; the node sees to it that it
- * stands once.
+ * Sends an edit, and sends it again while its outcome is unknown. The edit id ensures that the edit
+ * is applied at most once.
  *
- * @param resendTimeoutMs - how long to go on, in milliseconds
+ * @param resendTimeoutMs - for how long the edit is sent again, in milliseconds
  */
 export const postEdit = async (
   target: OperatorTarget,
--- a/src/cli/operator/operator-flags.ts
+++ b/src/cli/operator/operator-flags.ts
@@ -1,4 +1,4 @@
-/** Flags of all commands that speak with an operator port. */
+/** Flags of all commands that connect to an operator port. */
 import { readFileSync } from 'node:fs';
 import { UsageError } from '../flags.js';
 import type { OperatorTarget } from './operator-client.js';
@@ -15,7 +15,7 @@
   json: { type: 'boolean', default: false },
 } as const;
 
-/** Help on the flags. */
+/** Help text of the flags. */
 export const OPERATOR_HELP = `  --operator <url>       operator port of any node (or ${OPERATOR_VARIABLE})
   --key-file <file>      file with your operator key (or ${KEY_VARIABLE}); never a flag,
                          because others on the machine can read those
@@ -37,12 +37,12 @@
       return url.href;
     }
   } catch {
-    // Reported below, like a URL of another protocol.
+    // Reported below, as is a URL with another protocol.
   }
   throw new UsageError(`--operator must be a URL, e.g. http://127.0.0.1:8083`);
 };
 
-/** Reads where the operator port is, from flags and environment. */
+/** Reads the operator port and the key from flags or the environment. */
 export const readOperatorTarget = (values: {
   readonly operator?: string | undefined;
   readonly 'key-file'?: string | undefined;
@@ -51,10 +51,12 @@
   const keyFile = values['key-file'];
   const secret = keyFile === undefined ? process.env[KEY_VARIABLE] : readKeyFile(keyFile);
   if (url === undefined) {
-    throw new UsageError(`name a node's operator port by --operator or ${OPERATOR_VARIABLE}`);
+    throw new UsageError(
+      `the operator port of a node is required: set --operator or ${OPERATOR_VARIABLE}`,
+    );
   }
   if (secret === undefined || secret === '') {
-    throw new UsageError(`give your operator key by --key-file or ${KEY_VARIABLE}`);
+    throw new UsageError(`an operator key is required: set --key-file or ${KEY_VARIABLE}`);
   }
   return { url: readUrl(url), secret };
 };
--- a/src/cli/plan.ts
+++ b/src/cli/plan.ts
@@ -1,4 +1,4 @@
-/** `crossroad plan`: load, connections, feeders and grants for given sizes. */
+/** `crossroad plan`: calculates load, connections, feeders and grants for given sizes. */
 import { parseArgs } from 'node:util';
 import { DEFAULT_QUERY_POLICY } from '../core/query/query-policy.js';
 import { DEPLOYMENT_NAMES, deploymentsNamed } from '../deployments/deployments.js';
@@ -90,7 +90,7 @@
 const readBackends = (values: Values): Pick<PlanInput, 'groups' | 'routes' | 'zones'> => {
   const { deployment, replicas } = values;
   if ((deployment === undefined) === (replicas === undefined)) {
-    throw new UsageError('give either --deployment or --replicas');
+    throw new UsageError('either --deployment or --replicas is required');
   }
   return deployment === undefined
     ? readUniformReplicas(values, replicas ?? '')
--- a/src/cli/plan/format-plan.ts
+++ b/src/cli/plan/format-plan.ts
@@ -1,4 +1,4 @@
-/** A plan as text for a terminal. */
+/** Formats a plan as text for a terminal. */
 import CliTable from 'cli-table3';
 import type { Plan } from '../../plan/plan-result.js';
 
--- a/src/cli/platform.ts
+++ b/src/cli/platform.ts
@@ -1,4 +1,4 @@
-/** `crossroad platform`: the stand-in for the platform's object API. */
+/** `crossroad platform`: runs a stand-in for the platform's object API. */
 import { parseArgs } from 'node:util';
 import { consola } from 'consola';
 import type { StoreObject } from '../catalog/store-object.js';
--- a/src/cli/replay.ts
+++ b/src/cli/replay.ts
@@ -1,4 +1,4 @@
-/** `crossroad replay`: runs a record of events, or a history of the fuzzer, again. */
+/** `crossroad replay`: replays recorded events or a history of the fuzzer. */
 import { readFile, stat } from 'node:fs/promises';
 import { parseArgs } from 'node:util';
 import type { Either } from 'purify-ts';
@@ -11,9 +11,9 @@
 import { ExitCode } from './exit-code.js';
 import { defineCommand, UsageError } from './flags.js';
 
-/** Violations printed of one history. */
+/** Most violations printed for a history. */
 const PRINTED_VIOLATIONS = 5;
-/** Largest file that is read, in bytes; a node's record ends at 256 MiB. */
+/** Largest file that is read, in bytes; a node's record is at most 256 MiB. */
 const LARGEST_FILE_BYTES = 512 * 1_048_576;
 
 const HELP = `Usage: crossroad replay <file> [--json]
@@ -32,7 +32,7 @@
 Exit codes: 0 all effects were the same, or no promise broke; 1 they were not, or
 one did, or the file cannot be read; 2 usage.`;
 
-/** What a file came to. */
+/** The result of a replay and its description. */
 interface ReplayReport {
   readonly result: ReplayResult | HistoryReplay;
   readonly text: string;
@@ -41,14 +41,14 @@
 
 const describeRecord = (result: ReplayResult): string => {
   const { events, cutBytes, difference } = result;
-  const cut = cutBytes === 0 ? '' : ` The last ${cutBytes} bytes are an entry cut off.`;
+  const cut = cutBytes === 0 ? '' : ` The last ${cutBytes} bytes are a truncated entry.`;
   if (difference === undefined) {
-    return `${events} events gave the same effects again.${cut}`;
+    return `${events} events had the same effects as recorded.${cut}`;
   }
   const effects = difference.effects.map(({ type }) => type).join(', ') || 'none';
   return (
     `Event ${difference.entry} (${difference.eventType} at ${difference.at} ms) ` +
-    `gave other effects: ${effects}.${cut}`
+    `had other effects than recorded: ${effects}.${cut}`
   );
 };
 
@@ -57,9 +57,9 @@
     case undefined:
       return [];
     case true:
-      return ['The breach for which the file was written was found again.'];
+      return ['The violation for which the file was written was found again.'];
     case false:
-      return ['The breach for which the file was written was not found again.'];
+      return ['The violation for which the file was written was not found again.'];
   }
 };
 
@@ -106,7 +106,7 @@
   }
 };
 
-/** Creates the subcommand; `step` takes the place of the core's in histories, for tests. */
+/** Creates the subcommand. For tests, `step` replaces the core's step function in histories. */
 export const createReplayCommand = (step?: StepFunction): Command =>
   defineCommand({
     name: 'replay',
@@ -120,7 +120,7 @@
       });
       const [file] = positionals;
       if (file === undefined || positionals.length > 1) {
-        throw new UsageError('one file is needed');
+        throw new UsageError('exactly one file is required');
       }
       const bytes = await readFileBytes(file);
       if (typeof bytes === 'string') {
--- a/src/cli/replica.ts
+++ b/src/cli/replica.ts
@@ -1,4 +1,4 @@
-/** `crossroad replica`: stand-ins for the replicas of the back ends. */
+/** `crossroad replica`: runs stand-ins for the replicas of the back ends. */
 import { parseArgs } from 'node:util';
 import { consola } from 'consola';
 import type { Deployment } from '../deployments/deployment.js';
@@ -57,7 +57,7 @@
     networkDelayMs: () => delay,
   });
   if (fleet.replicas.size === 0) {
-    throw new UsageError(`--group names no group of deployment ${name}`);
+    throw new UsageError(`--group: unknown group of deployment ${name}`);
   }
   consola.withTag('replica').info(`Serving ${fleet.replicas.size} replicas.`);
   await waitForInterrupt();
--- a/src/cli/run-command-line.ts
+++ b/src/cli/run-command-line.ts
@@ -1,4 +1,4 @@
-/** Finds the subcommand and runs it. */
+/** Selects and runs the subcommand. */
 import type { Command } from './command.js';
 import { COMMANDS } from './commands.js';
 import { ExitCode } from './exit-code.js';
@@ -10,7 +10,7 @@
   process.stdout.write(
     `Usage: crossroad <command> [options]\n\nCommands:\n${describeCommands()}\n`,
   );
-  process.stdout.write('\nEach command has --help.\n');
+  process.stdout.write('\nRun a command with --help for its options.\n');
 };
 
 const findCommand = (name: string): Command | undefined =>
@@ -19,7 +19,7 @@
 const describeError = (error: unknown): string =>
   error instanceof Error ? error.message : String(error);
 
-/** Runs a command; an error that it does not handle becomes one line and a failed exit. */
+/** Runs a command; an unhandled error is printed in one line and returns `ExitCode.failed`. */
 const runCommand = async (command: Command, args: readonly string[]): Promise<ExitCode> => {
   try {
     return await command.run(args);
@@ -29,7 +29,7 @@
   }
 };
 
-/** Runs the command line `args` (without node and script); returns the exit code. */
+/** Runs the command line `args` (without executable and script); returns the exit code. */
 export const runCommandLine = async (args: readonly string[]): Promise<ExitCode> => {
   const [name, ...rest] = args;
   if (name === undefined || name === '--help' || name === '-h' || name === 'help') {
--- a/src/cli/simulate.ts
+++ b/src/cli/simulate.ts
@@ -1,4 +1,4 @@
-/** `crossroad simulate`: runs faults against a simulated tier and checks the promises. */
+/** `crossroad simulate`: injects faults into a simulated tier and checks the promises. */
 import { parseArgs } from 'node:util';
 import Table from 'cli-table3';
 import { VARIANT_NAMES } from '../experiment/scenario.js';
@@ -18,7 +18,7 @@
 import { defineCommand, readChoice, readNumber, UsageError } from './flags.js';
 
 const SEED_BOUNDS = { least: 0, most: 2_147_483_647, integer: true } as const;
-/** Violations printed for each scenario. */
+/** Most violations printed per scenario. */
 const PRINTED_VIOLATIONS = 5;
 
 const HELP = `Usage: crossroad simulate <faults> [options]
@@ -49,7 +49,7 @@
 const readFaults = (text: string | undefined): FaultName[][] => {
   switch (text) {
     case undefined:
-      throw new UsageError('name a fault, "singles" or "pairs"; see --help');
+      throw new UsageError('a fault, "singles" or "pairs" is required; see --help');
     case 'singles':
       return listSingleFaults();
     case 'pairs':
@@ -125,7 +125,7 @@
   return Promise.resolve(isBroken ? ExitCode.failed : ExitCode.done);
 };
 
-/** The command. */
+/** The subcommand `simulate`. */
 export const simulateCommand: Command = defineCommand({
   name: 'simulate',
   summary: 'run faults against a simulated tier and check the promises',
--- a/src/cli/status.ts
+++ b/src/cli/status.ts
@@ -1,4 +1,4 @@
-/** `crossroad status`: the state of the tier as one node sees it. */
+/** `crossroad status`: prints the state of the tier as one node sees it. */
 import { parseArgs } from 'node:util';
 import type { StatusBody } from '../operator-protocol/status-body.js';
 import type { Command } from './command.js';
@@ -10,9 +10,9 @@
 import { formatStatus } from './status/format-status.js';
 import { watchStatus } from './status/watch-status.js';
 
-/** Seconds between two questions of a watch. */
+/** Seconds between two requests with --watch. */
 const DEFAULT_INTERVAL_SECONDS = 2;
-/** Questions after which a watch ends by itself. */
+/** Number of requests after which --watch ends. */
 const DEFAULT_TIMES = 1_800;
 const INTERVAL_BOUNDS = { least: 0.1, most: 3_600 } as const;
 const TIMES_BOUNDS = { least: 1, most: 1_000_000, integer: true } as const;
--- a/src/cli/status/format-status.ts
+++ b/src/cli/status/format-status.ts
@@ -1,13 +1,14 @@
-/** The state of the tier as text for a terminal. */
+/** Formats the state of the tier as text for a terminal. */
 import CliTable from 'cli-table3';
 import type { NodeRevision, StatusBody } from '../../operator-protocol/status-body.js';
 
 /**
- * Most nodes listed one by one; a larger tier is summed up by zone and lists those that stand out.
+ * Most nodes listed. Of a larger tier, only nodes that are not alive or do not hold the revision are
+ * listed; the others are only counted by zone.
  */
 const LISTED_NODES = 40;
 
-/** No colours, and no line between two rows. */
+/** Table without colours and without lines between rows. */
 const PLAIN = {
   style: { head: [], border: [] },
   chars: { mid: '', 'left-mid': '', 'mid-mid': '', 'right-mid': '' },
@@ -40,7 +41,7 @@
 
 const formatZones = (status: StatusBody): string =>
   formatRows(
-    ['zone', 'alive', 'suspect', 'leaving', 'dead', 'not known to hold the revision'],
+    ['zone', 'alive', 'suspect', 'leaving', 'dead', 'revision not confirmed'],
     [...groupBy(status.nodes, ({ zone }) => zone)].map(([zone, nodes]) => [
       zone,
       countWhere(nodes, ({ state }) => state === 'alive'),
@@ -68,7 +69,7 @@
   const hidden = status.nodes.length - shown.length;
   const rest = hidden > 0 ? `\n${hidden} more nodes are not listed; see --all` : '';
   return shown.length === 0
-    ? `All ${status.nodes.length} nodes are alive and hold the revision.`
+    ? `All ${status.nodes.length} nodes are alive, and the revision is in force on each.`
     : formatRows(['node', 'zone', 'state', 'incarnation', 'revision'], shown.map(formatNode)) +
         rest;
 };
@@ -138,7 +139,7 @@
 /**
  * Formats the state of the tier.
  *
- * @param all - lists each node and each replica, however many there are
+ * @param all - lists all nodes and all replicas
  */
 export const formatStatus = (status: StatusBody, all: boolean): string =>
   [
--- a/src/cli/status/watch-status.ts
+++ b/src/cli/status/watch-status.ts
@@ -1,17 +1,17 @@
-/** Asks for the state of the tier, once or again and again. */
+/** Requests the state of the tier once or at intervals. */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { Either } from 'purify-ts';
 import type { StatusBody } from '../../operator-protocol/status-body.js';
 import { ExitCode } from '../exit-code.js';
 import type { ClientProblem } from '../operator/operator-client.js';
 
-/** How a watch goes on. */
+/** Options of `watchStatus`. */
 export interface WatchOptions {
-  /** How often the node is asked in all; at least 1. */
+  /** Total number of requests; at least 1. */
   readonly times: number;
-  /** Wait between two questions, in milliseconds. */
+  /** Time between two requests, in milliseconds. */
   readonly intervalMs: number;
-  /** Ends the watch early. */
+  /** Ends the watch before `times` requests. */
   readonly signal: AbortSignal;
   requestStatus(): Promise<Either<ClientProblem, StatusBody>>;
   print(status: StatusBody): void;
@@ -22,7 +22,7 @@
   try {
     await delay(options.intervalMs, undefined, { signal: options.signal });
   } catch {
-    // The signal ends the wait; the loop looks at it next.
+    // The signal ended the wait; the caller's loop checks it next.
   }
 };
 
@@ -39,9 +39,10 @@
   });
 
 /**
- * Asks up to `times` times. A node that gives no answer is asked again, as it may be restarting.
+ * Requests and prints the state up to `times` times. Continues after a failed request, as the node
+ * may be restarting.
  *
- * @returns the exit code of the last answer; `done` when the signal ended the watch
+ * @returns the exit code of the last request; `done` if the signal ended the watch
  */
 export const watchStatus = async (options: WatchOptions): Promise<ExitCode> => {
   let code: ExitCode = ExitCode.done;
--- a/src/cli/table.ts
+++ b/src/cli/table.ts
@@ -1,4 +1,4 @@
-/** `crossroad table`: the operators' table from the command line. */
+/** `crossroad table`: reads and edits the operators' table. */
 import type { Command } from './command.js';
 import type { ExitCode } from './exit-code.js';
 import { defineCommand, UsageError } from './flags.js';
--- a/src/cli/table/agreement-actions.ts
+++ b/src/cli/table/agreement-actions.ts
@@ -1,4 +1,4 @@
-/** Actions of `crossroad table` on what is not a row: the agreement and the keys. */
+/** Actions of `crossroad table` on the agreement and the keys. */
 import { readFileSync } from 'node:fs';
 import { z } from 'zod';
 import { identifier, type PartnerId } from '../../core/identifiers.js';
@@ -17,16 +17,18 @@
   const [partner, share, ...rest] = text.split('=');
   const value = Number(share);
   if (!partner || !share || rest.length > 0 || Number.isNaN(value)) {
-    throw new UsageError(`give ${SHARE_FORM}`);
+    throw new UsageError(`expected ${SHARE_FORM}`);
   }
   return { partner: identifier<PartnerId>(partner), share: value };
 };
 
-/** `propose`: proposes shares of the pool; one's own approval is given with it. */
+/**
+ * `propose`: proposes shares of the pool, which includes the approval of the operator's partner.
+ */
 export const proposeAgreement = async (args: TableArguments): Promise<ExitCode> => {
   const [proposal, ...rest] = args.operands;
   if (proposal === undefined || rest.length === 0) {
-    throw new UsageError(`give a name for the proposal, then ${SHARE_FORM}`);
+    throw new UsageError(`expected a name for the proposal, then ${SHARE_FORM}`);
   }
   readReason(args);
   const shares = rest.map(readShare);
@@ -38,9 +40,9 @@
   });
 };
 
-/** `approve`: approves a proposal as it stands now. */
+/** `approve`: approves the current shares of a proposal. */
 export const approveAgreement = async (args: TableArguments): Promise<ExitCode> => {
-  const proposal = readOperand(args, "proposal's name");
+  const proposal = readOperand(args, 'proposal name');
   readReason(args);
   const table = await getTable(args.target);
   return table.caseOf<Promise<ExitCode> | ExitCode>({
@@ -66,11 +68,11 @@
     return keyFileSchema.parse(JSON.parse(readFileSync(file, 'utf8')));
   } catch (error) {
     const reason = error instanceof z.ZodError ? z.prettifyError(error) : String(error);
-    throw new UsageError(`${file} must hold a JSON list of key records: ${reason}`);
+    throw new UsageError(`${file} must contain a JSON list of key records: ${reason}`);
   }
 };
 
-/** `keys`: replaces all keys of one's own partner by the records in a file. */
+/** `keys`: replaces all keys of the operator's partner by the records in a file. */
 export const replaceKeys = async (args: TableArguments): Promise<ExitCode> => {
   const keys = readKeys(readOperand(args, 'JSON file of key records'));
   readReason(args);
--- a/src/cli/table/find-sheet.ts
+++ b/src/cli/table/find-sheet.ts
@@ -1,4 +1,4 @@
-/** Finds a sheet in the table that a node told. */
+/** Finds a sheet in the table from a node. */
 import type { PartnerId } from '../../core/identifiers.js';
 import type { SheetBody, TableBody } from '../../operator-protocol/table-body.js';
 import { UsageError } from '../flags.js';
@@ -10,7 +10,10 @@
   rows: [],
 });
 
-/** The sheet of `partner`, or one's own; empty when one has none yet. */
+/**
+ * Finds the sheet of `partner`, by default the operator's; the latter is empty if there is none
+ * yet.
+ */
 export const findSheet = (table: TableBody, partner: string | undefined): SheetBody => {
   const wanted = partner ?? table.partner;
   const sheet = table.sheets.find((each) => each.partner === wanted);
--- a/src/cli/table/format-table.ts
+++ b/src/cli/table/format-table.ts
@@ -1,4 +1,4 @@
-/** The table as text for a terminal. */
+/** Formats the table as text for a terminal. */
 import CliTable from 'cli-table3';
 import type { HistoryBody, SheetBody, TableBody } from '../../operator-protocol/table-body.js';
 import type { RouteRow } from '../../table/route-row.js';
@@ -44,7 +44,7 @@
 const formatShares = (shares: TableBody['agreement']['shares']): string =>
   shares.map(({ partner, share }) => `${partner}=${share}`).join(' ');
 
-/** The agreement with its proposals. */
+/** Formats the agreement with its proposals. */
 const formatAgreement = ({ version, shares, proposals }: TableBody['agreement']): string => {
   const inForce = shares.length === 0 ? 'none in force' : formatShares(shares);
   const lines = proposals.map(
@@ -54,11 +54,11 @@
   return [`agreement, version ${version}: ${inForce}`, ...lines].join('\n');
 };
 
-/** The sheets and the agreement. */
+/** Formats the sheets and the agreement. */
 export const formatTable = (table: TableBody): string =>
   [...table.sheets.map(formatSheet), formatAgreement(table.agreement)].join('\n\n');
 
-/** A history, newest last. */
+/** Formats a history, newest last. */
 export const formatHistory = (records: HistoryBody['history']): string => {
   const table = new CliTable({
     head: ['version', 'when', 'who', 'rows', 'why', 'edit'],
@@ -96,7 +96,7 @@
   }
 };
 
-/** Differences, row by row. */
+/** Formats differences, row by row. */
 export const formatDifferences = (differences: readonly RowDifference[]): string =>
   differences.length === 0
     ? 'no difference'
--- a/src/cli/table/read-actions.ts
+++ b/src/cli/table/read-actions.ts
@@ -1,4 +1,4 @@
-/** Actions of `crossroad table` that read: show, export, history and diff. */
+/** Read-only actions of `crossroad table`: show, export, history and diff. */
 import { formatSheetCsv } from '../../table/sheet-csv.js';
 import { diffRows } from '../../table/diff-rows.js';
 import { ExitCode } from '../exit-code.js';
@@ -9,7 +9,7 @@
 import { readSheetFile } from './read-sheet-file.js';
 import { readOperand, type TableArguments } from './table-arguments.js';
 
-/** `show`: the sheets and the agreement. */
+/** `show`: prints the sheets and the agreement. */
 export const showTable = async (args: TableArguments): Promise<ExitCode> =>
   (await getTable(args.target)).caseOf({
     Left: reportProblem,
@@ -22,7 +22,7 @@
     },
   });
 
-/** `export`: one sheet as CSV. */
+/** `export`: prints one sheet as CSV. */
 export const exportSheet = async (args: TableArguments): Promise<ExitCode> =>
   (await getTable(args.target)).caseOf({
     Left: reportProblem,
@@ -35,7 +35,7 @@
     },
   });
 
-/** `history`: the edits of one sheet. */
+/** `history`: prints the edits of one sheet. */
 export const showHistory = async (args: TableArguments): Promise<ExitCode> => {
   const table = await getTable(args.target);
   const partner = args.partner ?? table.map((each) => each.partner).orDefault('' as never);
@@ -48,14 +48,14 @@
       const shown = found.slice(-(args.last ?? found.length));
       printOut(args.json ? JSON.stringify(shown) : formatHistory(shown));
       if ('olderMissing' in body) {
-        printError('The store gives no answer; older edits are not shown.');
+        printError('The store did not answer; older edits are not shown.');
       }
       return args.edit !== undefined && found.length === 0 ? ExitCode.failed : ExitCode.done;
     },
   });
 };
 
-/** `diff`: what applying a file would change. */
+/** `diff`: prints the changes that applying a file would make. */
 export const diffSheet = async (args: TableArguments): Promise<ExitCode> => {
   const file = readOperand(args, 'CSV file');
   return (await getTable(args.target)).caseOf({
--- a/src/cli/table/read-sheet-file.ts
+++ b/src/cli/table/read-sheet-file.ts
@@ -1,4 +1,4 @@
-/** Reads a sheet from a CSV file and checks it as far as that is possible offline. */
+/** Reads a sheet from a CSV file and runs the checks that are possible offline. */
 import { readFileSync } from 'node:fs';
 import { Left, Right, type Either } from 'purify-ts';
 import type { PartnerId } from '../../core/identifiers.js';
@@ -7,7 +7,7 @@
 import { parseSheetCsv } from '../../table/sheet-csv.js';
 import { hasErrors, validateRows } from '../../table/validate-rows.js';
 
-/** A sheet that was read, with its warnings. */
+/** The rows of a valid sheet, with warnings. */
 export interface SheetFile {
   readonly rows: readonly RouteRow[];
   readonly warnings: readonly Finding[];
@@ -35,7 +35,7 @@
 /**
  * Reads and checks `file`.
  *
- * @param partner - whose rows they must be; absent for whose the first row is
+ * @param partner - the partner of all rows; by default that of the first row
  */
 export const readSheetFile = (
   file: string,
--- a/src/cli/table/send-edit.ts
+++ b/src/cli/table/send-edit.ts
@@ -1,4 +1,4 @@
-/** Sends an edit, prints its outcome, and waits until it is in force if asked to. */
+/** Sends an edit, prints its outcome and, with --wait, waits until it is in force. */
 import { randomUUID } from 'node:crypto';
 import { identifier, type EditId } from '../../core/identifiers.js';
 import type { EditBody } from '../../operator-protocol/edit-body.js';
@@ -85,19 +85,19 @@
     return ExitCode.done;
   }
   if (waited.problem !== undefined) {
-    printError(`not known to be in force: ${waited.problem}`);
+    printError(`cannot determine whether the edit is in force: ${waited.problem}`);
   }
   for (const { node, zone, revision } of waited.missing) {
-    const held = revision === null ? 'has not told its revision' : `holds revision ${revision}`;
+    const held = revision === null ? 'has not reported its revision' : `holds revision ${revision}`;
     printError(`not in force on ${node} in ${zone}, which ${held}`);
   }
   return ExitCode.failed;
 };
 
 /**
- * Sends an edit and prints what became of it.
+ * Sends an edit and prints its outcome.
  *
- * @param seenVersion - version of the object that the edit was made from
+ * @param seenVersion - version of the object on which the edit is based
  */
 export const sendEdit = async (
   args: TableArguments,
@@ -109,7 +109,7 @@
   return answer.caseOf<Promise<ExitCode> | ExitCode>({
     Left: (problem) => {
       if (problem.isRetryable) {
-        printError(`unknown: edit ${body.edit} may stand; look for it in the history`);
+        printError(`unknown: edit ${body.edit} may have been applied; look for it in the history`);
       }
       return reportProblem(problem);
     },
--- a/src/cli/table/table-arguments.ts
+++ b/src/cli/table/table-arguments.ts
@@ -1,10 +1,10 @@
-/** Arguments of `crossroad table`, and the run that its actions share. */
+/** Arguments of `crossroad table`. */
 import { parseArgs } from 'node:util';
 import { readNumber, UsageError } from '../flags.js';
 import type { OperatorTarget } from '../operator/operator-client.js';
 import { OPERATOR_OPTIONS, readOperatorTarget } from '../operator/operator-flags.js';
 
-/** Longest wait for an edit to be in force everywhere, in seconds. */
+/** Default timeout of the wait for an edit to be in force on all nodes, in seconds. */
 const DEFAULT_WAIT_SECONDS = 10;
 const WAIT_BOUNDS = { least: 0, most: 3_600 } as const;
 const COUNT_BOUNDS = { least: 1, most: 100_000, integer: true } as const;
@@ -21,7 +21,7 @@
   edit: { type: 'string' },
 } as const;
 
-/** The arguments of an action of `crossroad table`. */
+/** The parsed arguments of an action. */
 export interface TableArguments {
   readonly target: OperatorTarget;
   /** Arguments after the action's name. */
@@ -29,9 +29,11 @@
   readonly json: boolean;
   readonly partner: string | undefined;
   readonly reason: string | undefined;
-  /** How long to wait until an edit is in force everywhere, in milliseconds; 0 for not at all. */
+  /**
+   * Timeout of the wait for an edit to be in force on all nodes, in milliseconds; 0 for no wait.
+   */
   readonly waitMs: number;
-  /** Version of the sheet that a file was made from. */
+  /** Version of the sheet, row or keys on which the edit is based. */
   readonly basedOn: number | undefined;
   readonly last: number | undefined;
   readonly edit: string | undefined;
@@ -66,20 +68,20 @@
   };
 };
 
-/** The one operand of an action. */
+/** Returns the only operand; throws a `UsageError` unless there is exactly one. */
 export const readOperand = (args: TableArguments, meaning: string): string => {
   const [operand, ...rest] = args.operands;
   if (operand === undefined || rest.length > 0) {
-    throw new UsageError(`give exactly one ${meaning}`);
+    throw new UsageError(`expected exactly one ${meaning}`);
   }
   return operand;
 };
 
-/** The reason of an edit, which the history keeps. */
+/** Returns the reason of an edit; throws a `UsageError` if there is none. */
 export const readReason = (args: TableArguments): string => {
   const reason = args.reason?.trim();
   if (reason === undefined || reason === '') {
-    throw new UsageError('say why by --reason; the history keeps it');
+    throw new UsageError('--reason is required; the history keeps it');
   }
   return reason;
 };
--- a/src/cli/table/wait-until-in-force.ts
+++ b/src/cli/table/wait-until-in-force.ts
@@ -3,17 +3,17 @@
 import type { NodeRevision, RevisionsBody } from '../../operator-protocol/status-body.js';
 import { getRevisions, type OperatorTarget } from '../operator/operator-client.js';
 
-/** How often the node is asked, in milliseconds. */
+/** Time between two requests to the node, in milliseconds. */
 const POLL_INTERVAL_MS = 200;
 
-/** How a wait ended. */
+/** The result of the wait. */
 export interface InForceResult {
-  /** Live nodes, as the node that was asked knows them. */
+  /** Number of live nodes, as the requested node sees them. */
   readonly nodes: number;
   /** Live nodes on which the revision is not known to be in force. */
   readonly missing: readonly NodeRevision[];
   readonly elapsedMs: number;
-  /** Why the node did not tell; absent when it did. */
+  /** Why the last request failed; absent if it succeeded. */
   readonly problem?: string;
 }
 
@@ -27,7 +27,7 @@
   return { nodes: live.length, missing: live.filter((node) => isBehind(node, revision)) };
 };
 
-/** Asks `target` until all live nodes hold `revision` or `waitMs` have passed. */
+/** Polls `target` until `revision` is in force on all live nodes, or for `waitMs` milliseconds. */
 export const waitUntilInForce = async (
   target: OperatorTarget,
   revision: number,
--- a/src/cli/table/write-actions.ts
+++ b/src/cli/table/write-actions.ts
@@ -62,11 +62,11 @@
   );
 };
 
-/** `import`: adds and changes the rows of a file; other rows stay. */
+/** `import`: adds or changes the rows of a file; other rows are kept. */
 export const importSheet = (args: TableArguments): Promise<ExitCode> =>
   sendFileChanges(args, 'kept');
 
-/** `apply`: makes the sheet what a file says; rows that it has not are removed. */
+/** `apply`: replaces the sheet by the rows of a file; other rows are removed. */
 export const applySheet = (args: TableArguments): Promise<ExitCode> =>
   sendFileChanges(args, 'removed');
 
@@ -83,14 +83,14 @@
 
 const readValue = (name: ColumnName, cell: string): unknown => {
   const column = COLUMNS.find((each) => each.name === name);
-  // A cell that cannot be read is kept as text, so that the check of the row reports it.
+  // A cell that cannot be parsed is passed on as text, so that the validation of the row reports it.
   return column === undefined ? cell : parseCell(column, cell).orDefault(cell);
 };
 
 const parseRowKey = (text: string): { readonly route: string; readonly kind: string } => {
   const [route, kind, ...rest] = text.split('/');
   if (!route || !kind || rest.length > 0) {
-    throw new UsageError(`give the ${ROW_FORM}`);
+    throw new UsageError(`expected a ${ROW_FORM}`);
   }
   return { route, kind };
 };
@@ -111,11 +111,11 @@
   return { ...current, partner, ...parseRowKey(name), ...Object.fromEntries(given) };
 };
 
-/** `set`: changes some columns of a row, or creates it. */
+/** `set`: changes columns of a row, or creates the row. */
 export const setRow = (args: TableArguments): Promise<ExitCode> => {
   const [name, ...cells] = args.operands;
   if (name === undefined || cells.length === 0) {
-    throw new UsageError(`give the ${ROW_FORM}, then column=value`);
+    throw new UsageError(`expected a ${ROW_FORM}, then column=value`);
   }
   readReason(args);
   parseRowKey(name);
--- a/src/cli/wait-for-interrupt.ts
+++ b/src/cli/wait-for-interrupt.ts
@@ -1,4 +1,4 @@
-/** Waiting for the signal that ends a command which runs until it is told to stop. */
+/** Waits for the signal that ends a long-running command. */
 
 /** Resolves at the first SIGINT or SIGTERM. */
 export const waitForInterrupt = (): Promise<void> =>
--- a/test/auth/verify-key.test.ts
+++ b/test/auth/verify-key.test.ts
@@ -18,7 +18,7 @@
   const rhys = createKey('rhys', 'operator');
   const keys = keysOf([ensemble, [director.record, almaz.record]], [tawe, [rhys.record]]);
 
-  it('finds whose key a secret is', () => {
+  it('returns the partner, name and role of the key', () => {
     expect(verifyKey(keys, director.secret)).toEqual({
       partner: ensemble,
       name: 'director',
@@ -27,7 +27,7 @@
     expect(verifyKey(keys, rhys.secret)).toEqual({ partner: tawe, name: 'rhys', role: 'operator' });
   });
 
-  it('refuses what is not a secret in force', () => {
+  it('refuses text that is not a secret in force', () => {
     const wrong = [
       '',
       'xrd_',
@@ -39,7 +39,7 @@
     expect(wrong.map((secret) => verifyKey(keys, secret))).toEqual(wrong.map(() => undefined));
   });
 
-  it('follows a rotation in the map in force without a restart', () => {
+  it('uses rotated keys without a restart', () => {
     const inForce = new Map(keys);
     expect(verifyKey(inForce, almaz.secret)?.name).toBe('almaz');
     const fresh = createKey('almaz', 'operator');
@@ -60,7 +60,7 @@
 });
 
 describe('readBearerSecret', () => {
-  it('takes the bearer scheme and nothing else', () => {
+  it('accepts only the bearer scheme', () => {
     expect(readBearerSecret('Bearer xrd_ab-c')).toBe('xrd_ab-c');
     expect(readBearerSecret('bearer xrd_abc')).toBe('xrd_abc');
     const refused = [undefined, '', 'Bearer', 'Basic abc', 'Bearer a b', 'Bearer \u0000'];
@@ -69,7 +69,7 @@
 });
 
 describe('createRefusalLog', () => {
-  it('writes at most a line a second and counts the rest', () => {
+  it('writes at most one line a second and counts the suppressed ones', () => {
     const lines: string[] = [];
     let now = 0;
     const log = createRefusalLog(
--- a/test/cli/run-command-line.test.ts
+++ b/test/cli/run-command-line.test.ts
@@ -5,17 +5,17 @@
 import { runCommandLine } from '../../src/cli/run-command-line.js';
 
 let printed = '';
-let complained = '';
+let errors = '';
 
 beforeEach(() => {
   printed = '';
-  complained = '';
+  errors = '';
   vi.spyOn(process.stdout, 'write').mockImplementation((text) => {
     printed += String(text);
     return true;
   });
   vi.spyOn(process.stderr, 'write').mockImplementation((text) => {
-    complained += String(text);
+    errors += String(text);
     return true;
   });
 });
@@ -25,34 +25,34 @@
 });
 
 describe('the command line', () => {
-  it('lists the commands for --help and ends as done', async () => {
+  it('lists the commands for --help and returns done', async () => {
     expect(await runCommandLine(['--help'])).toBe(ExitCode.done);
     expect(printed).toContain('node         run a node');
   });
 
-  it('ends as wrong usage without a command', async () => {
+  it('returns a usage error without a command', async () => {
     expect(await runCommandLine([])).toBe(ExitCode.usage);
   });
 
-  it('names an unknown command', async () => {
+  it('reports an unknown command', async () => {
     expect(await runCommandLine(['nod'])).toBe(ExitCode.usage);
-    expect(complained).toBe('crossroad: unknown command "nod"; see crossroad --help\n');
+    expect(errors).toBe('crossroad: unknown command "nod"; see crossroad --help\n');
   });
 
-  it.each(['node', 'table', 'replica', 'load'])('shows the help of %s', async (name) => {
+  it.each(['node', 'table', 'replica', 'load'])('prints the help of %s', async (name) => {
     expect(await runCommandLine([name, '--help'])).toBe(ExitCode.done);
     expect(printed).toMatch(new RegExp(`^Usage: crossroad ${name}`));
   });
 
-  it('says in one line that a port is taken, and fails', async () => {
-    const blocker = createServer().listen(0, '127.0.0.1');
-    await once(blocker, 'listening');
-    const address = blocker.address();
+  it('fails with a one-line error if a port is in use', async () => {
+    const existingServer = createServer().listen(0, '127.0.0.1');
+    await once(existingServer, 'listening');
+    const address = existingServer.address();
     const port = typeof address === 'object' && address !== null ? address.port : 0;
     expect(await runCommandLine(['platform', '--listen', `127.0.0.1:${port}`])).toBe(
       ExitCode.failed,
     );
-    expect(complained).toMatch(/^crossroad platform: listen EADDRINUSE[^\n]*\n$/);
-    blocker.close();
+    expect(errors).toMatch(/^crossroad platform: listen EADDRINUSE[^\n]*\n$/);
+    existingServer.close();
   });
 });
