--- a/src/cli/plan.ts
+++ b/src/cli/plan.ts
@@ -3,8 +3,8 @@
 import { DEFAULT_QUERY_POLICY } from '../core/query/query-policy.js';
 import { DEPLOYMENT_NAMES, deploymentsNamed } from '../deployments/deployments.js';
 import { createPlan } from '../plan/create-plan.js';
-import { FIRST_COST_SLOPES, type PlanInput } from '../plan/plan-input.js';
-import { planOfDeployments } from '../plan/plan-of-deployments.js';
+import { DEFAULT_PROCESSOR_COSTS, type PlanInput } from '../plan/plan-input.js';
+import { planInputOfDeployments } from '../plan/deployment-plan-input.js';
 import { formatFinding } from '../table/finding.js';
 import { hasErrors } from '../table/validate-rows.js';
 import type { Command } from './command.js';
@@ -32,9 +32,9 @@
   --queries-per-second <n>   over all nodes (default 100)
   --extra-load <share>       hedges and retries as a share of legs (default 0.03)
   --feeders <n>              feeders of a replica (default ${DEFAULT_QUERY_POLICY.feedersPerReplica})
-  --leg-cost-us <us>         processor time of a leg over HTTP (default ${FIRST_COST_SLOPES.legOverHttp})
-  --leg-message-cost-us <us> of a leg in a message, each end (default ${FIRST_COST_SLOPES.legInMessage})
-  --message-cost-us <us>     of a message, each end, without the socket (default ${FIRST_COST_SLOPES.message})
+  --leg-cost-us <us>         processor time of a leg over HTTP (default ${DEFAULT_PROCESSOR_COSTS.legOverHttp})
+  --leg-message-cost-us <us> of a leg in a message, each end (default ${DEFAULT_PROCESSOR_COSTS.legInMessage})
+  --message-cost-us <us>     of a message, each end, without the socket (default ${DEFAULT_PROCESSOR_COSTS.message})
   --json                     print JSON
 
 Exit codes: 0 it fits, 1 something does not fit, 2 usage.`;
@@ -51,9 +51,9 @@
   'queries-per-second': { type: 'string', default: '100' },
   'extra-load': { type: 'string', default: '0.03' },
   feeders: { type: 'string', default: String(DEFAULT_QUERY_POLICY.feedersPerReplica) },
-  'leg-cost-us': { type: 'string', default: String(FIRST_COST_SLOPES.legOverHttp) },
-  'leg-message-cost-us': { type: 'string', default: String(FIRST_COST_SLOPES.legInMessage) },
-  'message-cost-us': { type: 'string', default: String(FIRST_COST_SLOPES.message) },
+  'leg-cost-us': { type: 'string', default: String(DEFAULT_PROCESSOR_COSTS.legOverHttp) },
+  'leg-message-cost-us': { type: 'string', default: String(DEFAULT_PROCESSOR_COSTS.legInMessage) },
+  'message-cost-us': { type: 'string', default: String(DEFAULT_PROCESSOR_COSTS.message) },
   json: { type: 'boolean', default: false },
 } as const;
 
@@ -94,7 +94,9 @@
   }
   return deployment === undefined
     ? readUniformReplicas(values, replicas ?? '')
-    : planOfDeployments(deploymentsNamed(readChoice('deployment', deployment, DEPLOYMENT_NAMES)));
+    : planInputOfDeployments(
+        deploymentsNamed(readChoice('deployment', deployment, DEPLOYMENT_NAMES)),
+      );
 };
 
 const readInput = (values: Values): PlanInput => ({
--- a/src/plan/create-plan.ts
+++ b/src/plan/create-plan.ts
@@ -1,11 +1,11 @@
 /** Works out load, connections, feeders and grants from sizes, and says what does not fit. */
 import { connectionsOfFeeder, slotsOfFeeder } from '../core/replica/feeder-share.js';
-import { findMisfits } from './find-misfits.js';
+import { validatePlan } from './validate-plan.js';
 import type { PlanGroup, PlanInput, PlanRoute } from './plan-input.js';
 import type { GroupPlan, NodePlan, Plan, RoutePlan } from './plan-result.js';
 
 /** Share of a core that a process is planned to use. */
-const PLANNED_CORE_USE = 0.7;
+const TARGET_CORE_UTILIZATION = 0.7;
 /** Deviations above the mean that the busiest feeder is planned for. */
 const FEEDER_DEVIATIONS = 3;
 const MICROSECONDS_PER_SECOND = 1_000_000;
@@ -90,7 +90,7 @@
     peersOfQuery: peers,
     messages,
     busyCores,
-    processes: Math.max(1, Math.ceil(busyCores / PLANNED_CORE_USE)),
+    processes: Math.max(1, Math.ceil(busyCores / TARGET_CORE_UTILIZATION)),
   };
 };
 
@@ -99,5 +99,5 @@
   const groups = input.groups.map((group) => planGroup(input, group));
   const routes = input.routes.map((route) => planRoute(input, route));
   const node = planNode(input, groups);
-  return { groups, routes, node, findings: findMisfits(input, groups, routes, node) };
+  return { groups, routes, node, findings: validatePlan(input, groups, routes, node) };
 };
--- a/src/plan/plan-of-deployments.ts
+++ b/src/plan/deployment-plan-input.ts
@@ -50,7 +50,7 @@
 };
 
 /** Groups, routes and zones of `deployments`, whose partners ask the same number of queries. */
-export const planOfDeployments = (
+export const planInputOfDeployments = (
   deployments: readonly Deployment[],
 ): Pick<PlanInput, 'groups' | 'routes' | 'zones'> => ({
   groups: deployments.flatMap((deployment) =>
--- a/src/plan/plan-input.ts
+++ b/src/plan/plan-input.ts
@@ -29,7 +29,7 @@
 }
 
 /** Processor time of a node's work, in microseconds. */
-export interface CostSlopes {
+export interface ProcessorCosts {
   /** One leg over HTTP to a replica and back, at its feeder. */
   readonly legOverHttp: number;
   /** One leg within a message, to encode or to decode. */
@@ -50,14 +50,14 @@
   readonly feedersPerReplica: number;
   readonly groups: readonly PlanGroup[];
   readonly routes: readonly PlanRoute[];
-  readonly costs: CostSlopes;
+  readonly costs: ProcessorCosts;
 }
 
 /**
  * First slopes on the development machine: an undici pool's request, cbor-x with records and batches
  * of 64 legs, cbor-x of a small message. A message's cost leaves out the socket.
  */
-export const FIRST_COST_SLOPES: CostSlopes = {
+export const DEFAULT_PROCESSOR_COSTS: ProcessorCosts = {
   legOverHttp: 92,
   legInMessage: 0.5,
   message: 0.9,
--- a/src/plan/find-misfits.ts
+++ b/src/plan/validate-plan.ts
@@ -4,7 +4,7 @@
 import type { GroupPlan, NodePlan, RoutePlan } from './plan-result.js';
 
 /** Share of a group's capacity above which queues grow long. */
-const TIGHT_UTILIZATION = 0.7;
+const HIGH_UTILIZATION = 0.7;
 
 const error = (place: string, problem: string, allowed?: string): Finding =>
   allowed === undefined
@@ -19,7 +19,7 @@
 
 const percent = (share: number): string => `${(share * 100).toFixed(0)}%`;
 
-const findZoneMisfits = (input: PlanInput): Finding[] => {
+const checkZones = (input: PlanInput): Finding[] => {
   const nodesOfZone = Math.floor(input.nodes / input.zones);
   if (nodesOfZone === 0) {
     const problem = `${input.nodes} nodes leave some of ${input.zones} zones without a node`;
@@ -36,7 +36,7 @@
     : [];
 };
 
-const findDivisionMisfits = (input: PlanInput, group: PlanGroup, plan: GroupPlan): Finding[] => {
+const checkFeederShares = (input: PlanInput, group: PlanGroup, plan: GroupPlan): Finding[] => {
   const { feedersPerReplica } = input;
   const place = `group ${group.name}`;
   const slots = plan.slotsOfFeeder * feedersPerReplica;
@@ -57,18 +57,18 @@
   ];
 };
 
-const findLoadMisfits = (plan: GroupPlan): Finding[] => {
+const checkUtilization = (plan: GroupPlan): Finding[] => {
   const place = `group ${plan.name}`;
   const load = `${percent(plan.utilization)} of the capacity of ${Math.floor(plan.capacity)} legs a second`;
   if (plan.utilization > 1) {
     return [error(place, `needs ${load}`)];
   }
-  return plan.utilization > TIGHT_UTILIZATION
-    ? [warning(place, `uses ${load}; queues grow above ${percent(TIGHT_UTILIZATION)}`)]
+  return plan.utilization > HIGH_UTILIZATION
+    ? [warning(place, `uses ${load}; queues grow above ${percent(HIGH_UTILIZATION)}`)]
     : [];
 };
 
-const findGrantMisfits = (route: RoutePlan): Finding[] => {
+const checkGrants = (route: RoutePlan): Finding[] => {
   const place = `route ${route.name}`;
   const small = [route.concurrentGrant, route.perSecondGrant].some(
     (grant) => grant !== undefined && grant < 1,
@@ -78,7 +78,7 @@
     : [];
 };
 
-const findLimitMisfits = (input: PlanInput, plan: RoutePlan): Finding[] => {
+const checkLimits = (input: PlanInput, plan: RoutePlan): Finding[] => {
   const route = input.routes.find(({ name }) => name === plan.name);
   const place = `route ${plan.name}`;
   const { concurrentLimit, perSecondLimit } = route ?? {};
@@ -98,7 +98,7 @@
   ];
 };
 
-const findNodeMisfits = (node: NodePlan): Finding[] =>
+const checkNode = (node: NodePlan): Finding[] =>
   node.processes > 1
     ? [
         error(
@@ -110,22 +110,22 @@
     : [];
 
 /** Lists what does not fit, errors first. */
-export const findMisfits = (
+export const validatePlan = (
   input: PlanInput,
   groups: readonly GroupPlan[],
   routes: readonly RoutePlan[],
   node: NodePlan,
 ): Finding[] => {
   const findings = [
-    ...findZoneMisfits(input),
+    ...checkZones(input),
     ...input.groups.flatMap((group, index) => {
       const plan = groups[index];
       return plan === undefined
         ? []
-        : [...findDivisionMisfits(input, group, plan), ...findLoadMisfits(plan)];
+        : [...checkFeederShares(input, group, plan), ...checkUtilization(plan)];
     }),
-    ...routes.flatMap((route) => [...findGrantMisfits(route), ...findLimitMisfits(input, route)]),
-    ...findNodeMisfits(node),
+    ...routes.flatMap((route) => [...checkGrants(route), ...checkLimits(input, route)]),
+    ...checkNode(node),
   ];
   const errors = findings.filter(({ severity }) => severity === 'error');
   return [...errors, ...findings.filter(({ severity }) => severity === 'warning')];
--- a/src/reference/metrics-page.ts
+++ b/src/reference/metrics-page.ts
@@ -9,9 +9,9 @@
 import { createNodeMetrics } from '../metrics/node-metrics.js';
 import { formatHead, formatTable, type ReferencePage } from './reference-page.js';
 
-const OWN_PREFIX = 'crossroad_';
+const METRIC_PREFIX = 'crossroad_';
 
-const NOWHERE = { host: '127.0.0.1', port: 0 };
+const PLACEHOLDER_ADDRESS = { host: '127.0.0.1', port: 0 };
 
 const EXAMPLE_GATEWAY: GatewaySettings = {
   node: 'gateway',
@@ -19,11 +19,11 @@
   capacity: 1,
   firstStart: true,
   zoneRegions: {},
-  callers: NOWHERE,
-  readiness: NOWHERE,
-  peers: NOWHERE,
+  callers: PLACEHOLDER_ADDRESS,
+  readiness: PLACEHOLDER_ADDRESS,
+  peers: PLACEHOLDER_ADDRESS,
   seeds: [],
-  store: NOWHERE,
+  store: PLACEHOLDER_ADDRESS,
   bounds: {
     drainMs: 0,
     graceMs: 0,
@@ -88,7 +88,7 @@
 
 /** Creates the page of metrics. */
 export const createMetricsPage = (): ReferencePage => {
-  const own = describeMetrics().filter(({ name }) => name.startsWith(OWN_PREFIX));
+  const own = describeMetrics().filter(({ name }) => name.startsWith(METRIC_PREFIX));
   return {
     fileName: 'metrics.md',
     text: `${formatHead('Metrics', 'src/metrics')}
--- a/src/reports/charts.ts
+++ b/src/reports/charts.ts
@@ -24,7 +24,7 @@
   readonly latencyMs: number;
 }
 
-const WHOLE = 100;
+const PERCENT = 100;
 
 const pointsOf = ({ variant, run }: ScenarioResult): DistributionPoint[] =>
   run.kinds.flatMap((kind) =>
@@ -32,7 +32,7 @@
       .map(({ percentile, latencyMs }) => ({
         variant,
         kind: `${kind.partner} ${kind.route}/${kind.kind}`,
-        rank: WHOLE / (WHOLE - percentile),
+        rank: PERCENT / (PERCENT - percentile),
         latencyMs,
       }))
       .filter(({ rank }) => rank <= kind.answered),
@@ -83,11 +83,11 @@
   },
 });
 
-type SharedField = 'coverageMean' | 'extraLoad';
+type BarChartField = 'coverageMean' | 'extraLoad';
 
 const barChart = (
   results: readonly ScenarioResult[],
-  field: SharedField,
+  field: BarChartField,
   title: string,
   scale: { readonly zero: boolean },
 ): TopLevelSpec => ({
--- a/src/reports/experiment-table.ts
+++ b/src/reports/experiment-table.ts
@@ -86,7 +86,7 @@
   'extra load',
 ];
 
-const SIGN_DIGITS = 4;
+const CHANGE_DIGITS = 4;
 
 const comparisonRow = (comparison: KindComparison): string[] => [
   comparison.after.scenario,
@@ -94,8 +94,8 @@
   comparison.after.variant,
   `x ${comparison.p50Ratio.toFixed(2)}`,
   `x ${comparison.p99Ratio.toFixed(2)}`,
-  comparison.coverageChange.toFixed(SIGN_DIGITS),
-  comparison.extraLoadChange.toFixed(SIGN_DIGITS),
+  comparison.coverageChange.toFixed(CHANGE_DIGITS),
+  comparison.extraLoadChange.toFixed(CHANGE_DIGITS),
 ];
 
 /** One row for each kind that stands in both sets. */
--- a/src/reports/kind-table.ts
+++ b/src/reports/kind-table.ts
@@ -36,13 +36,13 @@
   String(kind.failed),
 ];
 
-const RIGHT_FROM = 2;
+const FIRST_RIGHT_ALIGNED_COLUMN = 2;
 
 /** Formats the table with the violations below it. */
 export const formatRun = (result: RunResult): string => {
   const table = new Table({
     head: [...HEAD],
-    colAligns: HEAD.map((_, index) => (index < RIGHT_FROM ? 'left' : 'right')),
+    colAligns: HEAD.map((_, index) => (index < FIRST_RIGHT_ALIGNED_COLUMN ? 'left' : 'right')),
     style: { head: [], border: [] },
     chars: { mid: '', 'left-mid': '', 'mid-mid': '', 'right-mid': '' },
   });
--- a/test/plan/create-plan.test.ts
+++ b/test/plan/create-plan.test.ts
@@ -4,8 +4,8 @@
 import { connectionsOfFeeder, slotsOfFeeder } from '../../src/core/replica/feeder-share.js';
 import { deploymentsNamed } from '../../src/deployments/deployments.js';
 import { createPlan } from '../../src/plan/create-plan.js';
-import { FIRST_COST_SLOPES, type PlanInput } from '../../src/plan/plan-input.js';
-import { planOfDeployments } from '../../src/plan/plan-of-deployments.js';
+import { DEFAULT_PROCESSOR_COSTS, type PlanInput } from '../../src/plan/plan-input.js';
+import { planInputOfDeployments } from '../../src/plan/deployment-plan-input.js';
 
 const SMALL: PlanInput = {
   nodes: 4,
@@ -15,7 +15,7 @@
   feedersPerReplica: 1,
   groups: [{ name: 'desk', replicas: 10, slots: 5, connections: 70, legMs: 10 }],
   routes: [{ name: 'page', share: 1, legs: [{ group: 'desk', legs: 8 }] }],
-  costs: FIRST_COST_SLOPES,
+  costs: DEFAULT_PROCESSOR_COSTS,
 };
 
 const places = (input: PlanInput): string[] =>
@@ -61,7 +61,7 @@
     ['slots that no feeder fills', { feedersPerReplica: 2 }, ['warning group desk']],
     [
       'work above one core',
-      { costs: { ...FIRST_COST_SLOPES, legOverHttp: 5_000 } },
+      { costs: { ...DEFAULT_PROCESSOR_COSTS, legOverHttp: 5_000 } },
       ['error node'],
     ],
     [
@@ -80,7 +80,7 @@
   });
 
   it('reads the sizes of both deployments, and they fit', () => {
-    const backends = planOfDeployments(deploymentsNamed('both'));
+    const backends = planInputOfDeployments(deploymentsNamed('both'));
     const plan = createPlan({ ...SMALL, ...backends, nodes: 7 });
     const shares = backends.routes.reduce((sum, { share }) => sum + share, 0);
     expect(shares).toBeCloseTo(1);
