--- a/src/plan/create-plan.ts
+++ b/src/plan/create-plan.ts
@@ -1,12 +1,12 @@
-/** Works out load, connections, feeders and grants from sizes, and says what does not fit. */
+/** Calculates load, connections, feeders and grants from sizes, and reports what does not fit. */
 import { connectionsOfFeeder, slotsOfFeeder } from '../core/replica/feeder-share.js';
 import { validatePlan } from './validate-plan.js';
 import type { PlanGroup, PlanInput, PlanRoute } from './plan-input.js';
 import type { GroupPlan, NodePlan, Plan, RoutePlan } from './plan-result.js';
 
-/** Share of a core that a process is planned to use. */
+/** Target utilization of the core of a process, 0 to 1. */
 const TARGET_CORE_UTILIZATION = 0.7;
-/** Deviations above the mean that the busiest feeder is planned for. */
+/** Standard deviations above the mean for the node that feeds the most replicas. */
 const FEEDER_DEVIATIONS = 3;
 const MICROSECONDS_PER_SECOND = 1_000_000;
 const MILLISECONDS_PER_SECOND = 1_000;
@@ -61,7 +61,7 @@
   };
 };
 
-/** Other nodes that `legs` legs go to when each leg's feeder is any node alike. */
+/** Expected number of other nodes reached by `legs` legs, if feeders are distributed uniformly. */
 const peersOfQuery = (nodes: number, legs: number): number => {
   const reached = nodes * (1 - (1 - 1 / nodes) ** legs);
   return (reached * (nodes - 1)) / nodes;
@@ -75,7 +75,7 @@
   const legsFed = sum(groups.map(({ legsPerSecond }) => legsPerSecond)) / nodes;
   const queriesPerSecond = input.queriesPerSecond / nodes;
   const peers = sum(input.routes.map((route) => route.share * peersOfQuery(nodes, legsOf(route))));
-  // A query costs each of its peers a batch and an answer; each is sent once and received once.
+  // A query exchanges a batch and an answer with each peer; each message is sent once and received once.
   const messages = 4 * queriesPerSecond * peers;
   const legsInMessages = 4 * legsFed * ((nodes - 1) / nodes);
   const busy =
--- a/src/plan/deployment-plan-input.ts
+++ b/src/plan/deployment-plan-input.ts
@@ -1,4 +1,4 @@
-/** Reads the groups and routes of a plan out of deployments. */
+/** Creates the groups and routes of a plan from deployments. */
 import type { Deployment, ServiceGroup, WorkloadItem } from '../deployments/deployment.js';
 import { servicesOf } from '../deployments/placement.js';
 import { matchesService } from '../table/backend-service.js';
@@ -49,7 +49,10 @@
   });
 };
 
-/** Groups, routes and zones of `deployments`, whose partners ask the same number of queries. */
+/**
+ * Creates the groups, routes and zones of `deployments`; all partners send the same number of
+ * queries.
+ */
 export const planInputOfDeployments = (
   deployments: readonly Deployment[],
 ): Pick<PlanInput, 'groups' | 'routes' | 'zones'> => ({
--- a/src/plan/plan-input.ts
+++ b/src/plan/plan-input.ts
@@ -1,12 +1,12 @@
-/** What a plan is made from: sizes of the tier, its back ends and its traffic. */
+/** Input of a plan: sizes of the tier, its back ends and its traffic. */
 
-/** Replicas of one make. */
+/** Replicas of the same size. */
 export interface PlanGroup {
   readonly name: string;
   readonly replicas: number;
-  /** Requests a replica works on at once. */
+  /** Requests that a replica processes at once. */
   readonly slots: number;
-  /** Connections a replica accepts, over all nodes together. */
+  /** Connections that a replica accepts, from all nodes together. */
   readonly connections: number;
   /** Mean time of a leg in a slot, in milliseconds. */
   readonly legMs: number;
@@ -28,17 +28,17 @@
   readonly perSecondLimit?: number;
 }
 
-/** Processor time of a node's work, in microseconds. */
+/** Processor time of units of a node's work, in microseconds. */
 export interface ProcessorCosts {
-  /** One leg over HTTP to a replica and back, at its feeder. */
+  /** One leg over HTTP to a replica and back, at the feeder. */
   readonly legOverHttp: number;
-  /** One leg within a message, to encode or to decode. */
+  /** Encoding or decoding of one leg in a message. */
   readonly legInMessage: number;
-  /** One message between nodes, to send or to receive, without its legs. */
+  /** Sending or receiving of one message between nodes, without its legs. */
   readonly message: number;
 }
 
-/** All that a plan is made from. */
+/** The input of a plan. */
 export interface PlanInput {
   readonly nodes: number;
   readonly zones: number;
@@ -54,8 +54,9 @@
 }
 
 /**
- * First slopes on the development machine: an undici pool's request, cbor-x with records and batches
- * of 64 legs, cbor-x of a small message. A message's cost leaves out the socket.
+ * Default costs, from the development machine: a request through an undici pool, cbor-x with
+ * records and batches of 64 legs, and cbor-x of a small message. The cost of a message does not
+ * include the socket.
  */
 export const DEFAULT_PROCESSOR_COSTS: ProcessorCosts = {
   legOverHttp: 92,
--- a/src/plan/plan-result.ts
+++ b/src/plan/plan-result.ts
@@ -1,54 +1,58 @@
-/** What a plan says. */
+/** The result of a plan. */
 import type { Finding } from '../table/finding.js';
 
-/** Load and division of one group of replicas. */
+/** Load of one group of replicas, and the share of each feeder. */
 export interface GroupPlan {
   readonly name: string;
   readonly replicas: number;
   /** Slots of all replicas together. */
   readonly slots: number;
-  /** Slots and connections that each feeder of a replica may use. */
+  /** Slots of a replica that each of its feeders may use. */
   readonly slotsOfFeeder: number;
+  /** Connections of a replica that each of its feeders may use. */
   readonly connectionsOfFeeder: number;
-  /** Legs a second, extra load included. */
+  /** Legs a second, including extra load. */
   readonly legsPerSecond: number;
-  /** Legs a second that all slots can work on. */
+  /** Legs a second that all slots can process. */
   readonly capacity: number;
-  /** Share of the capacity in use, 0 to 1 and above. */
+  /** Ratio of the load to the capacity: 0 to 1, and above 1 if overloaded. */
   readonly utilization: number;
 }
 
-/** Queries of one row and what the node's grants of its limits come to. */
+/** Queries of one row, and a node's grants of its limits. */
 export interface RoutePlan {
   readonly name: string;
   readonly queriesPerSecond: number;
-  /** Legs of a query. */
+  /** Legs per query. */
   readonly legs: number;
-  /** Queries in progress at once, over all nodes, when no leg waits for a slot. */
+  /** Queries in progress at once, over all nodes, if no leg waits for a slot. */
   readonly concurrent: number;
-  /** Mean grant of a node; absent where the row has no such limit. */
+  /** Mean grant of a node; absent if the row has no such limit. */
   readonly concurrentGrant?: number;
   readonly perSecondGrant?: number;
 }
 
-/** Work of one node; means over all nodes. */
+/** Work of one node, as the mean over all nodes. */
 export interface NodePlan {
   readonly queriesPerSecond: number;
   /** Replicas that the node feeds. */
   readonly replicasFed: number;
-  /** Replicas fed by a node that rendezvous hashing gives more than the mean: three deviations. */
+  /**
+   * Replicas fed by a node with an uneven share from rendezvous hashing: mean plus three
+   * deviations.
+   */
   readonly replicasFedAtMost: number;
-  /** Connections to replicas, if each feeder holds all it may. */
+  /** Connections to replicas, if each feeder opens as many as it may. */
   readonly connections: number;
   /** Legs a second that the node sends to replicas. */
   readonly legsFed: number;
-  /** Nodes that a query of the node goes to, itself not counted. */
+  /** Other nodes that a query of the node is sent to. */
   readonly peersOfQuery: number;
   /** Messages a second that the node sends and receives. */
   readonly messages: number;
-  /** Processor time in use, in cores. */
+  /** Processor time used, in cores. */
   readonly busyCores: number;
-  /** Processes, of one core each, that carry this work at the planned use. */
+  /** Processes of one core each that are needed for this work at the target utilization. */
   readonly processes: number;
 }
 
@@ -57,6 +61,6 @@
   readonly groups: readonly GroupPlan[];
   readonly routes: readonly RoutePlan[];
   readonly node: NodePlan;
-  /** What does not fit (errors) and what is tight (warnings). */
+  /** Errors for what does not fit, warnings for little spare capacity. */
   readonly findings: readonly Finding[];
 }
--- a/src/plan/validate-plan.ts
+++ b/src/plan/validate-plan.ts
@@ -1,9 +1,9 @@
-/** Finds what does not fit in a plan, and what is tight. */
+/** Validation of a plan: errors for what does not fit, warnings for little spare capacity. */
 import type { Finding } from '../table/finding.js';
 import type { PlanGroup, PlanInput } from './plan-input.js';
 import type { GroupPlan, NodePlan, RoutePlan } from './plan-result.js';
 
-/** Share of a group's capacity above which queues grow long. */
+/** Utilization of a group above which queues grow long. */
 const HIGH_UTILIZATION = 0.7;
 
 const error = (place: string, problem: string, allowed?: string): Finding =>
@@ -74,7 +74,7 @@
     (grant) => grant !== undefined && grant < 1,
   );
   return small
-    ? [warning(place, 'a limit gives a node less than one; callers are best kept to few nodes')]
+    ? [warning(place, 'the grant of a node is less than one; connect the callers to fewer nodes')]
     : [];
 };
 
@@ -103,13 +103,13 @@
     ? [
         error(
           'node',
-          `its work takes ${node.busyCores.toFixed(2)} cores, and a process has one`,
+          `needs ${node.busyCores.toFixed(2)} cores, but a process uses only one`,
           `${node.processes} processes in place of each node`,
         ),
       ]
     : [];
 
-/** Lists what does not fit, errors first. */
+/** Lists the findings of a plan, errors first. */
 export const validatePlan = (
   input: PlanInput,
   groups: readonly GroupPlan[],
--- a/test/plan/create-plan.test.ts
+++ b/test/plan/create-plan.test.ts
@@ -21,8 +21,8 @@
 const places = (input: PlanInput): string[] =>
   createPlan(input).findings.map(({ severity, place }) => `${severity} ${place}`);
 
-describe('a plan', () => {
-  it('works out slots, connections, legs and messages', () => {
+describe('createPlan', () => {
+  it('calculates slots, connections, legs and messages', () => {
     const plan = createPlan(SMALL);
     expect(plan.groups).toEqual([
       {
@@ -38,29 +38,29 @@
     ]);
     expect(plan.routes).toEqual([{ name: 'page', queriesPerSecond: 100, legs: 8, concurrent: 1 }]);
     expect(plan.node).toMatchObject({ queriesPerSecond: 25, replicasFed: 2.5, legsFed: 200 });
-    // 8 legs reach 4 x (1 - 0.75^8) = 3.6 of 4 nodes, itself among them.
+    // 8 legs reach 4 x (1 - 0.75^8) = 3.6 of 4 nodes, including the node itself.
     expect(plan.node.peersOfQuery).toBeCloseTo(2.7, 2);
     expect(plan.findings).toEqual([]);
   });
 
-  it('counts extra load', () => {
+  it('includes extra load', () => {
     const plan = createPlan({ ...SMALL, extraLoad: 0.05 });
     expect(plan.groups[0]?.legsPerSecond).toBeCloseTo(840);
   });
 
   it.each<[string, Partial<PlanInput>, string[]]>([
-    ['more legs than slots can take', { queriesPerSecond: 700 }, ['error group desk']],
-    ['tight slots', { queriesPerSecond: 500 }, ['warning group desk']],
+    ['more legs than the slots can process', { queriesPerSecond: 700 }, ['error group desk']],
+    ['high utilization of the slots', { queriesPerSecond: 500 }, ['warning group desk']],
     ['fewer nodes in a zone than feeders', { nodes: 2, feedersPerReplica: 5 }, ['error zones']],
     ['zones without a node', { nodes: 1 }, ['warning zones']],
     [
-      'feeders that fill too many slots',
+      'feeders that use more slots than a replica has',
       { nodes: 40, feedersPerReplica: 10 },
       ['error group desk'],
     ],
-    ['slots that no feeder fills', { feedersPerReplica: 2 }, ['warning group desk']],
+    ['slots that no feeder uses', { feedersPerReplica: 2 }, ['warning group desk']],
     [
-      'work above one core',
+      'work that needs more than one core',
       { costs: { ...DEFAULT_PROCESSOR_COSTS, legOverHttp: 5_000 } },
       ['error node'],
     ],
@@ -75,11 +75,11 @@
       },
       ['error route page', 'error route page', 'warning route page'],
     ],
-  ])('finds %s', (_, change, expected) => {
+  ])('reports %s', (_, change, expected) => {
     expect(places({ ...SMALL, ...change })).toEqual(expected);
   });
 
-  it('reads the sizes of both deployments, and they fit', () => {
+  it('finds no problem with the sizes of both deployments', () => {
     const backends = planInputOfDeployments(deploymentsNamed('both'));
     const plan = createPlan({ ...SMALL, ...backends, nodes: 7 });
     const shares = backends.routes.reduce((sum, { share }) => sum + share, 0);
@@ -91,7 +91,7 @@
 });
 
 describe('the share of a feeder', () => {
-  it('never sums to more than the replica has while feeders do not outnumber it', () => {
+  it('sums to at most the total of the replica if there are no more feeders than units', () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 1, max: 200 }),
@@ -134,7 +134,7 @@
     expect(JSON.parse(out)).toMatchObject({ findings: [] });
   });
 
-  it('names what does not fit and exits 1', async () => {
+  it('prints what does not fit and exits 1', async () => {
     const sizes = ['--replicas', '100', '--legs', '50', '--queries-per-second', '1e5'];
     expect(await run(...sizes)).toBe(1);
     expect(out).toContain('error: group replicas: needs 5150% of the capacity');
