--- a/src/reference/commands-page.ts
+++ b/src/reference/commands-page.ts
@@ -1,4 +1,4 @@
-/** The reference of commands and their exit codes. */
+/** The reference pages of commands and exit codes. */
 import { COMMANDS } from '../cli/commands.js';
 import { EXIT_CODE_MEANINGS, ExitCode } from '../cli/exit-code.js';
 import { formatHead, formatTable, type ReferencePage } from './reference-page.js';
--- a/src/reference/list-reference-pages.ts
+++ b/src/reference/list-reference-pages.ts
@@ -1,4 +1,4 @@
-/** All generated pages of the reference. */
+/** The list of generated reference pages. */
 import { formatColumnReference } from '../table/format-column-reference.js';
 import { createCommandsPage, createExitCodesPage } from './commands-page.js';
 import { createLogsPage } from './logs-page.js';
--- a/src/reference/logs-page.ts
+++ b/src/reference/logs-page.ts
@@ -1,4 +1,4 @@
-/** The page of the gateway's log events, from their descriptions in the code. */
+/** The reference page of a gateway's log events, from their descriptions in the code. */
 import { BELIEF_DESCRIPTIONS, DECISION_DESCRIPTIONS } from '../gateway/log/log-descriptions.js';
 import { formatHead, formatTable, type ReferencePage } from './reference-page.js';
 
--- a/src/reference/metrics-page.ts
+++ b/src/reference/metrics-page.ts
@@ -1,4 +1,4 @@
-/** The reference of metrics, read from a registry as a node fills it. */
+/** The reference page of metrics, from the registry of a node and the metrics of a gateway. */
 import { createCoreState } from '../core/state.js';
 import { identifier } from '../core/identifiers.js';
 import { listMetrics } from '../gateway/metrics/gateway-metrics.js';
@@ -35,7 +35,7 @@
   logLevel: 'info',
 };
 
-/** What the registry knows of a metric beyond its public type. */
+/** Fields of a metric that the public type of the registry does not declare. */
 interface MetricDescription {
   readonly name: string;
   readonly help: string;
@@ -76,7 +76,7 @@
   description.help,
 ];
 
-/** The metrics of a gateway; what their gauges read does not matter here. */
+/** Lists the metrics of a gateway; the values of their gauges are not used. */
 const gatewayMetrics = (): readonly Metric[] => {
   const state = createGatewayState(EXAMPLE_GATEWAY, 0);
   return listMetrics(
--- a/src/reference/operator-http-page.ts
+++ b/src/reference/operator-http-page.ts
@@ -1,9 +1,11 @@
-/** The reference of the operators' HTTP, from the endpoints and the schemas of their bodies. */
+/**
+ * The reference page of the operators' HTTP, from the endpoints and the schemas of their bodies.
+ */
 import { z } from 'zod';
 import { OPERATOR_ENDPOINTS, type OperatorEndpoint } from '../operator/endpoints.js';
 import { formatHead, formatTable, type ReferencePage } from './reference-page.js';
 
-/** What is used of a JSON schema. */
+/** The subset of JSON Schema that the page uses. */
 interface JsonSchema {
   readonly type?: string | readonly string[];
   readonly const?: unknown;
--- a/src/reference/reference-page.ts
+++ b/src/reference/reference-page.ts
@@ -1,20 +1,20 @@
-/** Pages of the reference, generated from the code that uses what they describe. */
+/** Reference pages, which are generated from the code that they describe. */
 
 /** One page under `docs/reference`. */
 export interface ReferencePage {
   /** Name of the file. */
   readonly fileName: string;
-  /** Markdown, before the formatter. */
+  /** Markdown text, not yet formatted. */
   readonly text: string;
 }
 
-/** Writes the head of a page: a title and where the page comes from. */
+/** Formats the head of a page: its title and the source that it is generated from. */
 export const formatHead = (title: string, source: string): string =>
   `# ${title}\n\nGenerated from \`${source}\` by \`npm run reference\`; do not edit by hand.\n`;
 
 const escapeCell = (text: string): string => text.replaceAll('|', '\\|').replaceAll('\n', ' ');
 
-/** Writes a Markdown table. */
+/** Formats a Markdown table. */
 export const formatTable = (
   head: readonly string[],
   rows: readonly (readonly string[])[],
--- a/src/reference/settings-page.ts
+++ b/src/reference/settings-page.ts
@@ -1,4 +1,4 @@
-/** The reference of a node's settings. */
+/** The reference page of a node's settings. */
 import { NODE_SETTINGS_FIELDS, NODE_SETTINGS_SCHEMA } from '../settings/node-settings-schema.js';
 import { flagOf, SECRET_VARIABLE } from '../settings/read-node-settings.js';
 import { formatHead, formatTable, type ReferencePage } from './reference-page.js';
--- a/src/reports/charts.ts
+++ b/src/reports/charts.ts
@@ -19,7 +19,10 @@
 interface DistributionPoint {
   readonly variant: string;
   readonly kind: string;
-  /** 1 / (1 - percentile): 10 stands for p90, 100 for p99; drawn up to the number of calls. */
+  /**
+   * 1 / (1 - percentile): 10 is p90, 100 is p99. Ranks above the number of answered calls are
+   * omitted.
+   */
   readonly rank: number;
   readonly latencyMs: number;
 }
@@ -52,7 +55,7 @@
   );
 };
 
-/** Latency by percentile, one panel for each kind, one line for each variant. */
+/** Latency by percentile, with one panel per kind and one line per variant. */
 export const latencyChart = (results: readonly ScenarioResult[]): TopLevelSpec => ({
   $schema: 'https://vega.github.io/schema/vega-lite/v6.json',
   title: 'Latency by percentile (medians over seeds)',
@@ -118,18 +121,18 @@
   },
 });
 
-/** Mean coverage of each kind, one mark for each variant. */
+/** Mean coverage of each kind, with one mark per variant. */
 export const coverageChart = (results: readonly ScenarioResult[]): TopLevelSpec =>
   barChart(results, 'coverageMean', 'Coverage (median over seeds)', { zero: false });
 
-/** Extra load of each kind, one bar for each variant. */
+/** Extra load of each kind, with one bar per variant. */
 export const extraLoadChart = (results: readonly ScenarioResult[]): TopLevelSpec =>
   barChart(results, 'extraLoad', 'Extra load (median over seeds)', { zero: true });
 
-/** Time until each edit was in force everywhere; one dot for each. */
+/** Time until each edit was in force on all nodes, with one tick per edit. */
 export const inForceChart = (results: readonly ScenarioResult[]): TopLevelSpec => ({
   $schema: 'https://vega.github.io/schema/vega-lite/v6.json',
-  title: 'Time until an edit was in force everywhere',
+  title: 'Time until an edit was in force on all nodes',
   config: CONFIG,
   width: CHART_WIDTH * 2,
   data: {
--- a/src/reports/experiment-page.ts
+++ b/src/reports/experiment-page.ts
@@ -1,4 +1,4 @@
-/** The results of an experiment as one HTML page without scripts or outside parts. */
+/** The results of an experiment as one HTML page without scripts or external resources. */
 import type { ExperimentFile } from '../experiment/experiment-file.js';
 import type { ScenarioResult } from '../experiment/scenario-result.js';
 import { summarizeKinds } from '../experiment/summary.js';
@@ -33,7 +33,7 @@
 code { background: #f3f3f3; padding: 0 0.2rem; }
 `;
 
-/** Makes text safe inside HTML. */
+/** Escapes text for HTML content and attribute values. */
 export const escapeHtml = (text: string): string =>
   text
     .replaceAll('&', '&amp;')
@@ -92,7 +92,7 @@
   ].join('\n');
 };
 
-/** Builds the page. */
+/** Builds the HTML page of an experiment's results. */
 export const buildExperimentPage = async (file: ExperimentFile): Promise<string> => {
   const scenarios = [...new Set(file.results.map(({ scenario }) => scenario))];
   const sections = await Promise.all(
@@ -108,7 +108,7 @@
 <head><meta charset="utf-8"><title>crossroad experiment</title><style>${STYLE}</style></head>
 <body>
 <h1>crossroad experiment</h1>
-<p><code>crossroad ${escapeHtml(file.command)}</code><br>begun ${escapeHtml(file.startedAt)}, Node ${escapeHtml(file.nodeVersion)}. Latencies are over answered calls; figures are medians over seeds, counts are sums.</p>
+<p><code>crossroad ${escapeHtml(file.command)}</code><br>started ${escapeHtml(file.startedAt)}, Node ${escapeHtml(file.nodeVersion)}. Latencies are over answered calls; figures are medians over seeds, counts are sums.</p>
 ${sections.join('\n')}
 </body>
 </html>
--- a/src/reports/experiment-table.ts
+++ b/src/reports/experiment-table.ts
@@ -1,4 +1,4 @@
-/** Results of experiments as tables on the terminal. */
+/** Formats results of experiments as tables for a terminal. */
 import Table from 'cli-table3';
 import type { KindComparison } from '../experiment/compare-results.js';
 import type { ScenarioResult } from '../experiment/scenario-result.js';
@@ -34,7 +34,10 @@
           (missing > 0 ? `, ${missing} of ${times.length + missing} never` : ''),
       ];
 
-/** How much of what the replicas ran went into answers, for each variant over all seeds. */
+/**
+ * Describes, for each variant over all seeds, how much of the replicas' work contributed to
+ * answers.
+ */
 const describeWork = (scenario: string, results: readonly ScenarioResult[]): string[] =>
   [...new Set(results.map(({ variant }) => variant))].map((variant) => {
     const own = results.filter((result) => result.variant === variant);
@@ -67,7 +70,9 @@
   ];
 };
 
-/** One row for each kind and variant, medians over seeds; the rest in sentences below. */
+/**
+ * Formats one row per kind and variant, with medians over seeds, and a summary of each scenario.
+ */
 export const formatResults = (results: readonly ScenarioResult[]): string => {
   const table = new Table({ head: COLUMNS.map(({ title }) => title), ...PLAIN });
   table.push(...summarizeKinds(results).map(summaryRow));
@@ -98,7 +103,7 @@
   comparison.extraLoadChange.toFixed(CHANGE_DIGITS),
 ];
 
-/** One row for each kind that stands in both sets. */
+/** Formats one row per kind and variant that both sets of results contain. */
 export const formatComparison = (comparisons: readonly KindComparison[]): string => {
   const table = new Table({ head: COMPARISON_HEAD, ...PLAIN });
   table.push(...comparisons.map(comparisonRow));
--- a/src/reports/kind-table.ts
+++ b/src/reports/kind-table.ts
@@ -1,4 +1,4 @@
-/** A run's figures as a table on the terminal, one row for each kind of request. */
+/** Formats the figures of a run as a table for a terminal, with one row per kind of request. */
 import Table from 'cli-table3';
 import type { KindResult, RunResult } from '../load/run-result.js';
 
@@ -18,7 +18,7 @@
 
 const PERCENT = 100;
 
-/** A share as a percentage. */
+/** Formats a share as a percentage. */
 export const formatShare = (share: number, digits = 1): string =>
   `${(share * PERCENT).toFixed(digits)}%`;
 
--- a/src/reports/summary-columns.ts
+++ b/src/reports/summary-columns.ts
@@ -1,11 +1,11 @@
-/** The columns in which experiments show their figures, on the page and on the terminal. */
+/** The columns of experiment figures, on the HTML page and on the terminal. */
 import type { KindSummary } from '../experiment/summary.js';
 import { formatShare } from './kind-table.js';
 
-/** Digits after the point of a percentage. */
+/** Decimal places of a percentage. */
 const SHARE_DIGITS = 2;
 
-/** One column: its title, and how it shows a summary. */
+/** A column: its title and the format of its value. */
 export interface SummaryColumn {
   readonly title: string;
   readonly format: (summary: KindSummary) => string;
@@ -13,11 +13,11 @@
 
 const formatMs = (ms: number): string => ms.toFixed(1);
 
-/** The kind's partner, route and name. */
+/** Formats the partner, route and name of a kind. */
 export const formatKindName = ({ partner, route, kind }: KindSummary): string =>
   `${partner} ${route}/${kind}`;
 
-/** Columns on the calls and on the latency of most of them. */
+/** Columns of the number of calls and their latency up to p99. */
 export const LATENCY_COLUMNS: readonly SummaryColumn[] = [
   { title: 'variant', format: ({ variant }) => variant },
   { title: 'calls', format: ({ calls }) => String(calls) },
@@ -25,19 +25,19 @@
   { title: 'p99 ms', format: ({ p99Ms }) => formatMs(p99Ms) },
 ];
 
-/** Columns on the slowest calls, over all seeds. */
+/** Columns of the slowest calls, over all seeds. */
 export const TAIL_COLUMNS: readonly SummaryColumn[] = [
   { title: 'p99.9 ms', format: ({ p999Ms }) => formatMs(p999Ms) },
   { title: 'worst ms', format: ({ worstMs }) => formatMs(worstMs) },
 ];
 
-/** The worst 99th percentile of any seed. */
+/** Column of the highest 99th percentile of any seed. */
 export const WORST_P99_COLUMN: SummaryColumn = {
   title: 'worst p99',
   format: ({ worstP99Ms }) => formatMs(worstP99Ms),
 };
 
-/** Columns on how calls ended, and on what they cost. */
+/** Columns of the outcomes of calls and of their extra load. */
 export const OUTCOME_COLUMNS: readonly SummaryColumn[] = [
   { title: 'coverage', format: ({ coverageMean }) => coverageMean.toFixed(4) },
   { title: 'whole', format: ({ wholeShare }) => formatShare(wholeShare, SHARE_DIGITS) },
--- a/test/reports/experiment.test.ts
+++ b/test/reports/experiment.test.ts
@@ -59,7 +59,7 @@
 ]);
 
 describe('scenario files', () => {
-  it('are all well-formed and named as their file', async () => {
+  it('are all valid and have unique names', async () => {
     const scenarios = (await readScenarios('scenarios')).unsafeCoerce();
     expect(scenarios.length).toBeGreaterThan(20);
     expect(new Set(scenarios.map(({ name }) => name)).size).toBe(scenarios.length);
@@ -67,7 +67,7 @@
     expect(paused && stepsNotForReal(paused)).toEqual(['pause', 'pause', 'resume', 'resume']);
   });
 
-  it('name every wrong field with its line', () => {
+  it('report every invalid field with its line', () => {
     const text = `name: wrong
 title: t
 partners: [ensemble]
@@ -93,7 +93,7 @@
 });
 
 describe('results of experiments', () => {
-  it('run the variants of a seed next to each other', async () => {
+  it('run the variants of a seed one after the other', async () => {
     const scenarios = (await readScenarios('scenarios')).unsafeCoerce().slice(0, 1);
     const runs = listRuns({ scenarios, variants: ['random', 'default'], seeds: [4, 5] });
     expect(runs.map(({ seed, variant }) => `${seed} ${variant}`)).toEqual([
@@ -104,10 +104,10 @@
     ]);
   });
 
-  it('are summed up as medians and worst over seeds', () => {
-    const [ours, random] = summarizeKinds(RESULTS);
-    expect(ours).toMatchObject({ variant: 'default', seeds: 3, calls: 300, p99Ms: 20 });
-    expect(ours).toMatchObject({ worstP99Ms: 30, worstMs: 90, notRun: 3 });
+  it('are summarized as medians and worst values over seeds', () => {
+    const [byDefault, random] = summarizeKinds(RESULTS);
+    expect(byDefault).toMatchObject({ variant: 'default', seeds: 3, calls: 300, p99Ms: 20 });
+    expect(byDefault).toMatchObject({ worstP99Ms: 30, worstMs: 90, notRun: 3 });
     expect(random).toMatchObject({ variant: 'random', p99Ms: 200 });
     const text = formatResults(RESULTS);
     expect(text).toContain('edits in force: median 30 ms, worst 30 ms, 6 of 12 never');
@@ -122,7 +122,7 @@
     expect(formatComparison(comparison === undefined ? [] : [comparison])).toContain('x 0.50');
   });
 
-  it('become a page with drawn charts and no scripts', async () => {
+  it('become a page with rendered charts and without scripts', async () => {
     const page = await buildExperimentPage({
       format: EXPERIMENT_FORMAT,
       command: 'experiment run <straggler>',
--- a/test/reports/real-experiment.test.ts
+++ b/test/reports/real-experiment.test.ts
@@ -6,7 +6,7 @@
 const SCENARIO = parseScenario(
   'test.yaml',
   `name: test
-title: Something of everything
+title: One step of each kind
 partners: [tawe]
 warmUpMs: 100
 durationMs: 1900
@@ -24,7 +24,7 @@
 ).unsafeCoerce();
 
 describe('an experiment on real sockets', () => {
-  it('does the steps of its scenario and breaks no promise', async () => {
+  it('runs the steps of its scenario without violations', async () => {
     const result = await runRealScenario({ scenario: SCENARIO, variant: 'default', seed: 1 });
     expect(result.run.violations).toEqual([]);
     expect(result.driver).toBe('real');
@@ -54,7 +54,7 @@
       .map(({ replica }) => replica)
       .join('');
 
-  it('narrow the choice by each field they have', () => {
+  it('restrict the selection by each of their fields', () => {
     expect(chosen({})).toBe('abcd');
     expect(chosen({ firstOfService: 1 })).toBe('acd');
     expect(chosen({ group: 'quote-builder' })).toBe('abc');
--- a/test/reports/simulated-experiment.test.ts
+++ b/test/reports/simulated-experiment.test.ts
@@ -31,7 +31,7 @@
   results.map((result) => ({ ...result, tookMs: 0 }));
 
 describe('an experiment in simulation', () => {
-  it('gives the same figures again, and others for another variant', async () => {
+  it('has the same figures in a repeated run, and other figures for another variant', async () => {
     const results = await run();
     expect(results.map(({ variant }) => variant)).toEqual(['default', 'random']);
     expect(results.flatMap(({ run: { violations } }) => violations)).toEqual([]);
