--- a/test/browser/edit.browser.ts
+++ b/test/browser/edit.browser.ts
@@ -1,4 +1,4 @@
-/** Operators edit the table in a browser, against a whole tier on loopback. */
+/** Tests of the operators' web page in a browser, with a whole tier on loopback. */
 import { chromium, type Browser, type Locator, type Page } from 'playwright-core';
 import { afterAll, afterEach, beforeAll, beforeEach, describe, expect, it } from 'vitest';
 import { LocalTier, placesInZones } from '../../src/demo/local-tier.js';
@@ -21,11 +21,12 @@
 
 const FOCUS_TIMEOUT_MS = 30_000;
 
-const DESK = { width: 1_400, height: 900 };
+const DESKTOP = { width: 1_400, height: 900 };
 const PHONE = { width: 390, height: 844 };
 
-/** How far a page can be scrolled sideways, in pixels. */
-const SIDEWAYS = 'document.documentElement.scrollWidth - document.documentElement.clientWidth';
+/** Expression for the horizontal overflow of a page, in pixels. */
+const HORIZONTAL_OVERFLOW =
+  'document.documentElement.scrollWidth - document.documentElement.clientWidth';
 
 let tier: LocalTier;
 let browser: Browser;
@@ -51,12 +52,12 @@
   return focused === (await cell.getAttribute('id'));
 };
 
-/** Waits for the focus as a person does, who types only once the cursor stands in the field. */
+/** Waits until the field has the focus; keys that are typed earlier would be lost. */
 const waitForFocus = async (field: Locator): Promise<void> => {
   await expect.poll(() => isFocused(field), { timeout: FOCUS_TIMEOUT_MS }).toBe(true);
 };
 
-const openPage = async (viewport: typeof DESK): Promise<void> => {
+const openPage = async (viewport: typeof DESKTOP): Promise<void> => {
   const context = await browser.newContext({ viewport });
   page = await context.newPage();
   problems = [];
@@ -78,7 +79,7 @@
   await tier.close();
 });
 
-beforeEach(() => openPage(DESK));
+beforeEach(() => openPage(DESKTOP));
 
 afterEach(async () => {
   await page.context().close();
@@ -86,7 +87,7 @@
 });
 
 describe('an operator in a browser', () => {
-  it('edits an own row at one node and sees it in force at all', async () => {
+  it('edits a row of the own partner at one node and sees it in force on all nodes', async () => {
     await signIn(0);
     await page.getByLabel('Weight of hall-swap/top').fill('7.5');
     await save('late hall swaps');
@@ -99,7 +100,7 @@
     expect(await newest.innerText()).toMatch(/demo-operator\s+late hall swaps\s+hall-swap\/top/);
   });
 
-  it('sees findings at the cells, corrects them and saves', async () => {
+  it('sees findings at their cells, corrects them and saves', async () => {
     await signIn(0);
     await page.getByLabel('Deadline (ms) of booking/book').fill('soon');
     await page.getByLabel('Coverage of booking/book').fill('1.5');
@@ -115,7 +116,7 @@
     await page.getByRole('heading', { name: 'Saved' }).waitFor();
   });
 
-  it('is told of a conflict with both values, and chooses', async () => {
+  it('sees both values of a conflict and chooses one', async () => {
     await signIn(0);
     await page.getByLabel('Weight of payroll/total').fill('0.7');
     const other = await page.context().newPage();
@@ -133,7 +134,7 @@
     await page.getByRole('heading', { name: 'Saved' }).waitFor();
   });
 
-  it('needs no mouse', async () => {
+  it('can edit with the keyboard only', async () => {
     await page.goto(`${urlOf(2)}/`);
     await waitForFocus(page.getByLabel('Operator key'));
     await page.keyboard.type(demoSecret(TAWE, 'operator'));
@@ -160,20 +161,20 @@
     await page.getByRole('heading', { name: 'Saved' }).waitFor();
     await page.getByText('known to be in force on 3 of 3 live nodes').waitFor();
     await page.context().close();
-    await openPage(DESK);
+    await openPage(DESKTOP);
     await signIn(1, TAWE);
     await page.goto(`${urlOf(1)}/history?partner=ensemble`);
     expect(await page.getByText(script).count()).toBe(1);
     expect(await page.locator('main img, main script').count()).toBe(0);
   });
 
-  it('reads every page on a phone without scrolling sideways', async () => {
+  it('can read every page on a phone without horizontal scrolling', async () => {
     await page.context().close();
     await openPage(PHONE);
     await signIn(0);
     for (const path of ['/table', '/history', '/agreement', '/in-force', '/figures']) {
       await page.goto(`${urlOf(0)}${path}`);
-      const overflow = await page.evaluate(SIDEWAYS);
+      const overflow = await page.evaluate(HORIZONTAL_OVERFLOW);
       expect([path, overflow]).toEqual([path, 0]);
     }
   });
--- a/test/docs/commands.test.ts
+++ b/test/docs/commands.test.ts
@@ -10,16 +10,16 @@
 
 const ROOT = fileURLToPath(new URL('../..', import.meta.url));
 
-/** How many argument lists have passed the specification of their command. */
+/** Number of argument lists that were accepted by the option specification of their command. */
 const parsed = vi.hoisted(() => ({ count: 0 }));
 
-// The commands read their arguments by their own specifications, and are stopped right after.
+// The commands parse their arguments by their own specifications; the mock then stops them.
 vi.mock('node:util', async (importOriginal) => {
   const original = await importOriginal<typeof util>();
   const parseArgs = (config: Parameters<typeof original.parseArgs>[0]): never => {
     original.parseArgs(config);
     parsed.count += 1;
-    throw new Error('stopped after its arguments were read');
+    throw new Error('stopped after its arguments were parsed');
   };
   return { ...original, parseArgs };
 });
@@ -32,7 +32,7 @@
 const listOf = (page: string): Invocation[] =>
   listInvocations(readFileSync(join(ROOT, page), 'utf8'));
 
-/** Whether the command line takes `words`: its subcommand, its action and all flags. */
+/** Whether the command line accepts `words`: the subcommand, the action and all flags. */
 const isAccepted = async ({ words, whole }: Invocation): Promise<boolean> => {
   const [name, ...rest] = words;
   if (!COMMANDS.some((command) => command.name === name)) {
@@ -58,18 +58,18 @@
 
 vi.spyOn(process.stderr, 'write').mockImplementation(() => true);
 
-describe('the commands of the documents', () => {
+describe('the commands in the documentation', () => {
   it.each(PAGES)('are accepted by the command line: %s', async (page) => {
     expect(await findRefused(listOf(page))).toEqual([]);
   });
 
-  it('are found: the walk of the README and the pages by task', () => {
+  it('are found in the README and in the pages on operations', () => {
     const names = new Set(PAGES.flatMap(listOf).map(({ words }) => words[0]));
     expect([...names]).toEqual(expect.arrayContaining(['platform', 'node', 'table', 'key']));
     expect(PAGES.flatMap(listOf).length).toBeGreaterThan(30);
   });
 
-  it('are refused when the subcommand, the action or a flag does not exist', async () => {
+  it('are reported if the subcommand, the action or a flag does not exist', async () => {
     const page = [
       '    crossroad tables show',
       '    crossroad table list',
--- a/test/docs/documented-commands.ts
+++ b/test/docs/documented-commands.ts
@@ -1,19 +1,19 @@
-/** Finds the invocations of `crossroad` in the documents, as a shell would read them. */
+/** Finds invocations of `crossroad` in Markdown documents and parses them as a shell does. */
 
-/** An invocation of the command line in a document. */
+/** An invocation of `crossroad` in a document. */
 export interface Invocation {
-  /** The words after `crossroad`, without quotes. */
+  /** The arguments of `crossroad`, without quotes. */
   readonly words: readonly string[];
-  /** True for one in a block of code, which can be run as it stands. */
+  /** True for an invocation in a code block, which can be run unchanged. */
   readonly whole: boolean;
 }
 
-/** Ends a command in a shell. */
+/** Matches an operator that ends a command in a shell. */
 const COMMAND_END = /^(?:[|;&>#]|\d>)/;
-/** Stands for more arguments in a document, or for the value of a flag. */
+/** Placeholder for further arguments or for the value of a flag. */
 const ELLIPSIS = '…';
 
-/** Splits a command as a shell does; quotes are taken off, and it ends at a pipe or the like. */
+/** Splits a command as a shell does: removes quotes, and stops at a pipe or another operator. */
 const splitWords = (command: string): string[] => {
   const words: string[] = [];
   for (const [word] of command.matchAll(/(?:'[^']*'|"[^"]*"|[^\s'"])+/g)) {
@@ -25,7 +25,7 @@
   return words.filter((word, index) => word !== ELLIPSIS || words[index - 1]?.startsWith('--'));
 };
 
-/** Blocks of code: indented lines or fences, with continued lines joined. */
+/** Lists the lines of code blocks, indented or fenced, with continuation lines joined. */
 export const listCodeLines = (text: string): string[] => {
   const lines: string[] = [];
   let fenced = false;
@@ -46,7 +46,7 @@
   return found === undefined ? [] : [{ words: splitWords(found), whole }];
 };
 
-/** All invocations of a document. */
+/** Lists all invocations in a document. */
 export const listInvocations = (text: string): Invocation[] => [
   ...listCodeLines(text).flatMap((line) => readInvocation(line, true)),
   ...listInline(text).flatMap((command) => readInvocation(command, false)),
--- a/test/docs/import-cycles.test.ts
+++ b/test/docs/import-cycles.test.ts
@@ -4,8 +4,8 @@
 
 const ROOTS = ['src', 'platform'];
 
-/** Circles that are left from earlier; none may be added and none may grow. */
-const KNOWN_CIRCLES: readonly (readonly [folder: string, files: number])[] = [
+/** Existing cycles, as folders and most files; no cycle may be added or grow. */
+const KNOWN_CYCLES: readonly (readonly [folder: string, files: number])[] = [
   ['src/core/replica', 3],
   ['src/simulation', 4],
   ['src/core/admission', 8],
@@ -47,42 +47,42 @@
   return reached;
 };
 
-/** Files that import each other over any number of steps, each circle once. */
-const findCircles = (graph: Graph): readonly (readonly string[])[] => {
+/** Finds the groups of files that import each other directly or indirectly, each once. */
+const findCycles = (graph: Graph): readonly (readonly string[])[] => {
   const reach = new Map([...graph.keys()].map((file) => [file, reachableFrom(graph, file)]));
   const seen = new Set<string>();
-  const circles: string[][] = [];
+  const cycles: string[][] = [];
   for (const [file, reached] of reach) {
     if (seen.has(file) || !reached.has(file)) {
       continue;
     }
-    const circle = [...reached].filter((other) => reach.get(other)?.has(file));
-    circle.forEach((member) => seen.add(member));
-    circles.push(circle.sort());
+    const cycle = [...reached].filter((other) => reach.get(other)?.has(file));
+    cycle.forEach((member) => seen.add(member));
+    cycles.push(cycle.sort());
   }
-  return circles;
+  return cycles;
 };
 
-const isKnown = (circle: readonly string[]): boolean =>
-  KNOWN_CIRCLES.some(
+const isKnown = (cycle: readonly string[]): boolean =>
+  KNOWN_CYCLES.some(
     ([folder, files]) =>
-      circle.length <= files && circle.every((file) => !relative(folder, file).startsWith('..')),
+      cycle.length <= files && cycle.every((file) => !relative(folder, file).startsWith('..')),
   );
 
 describe('imports', () => {
-  it('form no circles but those that are known, which do not grow', () => {
-    const circles = findCircles(readGraph());
-    expect(circles.filter((circle) => !isKnown(circle))).toEqual([]);
-    expect(circles.length).toBeLessThanOrEqual(KNOWN_CIRCLES.length);
+  it('form no cycles except the known ones, which do not grow', () => {
+    const cycles = findCycles(readGraph());
+    expect(cycles.filter((cycle) => !isKnown(cycle))).toEqual([]);
+    expect(cycles.length).toBeLessThanOrEqual(KNOWN_CYCLES.length);
   }, 20_000);
 
-  it('of a circle are found', () => {
+  it('that form a cycle are detected', () => {
     const graph = new Map([
       ['a', ['b']],
       ['b', ['c']],
       ['c', ['a', 'd']],
       ['d', []],
     ]);
-    expect(findCircles(graph)).toEqual([['a', 'b', 'c']]);
+    expect(findCycles(graph)).toEqual([['a', 'b', 'c']]);
   });
 });
--- a/test/docs/links.test.ts
+++ b/test/docs/links.test.ts
@@ -12,7 +12,7 @@
     .map((file) => join('docs', file)),
 ];
 
-/** Places that a page links to, relative to the root; addresses with a scheme lead elsewhere. */
+/** Lists the link targets of a page, relative to the root, without URLs that have a scheme. */
 const listLinks = (page: string, text: string): string[] =>
   [...text.matchAll(/\]\(([^)\s]+)(?:\s+"[^"]*")?\)|^\[[^\]]+\]:\s+(\S+)/gm)]
     .map(([, inline, reference]) => inline ?? reference ?? '')
@@ -21,24 +21,24 @@
     .filter((target) => target !== '')
     .map((target) => join(dirname(page), target));
 
-/** Paths from the root in backticks; what follows a space is an argument of a command. */
+/** Lists the paths in backticks, relative to the root; text after a space is an argument. */
 const listNamedPaths = (text: string): string[] =>
   [...text.matchAll(/`((?:src|docs|spec|scenarios)\/[^`\s]*)[^`]*`/g)].map(
     ([, path]) => path ?? '',
   );
 
-/** What a page leads to and is not there. */
+/** Finds the links and paths of a page that do not exist. */
 const findBroken = (page: string, text: string): string[] =>
   [...listLinks(page, text), ...listNamedPaths(text)].filter(
     (path) => !existsSync(join(ROOT, path)),
   );
 
-describe('the links of the documents', () => {
-  it.each(listPages())('lead to what exists: %s', (page) => {
+describe('links in the documentation', () => {
+  it.each(listPages())('have existing targets: %s', (page) => {
     expect(findBroken(page, readFileSync(join(ROOT, page), 'utf8'))).toEqual([]);
   });
 
-  it('are found when they are broken', () => {
+  it('are reported when their targets do not exist', () => {
     const text = [
       'See [one](no-page.md#part), [two](../README.md "Start"), [three](https://example.org/x).',
       '`src/no-file.ts` and `src/main.ts`, `scenarios/no-scenario.json --seeds 3`.',
--- a/test/docs/walk.test.ts
+++ b/test/docs/walk.test.ts
@@ -1,4 +1,6 @@
-/** The walk of the README from an empty table to the first query, command by command. */
+/**
+ * Runs the walkthrough of the README, from an empty table to the first query, command by command.
+ */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { readFileSync } from 'node:fs';
@@ -11,49 +13,53 @@
 
 const ROOT = fileURLToPath(new URL('../..', import.meta.url));
 const HEADING = '## From an empty table to the first query';
-/** Ports of the replicas of both deployments. */
+/** Number of ports for the replicas of both deployments. */
 const REPLICA_PORTS = 108;
 
-/** Another program may take a port of the replicas' row before they do; then other ports are tried. */
-const PORT_TRIES = 10;
-const TEST_LIMIT_MS = 120_000;
+/**
+ * Most attempts to find free ports; another program may bind one of them before the replicas do.
+ */
+const PORT_ATTEMPTS = 10;
+const TEST_TIMEOUT_MS = 120_000;
 
-/** The commands of the walk as they stand in the README. */
-const readWalk = (): string[] => {
+/** Reads the commands of the walkthrough from the README. */
+const readWalkthrough = (): string[] => {
   const text = readFileSync(join(ROOT, 'README.md'), 'utf8');
   const section = text.slice(text.indexOf(HEADING) + HEADING.length);
   return listCodeLines(section.slice(0, section.indexOf('\n## ')));
 };
 
-/** Commands print for people, also when a test has started them. */
+/**
+ * The environment without the variables that identify a test run, so commands print as for users.
+ */
 const ENVIRONMENT = { ...process.env, NODE_ENV: '', TEST: '', VITEST: '', CI: '' };
 
 const started: ChildProcess[] = [];
 let source: CompiledSource;
 
-/** Runs a line of the README in a shell, from the root, as it stands there. */
+/** Runs a line of the README unchanged in a shell, in the root folder. */
 const runLine = (line: string): ChildProcess => {
   const script = `crossroad() { "${process.execPath}" "${source.main}" "$@"; }\n${line}`;
   return spawn('sh', ['-c', script], { cwd: ROOT, env: ENVIRONMENT });
 };
 
-/** Starts a command that runs until it is stopped; resolves with what `ready` finds in its output. */
+/** Starts a long-running command; resolves with the first match of `ready` in its output. */
 const startUntil = (line: string, ready: RegExp): Promise<RegExpExecArray> => {
-  // `exec` makes the command itself the child, so that it can be ended by its id.
+  // With `exec` the command itself is the child process, so it can be terminated by its process id.
   const command = line.replace(/^crossroad/, `exec "${process.execPath}" "${source.main}"`);
   const child = spawn('sh', ['-c', command], { cwd: ROOT, env: ENVIRONMENT });
   started.push(child);
   return new Promise((resolve, reject) => {
     let printed = '';
-    const take = (chunk: Buffer): void => {
+    const appendOutput = (chunk: Buffer): void => {
       printed += chunk.toString();
       const found = ready.exec(printed);
       if (found !== null) {
         resolve(found);
       }
     };
-    child.stdout.on('data', take);
-    child.stderr.on('data', take);
+    child.stdout.on('data', appendOutput);
+    child.stderr.on('data', appendOutput);
     child.once('exit', () => reject(new Error(`${line} ended: ${printed}`)));
   });
 };
@@ -73,7 +79,7 @@
   return { code, out, errors };
 };
 
-/** Starts the replicas on a row of ports that nobody else uses; gives the first. */
+/** Starts the replicas on a row of free ports; resolves with the first port. */
 const startReplicas = async (line: string): Promise<number> => {
   for (let attempt = 1; ; attempt += 1) {
     const first = await findPortRow(REPLICA_PORTS);
@@ -81,7 +87,7 @@
       await startUntil(`${line} --first-port ${first}`, /Serving \d+ replicas/);
       return first;
     } catch (error) {
-      if (attempt === PORT_TRIES) {
+      if (attempt === PORT_ATTEMPTS) {
         throw error;
       }
     }
@@ -119,11 +125,11 @@
   await source.remove();
 });
 
-describe('the walk of the README', () => {
+describe('the walkthrough of the README', () => {
   it(
-    'goes from an empty table to the first query in five commands',
+    'gets from an empty table to the first query in five commands',
     async () => {
-      const lines = readWalk();
+      const lines = readWalkthrough();
       expect(lines).toHaveLength(5);
       const ports = await startAll(lines);
       const [, , , set = '', query = ''] = lines;
@@ -136,6 +142,6 @@
       expect(answer.items).toHaveLength(2);
       expect(answer.coverage).toBe(1);
     },
-    TEST_LIMIT_MS,
+    TEST_TIMEOUT_MS,
   );
 });
