--- a/src/operator/page/agreement-page.ts
+++ b/src/operator/page/agreement-page.ts
@@ -23,7 +23,7 @@
 type Proposal = AgreementBody['proposals'][number];
 
 /** Name of the form field with a partner's share, in percent. */
-export const shareField = (partner: string): string => `share.${partner}`;
+export const shareFieldName = (partner: string): string => `share.${partner}`;
 
 const renderShares = (shares: readonly PoolShare[]): Markup => html`
   <ul class="shares">
@@ -73,7 +73,7 @@
   <label for="share-${partner}">${partner} (%)</label>
   <input
     id="share-${partner}"
-    name="${shareField(partner)}"
+    name="${shareFieldName(partner)}"
     class="number"
     inputmode="decimal"
     required
--- a/src/operator/page/agreement-routes.ts
+++ b/src/operator/page/agreement-routes.ts
@@ -5,7 +5,7 @@
 import { EDIT_OUTCOME_STATUS } from '../../operator-protocol/edit-outcome-body.js';
 import type { Finding } from '../../table/finding.js';
 import { listPartners, readAgreement } from '../read-table.js';
-import { renderAgreementPage, shareField } from './agreement-page.js';
+import { renderAgreementPage, shareFieldName } from './agreement-page.js';
 import { newEditId } from './new-edit-id.js';
 import { renderNotApplied } from './outcome-page.js';
 import {
@@ -73,7 +73,7 @@
 
 const readShares = (services: PageServices, fields: URLSearchParams): unknown =>
   listPartners(services.context.state()).map((partner) => {
-    const text = (fields.get(shareField(partner)) ?? '').trim();
+    const text = (fields.get(shareFieldName(partner)) ?? '').trim();
     return { partner, share: text === '' ? Number.NaN : Number(text) / PERCENT };
   });
 
--- a/src/operator/page/in-force-page.ts
+++ b/src/operator/page/in-force-page.ts
@@ -7,7 +7,7 @@
 import { countWord, type Markup } from './markup.js';
 import { renderNodeList } from './node-list.js';
 
-/** Most replicas and limits listed; further replicas are only counted. */
+/** Most replicas and most limits listed; of further replicas, only the number is shown. */
 const LISTED_LIMIT = 200;
 
 const renderObject = (object: StatusBody['objects'][number]): Markup =>
--- a/src/operator/page/submit-form.ts
+++ b/src/operator/page/submit-form.ts
@@ -83,7 +83,7 @@
   }
 };
 
-const respondBusy = ({ services, call, path, returnPath }: FormPage): PageResponse => {
+const respondWithBusyPage = ({ services, call, path, returnPath }: FormPage): PageResponse => {
   const session = call.get('session');
   const shown = { session, returnPath, revisions: readRevisions(services.context.state()) };
   const body = renderNotApplied(shown, BUSY_MESSAGE);
@@ -105,6 +105,6 @@
     case 'not-own':
       return page.respondWithFindings(submission.findings, NOT_OWN_STATUS);
     case 'busy':
-      return respondBusy(page);
+      return respondWithBusyPage(page);
   }
 };
--- a/src/operator/session/sessions.ts
+++ b/src/operator/session/sessions.ts
@@ -64,7 +64,7 @@
   }
 };
 
-/** Creates the sessions of an operator port. */
+/** Creates the session service of an operator port. */
 export const createSessions = (context: OperatorContext): Sessions => {
   const { sessionSecret } = context;
 
--- a/test/browser/edit.browser.ts
+++ b/test/browser/edit.browser.ts
@@ -52,7 +52,7 @@
   return focused === (await cell.getAttribute('id'));
 };
 
-/** Waits until the field has the focus; keys that are typed earlier would be lost. */
+/** Waits until the field has the focus, as a user does before typing. */
 const waitForFocus = async (field: Locator): Promise<void> => {
   await expect.poll(() => isFocused(field), { timeout: FOCUS_TIMEOUT_MS }).toBe(true);
 };
--- a/test/docs/import-cycles.test.ts
+++ b/test/docs/import-cycles.test.ts
@@ -4,7 +4,7 @@
 
 const ROOTS = ['src', 'platform'];
 
-/** Existing cycles, as folders and most files; no cycle may be added or grow. */
+/** Existing cycles, each with its folder and its number of files; none may be added or grow. */
 const KNOWN_CYCLES: readonly (readonly [folder: string, files: number])[] = [
   ['src/core/replica', 3],
   ['src/simulation', 4],
--- a/test/operator/health.test.ts
+++ b/test/operator/health.test.ts
@@ -56,7 +56,7 @@
 });
 
 describe('metrics', () => {
-  it('contains the current value of each counter of the core', async () => {
+  it('contain the current value of each counter of the core', async () => {
     const fixture = createOperatorFixture();
     COUNTER_NAMES.forEach((name, index) => {
       fixture.state.counters[name] = index + 1;
@@ -70,7 +70,7 @@
     expect(lines).toContain('crossroad_members{state="alive"} 1');
   });
 
-  it('records answers with the labels of their row', async () => {
+  it('record answers with the labels of their row', async () => {
     const fixture = createOperatorFixture();
     const { answers } = fixture.context.metrics;
     answers.recordAnswer(query('season-roster'), answered(4), 12);
@@ -83,7 +83,7 @@
     expect(text).not.toContain('no-such-route');
   });
 
-  it('limits the rows with figures and the rows with a separate series', async () => {
+  it('limit the rows with figures and the rows with a separate series', async () => {
     const fixture = createOperatorFixture();
     const { answers } = fixture.context.metrics;
     for (let row = 0; row < RECORDED_ROW_LIMIT + 50; row += 1) {
@@ -100,7 +100,7 @@
     ]);
   });
 
-  it('contains figures of the last minute and drops older ones', () => {
+  it('contain figures of the last minute, without older ones', () => {
     const fixture = createOperatorFixture();
     const { answers } = fixture.context.metrics;
     answers.recordAnswer(query('season-roster'), answered(4), 10);
--- a/test/reports/experiment.test.ts
+++ b/test/reports/experiment.test.ts
@@ -93,7 +93,7 @@
 });
 
 describe('results of experiments', () => {
-  it('run the variants of a seed one after the other', async () => {
+  it('come from runs ordered by seed, then by variant', async () => {
     const scenarios = (await readScenarios('scenarios')).unsafeCoerce().slice(0, 1);
     const runs = listRuns({ scenarios, variants: ['random', 'default'], seeds: [4, 5] });
     expect(runs.map(({ seed, variant }) => `${seed} ${variant}`)).toEqual([
