--- a/src/cli/operator/operator-client.ts
+++ b/src/cli/operator/operator-client.ts
@@ -1,11 +1,11 @@
-/** Speaks with the operator port of a node. */
+/** HTTP client for the operator port of a node. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { Left, Right, type Either } from 'purify-ts';
 import { request } from 'undici';
 import { z } from 'zod';
 import { editOutcomeBodySchema } from '../../operator-protocol/edit-outcome-body.js';
 import type { EditBody } from '../../operator-protocol/edit-body.js';
-import { findingSchema } from '../../operator-protocol/shapes.js';
+import { findingSchema } from '../../operator-protocol/shared-schemas.js';
 import { revisionsBodySchema, statusBodySchema } from '../../operator-protocol/status-body.js';
 import { historyBodySchema, tableBodySchema } from '../../operator-protocol/table-body.js';
 import type { RevisionsBody, StatusBody } from '../../operator-protocol/status-body.js';
@@ -13,28 +13,28 @@
 import type { EditOutcome } from '../../table/edit.js';
 import type { Finding } from '../../table/finding.js';
 
-/** Longest wait for an answer, in milliseconds; longer than a node works on an edit. */
+/** Timeout of a request, in milliseconds; longer than a node works on an edit. */
 const ANSWER_TIMEOUT_MS = 30_000;
-/** How long an edit of unknown outcome is sent again before the client gives up, in milliseconds. */
-export const RESEND_FOR_MS = 60_000;
-/** How long a node that is starting is asked for the table again, in milliseconds. */
-const STARTING_LIMIT_MS = 15_000;
-/** Wait before it is asked again, in milliseconds. */
-const STARTING_WAIT_MS = 200;
-/** Status of a node that holds no keys yet. */
+/** For how long an edit of unknown outcome is sent again, in milliseconds. */
+export const RESEND_TIMEOUT_MS = 60_000;
+/** For how long requests to a starting node are repeated, in milliseconds. */
+const STARTING_TIMEOUT_MS = 15_000;
+/** Time between two requests to a starting node, in milliseconds. */
+const STARTING_RETRY_INTERVAL_MS = 200;
+/** HTTP status from a starting node, which holds no keys yet. */
 const STARTING_STATUS = 503;
-/** Longest wait before an edit is sent again, in milliseconds. */
+/** Maximum delay before an edit is sent again, in milliseconds. */
 const RESEND_WAIT_MS = 2_000;
 
-/** Why a node gave no answer that can be used. */
+/** An error response of a node, or the failure to get a response. */
 export interface ClientProblem {
   readonly problem: string;
   readonly findings: readonly Finding[];
-  /** True when the node may be asked again. */
-  readonly passing: boolean;
+  /** Whether the request may succeed if it is repeated. */
+  readonly isRetryable: boolean;
 }
 
-/** Where the operator port is and with which key it is asked. */
+/** The operator port of a node and the key for its requests. */
 export interface OperatorTarget {
   /** Base URL of the operator port. */
   readonly url: string;
@@ -51,8 +51,8 @@
   findings: z.array(findingSchema).exactOptional(),
 });
 
-const lost = (problem: string): Either<ClientProblem, never> =>
-  Left({ problem, findings: [], passing: true });
+const retryableProblem = (problem: string): Either<ClientProblem, never> =>
+  Left({ problem, findings: [], isRetryable: true });
 
 const describeError = (error: unknown): string => {
   if (error instanceof AggregateError && error.errors.length > 0) {
@@ -80,16 +80,16 @@
     });
     return Right({ status: answer.statusCode, body: await answer.body.json() });
   } catch (error) {
-    return lost(`${target.url} gave no answer: ${describeError(error)}`);
+    return retryableProblem(`no answer from ${target.url}: ${describeError(error)}`);
   }
 };
 
-const explainRefusal = ({ status, body }: RawAnswer, url: string): ClientProblem => {
+const readProblem = ({ status, body }: RawAnswer, url: string): ClientProblem => {
   const read = problemSchema.safeParse(body);
   return {
     problem: read.success ? read.data.detail : `${url} answered with status ${status}`,
     findings: read.success ? (read.data.findings ?? []) : [],
-    passing: status >= 500,
+    isRetryable: status >= 500,
   };
 };
 
@@ -99,7 +99,7 @@
   url: string,
 ): Either<ClientProblem, Body> => {
   const read = schema.safeParse(answer.body);
-  return read.success ? Right(read.data) : Left(explainRefusal(answer, url));
+  return read.success ? Right(read.data) : Left(readProblem(answer, url));
 };
 
 const get = async <Body>(
@@ -109,25 +109,25 @@
 ): Promise<Either<ClientProblem, Body>> =>
   (await send(target, 'GET', path)).chain((answer) => readAnswer(schema, answer, target.url));
 
-/** Asks a node that has just begun until it holds what is in force, or for a while. */
-const sendWhileStarting = async (
+/** Sends a request; repeats it while the node is starting, up to `STARTING_TIMEOUT_MS`. */
+const sendUntilStarted = async (
   target: OperatorTarget,
   path: string,
 ): Promise<Either<ClientProblem, RawAnswer>> => {
-  const until = Date.now() + STARTING_LIMIT_MS;
+  const until = Date.now() + STARTING_TIMEOUT_MS;
   for (;;) {
     const answer = await send(target, 'GET', path);
     const isStarting = answer.map(({ status }) => status === STARTING_STATUS).orDefault(false);
-    if (!isStarting || Date.now() + STARTING_WAIT_MS > until) {
+    if (!isStarting || Date.now() + STARTING_RETRY_INTERVAL_MS > until) {
       return answer;
     }
-    await delay(STARTING_WAIT_MS);
+    await delay(STARTING_RETRY_INTERVAL_MS);
   }
 };
 
-/** Reads the whole table, also from a node that is just starting. */
+/** Reads the whole table; waits for a node that is starting. */
 export const getTable = async (target: OperatorTarget): Promise<Either<ClientProblem, TableBody>> =>
-  (await sendWhileStarting(target, '/v1/table')).chain((answer) =>
+  (await sendUntilStarted(target, '/v1/table')).chain((answer) =>
     readAnswer(tableBodySchema, answer, target.url),
   );
 
@@ -142,7 +142,7 @@
 export const getStatus = (target: OperatorTarget): Promise<Either<ClientProblem, StatusBody>> =>
   get(target, '/v1/status', statusBodySchema);
 
-/** Reads what is in force where. */
+/** Reads the revision in force on each node. */
 export const getRevisions = (
   target: OperatorTarget,
 ): Promise<Either<ClientProblem, RevisionsBody>> =>
@@ -158,22 +158,22 @@
 
 const isFinal = (answer: Either<ClientProblem, EditOutcome>): boolean =>
   answer.caseOf({
-    Left: ({ passing }) => !passing,
+    Left: ({ isRetryable }) => !isRetryable,
     Right: ({ type }) => type !== 'unknown',
   });
 
 /**
- * Sends an edit, and the same edit again while its outcome is unknown; the node sees to it that it
- * stands once.
+ * Sends an edit, and sends it again while its outcome is unknown. The edit id ensures that the edit
+ * is applied at most once.
  *
- * @param resendForMs - how long to go on, in milliseconds
+ * @param resendTimeoutMs - for how long the edit is sent again, in milliseconds
  */
 export const postEdit = async (
   target: OperatorTarget,
   edit: EditBody,
-  resendForMs = RESEND_FOR_MS,
+  resendTimeoutMs = RESEND_TIMEOUT_MS,
 ): Promise<Either<ClientProblem, EditOutcome>> => {
-  const until = Date.now() + resendForMs;
+  const until = Date.now() + resendTimeoutMs;
   for (;;) {
     const answer = await postOnce(target, edit);
     const wait = RESEND_WAIT_MS * (0.5 + Math.random() / 2);
--- a/src/cli/plan.ts
+++ b/src/cli/plan.ts
@@ -1,10 +1,10 @@
-/** `crossroad plan`: load, connections, feeders and grants for given sizes. */
+/** `crossroad plan`: calculates load, connections, feeders and grants for given sizes. */
 import { parseArgs } from 'node:util';
 import { DEFAULT_QUERY_POLICY } from '../core/query/query-policy.js';
 import { DEPLOYMENT_NAMES, deploymentsNamed } from '../deployments/deployments.js';
 import { createPlan } from '../plan/create-plan.js';
-import { FIRST_COST_SLOPES, type PlanInput } from '../plan/plan-input.js';
-import { planOfDeployments } from '../plan/plan-of-deployments.js';
+import { DEFAULT_PROCESSOR_COSTS, type PlanInput } from '../plan/plan-input.js';
+import { planInputOfDeployments } from '../plan/deployment-plan-input.js';
 import { formatFinding } from '../table/finding.js';
 import { hasErrors } from '../table/validate-rows.js';
 import type { Command } from './command.js';
@@ -32,9 +32,9 @@
   --queries-per-second <n>   over all nodes (default 100)
   --extra-load <share>       hedges and retries as a share of legs (default 0.03)
   --feeders <n>              feeders of a replica (default ${DEFAULT_QUERY_POLICY.feedersPerReplica})
-  --leg-cost-us <us>         processor time of a leg over HTTP (default ${FIRST_COST_SLOPES.legOverHttp})
-  --leg-message-cost-us <us> of a leg in a message, each end (default ${FIRST_COST_SLOPES.legInMessage})
-  --message-cost-us <us>     of a message, each end, without the socket (default ${FIRST_COST_SLOPES.message})
+  --leg-cost-us <us>         processor time of a leg over HTTP (default ${DEFAULT_PROCESSOR_COSTS.legOverHttp})
+  --leg-message-cost-us <us> of a leg in a message, each end (default ${DEFAULT_PROCESSOR_COSTS.legInMessage})
+  --message-cost-us <us>     of a message, each end, without the socket (default ${DEFAULT_PROCESSOR_COSTS.message})
   --json                     print JSON
 
 Exit codes: 0 it fits, 1 something does not fit, 2 usage.`;
@@ -51,9 +51,9 @@
   'queries-per-second': { type: 'string', default: '100' },
   'extra-load': { type: 'string', default: '0.03' },
   feeders: { type: 'string', default: String(DEFAULT_QUERY_POLICY.feedersPerReplica) },
-  'leg-cost-us': { type: 'string', default: String(FIRST_COST_SLOPES.legOverHttp) },
-  'leg-message-cost-us': { type: 'string', default: String(FIRST_COST_SLOPES.legInMessage) },
-  'message-cost-us': { type: 'string', default: String(FIRST_COST_SLOPES.message) },
+  'leg-cost-us': { type: 'string', default: String(DEFAULT_PROCESSOR_COSTS.legOverHttp) },
+  'leg-message-cost-us': { type: 'string', default: String(DEFAULT_PROCESSOR_COSTS.legInMessage) },
+  'message-cost-us': { type: 'string', default: String(DEFAULT_PROCESSOR_COSTS.message) },
   json: { type: 'boolean', default: false },
 } as const;
 
@@ -67,7 +67,7 @@
 const parsePlanArguments = (args: readonly string[]) =>
   parseArgs({ args: [...args], options: OPTIONS }).values;
 
-const readAlikeReplicas = (
+const readUniformReplicas = (
   values: Values,
   replicas: string,
 ): Pick<PlanInput, 'groups' | 'routes' | 'zones'> => {
@@ -90,11 +90,13 @@
 const readBackends = (values: Values): Pick<PlanInput, 'groups' | 'routes' | 'zones'> => {
   const { deployment, replicas } = values;
   if ((deployment === undefined) === (replicas === undefined)) {
-    throw new UsageError('give either --deployment or --replicas');
+    throw new UsageError('either --deployment or --replicas is required');
   }
   return deployment === undefined
-    ? readAlikeReplicas(values, replicas ?? '')
-    : planOfDeployments(deploymentsNamed(readChoice('deployment', deployment, DEPLOYMENT_NAMES)));
+    ? readUniformReplicas(values, replicas ?? '')
+    : planInputOfDeployments(
+        deploymentsNamed(readChoice('deployment', deployment, DEPLOYMENT_NAMES)),
+      );
 };
 
 const readInput = (values: Values): PlanInput => ({
--- a/src/cli/table/read-actions.ts
+++ b/src/cli/table/read-actions.ts
@@ -1,18 +1,18 @@
-/** Actions of `crossroad table` that read: show, export, history and diff. */
+/** Read-only actions of `crossroad table`: show, export, history and diff. */
 import { formatSheetCsv } from '../../table/sheet-csv.js';
 import { diffRows } from '../../table/diff-rows.js';
 import { ExitCode } from '../exit-code.js';
 import { getHistory, getTable } from '../operator/operator-client.js';
 import { formatDifferences, formatHistory, formatTable } from './format-table.js';
-import { failWith, printError, printFindings, printOut } from './print.js';
-import { findSheet } from './own-sheet.js';
+import { reportProblem, printError, printFindings, printOut } from './print.js';
+import { findSheet } from './find-sheet.js';
 import { readSheetFile } from './read-sheet-file.js';
 import { readOperand, type TableArguments } from './table-arguments.js';
 
-/** `show`: the sheets and the agreement. */
+/** `show`: prints the sheets and the agreement. */
 export const showTable = async (args: TableArguments): Promise<ExitCode> =>
   (await getTable(args.target)).caseOf({
-    Left: failWith,
+    Left: reportProblem,
     Right: (table) => {
       const { partner } = args;
       const sheets = partner === undefined ? table.sheets : [findSheet(table, partner)];
@@ -22,10 +22,10 @@
     },
   });
 
-/** `export`: one sheet as CSV. */
+/** `export`: prints one sheet as CSV. */
 export const exportSheet = async (args: TableArguments): Promise<ExitCode> =>
   (await getTable(args.target)).caseOf({
-    Left: failWith,
+    Left: reportProblem,
     Right: (table) => {
       const sheet = findSheet(table, args.partner);
       const rows = sheet.rows.map(({ row }) => row);
@@ -35,31 +35,31 @@
     },
   });
 
-/** `history`: the edits of one sheet. */
+/** `history`: prints the edits of one sheet. */
 export const showHistory = async (args: TableArguments): Promise<ExitCode> => {
   const table = await getTable(args.target);
   const partner = args.partner ?? table.map((each) => each.partner).orDefault('' as never);
   const history = table.isLeft() ? table : await getHistory(args.target, partner);
   return history.caseOf({
-    Left: failWith,
+    Left: reportProblem,
     Right: (body) => {
       const records = 'history' in body ? body.history : [];
       const found = records.filter(({ edit }) => args.edit === undefined || edit === args.edit);
       const shown = found.slice(-(args.last ?? found.length));
       printOut(args.json ? JSON.stringify(shown) : formatHistory(shown));
       if ('olderMissing' in body) {
-        printError('The store gives no answer; older edits are not shown.');
+        printError('The store did not answer; older edits are not shown.');
       }
       return args.edit !== undefined && found.length === 0 ? ExitCode.failed : ExitCode.done;
     },
   });
 };
 
-/** `diff`: what applying a file would change. */
+/** `diff`: prints the changes that applying a file would make. */
 export const diffSheet = async (args: TableArguments): Promise<ExitCode> => {
   const file = readOperand(args, 'CSV file');
   return (await getTable(args.target)).caseOf({
-    Left: failWith,
+    Left: reportProblem,
     Right: (table) =>
       readSheetFile(file, table.partner).caseOf<ExitCode>({
         Left: (findings) => {
--- a/src/cli/table/send-edit.ts
+++ b/src/cli/table/send-edit.ts
@@ -1,4 +1,4 @@
-/** Sends an edit, prints its outcome, and waits until it is in force if asked to. */
+/** Sends an edit, prints its outcome and, with --wait, waits until it is in force. */
 import { randomUUID } from 'node:crypto';
 import { identifier, type EditId } from '../../core/identifiers.js';
 import type { EditBody } from '../../operator-protocol/edit-body.js';
@@ -8,7 +8,7 @@
 import type { RouteRow } from '../../table/route-row.js';
 import { ExitCode } from '../exit-code.js';
 import { postEdit } from '../operator/operator-client.js';
-import { exitCodeOf, failWith, printError, printFindings, printOut } from './print.js';
+import { exitCodeOf, reportProblem, printError, printFindings, printOut } from './print.js';
 import { readReason, type TableArguments } from './table-arguments.js';
 import { waitUntilInForce } from './wait-until-in-force.js';
 
@@ -68,7 +68,7 @@
   action,
 });
 
-const finish = async (args: TableArguments, outcome: EditOutcome): Promise<ExitCode> => {
+const reportOutcome = async (args: TableArguments, outcome: EditOutcome): Promise<ExitCode> => {
   const code = printOutcome(outcome);
   if (outcome.type !== 'accepted' || args.waitMs === 0) {
     if (args.json) {
@@ -85,19 +85,19 @@
     return ExitCode.done;
   }
   if (waited.problem !== undefined) {
-    printError(`not known to be in force: ${waited.problem}`);
+    printError(`cannot determine whether the edit is in force: ${waited.problem}`);
   }
   for (const { node, zone, revision } of waited.missing) {
-    const held = revision === null ? 'has not told its revision' : `holds revision ${revision}`;
+    const held = revision === null ? 'has not reported its revision' : `holds revision ${revision}`;
     printError(`not in force on ${node} in ${zone}, which ${held}`);
   }
   return ExitCode.failed;
 };
 
 /**
- * Sends an edit and prints what became of it.
+ * Sends an edit and prints its outcome.
  *
- * @param seenVersion - version of the object that the edit was made from
+ * @param seenVersion - version of the object on which the edit is based
  */
 export const sendEdit = async (
   args: TableArguments,
@@ -108,11 +108,11 @@
   const answer = await postEdit(args.target, body);
   return answer.caseOf<Promise<ExitCode> | ExitCode>({
     Left: (problem) => {
-      if (problem.passing) {
-        printError(`unknown: edit ${body.edit} may stand; look for it in the history`);
+      if (problem.isRetryable) {
+        printError(`unknown: edit ${body.edit} may have been applied; look for it in the history`);
       }
-      return failWith(problem);
+      return reportProblem(problem);
     },
-    Right: (outcome) => finish(args, outcome),
+    Right: (outcome) => reportOutcome(args, outcome),
   });
 };
--- a/src/cli/table/write-actions.ts
+++ b/src/cli/table/write-actions.ts
@@ -12,8 +12,8 @@
 import { UsageError } from '../flags.js';
 import { getTable } from '../operator/operator-client.js';
 import { formatDifferences } from './format-table.js';
-import { findSheet } from './own-sheet.js';
-import { failWith, printError, printFindings } from './print.js';
+import { findSheet } from './find-sheet.js';
+import { reportProblem, printError, printFindings } from './print.js';
 import { readSheetFile } from './read-sheet-file.js';
 import { sendEdit } from './send-edit.js';
 import { readOperand, readReason, type TableArguments } from './table-arguments.js';
@@ -38,12 +38,12 @@
 ): Promise<ExitCode> => {
   const table = await getTable(args.target);
   return table.caseOf<Promise<ExitCode> | ExitCode>({
-    Left: failWith,
+    Left: reportProblem,
     Right: (body) => action(findSheet(body, undefined), body),
   });
 };
 
-const writeFile = (args: TableArguments, unwanted: UnwantedRows): Promise<ExitCode> => {
+const sendFileChanges = (args: TableArguments, unwanted: UnwantedRows): Promise<ExitCode> => {
   const file = readOperand(args, 'CSV file');
   readReason(args);
   return withOwnSheet(args, async (sheet, table) =>
@@ -62,11 +62,13 @@
   );
 };
 
-/** `import`: adds and changes the rows of a file; other rows stay. */
-export const importSheet = (args: TableArguments): Promise<ExitCode> => writeFile(args, 'kept');
+/** `import`: adds or changes the rows of a file; other rows are kept. */
+export const importSheet = (args: TableArguments): Promise<ExitCode> =>
+  sendFileChanges(args, 'kept');
 
-/** `apply`: makes the sheet what a file says; rows that it has not are removed. */
-export const applySheet = (args: TableArguments): Promise<ExitCode> => writeFile(args, 'removed');
+/** `apply`: replaces the sheet by the rows of a file; other rows are removed. */
+export const applySheet = (args: TableArguments): Promise<ExitCode> =>
+  sendFileChanges(args, 'removed');
 
 const readCell = (text: string): { readonly name: ColumnName; readonly cell: string } => {
   const equals = text.indexOf('=');
@@ -81,14 +83,14 @@
 
 const readValue = (name: ColumnName, cell: string): unknown => {
   const column = COLUMNS.find((each) => each.name === name);
-  // A cell that cannot be read is kept as text, so that the check of the row reports it.
+  // A cell that cannot be parsed is passed on as text, so that the validation of the row reports it.
   return column === undefined ? cell : parseCell(column, cell).orDefault(cell);
 };
 
-const splitRowName = (text: string): { readonly route: string; readonly kind: string } => {
+const parseRowKey = (text: string): { readonly route: string; readonly kind: string } => {
   const [route, kind, ...rest] = text.split('/');
   if (!route || !kind || rest.length > 0) {
-    throw new UsageError(`give the ${ROW_FORM}`);
+    throw new UsageError(`expected a ${ROW_FORM}`);
   }
   return { route, kind };
 };
@@ -106,17 +108,17 @@
     .map(readCell)
     .map(({ name: column, cell }) => [column, readValue(column, cell)]);
   const { partner } = sheet;
-  return { ...current, partner, ...splitRowName(name), ...Object.fromEntries(given) };
+  return { ...current, partner, ...parseRowKey(name), ...Object.fromEntries(given) };
 };
 
-/** `set`: changes some columns of a row, or creates it. */
+/** `set`: changes columns of a row, or creates the row. */
 export const setRow = (args: TableArguments): Promise<ExitCode> => {
   const [name, ...cells] = args.operands;
   if (name === undefined || cells.length === 0) {
-    throw new UsageError(`give the ${ROW_FORM}, then column=value`);
+    throw new UsageError(`expected a ${ROW_FORM}, then column=value`);
   }
   readReason(args);
-  splitRowName(name);
+  parseRowKey(name);
   cells.forEach(readCell);
   return withOwnSheet(args, async (sheet) => {
     const current = findRow(sheet, name);
@@ -142,7 +144,7 @@
 export const removeRow = (args: TableArguments): Promise<ExitCode> => {
   const name = readOperand(args, ROW_FORM);
   readReason(args);
-  splitRowName(name);
+  parseRowKey(name);
   return withOwnSheet(args, async (sheet) => {
     const current = findRow(sheet, name);
     if (current === undefined) {
--- a/src/reference/logs-page.ts
+++ b/src/reference/logs-page.ts
@@ -1,4 +1,4 @@
-/** The page of the gateway's log events, from their descriptions in the code. */
+/** The reference page of a gateway's log events, from their descriptions in the code. */
 import {
   STATE_CHANGE_DESCRIPTIONS,
   DECISION_DESCRIPTIONS,
--- a/src/reference/metrics-page.ts
+++ b/src/reference/metrics-page.ts
@@ -1,4 +1,4 @@
-/** The reference of metrics, read from a registry as a node fills it. */
+/** The reference page of metrics, from the registry of a node and the metrics of a gateway. */
 import { createCoreState } from '../core/state.js';
 import { identifier } from '../core/identifiers.js';
 import { listMetrics } from '../gateway/metrics/gateway-metrics.js';
@@ -9,9 +9,9 @@
 import { createNodeMetrics } from '../metrics/node-metrics.js';
 import { formatHead, formatTable, type ReferencePage } from './reference-page.js';
 
-const OWN_PREFIX = 'crossroad_';
+const METRIC_PREFIX = 'crossroad_';
 
-const NOWHERE = { host: '127.0.0.1', port: 0 };
+const PLACEHOLDER_ADDRESS = { host: '127.0.0.1', port: 0 };
 
 const EXAMPLE_GATEWAY: GatewaySettings = {
   node: 'gateway',
@@ -19,11 +19,11 @@
   capacity: 1,
   firstStart: true,
   zoneRegions: {},
-  callers: NOWHERE,
-  readiness: NOWHERE,
-  peers: NOWHERE,
+  callers: PLACEHOLDER_ADDRESS,
+  readiness: PLACEHOLDER_ADDRESS,
+  peers: PLACEHOLDER_ADDRESS,
   seeds: [],
-  store: NOWHERE,
+  store: PLACEHOLDER_ADDRESS,
   bounds: {
     drainMs: 0,
     graceMs: 0,
@@ -35,7 +35,7 @@
   logLevel: 'info',
 };
 
-/** What the registry knows of a metric beyond its public type. */
+/** Fields of a metric that the public type of the registry does not declare. */
 interface MetricDescription {
   readonly name: string;
   readonly help: string;
@@ -76,7 +76,7 @@
   description.help,
 ];
 
-/** The metrics of a gateway; what their gauges read does not matter here. */
+/** Lists the metrics of a gateway; the values of their gauges are not used. */
 const gatewayMetrics = (): readonly Metric[] => {
   const state = createGatewayState(EXAMPLE_GATEWAY, 0);
   return listMetrics(
@@ -88,7 +88,7 @@
 
 /** Creates the page of metrics. */
 export const createMetricsPage = (): ReferencePage => {
-  const own = describeMetrics().filter(({ name }) => name.startsWith(OWN_PREFIX));
+  const own = describeMetrics().filter(({ name }) => name.startsWith(METRIC_PREFIX));
   return {
     fileName: 'metrics.md',
     text: `${formatHead('Metrics', 'src/metrics')}
