--- a/src/core/editing/edit-history.ts
+++ b/src/core/editing/edit-history.ts
@@ -5,7 +5,7 @@
 import {
   HISTORY_LIMIT,
   RECORDED_ROWS_LIMIT,
-  SPREAD_HISTORY_LIMIT,
+  NODE_HISTORY_LIMIT,
   type EditRecord,
 } from '../../table/sheet.js';
 import { hash32 } from '../hash.js';
@@ -28,7 +28,7 @@
 export const mayBeTruncated = (history: readonly EditRecord[], seenVersion: number): boolean => {
   const oldest = history[0];
   return (
-    history.length >= SPREAD_HISTORY_LIMIT &&
+    history.length >= NODE_HISTORY_LIMIT &&
     oldest !== undefined &&
     seenVersion + 1 < oldest.sheetVersion
   );
--- a/src/operator/read-history.ts
+++ b/src/operator/read-history.ts
@@ -4,8 +4,8 @@
  */
 import type { HistoryBody } from '../operator-protocol/table-body.js';
 import type { PartnerId } from '../core/identifiers.js';
-import { type EditRecord, SPREAD_HISTORY_LIMIT } from '../table/sheet.js';
-import { completeHistory, historyOf } from '../table/spread-history.js';
+import { type EditRecord, NODE_HISTORY_LIMIT } from '../table/sheet.js';
+import { completeHistory, historyOf } from '../table/node-history.js';
 import type { OperatorContext } from './operator-context.js';
 import { findSheet, type HeldSheet } from './read-table.js';
 
@@ -45,7 +45,7 @@
 ): Promise<HistoryBody> | HistoryBody => {
   const held = findSheet(context.state(), partner);
   const history = held?.sheet.history ?? [];
-  return held === undefined || history.length < SPREAD_HISTORY_LIMIT
+  return held === undefined || history.length < NODE_HISTORY_LIMIT
     ? createBody(partner, held?.object.version ?? 0, history)
     : readWhole(context, partner, held);
 };
--- a/src/table/diff-rows.ts
+++ b/src/table/diff-rows.ts
@@ -58,7 +58,7 @@
   wanted: readonly RouteRow[],
   unwanted: UnwantedRows,
 ): RowDifference[] => {
-  const standing = new Map(current.map((each) => [rowKey(each.row), each]));
+  const currentByKey = new Map(current.map((each) => [rowKey(each.row), each]));
   const names = new Set(wanted.map(rowKey));
   const rowOf = (difference: RowDifference): RouteRow =>
     difference.type === 'removed' ? difference.current.row : difference.wanted;
@@ -68,7 +68,7 @@
       : current
           .filter((each) => !names.has(rowKey(each.row)))
           .map((each) => ({ type: 'removed', row: rowKey(each.row), current: each }));
-  return [...wanted.flatMap((row) => diffRow(row, standing.get(rowKey(row)))), ...removed].sort(
+  return [...wanted.flatMap((row) => diffRow(row, currentByKey.get(rowKey(row)))), ...removed].sort(
     (left, right) => compareRows(rowOf(left), rowOf(right)),
   );
 };
--- a/src/table/spread-history.ts
+++ b/src/table/node-history.ts
@@ -3,7 +3,7 @@
  * newest edits only, to know its own by their ids and to give back what the store has lost.
  */
 import type { StoreContent, StoreObject } from '../catalog/store-object.js';
-import { type EditRecord, SPREAD_HISTORY_LIMIT } from './sheet.js';
+import { type EditRecord, NODE_HISTORY_LIMIT } from './sheet.js';
 
 /** The history kept with an object. */
 export const historyOf = (content: StoreContent | undefined): readonly EditRecord[] => {
@@ -35,9 +35,9 @@
 /** The object with the newest edits of its history only; the same one when it has no more. */
 export const trimHistory = (object: StoreObject): StoreObject => {
   const history = historyOf(object.content);
-  return history.length <= SPREAD_HISTORY_LIMIT
+  return history.length <= NODE_HISTORY_LIMIT
     ? object
-    : { ...object, content: withHistory(object.content, history.slice(-SPREAD_HISTORY_LIMIT)) };
+    : { ...object, content: withHistory(object.content, history.slice(-NODE_HISTORY_LIMIT)) };
 };
 
 /**
@@ -51,7 +51,7 @@
 ): StoreContent => {
   const newest = historyOf(held);
   const [oldest] = newest;
-  if (oldest === undefined || newest.length < SPREAD_HISTORY_LIMIT) {
+  if (oldest === undefined || newest.length < NODE_HISTORY_LIMIT) {
     return held;
   }
   const all = historyOf(stored);
--- a/src/table/read-row.ts
+++ b/src/table/read-row.ts
@@ -8,7 +8,7 @@
 
 const COLUMN_NAMES: ReadonlySet<string> = new Set(COLUMNS.map((column) => column.name));
 
-const findValue = (column: Column, value: unknown, place: string): Finding[] => {
+const checkValue = (column: Column, value: unknown, place: string): Finding[] => {
   if (value === undefined && mayBeEmpty(column)) {
     return [];
   }
@@ -22,7 +22,7 @@
 const isRecord = (value: unknown): value is Record<string, unknown> =>
   typeof value === 'object' && value !== null && !Array.isArray(value);
 
-const nameRow = (record: Record<string, unknown>, index: string): string => {
+const rowLabel = (record: Record<string, unknown>, index: string): string => {
   const { route, kind } = record;
   const named = [route, kind].every(
     (part) => typeof part === 'string' && /^[a-z0-9-]+$/.test(part),
@@ -51,9 +51,9 @@
       { severity: 'error', place: rowPlace(sheet, index), problem: 'is not an object of columns' },
     ]);
   }
-  const row = nameRow(value, index);
+  const row = rowLabel(value, index);
   const findings = COLUMNS.flatMap((column) =>
-    findValue(column, value[column.name], rowPlace(sheet, row, column.name)),
+    checkValue(column, value[column.name], rowPlace(sheet, row, column.name)),
   );
   const unknown = Object.keys(value).filter((name) => !COLUMN_NAMES.has(name));
   for (const name of unknown) {
--- a/src/table/row-context.ts
+++ b/src/table/row-context.ts
@@ -14,22 +14,22 @@
   sharesServices(row: RouteRow): boolean;
 }
 
-type UsesOf = (row: RouteRow) => readonly string[];
+type ServicesOf = (row: RouteRow) => readonly string[];
 
 /** Services of `asked` that two rows or more use; ends as soon as that is known of all of them. */
-const findShared = (
+const findSharedServices = (
   rows: readonly RouteRow[],
   asked: readonly RouteRow[],
-  usesOf: UsesOf,
+  servicesOf: ServicesOf,
 ): ReadonlySet<string> => {
-  const unused = new Set(asked.flatMap(usesOf));
+  const unused = new Set(asked.flatMap(servicesOf));
   const usedOnce = new Set<string>();
   const shared = new Set<string>();
   for (const row of rows) {
     if (unused.size + usedOnce.size === 0) {
       break;
     }
-    for (const service of usesOf(row)) {
+    for (const service of servicesOf(row)) {
       if (usedOnce.delete(service)) {
         shared.add(service);
       } else if (unused.delete(service)) {
@@ -59,7 +59,7 @@
 };
 
 /** Names the services of a row for the cache; most rows have one. */
-const nameServices = ({ services }: RouteRow): string =>
+const servicesCacheKey = ({ services }: RouteRow): string =>
   services.length === 1 ? (services[0] ?? '') : services.join(' ');
 
 /**
@@ -80,16 +80,17 @@
   const matchEntries = cacheByKey((entries: string) => [
     ...new Set(entries.split(' ').flatMap(matchEntry)),
   ]);
-  const matchRow = (row: RouteRow): readonly BackendService[] => matchEntries(nameServices(row));
-  const usesOf: UsesOf = (row) => {
+  const matchRow = (row: RouteRow): readonly BackendService[] =>
+    matchEntries(servicesCacheKey(row));
+  const servicesOf: ServicesOf = (row) => {
     const matched = matchRow(row).map(({ service }) => service);
     return matched.length > 0 ? matched : row.services;
   };
-  const shared = computeOnce(() => findShared(rows, asked, usesOf));
+  const shared = computeOnce(() => findSharedServices(rows, asked, servicesOf));
   return {
     servicesKnown: services !== undefined,
     matchEntry,
     matchRow,
-    sharesServices: (row) => usesOf(row).some((service) => shared().has(service)),
+    sharesServices: (row) => servicesOf(row).some((service) => shared().has(service)),
   };
 };
--- a/src/table/row-key.ts
+++ b/src/table/row-key.ts
@@ -19,9 +19,9 @@
 };
 
 /** Orders the rows of one sheet by route and kind; the same on every machine, whatever its locale. */
-export const compareNames = (left: RowName, right: RowName): number =>
+export const compareRowNames = (left: RowName, right: RowName): number =>
   compareText(left.route, right.route) || compareText(left.kind, right.kind);
 
 /** Orders rows by partner, route and kind. */
 export const compareRows = (left: RouteRow, right: RouteRow): number =>
-  compareText(left.partner, right.partner) || compareNames(left, right);
+  compareText(left.partner, right.partner) || compareRowNames(left, right);
--- a/src/table/row-order.ts
+++ b/src/table/row-order.ts
@@ -2,14 +2,18 @@
  * Sheets in the order of their rows: finding, replacing and comparing rows without building an index,
  * so that an edit of one row costs little in a long sheet, and rows that stay are shared.
  */
-import { compareNames, rowKey, type RowName } from './row-key.js';
+import { compareRowNames, rowKey, type RowName } from './row-key.js';
 import type { SheetRow } from './sheet.js';
 
 /** Whether rows are by route and kind, each once. */
 export const isOrdered = (rows: readonly SheetRow[]): boolean => {
   for (let index = 1; index < rows.length; index += 1) {
     const [before, after] = [rows[index - 1], rows[index]];
-    if (before !== undefined && after !== undefined && compareNames(before.row, after.row) >= 0) {
+    if (
+      before !== undefined &&
+      after !== undefined &&
+      compareRowNames(before.row, after.row) >= 0
+    ) {
       return false;
     }
   }
@@ -21,16 +25,16 @@
   isOrdered(rows)
     ? rows
     : [...new Map(rows.map((each) => [rowKey(each.row), each])).values()].sort((left, right) =>
-        compareNames(left.row, right.row),
+        compareRowNames(left.row, right.row),
       );
 
 /** Position of the first row that does not stand before `name`. */
-const findPlace = (rows: readonly SheetRow[], name: RowName): number => {
+const findInsertionIndex = (rows: readonly SheetRow[], name: RowName): number => {
   let [low, high] = [0, rows.length];
   while (low < high) {
     const middle = (low + high) >>> 1;
     const row = rows[middle]?.row;
-    if (row !== undefined && compareNames(row, name) < 0) {
+    if (row !== undefined && compareRowNames(row, name) < 0) {
       low = middle + 1;
     } else {
       high = middle;
@@ -41,8 +45,8 @@
 
 /** Finds a row in `rows`, which are in order. */
 export const findRow = (rows: readonly SheetRow[], name: RowName): SheetRow | undefined => {
-  const found = rows[findPlace(rows, name)];
-  return found !== undefined && compareNames(found.row, name) === 0 ? found : undefined;
+  const found = rows[findInsertionIndex(rows, name)];
+  return found !== undefined && compareRowNames(found.row, name) === 0 ? found : undefined;
 };
 
 /**
@@ -58,14 +62,14 @@
   changed: readonly SheetRow[],
 ): SheetRow[] => {
   const kept = removed.size === 0 ? rows : rows.filter(({ row }) => !removed.has(rowKey(row)));
-  const ordered = [...changed].sort((left, right) => compareNames(left.row, right.row));
+  const ordered = [...changed].sort((left, right) => compareRowNames(left.row, right.row));
   const replaced: SheetRow[] = [];
   let next = 0;
   for (const each of ordered) {
-    const place = findPlace(kept, each.row);
+    const place = findInsertionIndex(kept, each.row);
     replaced.push(...kept.slice(next, place), each);
-    const standing = kept[place];
-    const isReplaced = standing !== undefined && compareNames(standing.row, each.row) === 0;
+    const existing = kept[place];
+    const isReplaced = existing !== undefined && compareRowNames(existing.row, each.row) === 0;
     next = isReplaced ? place + 1 : place;
   }
   return [...replaced, ...kept.slice(next)];
@@ -83,7 +87,7 @@
   let [left, right] = [0, 0];
   while (left < before.length || right < after.length) {
     const [old, current] = [before[left], after[right]];
-    const order = compareEnds(old, current);
+    const order = compareHeads(old, current);
     if (old !== current) {
       visit(order <= 0 ? old : undefined, order >= 0 ? current : undefined);
     }
@@ -93,12 +97,12 @@
 };
 
 /** Orders the next rows of two lists; a list that has ended comes last. */
-const compareEnds = (left: SheetRow | undefined, right: SheetRow | undefined): number => {
+const compareHeads = (left: SheetRow | undefined, right: SheetRow | undefined): number => {
   if (left === right) {
     return 0;
   }
   if (left === undefined || right === undefined) {
     return left === undefined ? 1 : -1;
   }
-  return compareNames(left.row, right.row);
+  return compareRowNames(left.row, right.row);
 };
--- a/src/table/find-doubts.ts
+++ b/src/table/row-warnings.ts
@@ -4,17 +4,17 @@
 import type { RowContext } from './row-context.js';
 
 /** A doubt about one column of a row. */
-export interface Doubt {
+export interface RowWarning {
   readonly column: ColumnName;
   readonly problem: string;
 }
 
-type DoubtRule = (row: RouteRow, context: RowContext) => readonly Doubt[];
+type WarningRule = (row: RouteRow, context: RowContext) => readonly RowWarning[];
 
-const doubtIf = (condition: boolean, column: ColumnName, problem: string): readonly Doubt[] =>
+const warnIf = (condition: boolean, column: ColumnName, problem: string): readonly RowWarning[] =>
   condition ? [{ column, problem }] : [];
 
-const unmatchedServices: DoubtRule = (row, context) =>
+const unmatchedServices: WarningRule = (row, context) =>
   row.services
     .filter((entry) => context.servicesKnown && context.matchEntry(entry).length === 0)
     .map((entry) => ({ column: 'services', problem: `no service known is named ${entry}` }));
@@ -35,15 +35,15 @@
   return means.length === 0 ? undefined : Math.max(...means);
 };
 
-const concurrentAboveCapacity: DoubtRule = (row, context) => {
+const concurrentAboveCapacity: WarningRule = (row, context) => {
   const capacity = concurrentCapacity(row, context);
   const exceeded =
     capacity !== undefined && row.concurrentLimit !== undefined && row.concurrentLimit > capacity;
   const problem = `is above the capacity of the services, ${capacity} queries at once`;
-  return doubtIf(exceeded, 'concurrentLimit', problem);
+  return warnIf(exceeded, 'concurrentLimit', problem);
 };
 
-const perSecondAboveCapacity: DoubtRule = (row, context) => {
+const perSecondAboveCapacity: WarningRule = (row, context) => {
   const capacity = concurrentCapacity(row, context);
   const mean = slowestMean(row, context);
   if (capacity === undefined || mean === undefined || row.perSecondLimit === undefined) {
@@ -51,67 +51,67 @@
   }
   const perSecond = Math.floor((capacity * 1_000) / Math.max(mean, 0.001));
   const problem = `is above the capacity of the services, about ${perSecond} queries a second`;
-  return doubtIf(row.perSecondLimit > perSecond, 'perSecondLimit', problem);
+  return warnIf(row.perSecondLimit > perSecond, 'perSecondLimit', problem);
 };
 
-const deadlineBelowMean: DoubtRule = (row, context) => {
+const deadlineBelowMean: WarningRule = (row, context) => {
   const mean = slowestMean(row, context);
   const problem = `is below the mean leg of the slowest service, ${mean?.toFixed(1)} ms`;
-  return doubtIf(mean !== undefined && row.deadlineMs < mean, 'deadlineMs', problem);
+  return warnIf(mean !== undefined && row.deadlineMs < mean, 'deadlineMs', problem);
 };
 
-const weightUnused: DoubtRule = (row, context) =>
-  doubtIf(
+const weightUnused: WarningRule = (row, context) =>
+  warnIf(
     row.weight !== 1 && !context.sharesServices(row),
     'weight',
     'has no effect: no other row uses these services',
   );
 
-const hedgingWithoutEffect: DoubtRule = (row) => [
-  ...doubtIf(
+const hedgingWarnings: WarningRule = (row) => [
+  ...warnIf(
     row.hedging && row.extraLoadLimit === 0,
     'hedging',
     'has no effect: the extra load limit is 0',
   ),
-  ...doubtIf(
+  ...warnIf(
     row.hedging && !row.safeToRepeat,
     'hedging',
     'has no effect: the request is not safe to repeat',
   ),
 ];
 
-const coverageDoubtful: DoubtRule = (row) => [
-  ...doubtIf(
+const coverageWarnings: WarningRule = (row) => [
+  ...warnIf(
     row.coverage < 1 && row.fanOut === 'key',
     'coverage',
     'has no effect: the query goes to one shard',
   ),
-  ...doubtIf(
+  ...warnIf(
     row.coverage < 1 && row.fanOut === 'all' && row.merge === 'sum',
     'coverage',
     'lets a sum leave out shards',
   ),
-  ...doubtIf(row.coverage === 0, 'coverage', 'lets a query end with no shard at all'),
+  ...warnIf(row.coverage === 0, 'coverage', 'lets a query end with no shard at all'),
 ];
 
-const unsafeToAllShards: DoubtRule = (row) =>
-  doubtIf(
+const unsafeToAllShards: WarningRule = (row) =>
+  warnIf(
     !row.safeToRepeat && row.fanOut === 'all',
     'fanOut',
     'sends a request that is not safe to repeat to every shard',
   );
 
-const RULES: readonly DoubtRule[] = [
+const RULES: readonly WarningRule[] = [
   unmatchedServices,
   concurrentAboveCapacity,
   perSecondAboveCapacity,
   deadlineBelowMean,
   weightUnused,
-  hedgingWithoutEffect,
-  coverageDoubtful,
+  hedgingWarnings,
+  coverageWarnings,
   unsafeToAllShards,
 ];
 
 /** Lists what is doubtful about a row. */
-export const findDoubts = (row: RouteRow, context: RowContext): Doubt[] =>
+export const findRowWarnings = (row: RouteRow, context: RowContext): RowWarning[] =>
   RULES.flatMap((rule) => rule(row, context));
--- a/src/table/sheet-csv.ts
+++ b/src/table/sheet-csv.ts
@@ -23,7 +23,7 @@
 }
 
 /** For each column of the sheet, where it stands in the file; -1 when the file has it not. */
-type Positions = readonly { readonly column: Column; readonly position: number }[];
+type ColumnPositions = readonly { readonly column: Column; readonly position: number }[];
 
 const COLUMN_NAMES: readonly string[] = COLUMNS.map((column) => column.name);
 
@@ -81,7 +81,7 @@
   }
 };
 
-const findHeader = (names: readonly string[], file: CsvFile): Finding[] => {
+const checkHeader = (names: readonly string[], file: CsvFile): Finding[] => {
   const placeOf = (name: string): string => `${file.place}:${file.lineOf(0)} column ${name}`;
   const findings: Finding[] = [];
   names.forEach((name, index) => {
@@ -100,21 +100,24 @@
   return findings;
 };
 
-const listPositions = (names: readonly string[]): Positions =>
+const listPositions = (names: readonly string[]): ColumnPositions =>
   COLUMNS.map((column) => ({ column, position: names.indexOf(column.name) }));
 
 const hasExtraCells = (record: CsvRecord, width: number): boolean =>
   record.length > width && record.slice(width).some((cell) => cell.trim() !== '');
 
-interface WrongCell {
+interface InvalidCell {
   readonly column: Column;
   readonly problem: string;
 }
 
 /** The row of a record, or what is wrong with its cells. */
-const readCsvRow = (record: CsvRecord, positions: Positions): Either<WrongCell[], RouteRow> => {
+const readCsvRow = (
+  record: CsvRecord,
+  positions: ColumnPositions,
+): Either<InvalidCell[], RouteRow> => {
   const row: Record<string, unknown> = {};
-  const wrong: WrongCell[] = [];
+  const wrong: InvalidCell[] = [];
   for (const { column, position } of positions) {
     const cell = parseCell(column, record[position] ?? '');
     if (cell.isLeft()) {
@@ -126,7 +129,7 @@
   return wrong.length > 0 ? Left(wrong) : Right(row as unknown as RouteRow);
 };
 
-const findWrongCells = (wrong: readonly WrongCell[], place: string): Finding[] =>
+const invalidCellFindings = (wrong: readonly InvalidCell[], place: string): Finding[] =>
   wrong.map(({ column, problem }) =>
     errorAt(`${place} column ${column.name}`, problem, describeAllowed(column)),
   );
@@ -148,7 +151,7 @@
       findings.push(errorAt(placeOf(index), 'has more cells than the header', allowed));
     }
     readCsvRow(record, positions).caseOf({
-      Left: (wrong) => findings.push(...findWrongCells(wrong, placeOf(index))),
+      Left: (wrong) => findings.push(...invalidCellFindings(wrong, placeOf(index))),
       Right: (row) => {
         const key = `${row.partner}/${rowKey(row)}`;
         const first = seen.get(key);
@@ -179,7 +182,7 @@
       return Left([errorAt(`${place}:1`, 'has no header', COLUMN_NAMES.join(','))]);
     }
     const names = header.map((name) => name.trim());
-    const findings = findHeader(names, file);
+    const findings = checkHeader(names, file);
     return findings.length > 0 ? Left(findings) : readRows(file, names);
   });
 
--- a/src/table/sheet-delta.ts
+++ b/src/table/sheet-delta.ts
@@ -8,7 +8,7 @@
 import type { RouteRow } from './route-row.js';
 import { rowKey } from './row-key.js';
 import { isOrdered, orderRows, replaceRows, visitChangedRows } from './row-order.js';
-import { type EditRecord, type Sheet, type SheetRow, SPREAD_HISTORY_LIMIT } from './sheet.js';
+import { type EditRecord, type Sheet, type SheetRow, NODE_HISTORY_LIMIT } from './sheet.js';
 
 /** Most rows and edits of a delta; a larger change is sent as the whole sheet. */
 export const DELTA_LIMIT = 256;
@@ -44,7 +44,7 @@
   return true;
 };
 
-const isSame = (left: SheetRow | undefined, right: SheetRow): boolean =>
+const isSameSheetRow = (left: SheetRow | undefined, right: SheetRow): boolean =>
   left !== undefined &&
   left.rowVersion === right.rowVersion &&
   left.writtenBy === right.writtenBy &&
@@ -60,7 +60,7 @@
   const rows: SheetRow[] = [];
   const removed: string[] = [];
   visitChangedRows(orderRows(before), after, (old, current) => {
-    if (current !== undefined && !isSame(old, current)) {
+    if (current !== undefined && !isSameSheetRow(old, current)) {
       rows.push(current);
     } else if (current === undefined && old !== undefined) {
       removed.push(rowKey(old.row));
@@ -70,14 +70,14 @@
 };
 
 /** The edits of `to` that follow those of `from`; undefined when it does not continue it. */
-const findAdded = (
+const findAddedRecords = (
   from: readonly EditRecord[],
   to: readonly EditRecord[],
 ): readonly EditRecord[] | undefined => {
   const newest = from.at(-1);
   const start = newest === undefined ? 0 : to.findLastIndex(({ edit }) => edit === newest.edit) + 1;
   const added = to.slice(start);
-  const expected = [...from, ...added].slice(-SPREAD_HISTORY_LIMIT);
+  const expected = [...from, ...added].slice(-NODE_HISTORY_LIMIT);
   const continues =
     expected.length === to.length && expected.every(({ edit }, index) => edit === to[index]?.edit);
   return continues ? added : undefined;
@@ -89,7 +89,7 @@
     return undefined;
   }
   const [before, after] = [from.content.sheet, to.content.sheet];
-  const records = findAdded(before.history, after.history);
+  const records = findAddedRecords(before.history, after.history);
   if (records === undefined || before.partner !== after.partner || !isOrdered(after.rows)) {
     return undefined;
   }
@@ -104,7 +104,7 @@
 const applyToSheet = (sheet: Sheet, delta: SheetDelta): Sheet => ({
   partner: sheet.partner,
   rows: replaceRows(orderRows(sheet.rows), new Set(delta.removed), delta.rows),
-  history: [...sheet.history, ...delta.records].slice(-SPREAD_HISTORY_LIMIT),
+  history: [...sheet.history, ...delta.records].slice(-NODE_HISTORY_LIMIT),
 });
 
 /** Makes the sheet of `delta`; undefined when `held` is not what it starts from. */
--- a/src/table/sheet.ts
+++ b/src/table/sheet.ts
@@ -39,6 +39,6 @@
 /** Most edits an object keeps in the store. */
 export const HISTORY_LIMIT = 2_000;
 /** Most edits of an object that nodes hold and pass on, the newest; the others are in the store. */
-export const SPREAD_HISTORY_LIMIT = 256;
+export const NODE_HISTORY_LIMIT = 256;
 /** Most rows that one edit's record names. */
 export const RECORDED_ROWS_LIMIT = 20;
--- a/src/table/validate-rows.ts
+++ b/src/table/validate-rows.ts
@@ -4,7 +4,7 @@
 import { describeAllowed, isAllowed, mayBeEmpty, quoteCell } from './cell.js';
 import { COLUMNS } from './columns.js';
 import type { Finding } from './finding.js';
-import { findDoubts } from './find-doubts.js';
+import { findRowWarnings } from './row-warnings.js';
 import type { RouteRow } from './route-row.js';
 import { createRowContext, type RowContext } from './row-context.js';
 import { rowKey, rowPlace } from './row-key.js';
@@ -23,7 +23,7 @@
   readonly services?: readonly BackendService[] | undefined;
 }
 
-const findWrongCells = (row: RouteRow, place: string): Finding[] => {
+const findInvalidCells = (row: RouteRow, place: string): Finding[] => {
   const findings: Finding[] = [];
   for (const column of COLUMNS) {
     const value = row[column.name];
@@ -40,7 +40,7 @@
   return findings;
 };
 
-const findForeign = (row: RouteRow, check: SheetCheck): Finding[] =>
+const findForeignRow = (row: RouteRow, check: SheetCheck): Finding[] =>
   row.partner === check.partner
     ? []
     : [
@@ -52,7 +52,7 @@
         },
       ];
 
-const findDoubled = (row: RouteRow, seen: Set<string>, place: string): Finding[] => {
+const findDuplicate = (row: RouteRow, seen: Set<string>, place: string): Finding[] => {
   const key = rowKey(row);
   if (!seen.has(key)) {
     seen.add(key);
@@ -68,8 +68,8 @@
   ];
 };
 
-const findWarnings = (row: RouteRow, context: RowContext, place: string): Finding[] =>
-  findDoubts(row, context).map(({ column, problem }) => ({
+const warningFindings = (row: RouteRow, context: RowContext, place: string): Finding[] =>
+  findRowWarnings(row, context).map(({ column, problem }) => ({
     severity: 'warning',
     place: rowPlace(place, rowKey(row), column),
     problem,
@@ -78,24 +78,24 @@
 interface RowErrors {
   readonly errors: readonly Finding[];
   /** Rows whose cells and owner are as they should be. */
-  readonly sound: readonly RouteRow[];
+  readonly valid: readonly RouteRow[];
 }
 
 const findErrors = (rows: readonly RouteRow[], check: SheetCheck): RowErrors => {
   const errors: Finding[] = [];
-  const sound: RouteRow[] = [];
+  const valid: RouteRow[] = [];
   const seen = new Set<string>();
   for (const row of rows) {
-    const wrong = [...findWrongCells(row, check.place), ...findForeign(row, check)];
-    errors.push(...findDoubled(row, seen, check.place), ...wrong);
+    const wrong = [...findInvalidCells(row, check.place), ...findForeignRow(row, check)];
+    errors.push(...findDuplicate(row, seen, check.place), ...wrong);
     if (wrong.length === 0) {
-      sound.push(row);
+      valid.push(row);
     }
   }
-  return { errors, sound };
+  return { errors, valid };
 };
 
-const findExcess = (rows: number, place: string): Finding[] =>
+const findExcessRows = (rows: number, place: string): Finding[] =>
   rows <= ROWS_LIMIT
     ? []
     : [
@@ -109,13 +109,13 @@
 
 /** Checks `rows`, all rows of the sheet; errors stand before warnings. */
 export const validateRows = (rows: readonly RouteRow[], check: SheetCheck): Finding[] => {
-  const excess = findExcess(rows.length, check.place);
+  const excess = findExcessRows(rows.length, check.place);
   if (excess.length > 0) {
     return excess;
   }
-  const { errors, sound } = findErrors(rows, check);
-  const context = createRowContext(sound, sound, check.services);
-  return [...errors, ...sound.flatMap((row) => findWarnings(row, context, check.place))];
+  const { errors, valid } = findErrors(rows, check);
+  const context = createRowContext(valid, valid, check.services);
+  return [...errors, ...valid.flatMap((row) => warningFindings(row, context, check.place))];
 };
 
 /**
@@ -130,16 +130,16 @@
   changed: readonly RouteRow[],
   check: SheetCheck,
 ): Finding[] => {
-  const excess = findExcess(rows.length, check.place);
+  const excess = findExcessRows(rows.length, check.place);
   if (excess.length > 0) {
     return excess;
   }
-  const { errors, sound } = findErrors(changed, check);
-  const unsound = new Set(changed);
-  sound.forEach((row) => unsound.delete(row));
-  const usable = rows.map(({ row }) => row).filter((row) => !unsound.has(row));
-  const context = createRowContext(usable, sound, check.services);
-  return [...errors, ...sound.flatMap((row) => findWarnings(row, context, check.place))];
+  const { errors, valid } = findErrors(changed, check);
+  const invalid = new Set(changed);
+  valid.forEach((row) => invalid.delete(row));
+  const usable = rows.map(({ row }) => row).filter((row) => !invalid.has(row));
+  const context = createRowContext(usable, valid, check.services);
+  return [...errors, ...valid.flatMap((row) => warningFindings(row, context, check.place))];
 };
 
 /** Whether any finding is an error, so that the input must be refused whole. */
--- a/test/operator/api.test.ts
+++ b/test/operator/api.test.ts
@@ -8,7 +8,7 @@
 import { createKey } from '../../src/auth/create-key.js';
 import { demoSecret } from '../../src/deployments/demo-keys.js';
 import type { EditOutcome } from '../../src/table/edit.js';
-import { type EditRecord, type Sheet, SPREAD_HISTORY_LIMIT } from '../../src/table/sheet.js';
+import { type EditRecord, type Sheet, NODE_HISTORY_LIMIT } from '../../src/table/sheet.js';
 import { createRow } from '../table/rows.js';
 import {
   createOperatorFixture,
@@ -134,7 +134,7 @@
     const { app, fixture } = createServed();
     const content = sheetOf(ENSEMBLE, [createRow({ route: 'season-roster', kind: 'page' })]);
     const sheet = content.type === 'sheet' ? content.sheet : undefined;
-    const history = Array.from({ length: SPREAD_HISTORY_LIMIT + 9 }, (_, index) => ({
+    const history = Array.from({ length: NODE_HISTORY_LIMIT + 9 }, (_, index) => ({
       ...(sheet?.history[0] as EditRecord),
       edit: identifier<EditId>(`e-${index}`),
       sheetVersion: 2 + index,
@@ -147,7 +147,7 @@
     };
     const part = await readEdits();
     expect(part).toMatchObject({ olderMissing: true });
-    expect(part.history).toHaveLength(SPREAD_HISTORY_LIMIT);
+    expect(part.history).toHaveLength(NODE_HISTORY_LIMIT);
     const name = identifier<ObjectName>('sheet/ensemble');
     const stored = { ...(sheet as Sheet), history };
     fixture.stored.set(name, {
--- a/test/table/row-order.test.ts
+++ b/test/table/row-order.test.ts
@@ -7,24 +7,24 @@
 
 const KINDS = ['a', 'b', 'c', 'd', 'e', 'f', 'g'];
 
-const standing = (kind: string, rowVersion: number): SheetRow => ({
+const createSheetRow = (kind: string, rowVersion: number): SheetRow => ({
   row: createRow({ kind }),
   rowVersion,
   writtenBy: 'mair',
 });
 
 const arbitrarySheet = (version: number): fc.Arbitrary<readonly SheetRow[]> =>
-  fc.subarray(KINDS).map((kinds) => kinds.map((kind) => standing(kind, version)));
+  fc.subarray(KINDS).map((kinds) => kinds.map((kind) => createSheetRow(kind, version)));
 
 const byKey = (rows: readonly SheetRow[]): Map<string, SheetRow> =>
   new Map(rows.map((each) => [rowKey(each.row), each]));
 
 describe('rows in order', () => {
   it('are the rows themselves, or each once with the last that stands', () => {
-    const ordered = KINDS.map((kind) => standing(kind, 1));
+    const ordered = KINDS.map((kind) => createSheetRow(kind, 1));
     expect(orderRows(ordered)).toBe(ordered);
-    const twice = [standing('b', 1), standing('a', 1), standing('b', 2)];
-    expect(orderRows(twice)).toEqual([standing('a', 1), standing('b', 2)]);
+    const twice = [createSheetRow('b', 1), createSheetRow('a', 1), createSheetRow('b', 2)];
+    expect(orderRows(twice)).toEqual([createSheetRow('a', 1), createSheetRow('b', 2)]);
   });
 
   it('are found and replaced as in a map, and shared where they stay', () => {
@@ -37,9 +37,9 @@
           const removed = gone.filter((kind) => !set.includes(kind));
           const expected = byKey(rows);
           removed.forEach((kind) => expected.delete(`roster/${kind}`));
-          set.forEach((kind) => expected.set(`roster/${kind}`, standing(kind, 2)));
+          set.forEach((kind) => expected.set(`roster/${kind}`, createSheetRow(kind, 2)));
           const keys = new Set(removed.map((kind) => `roster/${kind}`));
-          const changed = set.map((kind) => standing(kind, 2));
+          const changed = set.map((kind) => createSheetRow(kind, 2));
           const replaced = replaceRows(rows, keys, changed);
           expect(replaced).toEqual(orderRows([...expected.values()]));
           const shared = replaced.filter((each) => each.rowVersion === 1);
--- a/test/table/sheet-delta.test.ts
+++ b/test/table/sheet-delta.test.ts
@@ -6,7 +6,7 @@
 import { applySheetDelta, DELTA_LIMIT, diffSheet } from '../../src/table/sheet-delta.js';
 import {
   HISTORY_LIMIT,
-  SPREAD_HISTORY_LIMIT,
+  NODE_HISTORY_LIMIT,
   type EditRecord,
   type SheetRow,
 } from '../../src/table/sheet.js';
@@ -23,7 +23,7 @@
 });
 
 const recordsTo = (newest: number): EditRecord[] =>
-  Array.from({ length: newest }, (_, index) => record(index + 1)).slice(-SPREAD_HISTORY_LIMIT);
+  Array.from({ length: newest }, (_, index) => record(index + 1)).slice(-NODE_HISTORY_LIMIT);
 
 const sheetAt = (
   revision: number,
@@ -36,7 +36,7 @@
   content: { type: 'sheet', sheet: { partner: identifier('ensemble'), rows, history } },
 });
 
-const standing = (kind: string, rowVersion: number, weight = 1): SheetRow => ({
+const createSheetRow = (kind: string, rowVersion: number, weight = 1): SheetRow => ({
   row: createRow({ kind, weight }),
   rowVersion,
   writtenBy: 'mair',
@@ -54,7 +54,7 @@
     )
     .map((rows) =>
       rows
-        .map(({ kind, weight, version }) => standing(kind, version, weight))
+        .map(({ kind, weight, version }) => createSheetRow(kind, version, weight))
         .sort((left, right) => compareRows(left.row, right.row)),
     );
 
@@ -62,7 +62,7 @@
   it('makes the new sheet of the old one, whatever changed', () => {
     const newest = fc.oneof(
       fc.nat(5),
-      fc.integer({ min: SPREAD_HISTORY_LIMIT - 2, max: SPREAD_HISTORY_LIMIT + 2 }),
+      fc.integer({ min: NODE_HISTORY_LIMIT - 2, max: NODE_HISTORY_LIMIT + 2 }),
     );
     fc.assert(
       fc.property(
@@ -83,31 +83,35 @@
   });
 
   it('is small although the history is long', () => {
-    const from = sheetAt(1, [standing('a', 1)], recordsTo(SPREAD_HISTORY_LIMIT));
-    const to = sheetAt(2, [standing('a', 2, 5)], recordsTo(SPREAD_HISTORY_LIMIT + 1));
+    const from = sheetAt(1, [createSheetRow('a', 1)], recordsTo(NODE_HISTORY_LIMIT));
+    const to = sheetAt(2, [createSheetRow('a', 2, 5)], recordsTo(NODE_HISTORY_LIMIT + 1));
     const delta = diffSheet(from, to);
-    expect(delta).toMatchObject({ fromRevision: 1, removed: [], rows: [standing('a', 2, 5)] });
-    expect(delta?.records).toEqual([record(SPREAD_HISTORY_LIMIT + 1)]);
+    expect(delta).toMatchObject({
+      fromRevision: 1,
+      removed: [],
+      rows: [createSheetRow('a', 2, 5)],
+    });
+    expect(delta?.records).toEqual([record(NODE_HISTORY_LIMIT + 1)]);
     const stored = Array.from({ length: HISTORY_LIMIT }, (_, index) => record(index + 1));
-    const whole = JSON.stringify(sheetAt(2, [standing('a', 2, 5)], stored));
+    const whole = JSON.stringify(sheetAt(2, [createSheetRow('a', 2, 5)], stored));
     expect(whole.length / JSON.stringify(delta).length).toBeGreaterThan(100);
   });
 
   it('is told as a whole sheet when it does not continue the history, or is large', () => {
-    const from = sheetAt(1, [standing('a', 1)], recordsTo(3));
-    expect(diffSheet(from, sheetAt(2, [standing('a', 1)], recordsTo(2)))).toBeUndefined();
-    expect(diffSheet(from, sheetAt(2, [standing('a', 1)], [record(9)]))).toBeUndefined();
+    const from = sheetAt(1, [createSheetRow('a', 1)], recordsTo(3));
+    expect(diffSheet(from, sheetAt(2, [createSheetRow('a', 1)], recordsTo(2)))).toBeUndefined();
+    expect(diffSheet(from, sheetAt(2, [createSheetRow('a', 1)], [record(9)]))).toBeUndefined();
     const many = Array.from({ length: DELTA_LIMIT + 1 }, (_, index) =>
-      standing(`k${String(index).padStart(4, '0')}`, 2),
+      createSheetRow(`k${String(index).padStart(4, '0')}`, 2),
     );
     expect(diffSheet(from, sheetAt(2, many, recordsTo(3)))).toBeUndefined();
-    const unsorted = [standing('b', 1), standing('a', 1)];
+    const unsorted = [createSheetRow('b', 1), createSheetRow('a', 1)];
     expect(diffSheet(from, sheetAt(2, unsorted, recordsTo(3)))).toBeUndefined();
   });
 
   it('is taken by a holder of the very revision it starts from only', () => {
-    const from = sheetAt(1, [standing('a', 1)], recordsTo(1));
-    const delta = diffSheet(from, sheetAt(2, [standing('a', 2)], recordsTo(2)));
+    const from = sheetAt(1, [createSheetRow('a', 1)], recordsTo(1));
+    const delta = diffSheet(from, sheetAt(2, [createSheetRow('a', 2)], recordsTo(2)));
     expect(delta && applySheetDelta({ ...from, revision: 3 }, delta)).toBeUndefined();
     expect(delta && applySheetDelta(undefined, delta)).toBeUndefined();
   });
--- a/test/table/validate-rows.test.ts
+++ b/test/table/validate-rows.test.ts
@@ -80,8 +80,8 @@
 
   it('gives the findings of the changed rows only', () => {
     const rows = [createRow({ weight: 0 }), createRow({ kind: 'swap', weight: 0 })];
-    const standing = rows.map((row) => ({ row, rowVersion: 1, writtenBy: 'mair' }));
-    const found = validateChangedRows(standing, rows.slice(1), { place: 'a', partner });
+    const current = rows.map((row) => ({ row, rowVersion: 1, writtenBy: 'mair' }));
+    const found = validateChangedRows(current, rows.slice(1), { place: 'a', partner });
     expect(found.map((finding) => finding.place)).toEqual(['a row roster/swap column weight']);
   });
 
@@ -110,8 +110,8 @@
         const ofChanged = validateRows(rows, sheet).filter((finding) =>
           places.some((place) => finding.place.startsWith(place)),
         );
-        const standing = rows.map((row) => ({ row, rowVersion: 1, writtenBy: 'mair' }));
-        expect(validateChangedRows(standing, changed, sheet)).toEqual(ofChanged);
+        const current = rows.map((row) => ({ row, rowVersion: 1, writtenBy: 'mair' }));
+        expect(validateChangedRows(current, changed, sheet)).toEqual(ofChanged);
       }),
       { seed: 3, numRuns: 500 },
     );
