--- a/src/core/admission/find-holder.ts
+++ b/src/core/admission/find-holder.ts
@@ -2,7 +2,7 @@
  * Finds whom to ask for a row's limits: its holder, the first live member by rendezvous; and, where
  * too many would ask that one, the first of the zone or of a group of the zone's nodes.
  */
-import type { GrantAsker, GrantLevel } from '../../protocol/grant-messages.js';
+import type { GrantRequester, GrantLevel } from '../../protocol/grant-messages.js';
 import { hash32 } from '../hash.js';
 import type { NodeId } from '../identifiers.js';
 import { findFirstMember, findFirstOf } from '../keepers/first-member.js';
@@ -56,7 +56,7 @@
     return known;
   }
   const holder = findFirstMember(state, `limit|${row}`);
-  const cached = { viewVersion, holder, asked: new Map<GrantAsker, GrantHolder>() };
+  const cached = { viewVersion, holder, asked: new Map<GrantRequester, GrantHolder>() };
   state.admission.holders.set(row, cached);
   return cached;
 };
@@ -65,7 +65,7 @@
 export const findHolder = (state: CoreState, row: string): NodeId => cacheOf(state, row).holder;
 
 /** The level above the one for which `asker` asks. */
-const levelAbove = (levels: ZoneLevels, asker: GrantAsker): GrantLevel => {
+const levelAbove = (levels: ZoneLevels, asker: GrantRequester): GrantLevel => {
   switch (asker) {
     case 'node':
       return levels.first;
@@ -90,7 +90,7 @@
 };
 
 /** Whom this node asks for grants of the row's limits as `asker`. */
-export const findAsked = (state: CoreState, row: string, asker: GrantAsker): GrantHolder => {
+export const findAsked = (state: CoreState, row: string, asker: GrantRequester): GrantHolder => {
   const { asked } = cacheOf(state, row);
   const known = asked.get(asker);
   if (known !== undefined) {
--- a/src/core/admission/state.ts
+++ b/src/core/admission/state.ts
@@ -1,6 +1,6 @@
 /** State of limits that hold over all nodes together. */
 import type {
-  GrantAsker,
+  GrantRequester,
   GrantLevel,
   GrantRequest,
   LimitBound,
@@ -37,7 +37,7 @@
 /** One that asks for grants of a limit: this node for itself, or for those it divides a grant among. */
 export interface Grantee {
   readonly limit: LimitKey;
-  readonly asker: GrantAsker;
+  readonly asker: GrantRequester;
   held: HeldGrant | undefined;
   pending: PendingGrant | undefined;
   /** Demand told with the last request, and when. */
@@ -156,7 +156,7 @@
   readonly viewVersion: number;
   readonly holder: NodeId;
   /** Whom this node asks for itself, for its group and for its zone, once that was needed. */
-  readonly asked: Map<GrantAsker, GrantHolder>;
+  readonly asked: Map<GrantRequester, GrantHolder>;
 }
 
 /** How this node's zone asks for grants, as of a version of the view. */
@@ -210,12 +210,12 @@
 export const limitName = (limit: LimitKey): string => `${limit.row}|${limit.bound}`;
 
 /** Names a divider in tables. */
-export const dividerName = (limit: LimitKey, asker: GrantAsker): string =>
+export const dividerName = (limit: LimitKey, asker: GrantRequester): string =>
   `${limitName(limit)}|${asker}`;
 
 /**
  * Names a grantee's slice in a holder's book. What an earlier process of a divider was given may still
  * be in use by others, so that each process has its own; a node's own use ends with its process.
  */
-export const sliceName = (from: NodeId, asker: GrantAsker, process: number): string =>
+export const sliceName = (from: NodeId, asker: GrantRequester, process: number): string =>
   asker === 'node' ? from : `${from}|${asker}|${process}`;
--- a/src/gateway/read-settings.ts
+++ b/src/gateway/read-settings.ts
@@ -1,7 +1,7 @@
 /** Reads a gateway's settings from JSON, and reports all findings together. */
 import { type Either, Left } from 'purify-ts/Either';
 import type { HostPort } from '../settings/node-settings.js';
-import { HOST_PORT_FORM, parseHostPort } from '../settings/parse-host-port.js';
+import { HOST_PORT_FORMAT, parseHostPort } from '../settings/parse-host-port.js';
 import { LOG_LEVELS, type LogLevel } from '../settings/log-level.js';
 import type { Finding } from '../table/finding.js';
 import { FieldReader } from './field-reader.js';
@@ -12,7 +12,7 @@
 const readAddress = (fields: FieldReader, name: string, text: string): HostPort =>
   parseHostPort(text).caseOf({
     Left: (problem) => {
-      fields.report(name, problem, HOST_PORT_FORM);
+      fields.report(name, problem, HOST_PORT_FORMAT);
       return { host: '', port: 0 };
     },
     Right: (address) => address,
--- a/src/gateway/runtime/peers/peer-connection.ts
+++ b/src/gateway/runtime/peers/peer-connection.ts
@@ -1,7 +1,7 @@
 /** One TCP connection between two gateways: frames of a length and a message. */
 import type { Socket } from 'node:net';
 import type { MonotonicClock } from '../../../runtime/monotonic-clock.js';
-import { frameBytes } from '../../../protocol/codec/frame.js';
+import { encodeFrame } from '../../../protocol/codec/frame.js';
 import { FrameReader } from '../../../protocol/codec/frame-reader.js';
 import { decodePeerMessage, encodePeerMessage } from './peer-codec.js';
 import type { PeerMessage } from './peer-message.js';
@@ -13,7 +13,7 @@
 const MAX_WAITING_BYTES = 8 * 1024 * 1024;
 
 /** The bytes of a message as they go over a connection. */
-export const frameOf = (message: PeerMessage): Buffer => frameBytes(encodePeerMessage(message));
+export const frameOf = (message: PeerMessage): Buffer => encodeFrame(encodePeerMessage(message));
 
 /** What a connection tells its owner. */
 export interface PeerConnectionListener {
--- a/src/metrics/answer-recorder.ts
+++ b/src/metrics/answer-recorder.ts
@@ -88,8 +88,8 @@
   const seriesByRow = new Map<string, RowSeries>();
 
   const createSeries = ([partner, route, kind]: RowLabels): RowSeries => {
-    const hasRoom = seriesByRow.size < SERIES_ROW_LIMIT;
-    const labels: RowLabels = hasRoom
+    const hasOwnSeries = seriesByRow.size < SERIES_ROW_LIMIT;
+    const labels: RowLabels = hasOwnSeries
       ? [partner, route, kind]
       : [partner, OTHER_LABEL, OTHER_LABEL];
     return {
--- a/src/protocol/codec/plain-rows.ts
+++ b/src/protocol/codec/fast-checks.ts
@@ -65,7 +65,7 @@
   isCount(value['sheetVersion']);
 
 /** True for a list of rows of the usual shape, with their versions and writers. */
-export const isPlainRows = (value: unknown): boolean => isListOf(value, isSheetRow);
+export const isUsualRowList = (value: unknown): boolean => isListOf(value, isSheetRow);
 
 /** True for a list of records of edits of the usual shape. */
-export const isPlainHistory = (value: unknown): boolean => isListOf(value, isRecord);
+export const isUsualHistory = (value: unknown): boolean => isListOf(value, isRecord);
--- a/src/protocol/codec/frame-reader.ts
+++ b/src/protocol/codec/frame-reader.ts
@@ -5,36 +5,38 @@
  * What came of the bytes read so far. `more` asks to call `readHeld` once the bodies have been taken:
  * a frame follows that is too long as things stand, and taking the bodies may raise `maxBytes`.
  */
-export type FrameReading =
+export type FrameReadResult =
   | { readonly type: 'frames'; readonly bodies: readonly Buffer[]; readonly more: boolean }
   | { readonly type: 'oversized'; readonly length: number };
 
 /** Collects bytes until a frame is whole; holds at most one incomplete frame. */
 export class FrameReader {
   private chunks: Buffer[] = [];
-  private held = 0;
+  private bufferedBytes = 0;
   private wanted = FRAME_HEADER_BYTES;
 
   /** `maxBytes` is the longest body taken; it may be raised later. */
   constructor(public maxBytes: number) {}
 
   /** Takes the next bytes of the connection; returns all bodies that are whole now. */
-  read(chunk: Buffer): FrameReading {
+  read(chunk: Buffer): FrameReadResult {
     this.chunks.push(chunk);
-    this.held += chunk.length;
-    if (this.held < this.wanted) {
+    this.bufferedBytes += chunk.length;
+    if (this.bufferedBytes < this.wanted) {
       return { type: 'frames', bodies: [], more: false };
     }
-    return this.readHeld();
+    return this.readBuffered();
   }
 
   /** Cuts the bytes held already; see `more`. */
-  readHeld(): FrameReading {
+  readBuffered(): FrameReadResult {
     const [first = Buffer.alloc(0)] = this.chunks;
-    return this.cut(this.chunks.length <= 1 ? first : Buffer.concat(this.chunks, this.held));
+    return this.extractFrames(
+      this.chunks.length <= 1 ? first : Buffer.concat(this.chunks, this.bufferedBytes),
+    );
   }
 
-  private cut(bytes: Buffer): FrameReading {
+  private extractFrames(bytes: Buffer): FrameReadResult {
     const bodies: Buffer[] = [];
     let start = 0;
     let more = false;
@@ -57,7 +59,7 @@
       start = end;
     }
     this.chunks = start === bytes.length ? [] : [bytes.subarray(start)];
-    this.held = bytes.length - start;
+    this.bufferedBytes = bytes.length - start;
     return { type: 'frames', bodies, more };
   }
 }
--- a/src/protocol/codec/frame.ts
+++ b/src/protocol/codec/frame.ts
@@ -4,7 +4,7 @@
 export const FRAME_HEADER_BYTES = 4;
 
 /** Puts the length before `body`. */
-export const frameBytes = (body: Buffer): Buffer => {
+export const encodeFrame = (body: Buffer): Buffer => {
   const frame = Buffer.allocUnsafe(FRAME_HEADER_BYTES + body.length);
   frame.writeUInt32BE(body.length, 0);
   body.copy(frame, FRAME_HEADER_BYTES);
--- a/src/protocol/codec/grant-shapes.ts
+++ b/src/protocol/codec/grant-shapes.ts
@@ -3,7 +3,7 @@
 
 const BOUNDS = ['concurrent', 'per-second'];
 
-const ASKERS = ['node', 'group', 'zone'];
+const REQUESTERS = ['node', 'group', 'zone'];
 const LEVELS = ['group', 'zone', 'row'];
 
 const isAmount = (value: unknown): boolean => isFiniteNumber(value) && (value as number) >= 0;
@@ -11,9 +11,9 @@
 const isLimitKey = (value: unknown): boolean =>
   isFields(value) && isText(value['row']) && BOUNDS.includes(value['bound'] as string);
 
-const isFromGrantee = (value: Fields): boolean =>
+const isGranteeMessage = (value: Fields): boolean =>
   isLimitKey(value['limit']) &&
-  ASKERS.includes(value['asker'] as string) &&
+  REQUESTERS.includes(value['asker'] as string) &&
   LEVELS.includes(value['asked'] as string) &&
   isCount(value['process']) &&
   isCount(value['sequence']) &&
@@ -21,18 +21,18 @@
 
 /** True for the fields of a `grant-request`. */
 export const isGrantRequest = (value: Fields): boolean =>
-  isFromGrantee(value) &&
+  isGranteeMessage(value) &&
   isAmount(value['demand']) &&
   isAmount(value['holds']) &&
   isCount(value['heldSequence']);
 
 /** True for the fields of a `grant-return`. */
-export const isGrantReturn = (value: Fields): boolean => isFromGrantee(value);
+export const isGrantReturn = (value: Fields): boolean => isGranteeMessage(value);
 
 /** True for the fields of a `grant`. */
 export const isGrant = (value: Fields): boolean =>
   isLimitKey(value['limit']) &&
-  ASKERS.includes(value['asker'] as string) &&
+  REQUESTERS.includes(value['asker'] as string) &&
   isAmount(value['amount']) &&
   isCount(value['sequence']) &&
   typeof value['adopted'] === 'boolean' &&
--- a/src/protocol/codec/link-frame.ts
+++ b/src/protocol/codec/link-frame.ts
@@ -5,7 +5,7 @@
 import { type Either, Left, Right } from 'purify-ts';
 import type { LinkMessage } from '../peer-message.js';
 import { decodeCbor, encodeCbor } from './cbor.js';
-import { FRAME_HEADER_BYTES, frameBytes } from './frame.js';
+import { FRAME_HEADER_BYTES, encodeFrame } from './frame.js';
 import { checkLinkMessage } from './message-shapes.js';
 import { packMessage, unpackMessage } from './pack-grants.js';
 
@@ -17,7 +17,7 @@
 
 /** Encodes messages into one frame. */
 export const encodeLinkFrame = (messages: readonly LinkMessage[]): Buffer =>
-  frameBytes(encodeCbor(messages.map(packMessage)));
+  encodeFrame(encodeCbor(messages.map(packMessage)));
 
 /** Decodes the body of a frame; one bad message spoils the frame. */
 export const decodeLinkFrame = (body: Uint8Array): Either<string, readonly LinkMessage[]> => {
--- a/src/protocol/codec/store-object-shape.ts
+++ b/src/protocol/codec/store-object-shape.ts
@@ -5,16 +5,16 @@
 import { type Either, Left, Right } from 'purify-ts';
 import { z } from 'zod';
 import type { Machine, StoreContent, StoreObject } from '../../catalog/store-object.js';
-import { isPlainHistory, isPlainRows } from './plain-rows.js';
+import { isUsualHistory, isUsualRowList } from './fast-checks.js';
 
 const text = z.string();
 const count = z.int().min(0);
 const share = z.number().min(0).max(1);
 
 /** The schema of a long list that need not be gone through when a quick check recognises it. */
-const withQuickCheck = (isPlain: (value: unknown) => boolean, schema: z.ZodType): z.ZodType =>
+const withFastCheck = (isUsual: (value: unknown) => boolean, schema: z.ZodType): z.ZodType =>
   z.unknown().superRefine((value, context) => {
-    const issues = isPlain(value) ? [] : (schema.safeParse(value).error?.issues ?? []);
+    const issues = isUsual(value) ? [] : (schema.safeParse(value).error?.issues ?? []);
     issues.forEach((issue) => {
       context.addIssue({ ...issue });
     });
@@ -42,7 +42,7 @@
 /** Rows with their versions and writers, in full. */
 export const ROW_LIST = z.array(z.looseObject({ row: ROW, rowVersion: count, writtenBy: text }));
 
-const SHEET_ROWS = withQuickCheck(isPlainRows, ROW_LIST);
+const SHEET_ROWS = withFastCheck(isUsualRowList, ROW_LIST);
 
 /** Records of edits, in full. */
 export const RECORD_LIST = z.array(
@@ -58,7 +58,7 @@
   }),
 );
 
-const HISTORY = withQuickCheck(isPlainHistory, RECORD_LIST);
+const HISTORY = withFastCheck(isUsualHistory, RECORD_LIST);
 
 const SHEET = z.looseObject({ partner: text, rows: SHEET_ROWS, history: HISTORY });
 
--- a/src/protocol/grant-messages.ts
+++ b/src/protocol/grant-messages.ts
@@ -10,15 +10,15 @@
 }
 
 /** For whom a node asks: for itself, or for those it divides a grant among. */
-export type GrantAsker = 'node' | 'group' | 'zone';
+export type GrantRequester = 'node' | 'group' | 'zone';
 
 /** As what a node is asked: as the row's holder, or as one that divides a grant of its own. */
 export type GrantLevel = 'group' | 'zone' | 'row';
 
 /** What every message from a grantee names. */
-interface FromGrantee {
+interface GranteeMessage {
   readonly limit: LimitKey;
-  readonly asker: GrantAsker;
+  readonly asker: GrantRequester;
   readonly asked: GrantLevel;
   /** Incarnation of the asking process; what an earlier one was given may still be in use below it. */
   readonly process: number;
@@ -27,7 +27,7 @@
 }
 
 /** Grantee to holder: what it could use, and what it has. */
-export interface GrantRequest extends FromGrantee {
+export interface GrantRequest extends GranteeMessage {
   readonly type: 'grant-request';
   /** Queries at once, or a second, that the grantee could use. */
   readonly demand: number;
@@ -43,7 +43,7 @@
 }
 
 /** Grantee to holder: it uses no grant of that holder from now on, but for what still runs. */
-export interface GrantReturn extends FromGrantee {
+export interface GrantReturn extends GranteeMessage {
   readonly type: 'grant-return';
   /** As in a request. */
   readonly used: number;
@@ -54,7 +54,7 @@
   readonly type: 'grant';
   readonly limit: LimitKey;
   /** As in the request. */
-  readonly asker: GrantAsker;
+  readonly asker: GrantRequester;
   readonly amount: number;
   readonly sequence: number;
   /** Given again by a new holder on the node's word: takes effect only while the node still holds it. */
--- a/src/protocol/idempotency-key.ts
+++ b/src/protocol/idempotency-key.ts
@@ -7,7 +7,7 @@
 
 const KEY_PATTERN = /^[0-9a-f]{8}-[0-9a-f]{4}-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}$/;
 
-const HEX = 16;
+const HEX_RADIX = 16;
 const TIME_DIGITS = 12;
 /** Random digits of a key, besides its version and variant. */
 const RANDOM_DIGITS = 19;
@@ -21,22 +21,22 @@
 
 /** Reads a key; Left says what is wrong with it. */
 export const parseIdempotencyKey = (text: string): Either<string, IdempotencyKey> => {
-  const spelled = text.toLowerCase();
-  if (!KEY_PATTERN.test(spelled)) {
+  const normalized = text.toLowerCase();
+  if (!KEY_PATTERN.test(normalized)) {
     return Left('is no UUID of version 7');
   }
-  const createdAt = Number.parseInt(spelled.slice(0, 8) + spelled.slice(9, 13), HEX);
-  return Right({ text: spelled, createdAt });
+  const createdAt = Number.parseInt(normalized.slice(0, 8) + normalized.slice(9, 13), HEX_RADIX);
+  return Right({ text: normalized, createdAt });
 };
 
 /** Makes a key at wall-clock time `createdAt`; `random` gives numbers uniform in [0, 1). */
 export const createIdempotencyKey = (createdAt: number, random: () => number): string => {
-  const time = Math.floor(createdAt).toString(HEX).padStart(TIME_DIGITS, '0');
+  const time = Math.floor(createdAt).toString(HEX_RADIX).padStart(TIME_DIGITS, '0');
   let digits = '';
   for (let index = 0; index < RANDOM_DIGITS; index += 1) {
-    digits += Math.floor(random() * HEX).toString(HEX);
+    digits += Math.floor(random() * HEX_RADIX).toString(HEX_RADIX);
   }
   const head = `${time.slice(0, 8)}-${time.slice(8)}-7${digits.slice(0, 3)}`;
-  const variant = '89ab'[Number.parseInt(digits.slice(3, 4), HEX) % 4] ?? '8';
+  const variant = '89ab'[Number.parseInt(digits.slice(3, 4), HEX_RADIX) % 4] ?? '8';
   return `${head}-${variant}${digits.slice(4, 7)}-${digits.slice(7)}`;
 };
--- a/src/replay/event-record.ts
+++ b/src/replay/event-record.ts
@@ -8,7 +8,7 @@
 import type { Event } from '../core/event.js';
 import type { CoreOptions } from '../core/state.js';
 import { decodeCbor, encodeCbor } from '../protocol/codec/cbor.js';
-import { FRAME_HEADER_BYTES, frameBytes } from '../protocol/codec/frame.js';
+import { FRAME_HEADER_BYTES, encodeFrame } from '../protocol/codec/frame.js';
 import { isFields, isFiniteNumber, isText } from '../protocol/codec/shape.js';
 
 /** Version of the format. */
@@ -41,11 +41,11 @@
 
 /** The header as a frame. */
 export const encodeHeader = (options: CoreOptions): Buffer =>
-  frameBytes(encodeCbor({ format: RECORD_FORMAT, options } satisfies RecordHeader));
+  encodeFrame(encodeCbor({ format: RECORD_FORMAT, options } satisfies RecordHeader));
 
 /** An entry as a frame. */
 export const encodeEntry = (event: Event, effects: readonly Effect[]): Buffer =>
-  frameBytes(encodeCbor({ event, digest: digestEffects(effects) } satisfies RecordEntry));
+  encodeFrame(encodeCbor({ event, digest: digestEffects(effects) } satisfies RecordEntry));
 
 const cutFrames = (bytes: Buffer): { bodies: Buffer[]; cutBytes: number } => {
   const bodies: Buffer[] = [];
--- a/src/runtime/peer/link.ts
+++ b/src/runtime/peer/link.ts
@@ -1,8 +1,8 @@
 /** One TCP connection to a peer: handshake first, then frames of messages. */
 import type { Socket } from 'node:net';
 import type { NodeId } from '../../core/identifiers.js';
-import { frameBytes } from '../../protocol/codec/frame.js';
-import { FrameReader, type FrameReading } from '../../protocol/codec/frame-reader.js';
+import { encodeFrame } from '../../protocol/codec/frame.js';
+import { FrameReader, type FrameReadResult } from '../../protocol/codec/frame-reader.js';
 import {
   decodeLinkFrame,
   encodeLinkFrame,
@@ -55,7 +55,7 @@
 
   /** Sends a frame of the handshake. */
   sendHandshake(body: Buffer): void {
-    this.socket.write(frameBytes(body));
+    this.socket.write(encodeFrame(body));
   }
 
   /** Sends messages in one frame; closes the link when too much waits already. */
@@ -106,7 +106,7 @@
     this.takeReading(this.reader.read(chunk));
   }
 
-  private takeReading(reading: FrameReading): void {
+  private takeReading(reading: FrameReadResult): void {
     if (reading.type === 'oversized') {
       this.close(`a frame of ${reading.length} bytes was announced`);
       return;
@@ -117,7 +117,7 @@
       }
     }
     if (reading.more && !this.closed) {
-      this.takeReading(this.reader.readHeld());
+      this.takeReading(this.reader.readBuffered());
     }
   }
 
--- a/src/settings/node-settings-schema.ts
+++ b/src/settings/node-settings-schema.ts
@@ -3,7 +3,7 @@
 import { z } from 'zod';
 import { LOG_LEVELS } from './log-level.js';
 import type { HostPort } from './node-settings.js';
-import { HOST_PORT_FORM, parseHostPort } from './parse-host-port.js';
+import { HOST_PORT_FORMAT, parseHostPort } from './parse-host-port.js';
 
 /** Shortest shared secret of the nodes, in characters. */
 const MIN_SECRET_LENGTH = 16;
@@ -11,22 +11,22 @@
 /** Longest name of a node, zone or region, in characters. */
 const MAX_NAME_LENGTH = 64;
 
-const NAME_FORM = `1 to ${MAX_NAME_LENGTH} letters, digits, ".", "_" or "-"`;
+const NAME_FORMAT = `1 to ${MAX_NAME_LENGTH} letters, digits, ".", "_" or "-"`;
 
 const UNSPECIFIED_HOSTS = ['0.0.0.0', '::'];
 
 const name = (): z.ZodType<string> =>
   z
-    .string(`is missing or not text; allowed: ${NAME_FORM}`)
-    .regex(/^[A-Za-z0-9._-]{1,64}$/, `is not a name; allowed: ${NAME_FORM}`);
+    .string(`is missing or not text; allowed: ${NAME_FORMAT}`)
+    .regex(/^[A-Za-z0-9._-]{1,64}$/, `is not a name; allowed: ${NAME_FORMAT}`);
 
 const hostPort = (): z.ZodType<HostPort, string> =>
   z
-    .string(`is missing or not text; allowed: ${HOST_PORT_FORM}`)
+    .string(`is missing or not text; allowed: ${HOST_PORT_FORMAT}`)
     .transform((text, context): HostPort => {
       const parsed = parseHostPort(text);
       if (parsed.isLeft()) {
-        context.addIssue(`${String(parsed.extract())}; allowed: ${HOST_PORT_FORM}`);
+        context.addIssue(`${String(parsed.extract())}; allowed: ${HOST_PORT_FORMAT}`);
         return z.NEVER;
       }
       return parsed.unsafeCoerce();
@@ -50,7 +50,7 @@
   return url.protocol === 'http:' && isIP(host) !== 0 && url.pathname === '/';
 };
 
-const PLATFORM_FORM = 'http://, an IP number and a port, e.g. http://127.0.0.1:7000';
+const PLATFORM_FORMAT = 'http://, an IP number and a port, e.g. http://127.0.0.1:7000';
 
 /** The fields of a settings file; unknown fields are findings. */
 export const NODE_SETTINGS_SCHEMA = z.strictObject({
@@ -65,11 +65,11 @@
   ),
   operator: hostPort().describe('Where operators, health checks and metrics connect, over HTTP.'),
   platform: z
-    .string(`is missing or not text; allowed: ${PLATFORM_FORM}`)
-    .refine(isPlatformUrl, `is not a base URL; allowed: ${PLATFORM_FORM}`)
+    .string(`is missing or not text; allowed: ${PLATFORM_FORMAT}`)
+    .refine(isPlatformUrl, `is not a base URL; allowed: ${PLATFORM_FORMAT}`)
     .describe("Base URL of the platform's object API, e.g. `http://127.0.0.1:7000`."),
   seeds: z
-    .array(seedAddress(), `is not a list; allowed: a list of ${HOST_PORT_FORM}`)
+    .array(seedAddress(), `is not a list; allowed: a list of ${HOST_PORT_FORMAT}`)
     .default([])
     .describe("Peers to ask first; the platform's machine list is used besides."),
   peerSecret: z
--- a/src/settings/parse-host-port.ts
+++ b/src/settings/parse-host-port.ts
@@ -9,7 +9,7 @@
 const ADDRESS_PATTERN = /^(?:\[([^\]]+)\]|([^:[\]]+)):(\d{1,5})$/;
 
 /** What an address must look like, for findings and help. */
-export const HOST_PORT_FORM = 'IP number and port, e.g. 127.0.0.1:8080 or [::1]:8080';
+export const HOST_PORT_FORMAT = 'IP number and port, e.g. 127.0.0.1:8080 or [::1]:8080';
 
 /** Parses `text`; names are refused, only IP numbers are taken. Port 0 is left to the caller. */
 export const parseHostPort = (text: string): Either<string, HostPort> => {
--- a/test/protocol/codec.test.ts
+++ b/test/protocol/codec.test.ts
@@ -7,7 +7,7 @@
   encodeDatagram,
   MAX_DATAGRAM_BYTES,
 } from '../../src/protocol/codec/datagram.js';
-import { FRAME_HEADER_BYTES, frameBytes } from '../../src/protocol/codec/frame.js';
+import { FRAME_HEADER_BYTES, encodeFrame } from '../../src/protocol/codec/frame.js';
 import { decodeLinkFrame, encodeLinkFrame } from '../../src/protocol/codec/link-frame.js';
 import type {
   MembershipLinkMessage,
@@ -111,7 +111,7 @@
 const SENDER = PING.sender;
 
 /** Typed without a cast, so that a change of the messages is felt here. */
-const TABLE_EXCHANGE: readonly MembershipLinkMessage[] = [
+const MEMBER_TABLE_MESSAGES: readonly MembershipLinkMessage[] = [
   { type: 'membership-pull', sender: SENDER, buckets: [1, 2], after: -1 },
   { type: 'membership-pull', sender: SENDER, buckets: [], after: 77 },
   {
@@ -132,8 +132,8 @@
   });
 
   it('carry the exchange of member tables', () => {
-    const decoded = decodeLinkFrame(bodyOf(encodeLinkFrame(TABLE_EXCHANGE))).unsafeCoerce();
-    expect(decoded).toEqual(TABLE_EXCHANGE);
+    const decoded = decodeLinkFrame(bodyOf(encodeLinkFrame(MEMBER_TABLE_MESSAGES))).unsafeCoerce();
+    expect(decoded).toEqual(MEMBER_TABLE_MESSAGES);
   });
 
   it.each([
@@ -205,7 +205,7 @@
 describe('reader of frames', () => {
   it('cuts the same frames whatever the chunks', () => {
     const bodies = ['', 'a', 'bb'.repeat(300), 'c'].map((text) => Buffer.from(text));
-    const stream = Buffer.concat(bodies.map(frameBytes));
+    const stream = Buffer.concat(bodies.map(encodeFrame));
     fc.assert(
       fc.property(fc.array(fc.integer({ min: 1, max: 50 }), { minLength: 1 }), (sizes) => {
         const reader = new FrameReader(1_000);
@@ -226,15 +226,15 @@
   it('holds a frame that is too long until the frames before it have been taken', () => {
     const reader = new FrameReader(8);
     const long = Buffer.alloc(20, 'x');
-    const first = reader.read(Buffer.concat([frameBytes(Buffer.alloc(5)), frameBytes(long)]));
+    const first = reader.read(Buffer.concat([encodeFrame(Buffer.alloc(5)), encodeFrame(long)]));
     expect(first).toEqual({ type: 'frames', bodies: [Buffer.alloc(5)], more: true });
     reader.maxBytes = 20;
-    expect(reader.readHeld()).toEqual({ type: 'frames', bodies: [long], more: false });
+    expect(reader.readBuffered()).toEqual({ type: 'frames', bodies: [long], more: false });
   });
 
   it('refuses a frame that is announced too long before it holds it', () => {
     const reader = new FrameReader(8);
-    expect(reader.read(frameBytes(Buffer.alloc(9)).subarray(0, 4))).toEqual({
+    expect(reader.read(encodeFrame(Buffer.alloc(9)).subarray(0, 4))).toEqual({
       type: 'oversized',
       length: 9,
     });
@@ -243,7 +243,7 @@
 
 describe('datagrams', () => {
   const secret = new SharedSecret('sixteen-characters');
-  const stranger = new SharedSecret('another-sixteen-chars');
+  const otherSecret = new SharedSecret('another-sixteen-chars');
 
   it('come back as they were sent', () => {
     const bytes = encodeDatagram(PING, secret.tagDatagram).unsafeCoerce();
@@ -252,10 +252,10 @@
 
   it('of a stranger, changed or cut off are refused', () => {
     const bytes = encodeDatagram(PING, secret.tagDatagram).unsafeCoerce();
-    const foreign = encodeDatagram(PING, stranger.tagDatagram).unsafeCoerce();
+    const otherSecretBytes = encodeDatagram(PING, otherSecret.tagDatagram).unsafeCoerce();
     const changed = Buffer.from(bytes);
     changed[20] = (changed[20] ?? 0) ^ 1;
-    for (const bad of [foreign, changed, bytes.subarray(0, 30), bytes.subarray(0, 3)]) {
+    for (const bad of [otherSecretBytes, changed, bytes.subarray(0, 30), bytes.subarray(0, 3)]) {
       expect(decodeDatagram(bad, secret.tagDatagram, areEqual).isLeft()).toBe(true);
     }
   });
--- a/test/protocol/plain-rows.test.ts
+++ b/test/protocol/fast-checks.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { isPlainHistory, isPlainRows } from '../../src/protocol/codec/plain-rows.js';
+import { isUsualHistory, isUsualRowList } from '../../src/protocol/codec/fast-checks.js';
 import {
   checkStoreObject,
   RECORD_LIST,
@@ -37,16 +37,17 @@
 };
 
 /** A list whose first element has one odd value, and a second that is as it should be. */
-const spoilt = (element: Record<string, unknown>, field: string, value: unknown): unknown[] => [
-  { ...element, [field]: value },
-  element,
-];
+const withOddValue = (
+  element: Record<string, unknown>,
+  field: string,
+  value: unknown,
+): unknown[] => [{ ...element, [field]: value }, element];
 
 describe('the quick checks of rows and histories', () => {
   it('recognise every row that the columns allow', () => {
     fc.assert(
       fc.property(fc.array(arbitraryRow(), { maxLength: 3 }), (rows) => {
-        expect(isPlainRows(rows.map((row) => ({ row, rowVersion: 1, writtenBy: 'mair' })))).toBe(
+        expect(isUsualRowList(rows.map((row) => ({ row, rowVersion: 1, writtenBy: 'mair' })))).toBe(
           true,
         );
       }),
@@ -60,20 +61,20 @@
       concurrentLimit: 3,
       perSecondLimit: 1.5,
     };
-    const standing = { row, rowVersion: 1, writtenBy: 'mair' };
+    const sheetRow = { row, rowVersion: 1, writtenBy: 'mair' };
     for (const value of ODD_VALUES) {
       const rows = [
-        ...Object.keys(row).map((field) => [{ ...standing, row: { ...row, [field]: value } }]),
-        ...Object.keys(standing).map((field) => spoilt(standing, field, value)),
+        ...Object.keys(row).map((field) => [{ ...sheetRow, row: { ...row, [field]: value } }]),
+        ...Object.keys(sheetRow).map((field) => withOddValue(sheetRow, field, value)),
         [value],
         value,
       ];
       for (const list of rows) {
-        expect([list, isPlainRows(list)]).toEqual([list, ROW_LIST.safeParse(list).success]);
+        expect([list, isUsualRowList(list)]).toEqual([list, ROW_LIST.safeParse(list).success]);
       }
-      const histories = Object.keys(RECORD).map((field) => spoilt(RECORD, field, value));
+      const histories = Object.keys(RECORD).map((field) => withOddValue(RECORD, field, value));
       for (const list of [...histories, [value], value]) {
-        expect([list, isPlainHistory(list)]).toEqual([list, RECORD_LIST.safeParse(list).success]);
+        expect([list, isUsualHistory(list)]).toEqual([list, RECORD_LIST.safeParse(list).success]);
       }
     }
   });
--- a/test/runtime/peer-links.test.ts
+++ b/test/runtime/peer-links.test.ts
@@ -5,7 +5,7 @@
 import { identifier, type NodeId } from '../../src/core/identifiers.js';
 import { encodeCbor } from '../../src/protocol/codec/cbor.js';
 import { FrameReader } from '../../src/protocol/codec/frame-reader.js';
-import { frameBytes } from '../../src/protocol/codec/frame.js';
+import { encodeFrame } from '../../src/protocol/codec/frame.js';
 import { MAX_FRAME_BYTES } from '../../src/protocol/codec/link-frame.js';
 import type { LinkMessage } from '../../src/protocol/peer-message.js';
 import { createMonotonicClock, type MonotonicClock } from '../../src/runtime/monotonic-clock.js';
@@ -142,13 +142,13 @@
   const socket = connect(member.port, '127.0.0.1');
   closers.push(() => socket.destroy());
   socket.on('error', () => undefined);
-  socket.write(frameBytes(handshake.begin()));
+  socket.write(encodeFrame(handshake.begin()));
   await new Promise<void>((resolve) => {
     socket.once('data', (chunk) => {
       const reading = reader.read(chunk);
       const [body = Buffer.alloc(0)] = reading.type === 'frames' ? reading.bodies : [];
       const next = handshake.take(body).unsafeCoerce();
-      socket.write(frameBytes(next.body ?? Buffer.alloc(0)), () => resolve());
+      socket.write(encodeFrame(next.body ?? Buffer.alloc(0)), () => resolve());
     });
   });
   return socket;
@@ -230,7 +230,7 @@
     ['no CBOR', Buffer.from([0xff, 0xff, 0xff])],
   ])('refuse a stranger with %s and go on', async (_name, body) => {
     const [a, b] = [await startMember('a'), await startMember('b')];
-    await sendRaw(a.port, frameBytes(body));
+    await sendRaw(a.port, encodeFrame(body));
     send(b, a, pull(1));
     await until(() => messagesOf(a).length === 1, 'another node is served');
     expect(messagesOf(a)).toEqual([pull(1)]);
@@ -244,7 +244,7 @@
 
   it.each([
     ['oversized', Buffer.from([0xff, 0xff, 0xff, 0xff])],
-    ['malformed', frameBytes(encodeCbor([{ type: 'leg-batch' }]))],
+    ['malformed', encodeFrame(encodeCbor([{ type: 'leg-batch' }]))],
   ])('close on an %s frame of a peer and go on', async (_name, bytes) => {
     const [a, b] = [await startMember('a'), await startMember('b')];
     const socket = await authenticate(a, 'x');
--- a/test/settings/read-node-settings.test.ts
+++ b/test/settings/read-node-settings.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import { readNodeSettings } from '../../src/settings/read-node-settings.js';
 
-const GOOD = `node: bole-1
+const VALID_SETTINGS = `node: bole-1
 zone: bole
 region: addis
 caller: 127.0.0.1:8080
@@ -18,7 +18,10 @@
 
 describe('settings of a node', () => {
   it('are read with their defaults', () => {
-    const settings = readNodeSettings({ fileName: 'node.yaml', text: GOOD }).unsafeCoerce();
+    const settings = readNodeSettings({
+      fileName: 'node.yaml',
+      text: VALID_SETTINGS,
+    }).unsafeCoerce();
     expect(settings.caller).toEqual({ host: '127.0.0.1', port: 8080 });
     expect(settings.operator).toEqual({ host: '::1', port: 8082 });
     expect(settings.seeds).toEqual([{ host: '127.0.0.1', port: 9081 }]);
@@ -28,7 +31,7 @@
 
   it('let flags override the file', () => {
     const settings = readNodeSettings(
-      { fileName: 'node.yaml', text: GOOD },
+      { fileName: 'node.yaml', text: VALID_SETTINGS },
       { zone: 'arada', seed: 7 },
     ).unsafeCoerce();
     expect([settings.zone, settings.seed]).toEqual(['arada', 7]);
@@ -73,7 +76,9 @@
   });
 
   it('name a wrong flag by its flag', () => {
-    expect(findingsOf(GOOD, { zone: '' }).map((finding) => finding.place)).toEqual(['--zone']);
+    expect(findingsOf(VALID_SETTINGS, { zone: '' }).map((finding) => finding.place)).toEqual([
+      '--zone',
+    ]);
   });
 
   it.each([
