--- a/src/metrics/answer-recorder.ts
+++ b/src/metrics/answer-recorder.ts
@@ -1,21 +1,21 @@
 /**
- * Records how queries ended, for each route and kind: as Prometheus histograms and counters, and as
- * live figures of the last minute for the operators' page.
+ * Records the outcomes of queries by route and kind: as Prometheus histograms and counters, and as live
+ * figures of the last minute for the operators' page.
  *
- * Series are bounded: a request for an unknown route is recorded under `other`, and so are rows past
- * the limit, so that no caller can make the node keep more.
+ * The number of series is bounded, so that callers cannot make the node hold more: requests for unknown
+ * routes and rows beyond the limit are recorded under `other`.
  */
 import { Counter, Histogram, type Registry } from 'prom-client';
 import type { QueryOutcome, QueryRequest } from '../core/query/query-request.js';
 import { createLiveFigures, type LiveFigures, type RowFigures } from './live-figures.js';
 
-/** Most rows with live figures of their own. */
+/** Maximum number of rows with their own live figures. */
 export const RECORDED_ROW_LIMIT = 500;
 
-/** Most rows with Prometheus series of their own: a scrape holds up the loop for each of them. */
+/** Maximum number of rows with their own Prometheus series; a scrape blocks the loop for each row. */
 export const SERIES_ROW_LIMIT = 250;
 
-/** Label of requests that have no series of their own. */
+/** Label of requests without their own series. */
 export const OTHER_LABEL = 'other';
 
 const LATENCY_BUCKETS_SECONDS = [
@@ -25,11 +25,11 @@
 const MS_PER_SECOND = 1_000;
 const ROW_LABELS = ['partner', 'route', 'kind'] as const;
 
-/** Takes each final outcome of a query. */
+/** Records the final outcomes of queries. */
 export interface AnswerRecorder {
-  /** Records one outcome; `elapsedMs` runs from the query's arrival to its answer. */
+  /** Records an outcome; `elapsedMs` is the time from the query's arrival to its answer. */
   recordAnswer(query: QueryRequest, outcome: QueryOutcome, elapsedMs: number): void;
-  /** Figures of the last minute, for each row that had queries. */
+  /** Returns the figures of the last minute for each row that had queries. */
   readFigures(): readonly RowFigures[];
 }
 
@@ -82,7 +82,7 @@
 const isUnknownRoute = (outcome: QueryOutcome): boolean =>
   outcome.type === 'not-run' && outcome.reason === 'unknown-route';
 
-/** Creates a recorder whose metrics stand in `registry`; `now` is in milliseconds. */
+/** Creates a recorder that registers its metrics in `registry`; `now` returns milliseconds. */
 export const createAnswerRecorder = (registry: Registry, now: () => number): AnswerRecorder => {
   const metrics = createMetrics(registry);
   const seriesByRow = new Map<string, RowSeries>();
--- a/src/metrics/core-metrics.ts
+++ b/src/metrics/core-metrics.ts
@@ -1,4 +1,4 @@
-/** Shows the core's counters and state as Prometheus metrics, read at each scrape. */
+/** Exports the core's counters and state as Prometheus metrics, which are read at each scrape. */
 import { Counter, Gauge, type Registry } from 'prom-client';
 import { COUNTER_DESCRIPTIONS, COUNTER_NAMES, type CounterName } from '../core/counters.js';
 import type { CoreState, LifecyclePhase } from '../core/state.js';
--- a/src/metrics/live-figures.ts
+++ b/src/metrics/live-figures.ts
@@ -1,48 +1,48 @@
 /**
- * Figures of one row over the last minute: two halves of the window, the newer one filling while the
- * older one ages. Latencies are kept in a histogram of fixed size.
+ * Figures of one row over the last minute. The window has two halves: the current one records, the
+ * previous one is only read. Latencies are recorded in a histogram of fixed size.
  */
 import { build, type Histogram } from 'hdr-histogram-js';
 import type { QueryOutcome } from '../core/query/query-request.js';
 
-/** Length of one half of the window, in milliseconds. */
+/** Length of half the window, in milliseconds. */
 export const HALF_WINDOW_MS = 30_000;
 
 const TICKS_PER_MS = 10;
 const HIGHEST_LATENCY_MS = 120_000;
 const SIGNIFICANT_DIGITS = 2;
 
-/** Names the row that figures are about. */
+/** Identifies a row. */
 export interface RowName {
   readonly partner: string;
   readonly route: string;
   readonly kind: string;
 }
 
-/** What a row did in the last 30 to 60 seconds, at this node. */
+/** Figures of a row at this node over the last 30 to 60 seconds. */
 export interface RowFigures extends RowName {
   readonly queries: number;
   readonly answered: number;
   readonly notRun: number;
   readonly unknown: number;
-  /** Latencies of answered queries, in milliseconds; absent while none was answered. */
+  /** Latencies of answered queries, in milliseconds; absent if none was answered. */
   readonly p50Ms?: number;
   readonly p99Ms?: number;
-  /** Mean and worst coverage of answered queries, 0 to 1; absent while none was answered. */
+  /** Mean and worst coverage of answered queries, 0 to 1; absent if none was answered. */
   readonly meanCoverage?: number;
   readonly worstCoverage?: number;
-  /** Attempts sent over legs needed, less one; 0 while no leg was needed. */
+  /** Attempts sent per needed leg, minus one; 0 if no leg was needed. */
   readonly extraLoad: number;
 }
 
-/** Figures of one row. */
+/** Records and reads the figures of one row. */
 export interface LiveFigures {
   record(outcome: QueryOutcome, elapsedMs: number): void;
   read(): RowFigures;
 }
 
 interface HalfWindow {
-  /** Number of the half window since the clock's zero. */
+  /** Number of the half window, counted from the zero of the clock; -1 before the first use. */
   number: number;
   answered: number;
   notRun: number;
@@ -131,7 +131,7 @@
   };
 };
 
-/** Creates the figures of `row`; `now` is in milliseconds. */
+/** Creates empty figures of `row`; `now` returns milliseconds. */
 export const createLiveFigures = (row: RowName, now: () => number): LiveFigures => {
   const halves = [createHalf(), createHalf()] as const;
   const currentNumber = (): number => Math.floor(now() / HALF_WINDOW_MS);
--- a/src/metrics/node-metrics.ts
+++ b/src/metrics/node-metrics.ts
@@ -1,4 +1,4 @@
-/** All metrics of one node process: its core, its answers and the process itself. */
+/** Metrics of a node process: its core, its answers and the process itself. */
 import { collectDefaultMetrics, Registry } from 'prom-client';
 import type { CoreState } from '../core/state.js';
 import { createAnswerRecorder, type AnswerRecorder } from './answer-recorder.js';
@@ -10,7 +10,7 @@
   readonly answers: AnswerRecorder;
 }
 
-/** Creates the metrics of a node over its core's state; `now` is wall clock time in milliseconds. */
+/** Creates the metrics of a node; `now` returns wall-clock time in milliseconds. */
 export const createNodeMetrics = (state: () => CoreState, now: () => number): NodeMetrics => {
   const registry = new Registry();
   collectDefaultMetrics({ register: registry });
--- a/src/protocol/codec/cbor.ts
+++ b/src/protocol/codec/cbor.ts
@@ -1,8 +1,8 @@
-/** CBOR with inline records: within one message, objects of the same fields name them only once. */
+/** CBOR with inline records: within one message, objects with the same fields share the field names. */
 import { Encoder, setSizeLimits } from 'cbor-x';
 import { Either } from 'purify-ts';
 
-/** Most elements of an array or fields of a map that is decoded. */
+/** Maximum number of elements of a decoded array, or of fields of a decoded map. */
 const MAX_ELEMENTS = 1_000_000;
 
 setSizeLimits({
@@ -13,9 +13,9 @@
 
 const codec = new Encoder({ useRecords: true, tagUint8Array: false });
 
-/** Encodes `value`; the bytes stand alone and depend on no earlier message. */
+/** Encodes `value`; the bytes are self-contained, they depend on no earlier message. */
 export const encodeCbor = (value: unknown): Buffer => codec.encode(value);
 
-/** Decodes one value; malformed or incomplete bytes are an error. */
+/** Decodes one value; Left for malformed or incomplete bytes. */
 export const decodeCbor = (bytes: Uint8Array): Either<Error, unknown> =>
   Either.encase(() => codec.decode(bytes) as unknown);
--- a/src/protocol/codec/datagram.ts
+++ b/src/protocol/codec/datagram.ts
@@ -1,22 +1,22 @@
-/** Datagrams: a truncated HMAC over the body, then CBOR. */
+/** Encoding of datagrams: a truncated HMAC of the body, followed by the body in CBOR. */
 import { type Either, Left, Right } from 'purify-ts';
 import type { MembershipMessage } from '../membership-messages.js';
 import { decodeCbor, encodeCbor } from './cbor.js';
 import { checkDatagram } from './message-shapes.js';
 
-/** Bytes of the HMAC before the body; SHA-256 truncated. */
+/** Length of the HMAC before the body, in bytes; truncated SHA-256. */
 export const DATAGRAM_TAG_BYTES = 16;
 
-/** Longest datagram sent or taken, in bytes; fits an Ethernet frame. */
+/** Maximum length of a datagram that is sent or accepted, in bytes; fits an Ethernet frame. */
 export const MAX_DATAGRAM_BYTES = 1_400;
 
-/** Computes the tag of a body; the driver brings the key. */
+/** Computes the tag of a body; the driver supplies the key. */
 export type ComputeTag = (body: Uint8Array) => Buffer;
 
 /** Compares two tags in constant time. */
 export type CompareTags = (left: Uint8Array, right: Uint8Array) => boolean;
 
-/** Encodes a message; too long a one is an error. */
+/** Encodes a message; Left if the datagram is too long. */
 export const encodeDatagram = (
   message: MembershipMessage,
   computeTag: ComputeTag,
@@ -28,7 +28,7 @@
     : Right(bytes);
 };
 
-/** Checks tag and shape, and decodes. */
+/** Verifies the tag, decodes the message and checks its shape; Left describes the problem. */
 export const decodeDatagram = (
   bytes: Uint8Array,
   computeTag: ComputeTag,
@@ -39,7 +39,7 @@
   }
   const body = bytes.subarray(DATAGRAM_TAG_BYTES);
   if (!compareTags(bytes.subarray(0, DATAGRAM_TAG_BYTES), computeTag(body))) {
-    return Left('does not carry the shared secret');
+    return Left('was not signed with the shared secret');
   }
   return decodeCbor(body)
     .mapLeft(() => 'is not CBOR')
--- a/src/protocol/codec/fast-checks.ts
+++ b/src/protocol/codec/fast-checks.ts
@@ -1,7 +1,6 @@
 /**
- * Quick checks of the long lists of a sheet, its rows and its history. They recognise lists whose
- * every element has the usual shape; a list that they do not is left to the schema, which says what
- * is wrong with it.
+ * Fast checks of the long lists of a sheet: its rows and its history. They accept lists whose elements
+ * all have the usual shape. Other lists are checked by the schema, which reports the problem.
  */
 import {
   type Fields,
@@ -64,8 +63,8 @@
   isCount(value['digest']) &&
   isCount(value['sheetVersion']);
 
-/** True for a list of rows of the usual shape, with their versions and writers. */
+/** True for a list of rows with versions and writers, all of the usual shape. */
 export const isUsualRowList = (value: unknown): boolean => isListOf(value, isSheetRow);
 
-/** True for a list of records of edits of the usual shape. */
+/** True for a list of records of edits, all of the usual shape. */
 export const isUsualHistory = (value: unknown): boolean => isListOf(value, isRecord);
--- a/src/protocol/codec/frame-reader.ts
+++ b/src/protocol/codec/frame-reader.ts
@@ -1,24 +1,24 @@
-/** Cuts the bytes of a connection into frames. */
+/** Splits the bytes of a connection into frames. */
 import { FRAME_HEADER_BYTES } from './frame.js';
 
 /**
- * What came of the bytes read so far. `more` asks to call `readHeld` once the bodies have been taken:
- * a frame follows that is too long as things stand, and taking the bodies may raise `maxBytes`.
+ * Result of reading bytes. If `more` is true, the next frame exceeds the current `maxBytes`. The caller
+ * must then process the bodies, which may raise `maxBytes`, and call `readBuffered`.
  */
 export type FrameReadResult =
   | { readonly type: 'frames'; readonly bodies: readonly Buffer[]; readonly more: boolean }
   | { readonly type: 'oversized'; readonly length: number };
 
-/** Collects bytes until a frame is whole; holds at most one incomplete frame. */
+/** Buffers bytes until a frame is complete; holds at most one incomplete frame. */
 export class FrameReader {
   private chunks: Buffer[] = [];
   private bufferedBytes = 0;
   private wanted = FRAME_HEADER_BYTES;
 
-  /** `maxBytes` is the longest body taken; it may be raised later. */
+  /** @param maxBytes - maximum length of a body; may be raised later */
   constructor(public maxBytes: number) {}
 
-  /** Takes the next bytes of the connection; returns all bodies that are whole now. */
+  /** Adds the next bytes of the connection and returns all complete bodies. */
   read(chunk: Buffer): FrameReadResult {
     this.chunks.push(chunk);
     this.bufferedBytes += chunk.length;
@@ -28,7 +28,7 @@
     return this.readBuffered();
   }
 
-  /** Cuts the bytes held already; see `more`. */
+  /** Reads frames from the bytes that are already buffered; see `more`. */
   readBuffered(): FrameReadResult {
     const [first = Buffer.alloc(0)] = this.chunks;
     return this.extractFrames(
--- a/src/protocol/codec/frame.ts
+++ b/src/protocol/codec/frame.ts
@@ -1,9 +1,9 @@
-/** Frames of a connection between nodes: four bytes of length (big-endian), then a body. */
+/** Frames of a connection between nodes: a length of four bytes (big-endian), followed by the body. */
 
-/** Bytes of the length before each frame. */
+/** Size of the length field before each body, in bytes. */
 export const FRAME_HEADER_BYTES = 4;
 
-/** Puts the length before `body`. */
+/** Prepends the length to `body`. */
 export const encodeFrame = (body: Buffer): Buffer => {
   const frame = Buffer.allocUnsafe(FRAME_HEADER_BYTES + body.length);
   frame.writeUInt32BE(body.length, 0);
--- a/src/protocol/codec/grant-shapes.ts
+++ b/src/protocol/codec/grant-shapes.ts
@@ -1,4 +1,4 @@
-/** Shapes of the messages about limits. */
+/** Checks the shape of messages about limits. */
 import { type Fields, isCount, isFields, isFiniteNumber, isText } from './shape.js';
 
 const BOUNDS = ['concurrent', 'per-second'];
--- a/src/protocol/codec/leg-shapes.ts
+++ b/src/protocol/codec/leg-shapes.ts
@@ -1,4 +1,4 @@
-/** Checks the shape of messages about legs. Written out by hand: one runs for each leg. */
+/** Checks the shape of messages about legs. Written by hand for speed, as a check runs for each leg. */
 import type { NotRunReason, UnknownReason } from '../leg-messages.js';
 import {
   type Fields,
@@ -32,11 +32,11 @@
   'peer-lost': true,
 };
 
-/** True for a reason why an attempt did not run. */
+/** True for a reason of an attempt that did not run. */
 export const isNotRunReason = (value: unknown): value is NotRunReason =>
   isText(value) && Object.hasOwn(NOT_RUN_REASONS, value);
 
-/** True for a reason why an attempt may have run. */
+/** True for a reason of an attempt that may have run. */
 const isUnknownReason = (value: unknown): value is UnknownReason =>
   isText(value) && Object.hasOwn(UNKNOWN_REASONS, value);
 
@@ -44,7 +44,7 @@
 export const isAnswerItem = (value: unknown): boolean =>
   isFields(value) && isText(value['id']) && isFiniteNumber(value['score']);
 
-/** True for the load a replica reports. */
+/** True for the load that a replica reports. */
 export const isReplicaLoad = (value: unknown): boolean =>
   isFields(value) && isCount(value['inFlight']) && isCount(value['queued']);
 
--- a/src/protocol/codec/link-frame.ts
+++ b/src/protocol/codec/link-frame.ts
@@ -1,6 +1,6 @@
 /**
- * Frames of a link: four bytes of length (big-endian), then that many bytes of CBOR holding a list
- * of messages. A frame of length 0 is a heartbeat.
+ * Frames of a link: a length of four bytes (big-endian), followed by a list of messages in CBOR. A
+ * frame of length 0 is a heartbeat.
  */
 import { type Either, Left, Right } from 'purify-ts';
 import type { LinkMessage } from '../peer-message.js';
@@ -9,17 +9,17 @@
 import { checkLinkMessage } from './message-shapes.js';
 import { packMessage, unpackMessage } from './pack-grants.js';
 
-/** Longest frame taken from an authenticated peer, in bytes. */
+/** Maximum length of a frame of an authenticated peer, in bytes. */
 export const MAX_FRAME_BYTES = 16 * 1024 * 1024;
 
-/** A frame without messages. */
+/** The frame of length 0. */
 export const HEARTBEAT_FRAME = Buffer.alloc(FRAME_HEADER_BYTES);
 
 /** Encodes messages into one frame. */
 export const encodeLinkFrame = (messages: readonly LinkMessage[]): Buffer =>
   encodeFrame(encodeCbor(messages.map(packMessage)));
 
-/** Decodes the body of a frame; one bad message spoils the frame. */
+/** Decodes the body of a frame; Left if any of its messages is malformed. */
 export const decodeLinkFrame = (body: Uint8Array): Either<string, readonly LinkMessage[]> => {
   const decoded = decodeCbor(body);
   if (decoded.isLeft()) {
--- a/src/protocol/codec/message-shapes.ts
+++ b/src/protocol/codec/message-shapes.ts
@@ -1,4 +1,4 @@
-/** Checks the shape of every message between nodes. A message type without a check does not compile. */
+/** Checks the shape of messages between nodes. A message type without a check fails to compile. */
 import { type Either, Left, Right } from 'purify-ts';
 import type { MembershipMessage } from '../membership-messages.js';
 import type { LinkMessage } from '../peer-message.js';
@@ -107,7 +107,7 @@
   value: unknown,
 ): Either<string, Message> => {
   if (!isFields(value) || !isText(value['type']) || !Object.hasOwn(checks, value['type'])) {
-    return Left('is of no known type');
+    return Left('has an unknown type');
   }
   const check = checks[value['type']];
   return check?.(value) === true
--- a/src/protocol/codec/pack-grants.ts
+++ b/src/protocol/codec/pack-grants.ts
@@ -1,6 +1,6 @@
 /**
- * Packs the messages about grants into lists without names of fields: they are sent all the time, and
- * names would be two thirds of them.
+ * Packs messages about grants into lists without field names. These messages are sent continuously, and
+ * field names would make up two thirds of their size.
  */
 import type { Grant, GrantRequest, LimitBound } from '../grant-messages.js';
 import type { LinkMessage } from '../peer-message.js';
@@ -33,7 +33,7 @@
   message.validMs,
 ];
 
-/** The form in which a message travels. */
+/** Converts a message to the value that is encoded. */
 export const packMessage = (message: LinkMessage): unknown => {
   switch (message.type) {
     case 'grant-request':
@@ -77,7 +77,7 @@
   };
 };
 
-/** The message that travelled in this form, its shape still to be checked. */
+/** Converts a decoded value back to a message, whose shape the caller must check. */
 export const unpackMessage = (packed: unknown): unknown => {
   if (!Array.isArray(packed)) {
     return packed;
--- a/src/protocol/codec/store-object-shape.ts
+++ b/src/protocol/codec/store-object-shape.ts
@@ -1,6 +1,6 @@
 /**
- * Checks the shape of store objects, whether they come from the platform or from a peer. Only the
- * shape is checked here; whether a sheet makes sense is the table's own check.
+ * Checks the shape of store objects from the platform and from peers. The content of a sheet is
+ * validated separately, by `src/table`.
  */
 import { type Either, Left, Right } from 'purify-ts';
 import { z } from 'zod';
@@ -11,7 +11,7 @@
 const count = z.int().min(0);
 const share = z.number().min(0).max(1);
 
-/** The schema of a long list that need not be gone through when a quick check recognises it. */
+/** Wraps the schema of a long list; the schema is skipped for lists that pass the fast check. */
 const withFastCheck = (isUsual: (value: unknown) => boolean, schema: z.ZodType): z.ZodType =>
   z.unknown().superRefine((value, context) => {
     const issues = isUsual(value) ? [] : (schema.safeParse(value).error?.issues ?? []);
@@ -39,12 +39,12 @@
   snapshotPolicy: z.enum(['covered', 'newest']),
 });
 
-/** Rows with their versions and writers, in full. */
+/** Schema of rows with their versions and writers. */
 export const ROW_LIST = z.array(z.looseObject({ row: ROW, rowVersion: count, writtenBy: text }));
 
 const SHEET_ROWS = withFastCheck(isUsualRowList, ROW_LIST);
 
-/** Records of edits, in full. */
+/** Schema of records of edits. */
 export const RECORD_LIST = z.array(
   z.looseObject({
     edit: text,
@@ -134,7 +134,7 @@
   homes: z.array(z.looseObject({ partner: text, zones: z.array(text) })).optional(),
 });
 
-/** One schema for each type of content; a type without one does not compile. */
+/** The schema of each type of content; a type without a schema fails to compile. */
 const CONTENT: { readonly [Type in StoreContent['type']]: z.ZodType } = {
   sheet: z.looseObject({ sheet: SHEET }),
   agreement: z.looseObject({ agreement: AGREEMENT }),
@@ -165,7 +165,7 @@
     .slice(0, 3)
     .join('; ');
 
-/** Checks a store object; the problem names the fields that are wrong. */
+/** Checks a store object; Left names the first invalid fields, at most three. */
 export const checkStoreObject = (value: unknown): Either<string, StoreObject> => {
   const envelope = ENVELOPE.safeParse(value);
   if (!envelope.success) {
@@ -178,8 +178,8 @@
 /** True for a store object. */
 export const isStoreObject = (value: unknown): boolean => checkStoreObject(value).isRight();
 
-/** True for the change of a sheet. */
+/** True for the delta of a sheet. */
 export const isSheetDelta = (value: unknown): boolean => SHEET_DELTA.safeParse(value).success;
 
-/** True for a machine of the platform's list. */
+/** True for an entry of the platform's machine list. */
 export const isMachine = (value: unknown): value is Machine => MACHINE.safeParse(value).success;
--- a/src/protocol/configuration-messages.ts
+++ b/src/protocol/configuration-messages.ts
@@ -1,41 +1,41 @@
-/** Messages that spread store objects between nodes. Carried over TCP. */
+/** Messages that distribute store objects between nodes, sent over TCP. */
 import type { StoreObject } from '../catalog/store-object.js';
 import type { SheetDelta } from '../table/sheet-delta.js';
 
-/** Objects that changed in the store after `after` and up to `through`, none left out. */
+/** All objects that changed in the store after revision `after`, up to and including `through`. */
 export interface ConfigurationPush {
   readonly type: 'configuration-push';
   readonly after: number;
   readonly through: number;
   readonly objects: readonly StoreObject[];
-  /** Sheets of which only the change is sent; absent for none. */
+  /** Changed sheets that are sent as deltas; absent for none. */
   readonly deltas?: readonly SheetDelta[];
 }
 
-/** Asks for all objects that changed after `after`, a page at a time. */
+/** Requests the objects that changed after revision `after`; the answer is one page. */
 export interface ConfigurationPull {
   readonly type: 'configuration-pull';
   readonly after: number;
 }
 
-/** Answers a pull: objects in the order of their revisions, from the first after `after`. */
+/** Answers a pull with the first objects after revision `after`, in the order of their revisions. */
 export interface ConfigurationPage {
   readonly type: 'configuration-page';
   readonly after: number;
   readonly objects: readonly StoreObject[];
-  /** Ask next for what is after this revision; the page is the last one when absent. */
+  /** Value of `after` for the next pull; absent on the last page. */
   readonly next?: number;
-  /** What the sender holds: all changes of the store up to this revision. */
+  /** The sender holds all changes of the store up to this revision. */
   readonly revision: number;
 }
 
-/** Tells a reader that the store has just answered the sender: it need not wait to try it again. */
+/** Tells a reader that the store has just answered the sender, so that it can retry without waiting. */
 export interface StoreAnswered {
   readonly type: 'store-answered';
-  /** The store's revision that the sender has seen. */
+  /** The store's revision in that answer. */
   readonly revision: number;
 }
 
-/** All messages of configuration. */
+/** Any message about the configuration. */
 export type ConfigurationMessage =
   ConfigurationPush | ConfigurationPull | ConfigurationPage | StoreAnswered;
--- a/src/protocol/grant-messages.ts
+++ b/src/protocol/grant-messages.ts
@@ -1,87 +1,90 @@
-/** Messages about limits that hold over all nodes together. Carried over TCP. */
+/** Messages that divide cluster-wide limits among nodes, sent over TCP. */
 
-/** What a limit bounds. */
+/** The quantity that a limit bounds: concurrent queries, or queries per second. */
 export type LimitBound = 'concurrent' | 'per-second';
 
-/** Names a limit: `partner/route/kind` and what is bounded. */
+/** Identifies a limit by its row, `partner/route/kind`, and the bounded quantity. */
 export interface LimitKey {
   readonly row: string;
   readonly bound: LimitBound;
 }
 
-/** For whom a node asks: for itself, or for those it divides a grant among. */
+/** The requester of a grant: a node for itself, or for the group or zone whose nodes share the grant. */
 export type GrantRequester = 'node' | 'group' | 'zone';
 
-/** As what a node is asked: as the row's holder, or as one that divides a grant of its own. */
+/** The role in which a node receives a request: holder of the row, or divider of its own grant. */
 export type GrantLevel = 'group' | 'zone' | 'row';
 
-/** What every message from a grantee names. */
+/** Fields of every message from a grantee. */
 interface GranteeMessage {
   readonly limit: LimitKey;
   readonly asker: GrantRequester;
   readonly asked: GrantLevel;
-  /** Incarnation of the asking process; what an earlier one was given may still be in use below it. */
+  /** Incarnation of the requesting process; grantees may still use what an earlier one was granted. */
   readonly process: number;
-  /** Grows with each message of the node, also over its restarts. */
+  /** Increases with each message of the node, also across its restarts. */
   readonly sequence: number;
 }
 
-/** Grantee to holder: what it could use, and what it has. */
+/** Grantee to holder: its demand and its current grant. */
 export interface GrantRequest extends GranteeMessage {
   readonly type: 'grant-request';
-  /** Queries at once, or a second, that the grantee could use. */
+  /** Concurrent queries, or queries per second, that the grantee could use. */
   readonly demand: number;
   /**
-   * What may be in use whatever the answer: a node's queries in progress (0 for a limit per second),
-   * or all that those who share the asker's grant may be using.
+   * Amount that may be in use regardless of the answer: the queries in progress of a node (0 for a
+   * limit per second), or the total that the grantees of the requester may be using.
    */
   readonly used: number;
-  /** Amount of a grant of a row's holder that the asker has and may still use; 0 for none. */
+  /** Amount of a valid grant by the row's holder that the requester has; 0 for none. */
   readonly holds: number;
-  /** Sequence of the request that was answered with that grant; 0 for none. */
+  /** Sequence of the request that this grant answered; 0 for none. */
   readonly heldSequence: number;
 }
 
-/** Grantee to holder: it uses no grant of that holder from now on, but for what still runs. */
+/** Grantee to holder: returns its grant; only queries that still run use it. */
 export interface GrantReturn extends GranteeMessage {
   readonly type: 'grant-return';
-  /** As in a request. */
+  /** See `GrantRequest.used`. */
   readonly used: number;
 }
 
-/** Holder to grantee: a slice of the limit, valid from when the grantee sent the request. */
+/** Holder to grantee: a part of the limit, valid from the time the grantee sent the request. */
 export interface Grant {
   readonly type: 'grant';
   readonly limit: LimitKey;
-  /** As in the request. */
+  /** Copied from the request. */
   readonly asker: GrantRequester;
   readonly amount: number;
   readonly sequence: number;
-  /** Given again by a new holder on the node's word: takes effect only while the node still holds it. */
+  /**
+   * A new holder confirmed the grant that the request reported. Takes effect only while the grantee
+   * still holds that grant.
+   */
   readonly adopted: boolean;
-  /** Milliseconds from the sending of the request, on the grantee's own clock. */
+  /** Validity in milliseconds since the request was sent, by the grantee's clock. */
   readonly validMs: number;
 }
 
-/** Candidate to keeper: a vote on the lease of a row's limits, or the release of one. */
+/** Candidate to keeper: requests a vote for the lease of a row's limits, or releases the lease. */
 export interface LeaseRequest {
   readonly type: 'lease-request';
   readonly row: string;
-  /** The candidate's process: node and incarnation at its start. */
+  /** The candidate process: its node and its incarnation at start. */
   readonly candidate: string;
   readonly sequence: number;
   readonly release: boolean;
 }
 
-/** Keeper to candidate: no other candidate gets this keeper's vote while the lease runs. */
+/** Keeper to candidate: if granted, the keeper votes for no other candidate while the lease runs. */
 export interface LeaseVote {
   readonly type: 'lease-vote';
   readonly row: string;
   readonly sequence: number;
   readonly granted: boolean;
-  /** The keeper's node has never voted for another candidate in the period of the roster. */
+  /** True if the keeper's node has voted for no other candidate in the period of the roster. */
   readonly first: boolean;
 }
 
-/** All messages about grants. */
+/** Any message about grants and leases. */
 export type GrantMessage = GrantRequest | GrantReturn | Grant | LeaseRequest | LeaseVote;
--- a/src/protocol/idempotency-key.ts
+++ b/src/protocol/idempotency-key.ts
@@ -1,7 +1,6 @@
 /**
- * Idempotency keys: UUIDs of version 7 (RFC 9562), which carry the time at which they were made.
- * The time places a key in a period of keepers and lets a resend that comes too late be told from a
- * first request.
+ * Idempotency keys: UUIDs of version 7 (RFC 9562), which contain their creation time. The time assigns
+ * a key to a period of keepers and distinguishes a late resend from a first request.
  */
 import { type Either, Left, Right } from 'purify-ts';
 
@@ -9,17 +8,17 @@
 
 const HEX_RADIX = 16;
 const TIME_DIGITS = 12;
-/** Random digits of a key, besides its version and variant. */
+/** Number of random hexadecimal digits of a key, including the one that selects the variant. */
 const RANDOM_DIGITS = 19;
 
-/** An idempotency key in its one spelling, and when it was made. */
+/** An idempotency key in canonical lower case, and its creation time. */
 export interface IdempotencyKey {
   readonly text: string;
-  /** Milliseconds since 1970, by the clock of whoever made the key. */
+  /** Milliseconds since 1970, by the clock of the creator of the key. */
   readonly createdAt: number;
 }
 
-/** Reads a key; Left says what is wrong with it. */
+/** Parses a key; Left describes the problem. */
 export const parseIdempotencyKey = (text: string): Either<string, IdempotencyKey> => {
   const normalized = text.toLowerCase();
   if (!KEY_PATTERN.test(normalized)) {
@@ -29,7 +28,12 @@
   return Right({ text: normalized, createdAt });
 };
 
-/** Makes a key at wall-clock time `createdAt`; `random` gives numbers uniform in [0, 1). */
+/**
+ * Creates a key.
+ *
+ * @param createdAt - wall-clock time in milliseconds since 1970
+ * @param random - returns numbers uniformly distributed in [0, 1)
+ */
 export const createIdempotencyKey = (createdAt: number, random: () => number): string => {
   const time = Math.floor(createdAt).toString(HEX_RADIX).padStart(TIME_DIGITS, '0');
   let digits = '';
--- a/src/protocol/leg-messages.ts
+++ b/src/protocol/leg-messages.ts
@@ -1,4 +1,4 @@
-/** Messages between the coordinator of a query and the feeders of replicas. Carried over TCP. */
+/** Messages between the coordinator of a query and the feeders of replicas, sent over TCP. */
 import type { SnapshotVersion } from '../catalog/partner-index.js';
 import type {
   AttemptId,
@@ -10,7 +10,7 @@
   ShardId,
 } from '../core/identifiers.js';
 
-/** What all legs of one query share. */
+/** Fields that all legs of a query share. */
 export interface LegContext {
   readonly request: RequestId;
   readonly partner: PartnerId;
@@ -20,9 +20,9 @@
   readonly safeToRepeat: boolean;
   /** The caller's idempotency key; present for each request that is not safe to repeat. */
   readonly idempotencyKey?: string;
-  /** Most items each shard returns. */
+  /** Maximum number of items that each shard returns. */
   readonly maxItems: number;
-  /** The caller's own parameters, handed to the back end as they are (JSON value). */
+  /** Parameters of the caller, a JSON value that is passed to the back end unchanged. */
   readonly payload: unknown;
 }
 
@@ -31,7 +31,7 @@
   readonly attempt: AttemptId;
   readonly shard: ShardId;
   readonly replica: ReplicaId;
-  /** Send it although the replica seems to have stopped answering: a probe, or the last resort. */
+  /** Send the attempt even if the replica seems not to answer, as a probe or as the last resort. */
   readonly insist?: true;
 }
 
@@ -43,13 +43,13 @@
   readonly value: unknown;
 }
 
-/** Load a replica reports with an answer. */
+/** Load that a replica reports with an answer. */
 export interface ReplicaLoad {
   readonly inFlight: number;
   readonly queued: number;
 }
 
-/** Why an attempt did not run at the replica; each is proof that it did not. */
+/** Why an attempt did not run at the replica. Each reason proves that it did not run. */
 export type NotRunReason =
   | 'shedding'
   | 'leaving'
@@ -62,11 +62,11 @@
   | 'cancelled-before-sent'
   | 'unknown-replica';
 
-/** Why an attempt failed such that it may have run. */
+/** Why the outcome of an attempt is unknown; it may have run. */
 export type UnknownReason =
   'timed-out' | 'connection-lost' | 'bad-answer' | 'server-error' | 'cancelled' | 'peer-lost';
 
-/** How an attempt ended. */
+/** The outcome of an attempt. */
 export type AttemptOutcome =
   | {
       readonly type: 'answered';
@@ -75,51 +75,51 @@
       readonly snapshot: SnapshotVersion;
       readonly items: readonly AnswerItem[];
       readonly load?: ReplicaLoad;
-      /** The replica said with this answer that it is leaving. */
+      /** True if the answer reports that the replica is leaving. */
       readonly leaving?: boolean;
     }
   | { readonly type: 'not-run'; readonly reason: NotRunReason; readonly retryAfterMs?: number }
   | { readonly type: 'unknown'; readonly reason: UnknownReason };
 
-/** Coordinator to feeder: attempts to make. */
+/** Coordinator to feeder: attempts to send. */
 export interface LegBatch {
   readonly type: 'leg-batch';
   readonly context: LegContext;
-  /** Time left for the whole query, in milliseconds, when the message was sent. */
+  /** Time left for the query when the message was sent, in milliseconds. */
   readonly remainingMs: number;
-  /** The feeder may let an answer wait a little for others; absent when each is wanted at once. */
+  /** The feeder may delay results to batch them; absent if each result must be sent at once. */
   readonly mayWait?: true;
   readonly legs: readonly LegAttempt[];
 }
 
-/** Coordinator to feeder: attempts no longer wanted. */
+/** Coordinator to feeder: cancels attempts. */
 export interface LegCancel {
   readonly type: 'leg-cancel';
   readonly attempts: readonly AttemptId[];
 }
 
-/** One finished attempt on its way back to the coordinator. */
+/** The result of a finished attempt. */
 export interface LegResult {
   readonly attempt: AttemptId;
   readonly outcome: AttemptOutcome;
-  /** Time the attempt waited at the feeder before it was sent, in milliseconds. */
+  /** Time that the attempt was queued at the feeder, in milliseconds. */
   readonly queuedMs: number;
-  /** Time from sending to the outcome, in milliseconds; 0 if it was never sent. */
+  /** Time from sending the attempt to its outcome, in milliseconds; 0 if it was not sent. */
   readonly serviceMs: number;
   /**
-   * Wait that a new attempt of the same partner at this replica would have at the feeder, in
-   * milliseconds, when the result was sent; absent from a driver, set by the feeder.
+   * Expected queueing time of a new attempt of the same partner at this replica, in milliseconds, when
+   * the result was sent. Set by the feeder; absent in results that the driver reports.
    */
   readonly backlogMs?: number;
-  /** Time the result waited at the feeder for others, in milliseconds; absent when it did not. */
+  /** Time that the feeder delayed the result to batch it, in milliseconds; absent if not delayed. */
   readonly heldMs?: number;
 }
 
-/** Feeder to coordinator: attempts that ended. */
+/** Feeder to coordinator: results of attempts. */
 export interface LegResults {
   readonly type: 'leg-results';
   readonly results: readonly LegResult[];
 }
 
-/** All messages about legs. */
+/** Any message about legs. */
 export type LegMessage = LegBatch | LegCancel | LegResults;
--- a/src/protocol/membership-messages.ts
+++ b/src/protocol/membership-messages.ts
@@ -1,94 +1,94 @@
 /**
- * Messages of membership.
+ * Messages of the membership protocol.
  *
  * Probes, acknowledgements and gossip are datagrams of less than 1,200 bytes; each may be lost,
- * doubled or reordered. The exchange of whole member tables goes over links.
+ * duplicated or reordered. Whole member tables are exchanged over links.
  */
 import type { NodeIdentity } from './node-address.js';
 import type { NodeId, ReplicaId } from '../core/identifiers.js';
 
-/** State of a member as peers tell it to each other. */
+/** State of a member, as nodes report it to each other. */
 export type MemberState = 'alive' | 'suspect' | 'leaving' | 'dead';
 
-/** One rumour about a member. */
+/** A gossiped update about a member. */
 export interface MemberUpdate {
   readonly identity: NodeIdentity;
   readonly state: MemberState;
 }
 
-/** One rumour about a back end that takes no new work. */
+/** A gossiped update about a replica that accepts no new work. */
 export interface LeavingReplica {
   readonly replica: ReplicaId;
-  /** How long the rumour still holds, in milliseconds, when the message was sent. */
+  /** Remaining validity of the update when the message was sent, in milliseconds. */
   readonly remainingMs: number;
 }
 
-/** What a node holds of the configuration, small enough to ride on each ping. */
+/** Summary of the configuration that a node holds; small enough to be sent with each ping. */
 export interface ConfigurationDigest {
-  /** All changes of the store up to this revision are held. */
+  /** The sender holds all changes of the store up to this revision. */
   readonly revision: number;
-  /** The sender serves: it held the newest revision to be had when it joined. */
+  /** The sender serves queries: it held the newest available revision when it joined. */
   readonly serving: boolean;
 }
 
-/** What rides on each datagram besides its purpose. */
+/** Fields that are piggybacked on each datagram. */
 export interface Piggyback {
   readonly sender: NodeIdentity;
   readonly updates: readonly MemberUpdate[];
-  /** Absent when there is none to tell. */
+  /** Absent if there is nothing to report. */
   readonly leaving?: readonly LeavingReplica[];
-  /** Absent on gossip and ping requests. */
+  /** Absent in gossip and ping requests. */
   readonly digest?: ConfigurationDigest;
-  /** Hash of the sender's member table; two nodes with the same table send the same. */
+  /** Hash of the sender's member table; equal tables have equal hashes. */
   readonly table?: number;
 }
 
-/** Asks whether the receiver is alive; `sequence` comes back in the acknowledgement. */
+/** Probes the receiver; the acknowledgement repeats `sequence`. */
 export interface Ping extends Piggyback {
   readonly type: 'ping';
   readonly sequence: number;
 }
 
-/** Asks the receiver to ping `target` on the sender's behalf. */
+/** Requests that the receiver pings `target` on behalf of the sender. */
 export interface PingRequest extends Piggyback {
   readonly type: 'ping-request';
   readonly sequence: number;
   readonly target: NodeId;
 }
 
-/** Answers a ping, directly or on behalf of `subject`. */
+/** Acknowledges a ping of `subject`, sent by it or on its behalf. */
 export interface Acknowledgement extends Piggyback {
   readonly type: 'acknowledgement';
   readonly subject: NodeId;
   readonly sequence: number;
 }
 
-/** Spreads rumours without asking for an answer. */
+/** Sends updates that need no answer. */
 export interface Gossip extends Piggyback {
   readonly type: 'gossip';
 }
 
-/** All datagrams of membership. */
+/** Any datagram of the membership protocol. */
 export type MembershipMessage = Ping | PingRequest | Acknowledgement | Gossip;
 
-/** Asks over a link for the part of the receiver's member table that differs from the sender's. */
+/** Requests the part of the receiver's member table that differs from the sender's, over a link. */
 export interface MembershipPull {
   readonly type: 'membership-pull';
   readonly sender: NodeIdentity;
-  /** One hash for each bucket of the table; empty asks for the whole table. */
+  /** One hash per bucket of the table; empty to request the whole table. */
   readonly buckets: readonly number[];
-  /** Asks for members whose place on the ring is after this; -1 for the first page. */
+  /** Requests members whose position on the ring is after this; -1 for the first page. */
   readonly after: number;
 }
 
-/** One page of a member table, in the order of the ring. */
+/** One page of a member table, ordered by position on the ring. */
 export interface MembershipPage {
   readonly type: 'membership-page';
   readonly sender: NodeIdentity;
   readonly updates: readonly MemberUpdate[];
-  /** Ask next for what is after this place; the page is the last one when absent. */
+  /** Value of `after` for the next pull; absent on the last page. */
   readonly next?: number;
 }
 
-/** All messages of membership that go over links. */
+/** Any message of the membership protocol that is sent over links. */
 export type MembershipLinkMessage = MembershipPull | MembershipPage;
--- a/src/protocol/once-messages.ts
+++ b/src/protocol/once-messages.ts
@@ -1,7 +1,7 @@
-/** Messages that keep requests which are not safe to repeat from running twice. Carried over TCP. */
+/** Messages that prevent requests which are not safe to repeat from running twice, sent over TCP. */
 import type { PartnerId, RequestId } from '../core/identifiers.js';
 
-/** Coordinator to a keeper of the key: may this request run? */
+/** Coordinator to keeper: claims the idempotency key for a request. */
 export interface ClaimRequest {
   readonly type: 'claim-request';
   readonly partner: PartnerId;
@@ -9,14 +9,14 @@
   readonly request: RequestId;
 }
 
-/** A keeper's word: the first request it hears of for a key is granted, every other refused. */
+/** Keeper to coordinator: the first request for a key is granted, every other one is refused. */
 export interface ClaimReply {
   readonly type: 'claim-reply';
   readonly request: RequestId;
   readonly verdict: 'granted' | 'already-claimed' | 'owner-not-ready';
 }
 
-/** Coordinator to a keeper: the request did not run and never will; its key is free again. */
+/** Coordinator to keeper: releases the key of a request that did not run and never will. */
 export interface ClaimRelease {
   readonly type: 'claim-release';
   readonly partner: PartnerId;
@@ -24,5 +24,5 @@
   readonly request: RequestId;
 }
 
-/** All messages about claims. */
+/** Any message about claims. */
 export type OnceMessage = ClaimRequest | ClaimReply | ClaimRelease;
--- a/src/protocol/peer-message.ts
+++ b/src/protocol/peer-message.ts
@@ -1,11 +1,11 @@
-/** Every message one node sends to another. */
+/** Messages between nodes. */
 import type { ConfigurationMessage } from './configuration-messages.js';
 import type { GrantMessage } from './grant-messages.js';
 import type { LegMessage } from './leg-messages.js';
 import type { MembershipLinkMessage, MembershipMessage } from './membership-messages.js';
 import type { OnceMessage } from './once-messages.js';
 
-/** Messages over TCP links. */
+/** Any message sent over a TCP link. */
 export type LinkMessage =
   LegMessage | ConfigurationMessage | GrantMessage | OnceMessage | MembershipLinkMessage;
 
--- a/src/protocol/promise-name.ts
+++ b/src/protocol/promise-name.ts
@@ -1,6 +1,6 @@
-/** The promises that the tier makes, by name: what callers and simulations check it against. */
+/** Names of the guarantees that the nodes give; load callers and simulations check them. */
 
-/** The promises; the last three can be seen in simulation only. */
+/** All guarantees; the last three can be checked only in simulation. */
 export const PROMISE_NAMES = [
   'one-snapshot',
   'true-coverage',
@@ -12,5 +12,5 @@
   'configuration-in-force-never-reverts',
 ] as const;
 
-/** A promise's name. */
+/** Name of a guarantee. */
 export type PromiseName = (typeof PROMISE_NAMES)[number];
--- a/src/settings/log-level.ts
+++ b/src/settings/log-level.ts
@@ -1,5 +1,5 @@
-/** Levels of logging, most talkative last. */
+/** Log levels, from the least to the most verbose. */
 export const LOG_LEVELS = ['error', 'warn', 'info', 'debug'] as const;
 
-/** A level of logging. */
+/** A log level. */
 export type LogLevel = (typeof LOG_LEVELS)[number];
--- a/src/settings/node-settings-schema.ts
+++ b/src/settings/node-settings-schema.ts
@@ -1,14 +1,14 @@
-/** The schema of a node's settings, from which the checks and their findings come. */
+/** The schema of a node's settings: its checks, their messages and the texts of the reference. */
 import { isIP } from 'node:net';
 import { z } from 'zod';
 import { LOG_LEVELS } from './log-level.js';
 import type { HostPort } from './node-settings.js';
 import { HOST_PORT_FORMAT, parseHostPort } from './parse-host-port.js';
 
-/** Shortest shared secret of the nodes, in characters. */
+/** Minimum length of the shared secret of the nodes, in characters. */
 const MIN_SECRET_LENGTH = 16;
 
-/** Longest name of a node, zone or region, in characters. */
+/** Maximum length of the name of a node, zone or region, in characters. */
 const MAX_NAME_LENGTH = 64;
 
 const NAME_FORMAT = `1 to ${MAX_NAME_LENGTH} letters, digits, ".", "_" or "-"`;
@@ -52,7 +52,7 @@
 
 const PLATFORM_FORMAT = 'http://, an IP number and a port, e.g. http://127.0.0.1:7000';
 
-/** The fields of a settings file; unknown fields are findings. */
+/** The fields of a settings file; an unknown field is an error. */
 export const NODE_SETTINGS_SCHEMA = z.strictObject({
   node: name().describe('Name of the node, unique over all nodes, e.g. `bole-1`.'),
   zone: name().describe('Zone in which the node stands.'),
--- a/src/settings/node-settings.ts
+++ b/src/settings/node-settings.ts
@@ -1,35 +1,35 @@
-/** Settings of a node, after defaults and checks. */
+/** Settings of a node, validated and with defaults applied. */
 import type { LogLevel } from './log-level.js';
 
-/** An address on which the node listens, or to which it connects. */
+/** An address to listen on or to connect to. */
 export interface HostPort {
-  /** An IP number; names are not looked up. */
+  /** An IP address; host names are not resolved. */
   readonly host: string;
-  /** 1 to 65535; 0 lets the kernel pick, for listening only. */
+  /** 1 to 65535; 0 lets the kernel choose, allowed only for listening. */
   readonly port: number;
 }
 
-/** What `crossroad node` runs with. */
+/** Settings of `crossroad node`. */
 export interface NodeSettings {
   /** Unique over all nodes, e.g. `bole-1`. */
   readonly node: string;
   readonly zone: string;
   readonly region: string;
-  /** Where callers connect (HTTP). */
+  /** Address for callers (HTTP). */
   readonly caller: HostPort;
-  /** Where other nodes connect (TCP and UDP on one port). */
+  /** Address for other nodes (TCP and UDP on the same port). */
   readonly peer: HostPort;
-  /** Where operators, health checks and metrics connect (HTTP). */
+  /** Address for operators, health checks and metrics (HTTP). */
   readonly operator: HostPort;
   /** Base URL of the platform's object API, e.g. `http://127.0.0.1:7000`. */
   readonly platform: string;
-  /** Peers to ask first; the machine list of the platform is used besides. */
+  /** Peers to contact at start, in addition to the platform's machine list. */
   readonly seeds: readonly HostPort[];
-  /** Shared by all nodes; lets strangers in nowhere. At least 16 characters. */
+  /** Secret that all nodes share and by which they authenticate each other; at least 16 characters. */
   readonly peerSecret: string;
   readonly logLevel: LogLevel;
-  /** Seeds the core's generator; drawn at random when absent. */
+  /** Seed of the core's random generator; chosen at random if absent. */
   readonly seed?: number;
-  /** File to which the core's events are recorded for `crossroad replay`; absent for none. */
+  /** File that records the core's events for `crossroad replay`; absent for no recording. */
   readonly record?: string;
 }
--- a/src/settings/parse-host-port.ts
+++ b/src/settings/parse-host-port.ts
@@ -1,4 +1,4 @@
-/** Reads addresses of the form `127.0.0.1:8080` or `[::1]:8080`. */
+/** Parses and formats addresses of the form `127.0.0.1:8080` or `[::1]:8080`. */
 import { isIP } from 'node:net';
 import { type Either, Left, Right } from 'purify-ts';
 import type { HostPort } from './node-settings.js';
@@ -8,10 +8,10 @@
 
 const ADDRESS_PATTERN = /^(?:\[([^\]]+)\]|([^:[\]]+)):(\d{1,5})$/;
 
-/** What an address must look like, for findings and help. */
+/** Description of the address format, for findings and help texts. */
 export const HOST_PORT_FORMAT = 'IP number and port, e.g. 127.0.0.1:8080 or [::1]:8080';
 
-/** Parses `text`; names are refused, only IP numbers are taken. Port 0 is left to the caller. */
+/** Parses an address; host names are refused. Port 0 is accepted, its meaning is up to the caller. */
 export const parseHostPort = (text: string): Either<string, HostPort> => {
   const parts = ADDRESS_PATTERN.exec(text);
   if (parts === null) {
@@ -28,7 +28,7 @@
   return Right({ host, port });
 };
 
-/** Formats an address as it stands in a URL or a settings file. */
+/** Formats an address for a URL or a settings file. */
 export const formatHostPort = (address: HostPort): string =>
   isIP(address.host) === 6
     ? `[${address.host}]:${address.port}`
--- a/src/settings/read-node-settings.ts
+++ b/src/settings/read-node-settings.ts
@@ -1,4 +1,4 @@
-/** Reads a node's settings from YAML and from flags; all findings come together. */
+/** Reads a node's settings from YAML and flags, and reports all findings together. */
 import { type Either, Left, Right } from 'purify-ts';
 import { isNode, LineCounter, parseDocument, type Document } from 'yaml';
 import type { z } from 'zod';
@@ -6,15 +6,15 @@
 import { NODE_SETTINGS_SCHEMA } from './node-settings-schema.js';
 import type { NodeSettings } from './node-settings.js';
 
-/** Values given as flags; each overrides the field of the same name. */
+/** Values of flags; each overrides the field of the same name. */
 export type SettingsOverrides = Readonly<Record<string, unknown>>;
 
-/** Environment variable that holds the shared secret in place of the file. */
+/** Environment variable that may hold the shared secret instead of the settings file. */
 export const SECRET_VARIABLE = 'CROSSROAD_PEER_SECRET';
 
-/** A settings file as it was read. */
+/** The text of a settings file. */
 export interface SettingsSource {
-  /** Shown in findings. */
+  /** Name shown in findings. */
   readonly fileName: string;
   readonly text: string;
 }
@@ -39,7 +39,7 @@
   return parsed.source.fileName;
 };
 
-/** The flag that overrides a field, without its dashes. */
+/** The name of the flag that overrides a field, without leading dashes. */
 export const flagOf = (field: string): string =>
   field.replace(/[A-Z]/g, (letter) => `-${letter.toLowerCase()}`);
 
@@ -95,7 +95,7 @@
   return { source, document, lines };
 };
 
-/** Checks the file and the flags against the schema; returns every finding, or the settings. */
+/** Validates the file and the flags against the schema; Left lists all findings. */
 export const readNodeSettings = (
   source: SettingsSource,
   overrides: SettingsOverrides = {},
--- a/test/protocol/codec.test.ts
+++ b/test/protocol/codec.test.ts
@@ -110,7 +110,7 @@
 
 const SENDER = PING.sender;
 
-/** Typed without a cast, so that a change of the messages is felt here. */
+/** Typed without a cast, so that an incompatible change of the message types fails to compile. */
 const MEMBER_TABLE_MESSAGES: readonly MembershipLinkMessage[] = [
   { type: 'membership-pull', sender: SENDER, buckets: [1, 2], after: -1 },
   { type: 'membership-pull', sender: SENDER, buckets: [], after: 77 },
@@ -125,19 +125,19 @@
 
 const bodyOf = (frame: Buffer): Buffer => frame.subarray(FRAME_HEADER_BYTES);
 
-describe('frames of a link', () => {
-  it('come back as they were sent', () => {
+describe('link frames', () => {
+  it('decode to the messages that were encoded', () => {
     const decoded = decodeLinkFrame(bodyOf(encodeLinkFrame(MESSAGES))).unsafeCoerce();
     expect(decoded).toEqual(MESSAGES);
   });
 
-  it('carry the exchange of member tables', () => {
+  it('decode to the encoded messages of a member table exchange', () => {
     const decoded = decodeLinkFrame(bodyOf(encodeLinkFrame(MEMBER_TABLE_MESSAGES))).unsafeCoerce();
     expect(decoded).toEqual(MEMBER_TABLE_MESSAGES);
   });
 
   it.each([
-    ['a type nobody knows', { type: 'leg-steal' }],
+    ['an unknown type', { type: 'leg-steal' }],
     ['an inherited name as type', { type: 'toString' }],
     ['no type', {}],
     [
@@ -145,12 +145,15 @@
       { type: 'leg-batch', context: CONTEXT, remainingMs: 1, legs: [{}] },
     ],
     [
-      'a leg batch that says neither',
+      'a leg batch whose mayWait is not true',
       { type: 'leg-batch', context: CONTEXT, remainingMs: 1, mayWait: 'no', legs: [] },
     ],
-    ['text for a time', { type: 'leg-batch', context: CONTEXT, remainingMs: '1', legs: [] }],
     [
-      'a reason nobody knows',
+      'a string as remaining time',
+      { type: 'leg-batch', context: CONTEXT, remainingMs: '1', legs: [] },
+    ],
+    [
+      'an unknown reason',
       {
         type: 'leg-results',
         results: [
@@ -165,7 +168,7 @@
     ],
     ['a negative revision', { type: 'configuration-pull', after: -1 }],
     [
-      'an object of no known content',
+      'an object with unknown content',
       {
         type: 'configuration-push',
         after: 0,
@@ -173,12 +176,12 @@
         objects: [{ name: 'x', version: 1, revision: 1, content: { type: 'secret' } }],
       },
     ],
-    ['a verdict nobody knows', { type: 'claim-reply', request: 'q', verdict: 'maybe' }],
+    ['an unknown verdict', { type: 'claim-reply', request: 'q', verdict: 'maybe' }],
   ])('with %s are refused', (_name, value) => {
     expect(decodeLinkFrame(encodeCbor([value])).isLeft()).toBe(true);
   });
 
-  it('of any bytes are refused or read, and never throw', () => {
+  it('of arbitrary bytes are refused or decoded without an exception', () => {
     fc.assert(
       fc.property(fc.uint8Array({ maxLength: 200 }), (bytes) => {
         const decoded = decodeLinkFrame(bytes);
@@ -188,7 +191,7 @@
     );
   });
 
-  it('with one byte changed or cut off never throw', () => {
+  it('with one byte changed, or truncated, are decoded without an exception', () => {
     const body = bodyOf(encodeLinkFrame(MESSAGES));
     fc.assert(
       fc.property(fc.nat(body.length - 1), fc.nat(255), (index, value) => {
@@ -202,8 +205,8 @@
   });
 });
 
-describe('reader of frames', () => {
-  it('cuts the same frames whatever the chunks', () => {
+describe('the frame reader', () => {
+  it('returns the same frames for any division into chunks', () => {
     const bodies = ['', 'a', 'bb'.repeat(300), 'c'].map((text) => Buffer.from(text));
     const stream = Buffer.concat(bodies.map(encodeFrame));
     fc.assert(
@@ -223,7 +226,7 @@
     );
   });
 
-  it('holds a frame that is too long until the frames before it have been taken', () => {
+  it('keeps a frame that is too long until the preceding frames have been processed', () => {
     const reader = new FrameReader(8);
     const long = Buffer.alloc(20, 'x');
     const first = reader.read(Buffer.concat([encodeFrame(Buffer.alloc(5)), encodeFrame(long)]));
@@ -232,7 +235,7 @@
     expect(reader.readBuffered()).toEqual({ type: 'frames', bodies: [long], more: false });
   });
 
-  it('refuses a frame that is announced too long before it holds it', () => {
+  it('refuses a frame by its announced length, before it has arrived', () => {
     const reader = new FrameReader(8);
     expect(reader.read(encodeFrame(Buffer.alloc(9)).subarray(0, 4))).toEqual({
       type: 'oversized',
@@ -245,12 +248,12 @@
   const secret = new SharedSecret('sixteen-characters');
   const otherSecret = new SharedSecret('another-sixteen-chars');
 
-  it('come back as they were sent', () => {
+  it('decode to the message that was encoded', () => {
     const bytes = encodeDatagram(PING, secret.tagDatagram).unsafeCoerce();
     expect(decodeDatagram(bytes, secret.tagDatagram, areEqual).unsafeCoerce()).toEqual(PING);
   });
 
-  it('of a stranger, changed or cut off are refused', () => {
+  it('are refused if signed with another secret, changed or truncated', () => {
     const bytes = encodeDatagram(PING, secret.tagDatagram).unsafeCoerce();
     const otherSecretBytes = encodeDatagram(PING, otherSecret.tagDatagram).unsafeCoerce();
     const changed = Buffer.from(bytes);
@@ -260,14 +263,14 @@
     }
   });
 
-  it('too long for one packet are not sent', () => {
+  it('that are too long for one packet are not encoded', () => {
     const long = { ...PING, sender: { ...PING.sender, zone: 'z'.repeat(MAX_DATAGRAM_BYTES) } };
     expect(encodeDatagram(long as MembershipMessage, secret.tagDatagram).isLeft()).toBe(true);
   });
 });
 
 describe('CBOR', () => {
-  it('stands alone: bytes depend on no earlier value', () => {
+  it('is self-contained: the bytes depend on no earlier value', () => {
     const first = encodeCbor([{ a: 1, b: 2 }]);
     encodeCbor([{ c: 1 }, { c: 2 }]);
     expect(encodeCbor([{ a: 1, b: 2 }])).toEqual(first);
--- a/test/protocol/fast-checks.test.ts
+++ b/test/protocol/fast-checks.test.ts
@@ -36,15 +36,15 @@
   sheetVersion: 2,
 };
 
-/** A list whose first element has one odd value, and a second that is as it should be. */
+/** A list of two elements: one with an odd value in `field`, and the unchanged element. */
 const withOddValue = (
   element: Record<string, unknown>,
   field: string,
   value: unknown,
 ): unknown[] => [{ ...element, [field]: value }, element];
 
-describe('the quick checks of rows and histories', () => {
-  it('recognise every row that the columns allow', () => {
+describe('the fast checks of rows and histories', () => {
+  it('accept every row that is valid in all columns', () => {
     fc.assert(
       fc.property(fc.array(arbitraryRow(), { maxLength: 3 }), (rows) => {
         expect(isUsualRowList(rows.map((row) => ({ row, rowVersion: 1, writtenBy: 'mair' })))).toBe(
@@ -79,7 +79,7 @@
     }
   });
 
-  it('leave it to the schema to name the field that is wrong', () => {
+  it('leave the report of an invalid field to the schema', () => {
     const rows = [{ row: { ...createRow(), weight: 0 }, rowVersion: 1, writtenBy: 'mair' }];
     const sheet = { partner: 'ensemble', rows, history: [] };
     const content = { type: 'sheet', sheet };
--- a/test/settings/read-node-settings.test.ts
+++ b/test/settings/read-node-settings.test.ts
@@ -16,8 +16,8 @@
 const findingsOf = (text: string, overrides = {}) =>
   readNodeSettings({ fileName: 'node.yaml', text }, overrides).swap().orDefault([]);
 
-describe('settings of a node', () => {
-  it('are read with their defaults', () => {
+describe('readNodeSettings', () => {
+  it('applies the defaults', () => {
     const settings = readNodeSettings({
       fileName: 'node.yaml',
       text: VALID_SETTINGS,
@@ -29,7 +29,7 @@
     expect('seed' in settings).toBe(false);
   });
 
-  it('let flags override the file', () => {
+  it('overrides the file by flags', () => {
     const settings = readNodeSettings(
       { fileName: 'node.yaml', text: VALID_SETTINGS },
       { zone: 'arada', seed: 7 },
@@ -37,7 +37,7 @@
     expect([settings.zone, settings.seed]).toEqual(['arada', 7]);
   });
 
-  it('name every wrong field in one run, each with its place', () => {
+  it('reports every invalid field in one run, each with its place', () => {
     const findings = findingsOf(
       [
         'node: "no spaces allowed"',
@@ -75,7 +75,7 @@
     expect(findings.every((finding) => finding.problem.length > 0)).toBe(true);
   });
 
-  it('name a wrong flag by its flag', () => {
+  it('reports an invalid flag by the name of the flag', () => {
     expect(findingsOf(VALID_SETTINGS, { zone: '' }).map((finding) => finding.place)).toEqual([
       '--zone',
     ]);
@@ -85,7 +85,7 @@
     ['a: [', 'node.yaml:'],
     ['- 1', 'node.yaml:1:1'],
     ['a: 1\na: 2', 'node.yaml:2:1'],
-  ])('report what is no settings file at all: %j', (text, place) => {
+  ])('reports a text that is not a settings file: %j', (text, place) => {
     expect(findingsOf(text)[0]?.place).toContain(place);
   });
 });
