--- a/src/gateway/runtime/gateway-loop.ts
+++ b/src/gateway/runtime/gateway-loop.ts
@@ -1,12 +1,12 @@
 /** Runs the gateway's reducer over its loop of events. */
-import { EventLoop, type EventTaker } from '../../runtime/event-loop.js';
+import { EventLoop, type EventReceiver } from '../../runtime/event-loop.js';
 import type { GatewayEffect } from '../effect.js';
 import type { GatewayEvent } from '../event.js';
 import { step } from '../reducer.js';
 import type { GatewayState } from '../state.js';
 
 /** Takes events of a gateway. */
-export type GatewayEventSink = EventTaker<GatewayEvent>;
+export type GatewayEventSink = EventReceiver<GatewayEvent>;
 
 /** The loop over a gateway's events. */
 export class GatewayLoop extends EventLoop<GatewayEvent, GatewayEffect> {
--- a/src/runtime/caller/caller-request.ts
+++ b/src/runtime/caller/caller-request.ts
@@ -142,14 +142,14 @@
   }
 }
 
-const withDefined = <Value extends object>(value: Value): Value =>
+const omitUndefined = <Value extends object>(value: Value): Value =>
   Object.fromEntries(Object.entries(value).filter(([, field]) => field !== undefined)) as Value;
 
 /** Reads a request; returns every finding, or the query. */
 export const readCallerRequest = (raw: RawCallerRequest): Either<Finding[], QueryRequest> => {
   const reader = new RequestReader(raw);
   const body = reader.body();
-  const optional = withDefined({
+  const optional = omitUndefined({
     deadlineMs: reader.deadlineMs(),
     coverage: reader.coverage(),
     idempotencyKey: reader.idempotencyKey(),
--- a/src/runtime/caller/caller-server.ts
+++ b/src/runtime/caller/caller-server.ts
@@ -28,7 +28,7 @@
   readonly answers: AnswerRecorder;
 }
 
-interface OpenCall {
+interface PendingCall {
   readonly query: QueryRequest;
   readonly arrivedAt: number;
   resolve(outcome: QueryOutcome): void;
@@ -44,7 +44,7 @@
   reason: 'body-too-large',
 };
 
-const CUT: Problem = {
+const BODY_CUT: Problem = {
   status: 400,
   title: 'Malformed request',
   detail: 'The body ended before it was whole.',
@@ -90,9 +90,9 @@
 /** Holds the calls that wait for their outcome. */
 export class CallerServer {
   readonly fetch: FetchHandler;
-  private readonly calls = new Map<CallId, OpenCall>();
+  private readonly calls = new Map<CallId, PendingCall>();
   private readonly refusals: RefusalLog;
-  private callsTaken = 0;
+  private receivedCalls = 0;
 
   constructor(private readonly context: CallerServerContext) {
     this.refusals = createRefusalLog(
@@ -103,7 +103,7 @@
   }
 
   /** Calls without an answer. */
-  get openCalls(): number {
+  get pendingCalls(): number {
     return this.calls.size;
   }
 
@@ -122,7 +122,7 @@
   private createApp(): Hono<{ Bindings: HttpBindings }> {
     const app = new Hono<{ Bindings: HttpBindings }>();
     app.post('/v1/:partner/:route', (call) =>
-      this.handle(call, call.req.param('partner'), call.req.param('route')),
+      this.handleRequest(call, call.req.param('partner'), call.req.param('route')),
     );
     app.notFound(() => problemResponse(NOT_FOUND));
     app.onError((error) => {
@@ -132,7 +132,11 @@
     return app;
   }
 
-  private async handle(call: CallerContext, partner: string, route: string): Promise<Response> {
+  private async handleRequest(
+    call: CallerContext,
+    partner: string,
+    route: string,
+  ): Promise<Response> {
     if (this.context.state.phase === 'starting') {
       return problemResponse(STARTING);
     }
@@ -144,7 +148,7 @@
     }
     const body = await readBody(call.env.incoming, MAX_BODY_BYTES);
     if (body.type !== 'read') {
-      return problemResponse(body.type === 'cut' ? CUT : TOO_LARGE);
+      return problemResponse(body.type === 'cut' ? BODY_CUT : TOO_LARGE);
     }
     const query = readCallerRequest({
       partner: partnerId,
@@ -155,7 +159,7 @@
     if (query.isLeft()) {
       return problemResponse(malformed(query.swap().orDefault([])));
     }
-    return outcomeResponse(await this.ask(call, query.unsafeCoerce()));
+    return outcomeResponse(await this.submitQuery(call, query.unsafeCoerce()));
   }
 
   private refuse(call: CallerContext, refused: CallerRefusal): Response {
@@ -168,9 +172,9 @@
     return problemResponse(refused.problem);
   }
 
-  private ask(call: CallerContext, query: QueryRequest): Promise<QueryOutcome> {
-    this.callsTaken += 1;
-    const id = identifier<CallId>(`call-${this.callsTaken}`);
+  private submitQuery(call: CallerContext, query: QueryRequest): Promise<QueryOutcome> {
+    this.receivedCalls += 1;
+    const id = identifier<CallId>(`call-${this.receivedCalls}`);
     const arrivedAt = this.context.clock.now();
     return new Promise((resolve) => {
       this.calls.set(id, { query, arrivedAt, resolve });
--- a/src/runtime/caller/read-body.ts
+++ b/src/runtime/caller/read-body.ts
@@ -2,18 +2,18 @@
 import type { IncomingMessage } from 'node:http';
 
 /** What came of reading a body. */
-export type BodyReading =
+export type BodyReadResult =
   | { readonly type: 'read'; readonly text: string }
   | { readonly type: 'too-large' }
   /** The caller went away before the body was whole. */
   | { readonly type: 'cut' };
 
-const announcesTooMuch = (incoming: IncomingMessage, maxBytes: number): boolean =>
+const exceedsContentLength = (incoming: IncomingMessage, maxBytes: number): boolean =>
   Number(incoming.headers['content-length'] ?? 0) > maxBytes;
 
 /** Reads a body of at most `maxBytes`. */
-export const readBody = (incoming: IncomingMessage, maxBytes: number): Promise<BodyReading> => {
-  if (announcesTooMuch(incoming, maxBytes)) {
+export const readBody = (incoming: IncomingMessage, maxBytes: number): Promise<BodyReadResult> => {
+  if (exceedsContentLength(incoming, maxBytes)) {
     return Promise.resolve({ type: 'too-large' });
   }
   return new Promise((resolve) => {
--- a/src/runtime/core-loop.ts
+++ b/src/runtime/core-loop.ts
@@ -3,10 +3,10 @@
 import type { Event } from '../core/event.js';
 import { step } from '../core/reducer.js';
 import type { CoreState } from '../core/state.js';
-import { EventLoop, type EventTaker } from './event-loop.js';
+import { EventLoop, type EventReceiver } from './event-loop.js';
 
 /** Takes events of the core. */
-export type EventSink = EventTaker<Event>;
+export type EventSink = EventReceiver<Event>;
 
 /** Sees each event with its effects, after the step and before they are carried out. */
 export type StepObserver = (event: Event, effects: readonly Effect[]) => void;
--- a/src/runtime/core-timers.ts
+++ b/src/runtime/core-timers.ts
@@ -5,7 +5,7 @@
 import { type Deadline, DeadlineQueue } from './deadline-queue.js';
 import type { MonotonicClock } from './monotonic-clock.js';
 
-const textOf = (key: TimerKey): string => `${key.purpose}|${key.subject}`;
+const timerName = (key: TimerKey): string => `${key.purpose}|${key.subject}`;
 
 /** Sets and cancels timers and emits `timer-fired`. */
 export class CoreTimers {
@@ -16,11 +16,11 @@
     private readonly clock: MonotonicClock,
     private readonly sink: EventSink,
   ) {
-    this.deadlines = new DeadlineQueue(clock, (key) => this.fire(key));
+    this.deadlines = new DeadlineQueue(clock, (key) => this.handleDue(key));
   }
 
   set(effect: SetTimer): void {
-    const text = textOf(effect.key);
+    const text = timerName(effect.key);
     const earlier = this.timers.get(text);
     if (earlier !== undefined) {
       this.deadlines.cancel(earlier);
@@ -29,7 +29,7 @@
   }
 
   cancel(key: TimerKey): void {
-    const text = textOf(key);
+    const text = timerName(key);
     const timer = this.timers.get(text);
     if (timer !== undefined) {
       this.timers.delete(text);
@@ -43,8 +43,8 @@
     this.deadlines.clear();
   }
 
-  private fire(key: TimerKey): void {
-    this.timers.delete(textOf(key));
+  private handleDue(key: TimerKey): void {
+    this.timers.delete(timerName(key));
     this.sink.emit({ type: 'timer-fired', at: this.clock.now(), key });
   }
 }
--- a/src/runtime/deadline-queue.ts
+++ b/src/runtime/deadline-queue.ts
@@ -16,7 +16,7 @@
   readonly subject: Subject;
   readonly at: number;
   /** It is due, or was cancelled. */
-  over: boolean;
+  isOver: boolean;
 }
 
 const isDueBefore = <Subject>(left: Deadline<Subject>, right: Deadline<Subject>): boolean =>
@@ -36,30 +36,30 @@
 
   /** Sets a deadline for `subject`, due at `at`. */
   set(subject: Subject, at: number): Deadline<Subject> {
-    const deadline = { subject, at, over: false };
+    const deadline = { subject, at, isOver: false };
     this.live += 1;
     this.heap.push(deadline);
     if (at < this.timerAt) {
-      this.arm();
+      this.armTimer();
     }
     return deadline;
   }
 
   /** Forgets a deadline; no matter if it is over. */
   cancel(deadline: Deadline<Subject>): void {
-    if (deadline.over) {
+    if (deadline.isOver) {
       return;
     }
-    deadline.over = true;
+    deadline.isOver = true;
     this.live -= 1;
     if (this.heap.size > COMPACTION_MINIMUM && this.live * 2 < this.heap.size) {
-      this.heap.retain((each) => !each.over);
+      this.heap.retain((each) => !each.isOver);
     }
   }
 
   /** Counts the time to the first deadline anew: the clock has jumped, and the process's timers have not. */
   refresh(): void {
-    this.arm();
+    this.armTimer();
   }
 
   /** Forgets all deadlines. */
@@ -70,17 +70,17 @@
     this.timerAt = Number.POSITIVE_INFINITY;
   }
 
-  private arm(): void {
+  private armTimer(): void {
     const first = this.heap.first;
     clearTimeout(this.timer);
     this.timerAt = first?.at ?? Number.POSITIVE_INFINITY;
     if (first !== undefined) {
       const delay = Math.ceil(Math.max(0, first.at - this.clock.now()));
-      this.timer = setTimeout(() => this.fire(), Math.min(delay, MAX_DELAY_MS));
+      this.timer = setTimeout(() => this.handleDue(), Math.min(delay, MAX_DELAY_MS));
     }
   }
 
-  private fire(): void {
+  private handleDue(): void {
     const now = this.clock.now();
     this.timerAt = Number.POSITIVE_INFINITY;
     for (
@@ -89,12 +89,12 @@
       first = this.heap.first
     ) {
       this.heap.pop();
-      if (!first.over) {
-        first.over = true;
+      if (!first.isOver) {
+        first.isOver = true;
         this.live -= 1;
         this.onDue(first.subject);
       }
     }
-    this.arm();
+    this.armTimer();
   }
 }
--- a/src/runtime/event-loop.ts
+++ b/src/runtime/event-loop.ts
@@ -1,7 +1,7 @@
 /** Runs a reducer: takes events one at a time and carries out the effects of each. */
 
 /** Takes events. */
-export interface EventTaker<Event> {
+export interface EventReceiver<Event> {
   emit(event: Event): void;
 }
 
@@ -9,7 +9,7 @@
  * The loop over the events of a reducer. An event emitted while another is handled waits for its turn,
  * so that the effects of one event are all carried out before the next event is taken.
  */
-export class EventLoop<Event, Effect> implements EventTaker<Event> {
+export class EventLoop<Event, Effect> implements EventReceiver<Event> {
   private queue: Event[] = [];
   private running = false;
   private halted = false;
@@ -45,7 +45,7 @@
       for (let index = 0; index < this.queue.length; index += 1) {
         const event = this.queue[index];
         if (event !== undefined) {
-          this.take(event);
+          this.handleEvent(event);
         }
       }
     } finally {
@@ -54,7 +54,7 @@
     }
   }
 
-  private take(event: Event): void {
+  private handleEvent(event: Event): void {
     for (const effect of this.step(event)) {
       this.carryOut(effect);
     }
--- a/src/runtime/event-recorder.ts
+++ b/src/runtime/event-recorder.ts
@@ -10,7 +10,7 @@
 const MAX_RECORD_BYTES = 256 * 1024 * 1024;
 
 /** Most bytes that wait to be written; recording ends when the file is slower than that. */
-const MAX_WAITING_BYTES = 32 * 1024 * 1024;
+const MAX_QUEUED_BYTES = 32 * 1024 * 1024;
 
 /** Writes one record. A file that fails ends the recording, never the node. */
 export class EventRecorder {
@@ -52,7 +52,7 @@
     }
     this.written += frame.length;
     this.stream.write(frame);
-    if (this.stream.writableLength > MAX_WAITING_BYTES) {
+    if (this.stream.writableLength > MAX_QUEUED_BYTES) {
       this.stop('the file is too slow');
     }
   }
--- a/src/runtime/http-listener.ts
+++ b/src/runtime/http-listener.ts
@@ -68,7 +68,7 @@
 
 /** A listening HTTP server. */
 export class HttpListener {
-  private closingConnections = false;
+  private closesAfterAnswers = false;
   private connections = 0;
 
   private constructor(
@@ -95,7 +95,7 @@
     });
     const listener = new HttpListener(server, (server.address() as AddressInfo).port);
     server.on('request', (incoming, outgoing: ServerResponse) => {
-      if (listener.closingConnections) {
+      if (listener.closesAfterAnswers) {
         outgoing.setHeader('connection', 'close');
       }
       void handle(incoming, outgoing);
@@ -112,7 +112,7 @@
 
   /** From now on each answer asks the client to close its connection. */
   closeConnectionsAfterAnswers(): void {
-    this.closingConnections = true;
+    this.closesAfterAnswers = true;
   }
 
   /**
@@ -121,7 +121,7 @@
    * process that was held up cuts nobody off when it goes on.
    */
   async drain(): Promise<void> {
-    this.closingConnections = true;
+    this.closesAfterAnswers = true;
     await nextTurn();
     closePort(this.server);
     for (let turn = 1; turn <= MAX_DRAIN_TURNS; turn += 1) {
--- a/src/runtime/operator/operator-edits.ts
+++ b/src/runtime/operator/operator-edits.ts
@@ -6,12 +6,12 @@
 import type { MonotonicClock } from '../monotonic-clock.js';
 
 /** Most edits without an answer. */
-const MAX_OPEN_EDITS = 256;
+const MAX_PENDING_EDITS = 256;
 
 /** Holds the edits that wait for their outcome. */
 export class OperatorEdits {
-  private readonly open = new Map<CallId, (outcome: EditOutcome) => void>();
-  private taken = 0;
+  private readonly pendingEdits = new Map<CallId, (outcome: EditOutcome) => void>();
+  private submittedEdits = 0;
 
   constructor(
     private readonly clock: MonotonicClock,
@@ -20,7 +20,7 @@
 
   /** Hands an edit to the core; resolves with its final word. */
   submit(edit: EditRequest): Promise<EditOutcome> {
-    if (this.open.size >= MAX_OPEN_EDITS) {
+    if (this.pendingEdits.size >= MAX_PENDING_EDITS) {
       return Promise.resolve({
         type: 'refused',
         edit: edit.edit,
@@ -29,18 +29,18 @@
         ],
       });
     }
-    this.taken += 1;
-    const call = identifier<CallId>(`edit-${this.taken}`);
+    this.submittedEdits += 1;
+    const call = identifier<CallId>(`edit-${this.submittedEdits}`);
     return new Promise((resolve) => {
-      this.open.set(call, resolve);
+      this.pendingEdits.set(call, resolve);
       this.sink.emit({ type: 'edit-requested', at: this.clock.now(), call, edit });
     });
   }
 
   /** Carries out `answer-operator`. */
   answer(effect: AnswerOperator): void {
-    const resolve = this.open.get(effect.call);
-    this.open.delete(effect.call);
+    const resolve = this.pendingEdits.get(effect.call);
+    this.pendingEdits.delete(effect.call);
     resolve?.(effect.outcome);
   }
 }
--- a/src/runtime/peer/datagrams.ts
+++ b/src/runtime/peer/datagrams.ts
@@ -21,8 +21,8 @@
   private closed = false;
 
   constructor(private readonly context: DatagramsContext) {
-    context.socket.on('message', (bytes) => this.take(bytes));
-    context.socket.on('error', (error) => this.report(error.message));
+    context.socket.on('message', (bytes) => this.handleDatagram(bytes));
+    context.socket.on('error', (error) => this.logProblem(error.message));
   }
 
   send(effect: SendDatagram): void {
@@ -31,11 +31,11 @@
     }
     const { socket, secret } = this.context;
     encodeDatagram(effect.message, secret.tagDatagram).caseOf({
-      Left: (problem) => this.report(`A datagram was not sent: it ${problem}`),
+      Left: (problem) => this.logProblem(`A datagram was not sent: it ${problem}`),
       Right: (bytes) =>
         socket.send(bytes, effect.to.port, effect.to.host, (error) => {
           if (error !== null) {
-            this.report(error.message);
+            this.logProblem(error.message);
           }
         }),
     });
@@ -48,15 +48,15 @@
     }
   }
 
-  private take(bytes: Buffer): void {
+  private handleDatagram(bytes: Buffer): void {
     const { secret, sink, clock } = this.context;
     decodeDatagram(bytes, secret.tagDatagram, areEqual).caseOf({
-      Left: (problem) => this.report(`A datagram was refused: it ${problem}`),
+      Left: (problem) => this.logProblem(`A datagram was refused: it ${problem}`),
       Right: (message) => sink.emit({ type: 'datagram-arrived', at: clock.now(), message }),
     });
   }
 
-  private report(sentence: string): void {
+  private logProblem(sentence: string): void {
     this.context.log('debug', 'peer', `${sentence}.`);
   }
 }
--- a/src/runtime/peer/handshake.ts
+++ b/src/runtime/peer/handshake.ts
@@ -42,7 +42,7 @@
 /** One side of a handshake. */
 export interface Handshake {
   /** Takes the body of the peer's next frame; the problem ends the link. */
-  take(body: Uint8Array): Either<string, HandshakeStep>;
+  handleFrame(body: Uint8Array): Either<string, HandshakeStep>;
 }
 
 const isBytes = (value: unknown): value is Uint8Array => value instanceof Uint8Array;
@@ -83,7 +83,7 @@
     return encodeCbor({ protocol: PROTOCOL_VERSION, ...this.hello });
   }
 
-  take(body: Uint8Array): Either<string, HandshakeStep> {
+  handleFrame(body: Uint8Array): Either<string, HandshakeStep> {
     return decodeFields(body).chain((fields) => {
       const { nonce, proof } = fields;
       if (!isBytes(nonce) || nonce.length !== NONCE_BYTES || !isBytes(proof)) {
@@ -108,11 +108,11 @@
     private readonly self: NodeId,
   ) {}
 
-  take(body: Uint8Array): Either<string, HandshakeStep> {
-    return this.nonces === undefined ? this.challenge(body) : this.check(body, this.nonces);
+  handleFrame(body: Uint8Array): Either<string, HandshakeStep> {
+    return this.nonces === undefined ? this.answerHello(body) : this.check(body, this.nonces);
   }
 
-  private challenge(body: Uint8Array): Either<string, HandshakeStep> {
+  private answerHello(body: Uint8Array): Either<string, HandshakeStep> {
     return readHello(body).chain((hello): Either<string, HandshakeStep> => {
       if (hello.to !== this.self) {
         return Left(`the peer asks for ${hello.to}`);
--- a/src/runtime/peer/link.ts
+++ b/src/runtime/peer/link.ts
@@ -29,11 +29,11 @@
   /** Set once both sides are authenticated. */
   peer: NodeId | undefined;
   /** When bytes last came, in milliseconds on the node's clock. */
-  heardAt: number;
+  lastReceivedAt: number;
   /** When a message last came or went. */
-  usedAt: number;
+  lastMessageAt: number;
   /** When a frame last went. */
-  sentAt: number;
+  lastSentAt: number;
   private readonly reader = new FrameReader(MAX_HANDSHAKE_BYTES);
   private closed = false;
 
@@ -43,9 +43,9 @@
     private readonly clock: MonotonicClock,
     private readonly listener: LinkListener,
   ) {
-    this.heardAt = clock.now();
-    this.usedAt = this.heardAt;
-    this.sentAt = this.heardAt;
+    this.lastReceivedAt = clock.now();
+    this.lastMessageAt = this.lastReceivedAt;
+    this.lastSentAt = this.lastReceivedAt;
     socket.setNoDelay(true);
     socket.on('data', (chunk: Buffer) => this.read(chunk));
     socket.on('error', (error) => this.close(error.message));
@@ -61,7 +61,7 @@
   /** Sends messages in one frame; closes the link when too much waits already. */
   send(messages: readonly LinkMessage[]): void {
     const frame = encodeLinkFrame(messages);
-    this.usedAt = this.clock.now();
+    this.lastMessageAt = this.clock.now();
     if (frame.length > MAX_FRAME_BYTES) {
       this.close(`a frame of ${frame.length} bytes is too long to send`);
       return;
@@ -94,7 +94,7 @@
   }
 
   private write(frame: Buffer): void {
-    this.sentAt = this.clock.now();
+    this.lastSentAt = this.clock.now();
     this.socket.write(frame);
     if (this.socket.writableLength > MAX_SEND_QUEUE_BYTES) {
       this.close(`${this.socket.writableLength} bytes wait to be sent`);
@@ -102,35 +102,35 @@
   }
 
   private read(chunk: Buffer): void {
-    this.heardAt = this.clock.now();
-    this.takeReading(this.reader.read(chunk));
+    this.lastReceivedAt = this.clock.now();
+    this.handleReadResult(this.reader.read(chunk));
   }
 
-  private takeReading(reading: FrameReadResult): void {
+  private handleReadResult(reading: FrameReadResult): void {
     if (reading.type === 'oversized') {
       this.close(`a frame of ${reading.length} bytes was announced`);
       return;
     }
     for (const body of reading.bodies) {
       if (!this.closed) {
-        this.takeBody(body);
+        this.handleBody(body);
       }
     }
     if (reading.more && !this.closed) {
-      this.takeReading(this.reader.readBuffered());
+      this.handleReadResult(this.reader.readBuffered());
     }
   }
 
-  private takeBody(body: Buffer): void {
+  private handleBody(body: Buffer): void {
     if (this.peer === undefined) {
-      this.takeHandshake(body);
+      this.handleHandshake(body);
     } else if (body.length > 0) {
-      this.takeMessages(body, this.peer);
+      this.handleMessages(body, this.peer);
     }
   }
 
-  private takeHandshake(body: Buffer): void {
-    this.handshake.take(body).caseOf({
+  private handleHandshake(body: Buffer): void {
+    this.handshake.handleFrame(body).caseOf({
       Left: (problem) => this.close(problem),
       Right: (next) => {
         if (next.body !== undefined) {
@@ -145,8 +145,8 @@
     });
   }
 
-  private takeMessages(body: Buffer, peer: NodeId): void {
-    this.usedAt = this.clock.now();
+  private handleMessages(body: Buffer, peer: NodeId): void {
+    this.lastMessageAt = this.clock.now();
     decodeLinkFrame(body).caseOf({
       Left: (problem) => this.close(`a frame ${problem}`),
       Right: (messages) => this.listener.onMessages(this, peer, messages),
--- a/src/runtime/peer/peer-links.ts
+++ b/src/runtime/peer/peer-links.ts
@@ -16,7 +16,7 @@
 const MAX_UNAUTHENTICATED = 256;
 
 /** Most messages that wait for a link to open. */
-const MAX_WAITING_MESSAGES = 10_000;
+const MAX_QUEUED_MESSAGES = 10_000;
 
 /** Wait before another connect to a peer that could not be reached, doubling, in milliseconds. */
 const FIRST_BACKOFF_MS = 50;
@@ -36,10 +36,10 @@
   address: PeerAddress | undefined;
   link: Link | undefined;
   dialing: Link | undefined;
-  waiting: LinkMessage[];
+  outgoing: LinkMessage[];
   backoffMs: number;
   /** No connect is tried before this time. */
-  dialAt: number;
+  nextDialAt: number;
 }
 
 /** Holds the links and carries out `send-link`. */
@@ -57,7 +57,7 @@
     private readonly timing: LinkTiming = DEFAULT_LINK_TIMING,
   ) {
     this.sweptAt = context.clock.now();
-    this.sweeper = setInterval(() => this.sweep(), this.timing.sweepMs);
+    this.sweeper = setInterval(() => this.sweep(), this.timing.sweepIntervalMs);
   }
 
   /** Peers to which a link is open. */
@@ -69,7 +69,7 @@
   send(effect: SendLink): void {
     const peer = this.peerOf(effect.to);
     peer.address = effect.address;
-    peer.waiting.push(effect.message);
+    peer.outgoing.push(effect.message);
     this.pending.add(peer);
     if (!this.flushScheduled) {
       this.flushScheduled = true;
@@ -106,7 +106,7 @@
     peer.link = link;
     peer.dialing = peer.dialing === link ? undefined : peer.dialing;
     peer.backoffMs = FIRST_BACKOFF_MS;
-    peer.dialAt = 0;
+    peer.nextDialAt = 0;
     this.flushPeer(peer);
   }
 
@@ -122,13 +122,13 @@
     if (this.ended) {
       return;
     }
-    const peer = this.peerWith(link);
+    const peer = this.peerOfLink(link);
     if (problem !== undefined) {
       const name = peer?.node ?? link.peer ?? 'a stranger';
       this.context.log('debug', 'peer', `The link to ${name} ended: ${problem}.`);
     }
     if (peer?.dialing === link) {
-      this.failDial(peer);
+      this.handleDialFailure(peer);
     } else if (peer?.link === link) {
       peer.link = this.otherLinkTo(peer.node);
       this.reportUnlessIdle(peer, link, problem);
@@ -151,15 +151,15 @@
       address: undefined,
       link: undefined,
       dialing: undefined,
-      waiting: [],
+      outgoing: [],
       backoffMs: FIRST_BACKOFF_MS,
-      dialAt: 0,
+      nextDialAt: 0,
     };
     this.peers.set(node, created);
     return created;
   }
 
-  private peerWith(link: Link): Peer | undefined {
+  private peerOfLink(link: Link): Peer | undefined {
     if (link.peer !== undefined) {
       return this.peers.get(link.peer);
     }
@@ -178,17 +178,17 @@
   }
 
   private flushPeer(peer: Peer): void {
-    if (peer.waiting.length === 0) {
+    if (peer.outgoing.length === 0) {
       return;
     }
     if (peer.link !== undefined) {
-      const messages = peer.waiting;
-      peer.waiting = [];
+      const messages = peer.outgoing;
+      peer.outgoing = [];
       peer.link.send(messages);
       return;
     }
-    const isOver = peer.waiting.length > MAX_WAITING_MESSAGES;
-    if (isOver || (peer.dialing === undefined && this.context.clock.now() < peer.dialAt)) {
+    const isOverLimit = peer.outgoing.length > MAX_QUEUED_MESSAGES;
+    if (isOverLimit || (peer.dialing === undefined && this.context.clock.now() < peer.nextDialAt)) {
       this.reportLost(peer);
       return;
     }
@@ -208,10 +208,10 @@
     link.sendHandshake(handshake.begin());
   }
 
-  private failDial(peer: Peer): void {
+  private handleDialFailure(peer: Peer): void {
     peer.dialing = undefined;
     const jitter = 0.5 + Math.random();
-    peer.dialAt = this.context.clock.now() + peer.backoffMs * jitter;
+    peer.nextDialAt = this.context.clock.now() + peer.backoffMs * jitter;
     peer.backoffMs = Math.min(LAST_BACKOFF_MS, peer.backoffMs * 2);
     if (peer.link === undefined) {
       this.reportLost(peer);
@@ -220,23 +220,23 @@
 
   /** A link that the peer closed in order because it was idle lost nothing. */
   private reportUnlessIdle(peer: Peer, link: Link, problem: string | undefined): void {
-    const idleMs = this.context.clock.now() - link.usedAt;
+    const idleMs = this.context.clock.now() - link.lastMessageAt;
     const wasIdle =
-      problem === undefined && idleMs > this.timing.idleMs / 2 && peer.waiting.length === 0;
+      problem === undefined && idleMs > this.timing.idleCloseMs / 2 && peer.outgoing.length === 0;
     if (!wasIdle) {
       this.reportLost(peer);
     }
   }
 
   private reportLost(peer: Peer): void {
-    peer.waiting = [];
+    peer.outgoing = [];
     const at = this.context.clock.now();
     this.context.sink.emit({ type: 'link-lost', at, peer: peer.node });
   }
 
   private sweep(): void {
     const now = this.context.clock.now();
-    const wasPaused = now - this.sweptAt > this.timing.pauseMs;
+    const wasPaused = now - this.sweptAt > this.timing.processPauseMs;
     this.sweptAt = now;
     if (wasPaused) {
       return;
@@ -248,8 +248,8 @@
       const isUsed = peer.link ?? peer.dialing;
       if (
         isUsed === undefined &&
-        peer.waiting.length === 0 &&
-        now - peer.dialAt > this.timing.idleMs
+        peer.outgoing.length === 0 &&
+        now - peer.nextDialAt > this.timing.idleCloseMs
       ) {
         this.peers.delete(peer.node);
       }
@@ -258,21 +258,21 @@
 
   private sweepLink(link: Link, now: number): void {
     if (link.peer === undefined) {
-      if (now - link.usedAt > this.timing.handshakeMs) {
+      if (now - link.lastMessageAt > this.timing.handshakeTimeoutMs) {
         link.close('the handshake took too long');
       }
       return;
     }
-    if (now - link.heardAt > this.timing.silenceMs) {
+    if (now - link.lastReceivedAt > this.timing.receiveTimeoutMs) {
       link.close('nothing was heard for too long');
-    } else if (now - link.usedAt > this.timing.idleMs) {
-      this.endIdle(link, link.peer);
-    } else if (now - link.sentAt >= this.timing.heartbeatMs) {
+    } else if (now - link.lastMessageAt > this.timing.idleCloseMs) {
+      this.endIdleLink(link, link.peer);
+    } else if (now - link.lastSentAt >= this.timing.heartbeatIntervalMs) {
       link.sendHeartbeat();
     }
   }
 
-  private endIdle(link: Link, node: NodeId): void {
+  private endIdleLink(link: Link, node: NodeId): void {
     const peer = this.peers.get(node);
     this.links.delete(link);
     link.end();
--- a/src/runtime/peer/peer-port.ts
+++ b/src/runtime/peer/peer-port.ts
@@ -4,7 +4,7 @@
 import type { HostPort } from '../../settings/node-settings.js';
 
 /** Most tries to find a port that is free for both protocols, when the kernel picks. */
-const MAX_TRIES = 20;
+const MAX_BIND_ATTEMPTS = 20;
 
 /** Both sockets of the peer port. */
 export interface PeerPort {
@@ -54,7 +54,7 @@
     try {
       return await openOnce(address);
     } catch (error) {
-      if (address.port !== 0 || tries >= MAX_TRIES) {
+      if (address.port !== 0 || tries >= MAX_BIND_ATTEMPTS) {
         throw error;
       }
     }
--- a/src/runtime/replica/attempt-handler.ts
+++ b/src/runtime/replica/attempt-handler.ts
@@ -15,12 +15,12 @@
 const LEAVING = 'leaving';
 
 /** Why an attempt in progress is given up when its time comes. */
-export type DueReason = 'deadline' | 'cancelled';
+export type AbandonReason = 'deadline' | 'cancelled';
 
 /** Takes the outcome of an attempt, once. */
 export type AttemptListener = (handler: AttemptHandler, outcome: AttemptOutcome) => void;
 
-const saysLeaving = (rawHeaders: readonly Buffer[]): boolean => {
+const hasLeavingHeader = (rawHeaders: readonly Buffer[]): boolean => {
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     const name = rawHeaders[index];
     if (
@@ -39,7 +39,7 @@
   sent = false;
   /** When it is given up, and why; both are kept by its client. */
   deadline: Deadline<AttemptHandler> | undefined;
-  due: DueReason = 'deadline';
+  abandonReason: AbandonReason = 'deadline';
   private ended = false;
   private status = 0;
   private leaving = false;
@@ -57,7 +57,7 @@
   ) {}
 
   /** Gives up: `not-run` when no byte has left, `unknown` otherwise. */
-  giveUp(notRun: NotRunReason, unknown: UnknownReason): void {
+  abandon(notRun: NotRunReason, unknown: UnknownReason): void {
     this.end(
       this.sent ? { type: 'unknown', reason: unknown } : { type: 'not-run', reason: notRun },
     );
@@ -77,17 +77,17 @@
 
   onHeaders(status: number, rawHeaders: Buffer[]): boolean {
     this.status = status;
-    this.leaving = saysLeaving(rawHeaders);
+    this.leaving = hasLeavingHeader(rawHeaders);
     return true;
   }
 
   onData(chunk: Buffer): boolean {
     this.length += chunk.length;
     if (this.length > MAX_ANSWER_BYTES) {
-      this.giveUp('cancelled-before-sent', 'bad-answer');
+      this.abandon('cancelled-before-sent', 'bad-answer');
       return false;
     }
-    this.keep(chunk);
+    this.appendChunk(chunk);
     return true;
   }
 
@@ -109,7 +109,7 @@
     this.end({ type: 'unknown', reason });
   }
 
-  private keep(chunk: Buffer): void {
+  private appendChunk(chunk: Buffer): void {
     if (this.first === undefined) {
       this.first = chunk;
     } else {
--- a/src/runtime/replica/cancel-client.ts
+++ b/src/runtime/replica/cancel-client.ts
@@ -18,20 +18,20 @@
 /** Sends cancellations; their loss costs work at the replica, never a wrong answer. */
 export class CancelClient {
   private readonly pools = new Map<string, Pool>();
-  private readonly waiting = new Map<string, AttemptId[]>();
-  private scheduled = false;
+  private readonly queuedByOrigin = new Map<string, AttemptId[]>();
+  private flushScheduled = false;
 
   /** Cancels an attempt at `replica`, together with all others of this turn. */
   cancel(replica: ReplicaStatus, attempt: AttemptId): void {
     const origin = originOf(replica);
-    const attempts = this.waiting.get(origin);
+    const attempts = this.queuedByOrigin.get(origin);
     if (attempts === undefined) {
-      this.waiting.set(origin, [attempt]);
+      this.queuedByOrigin.set(origin, [attempt]);
     } else {
       attempts.push(attempt);
     }
-    if (!this.scheduled) {
-      this.scheduled = true;
+    if (!this.flushScheduled) {
+      this.flushScheduled = true;
       setImmediate(() => this.flush());
     }
   }
@@ -45,15 +45,15 @@
 
   /** Closes all connections at once. */
   destroy(): void {
-    this.waiting.clear();
+    this.queuedByOrigin.clear();
     this.pools.forEach((pool) => void pool.destroy().catch(ignore));
     this.pools.clear();
   }
 
   private flush(): void {
-    this.scheduled = false;
-    this.waiting.forEach((attempts, origin) => this.send(origin, attempts));
-    this.waiting.clear();
+    this.flushScheduled = false;
+    this.queuedByOrigin.forEach((attempts, origin) => this.send(origin, attempts));
+    this.queuedByOrigin.clear();
   }
 
   private send(origin: string, attempts: readonly AttemptId[]): void {
--- a/src/runtime/replica/leg-request.ts
+++ b/src/runtime/replica/leg-request.ts
@@ -20,7 +20,7 @@
     payload: context.payload,
   }).slice(1);
 
-const findEncoded = (context: LegContext): string => {
+const encodeCached = (context: LegContext): string => {
   const known = encodedContexts.get(context);
   if (known !== undefined) {
     return known;
@@ -30,9 +30,9 @@
   return encoded;
 };
 
-const encodedOf = (context: LegContext): string => {
+const encodedContext = (context: LegContext): string => {
   if (context !== lastContext) {
-    lastEncoded = findEncoded(context);
+    lastEncoded = encodeCached(context);
     lastContext = context;
   }
   return lastEncoded;
@@ -40,7 +40,7 @@
 
 /** The body of `POST /v1/leg`. */
 export const formatLegRequest = (context: LegContext, leg: LegAttempt): string => {
-  const shared = encodedOf(context);
+  const shared = encodedContext(context);
   const attempt = JSON.stringify(leg.attempt);
   const shard = JSON.stringify(leg.shard);
   return `{"attempt":${attempt},"shard":${shard},${shared}`;
--- a/src/runtime/replica/replica-client.ts
+++ b/src/runtime/replica/replica-client.ts
@@ -26,7 +26,7 @@
     private readonly clock: MonotonicClock,
     private readonly sink: EventSink,
   ) {
-    this.deadlines = new DeadlineQueue(clock, (handler) => this.giveUp(handler));
+    this.deadlines = new DeadlineQueue(clock, (handler) => this.handleDeadline(handler));
   }
 
   /** Attempts that have not ended. */
@@ -53,11 +53,11 @@
       return;
     }
     if (!handler.sent) {
-      handler.giveUp('cancelled-before-sent', 'cancelled');
+      handler.abandon('cancelled-before-sent', 'cancelled');
       return;
     }
-    handler.due = 'cancelled';
-    this.forgetDeadline(handler);
+    handler.abandonReason = 'cancelled';
+    this.cancelDeadline(handler);
     handler.deadline = this.deadlines.set(handler, this.clock.now() + CANCEL_GRACE_MS);
     this.cancels.cancel(handler.effect.replica, effect.attempt);
   }
@@ -90,18 +90,18 @@
     return created;
   }
 
-  private giveUp(handler: AttemptHandler): void {
-    if (handler.due === 'cancelled') {
-      handler.giveUp('cancelled-before-sent', 'cancelled');
+  private handleDeadline(handler: AttemptHandler): void {
+    if (handler.abandonReason === 'cancelled') {
+      handler.abandon('cancelled-before-sent', 'cancelled');
       return;
     }
     if (handler.sent) {
       this.cancels.cancel(handler.effect.replica, handler.effect.leg.attempt);
     }
-    handler.giveUp('deadline-passed', 'timed-out');
+    handler.abandon('deadline-passed', 'timed-out');
   }
 
-  private forgetDeadline(handler: AttemptHandler): void {
+  private cancelDeadline(handler: AttemptHandler): void {
     if (handler.deadline !== undefined) {
       this.deadlines.cancel(handler.deadline);
     }
@@ -112,15 +112,15 @@
     if (!this.running.delete(attempt)) {
       return;
     }
-    this.forgetDeadline(handler);
+    this.cancelDeadline(handler);
     const serviceMs = handler.sent ? this.clock.now() - handler.startedAt : 0;
     if (this.results.length === 0) {
-      setImmediate(() => this.report());
+      setImmediate(() => this.emitResults());
     }
     this.results.push({ attempt, outcome, queuedMs: 0, serviceMs });
   };
 
-  private report(): void {
+  private emitResults(): void {
     const { results } = this;
     this.results = [];
     this.sink.emit({ type: 'attempts-ended', at: this.clock.now(), results });
--- a/src/runtime/start-node.ts
+++ b/src/runtime/start-node.ts
@@ -99,7 +99,7 @@
   }
 
   /** Opens the HTTP ports and tells the core. */
-  async begin(): Promise<RunningNode['ports']> {
+  async openPorts(): Promise<RunningNode['ports']> {
     const { caller, operator } = this.settings;
     const callerListener = await HttpListener.open(caller, this.parts.callers.fetch);
     this.listeners = [callerListener];
@@ -141,7 +141,7 @@
       store: new StoreClient({ platform: this.settings.platform, sink, clock, log }),
       edits: new OperatorEdits(clock, sink),
       log,
-      endProcess: () => void this.endInOrder(),
+      endProcess: () => void this.closeGracefully(),
     };
   }
 
@@ -166,7 +166,7 @@
    * What callers and peers sent before they knew of the stop is still answered, as not run, while
    * the ports are closed in order.
    */
-  private async endInOrder(): Promise<void> {
+  private async closeGracefully(): Promise<void> {
     await Promise.all(this.listeners.map((listener) => listener.drain()));
     if (!this.finished) {
       this.parts.links.end();
@@ -209,7 +209,7 @@
     options.observe,
   );
   try {
-    const ports = await node.begin();
+    const ports = await node.openPorts();
     log(
       'info',
       'node',
--- a/src/runtime/store/store-answers.ts
+++ b/src/runtime/store/store-answers.ts
@@ -68,14 +68,14 @@
   });
 
 /** Where a write stands. */
-export interface WrittenAt {
+export interface WriteResult {
   readonly version: number;
   readonly revision: number;
 }
 
 /** Reads the answer to an accepted write. */
-export const readWritten = (text: string): Either<string, WrittenAt> =>
-  parseFields(text).chain((fields): Either<string, WrittenAt> => {
+export const readWritten = (text: string): Either<string, WriteResult> =>
+  parseFields(text).chain((fields): Either<string, WriteResult> => {
     const { version, revision } = fields;
     return isCount(version) && isCount(revision)
       ? Right({ version, revision })
@@ -83,7 +83,7 @@
   });
 
 /** Reads the version that stands, from the answer to a refused write. */
-export const readStandingVersion = (text: string): Either<string, number> =>
+export const readCurrentVersion = (text: string): Either<string, number> =>
   parseFields(text).chain((fields): Either<string, number> => {
     const { version } = fields;
     return isCount(version) ? Right(version) : Left('the refusal of the write is malformed');
--- a/src/runtime/store/store-client.ts
+++ b/src/runtime/store/store-client.ts
@@ -7,11 +7,11 @@
 import type { EventSink } from '../core-loop.js';
 import type { MonotonicClock } from '../monotonic-clock.js';
 import type { LogWriter } from '../node-log.js';
-import { readLimitedText } from './read-limited.js';
+import { readLimitedText } from './read-answer-body.js';
 import {
   readMachines,
   readObject,
-  readStandingVersion,
+  readCurrentVersion,
   readWritten,
   type StoreChanges,
 } from './store-answers.js';
@@ -63,8 +63,8 @@
       connect: { timeout: STORE_TIMEOUT_MS },
     });
     this.watch = new StoreWatch(origin, {
-      onChanges: (changes) => this.takeChanges(changes),
-      onFailure: (problem) => this.reportFailure('watch', problem),
+      onChanges: (changes) => this.handleChanges(changes),
+      onFailure: (problem) => this.reportStoreFailure('watch', problem),
     });
   }
 
@@ -83,7 +83,7 @@
       );
       machines.caseOf({
         Left: (problem) =>
-          this.reportFailure('machines', `The machine list was not read: ${problem}`),
+          this.reportStoreFailure('machines', `The machine list was not read: ${problem}`),
         Right: (list) =>
           this.emit({ type: 'machines-read', at: this.context.clock.now(), machines: list }),
       });
@@ -93,8 +93,8 @@
   readObject({ request, name }: ReadObject): void {
     void this.call({ path: objectPath(name), method: 'GET' }).then((called) =>
       called.caseOf({
-        Left: (problem) => this.reportRequest(request, problem),
-        Right: (answer) => this.takeObject(request, answer),
+        Left: (problem) => this.reportRequestFailure(request, problem),
+        Right: (answer) => this.handleReadAnswer(request, answer),
       }),
     );
   }
@@ -113,8 +113,8 @@
     const body = JSON.stringify({ expectedVersion, content });
     void this.call({ path: objectPath(name), method: 'PUT', body }).then((called) =>
       called.caseOf({
-        Left: (problem) => this.reportRequest(request, problem),
-        Right: (answer) => this.takeWrite(request, answer),
+        Left: (problem) => this.reportRequestFailure(request, problem),
+        Right: (answer) => this.handleWriteAnswer(request, answer),
       }),
     );
   }
@@ -142,7 +142,7 @@
     }
   }
 
-  private takeObject(request: StoreRequestId, { status, text }: StoreAnswer): void {
+  private handleReadAnswer(request: StoreRequestId, { status, text }: StoreAnswer): void {
     const at = this.context.clock.now();
     if (status === 404) {
       this.emit({ type: 'object-read', at, request });
@@ -150,40 +150,40 @@
     }
     const read = status === 200 ? readObject(text) : Left(`status ${status}`);
     read.caseOf({
-      Left: (problem) => this.reportRequest(request, problem),
+      Left: (problem) => this.reportRequestFailure(request, problem),
       Right: (object) => this.emit({ type: 'object-read', at, request, object }),
     });
   }
 
-  private takeWrite(request: StoreRequestId, { status, text }: StoreAnswer): void {
+  private handleWriteAnswer(request: StoreRequestId, { status, text }: StoreAnswer): void {
     const at = this.context.clock.now();
     if (status === 409) {
-      readStandingVersion(text).caseOf({
-        Left: (problem) => this.reportRequest(request, problem),
+      readCurrentVersion(text).caseOf({
+        Left: (problem) => this.reportRequestFailure(request, problem),
         Right: (version) => this.emit({ type: 'object-write-refused', at, request, version }),
       });
       return;
     }
     const written = status === 200 ? readWritten(text) : Left(`status ${status}`);
     written.caseOf({
-      Left: (problem) => this.reportRequest(request, problem),
+      Left: (problem) => this.reportRequestFailure(request, problem),
       Right: (place) => this.emit({ type: 'object-written', at, request, ...place }),
     });
   }
 
-  private takeChanges(changes: StoreChanges): void {
+  private handleChanges(changes: StoreChanges): void {
     const { after, through, objects } = changes;
     changes.problems.forEach((problem) => this.context.log('warn', 'store', problem));
     const at = this.context.clock.now();
     this.emit({ type: 'store-changed', at, after, through, objects });
   }
 
-  private reportRequest(request: StoreRequestId, problem: string): void {
+  private reportRequestFailure(request: StoreRequestId, problem: string): void {
     const at = this.context.clock.now();
     this.emit({ type: 'object-request-failed', at, request, problem });
   }
 
-  private reportFailure(request: 'watch' | 'machines', problem: string): void {
+  private reportStoreFailure(request: 'watch' | 'machines', problem: string): void {
     this.context.log('warn', 'store', `${problem}.`);
     this.emit({ type: 'store-failed', at: this.context.clock.now(), request, problem });
   }
--- a/src/runtime/store/store-watch.ts
+++ b/src/runtime/store/store-watch.ts
@@ -3,11 +3,11 @@
  * made is for the core to say, which knows when others have heard from the store.
  */
 import { Client, type Dispatcher } from 'undici';
-import { readLimitedText, readLines } from './read-limited.js';
+import { readLimitedText, readLines } from './read-answer-body.js';
 import { readObjectList, readWatchLine, type StoreChanges } from './store-answers.js';
 
 /** Longest silence of a watch, in milliseconds; the store sends a bookmark every 5 s. */
-const WATCH_SILENCE_MS = 15_000;
+const WATCH_IDLE_TIMEOUT_MS = 15_000;
 
 /** Longest wait for the first bytes of an answer, in milliseconds. */
 const ANSWER_TIMEOUT_MS = 5_000;
@@ -62,7 +62,7 @@
   private createClient(): Client {
     return new Client(this.origin, {
       headersTimeout: ANSWER_TIMEOUT_MS,
-      bodyTimeout: WATCH_SILENCE_MS,
+      bodyTimeout: WATCH_IDLE_TIMEOUT_MS,
       connect: { timeout: ANSWER_TIMEOUT_MS },
     });
   }
--- a/test/replay/replay.test.ts
+++ b/test/replay/replay.test.ts
@@ -9,7 +9,7 @@
 import { startFakePlatform } from '../runtime/fake-platform.js';
 import { startFakeReplica } from '../runtime/fake-replica.js';
 import {
-  ask,
+  sendQuery,
   createMemoryLog,
   nodeSettings,
   startServingNode,
@@ -33,10 +33,10 @@
   const replica = await startFakeReplica();
   const platform = await startFakePlatform(storeContents([replica.port]));
   const node = await startServingNode(nodeSettings(platform.url, { record: file }));
-  await ask(node);
+  await sendQuery(node);
   replica.answer = (_leg, response) => response.destroy();
-  await ask(node);
-  await ask(node, { kind: 'nothing' });
+  await sendQuery(node);
+  await sendQuery(node, { kind: 'nothing' });
   await node.stop();
   platform.close();
   replica.close();
--- a/test/runtime/caller-load.ts
+++ b/test/runtime/caller-load.ts
@@ -18,7 +18,7 @@
   readonly url: string;
   readonly pool: Pool;
   /** Until when the node has asked callers to stay away, on the clock of `performance.now()`. */
-  awayUntil: number;
+  pausedUntil: number;
 }
 
 interface LoadAnswer {
@@ -47,7 +47,7 @@
 export class CallerLoad {
   readonly tally: LoadTally = { answered: 0, refused: 0, partial: [], failed: [] };
   private readonly targets: Target[] = [];
-  private readonly lanes: Promise<void>[] = [];
+  private readonly callerLoops: Promise<void>[] = [];
   private running = true;
   private marks = 0;
 
@@ -56,10 +56,10 @@
     this.targets.push({
       url,
       pool: new Pool(url, { connections: CALLERS_PER_NODE }),
-      awayUntil: 0,
+      pausedUntil: 0,
     });
     for (let lane = 0; lane < CALLERS_PER_NODE; lane += 1) {
-      this.lanes.push(this.runLane(this.targets.length - 1 + lane));
+      this.callerLoops.push(this.runCaller(this.targets.length - 1 + lane));
     }
   }
 
@@ -79,20 +79,20 @@
   /** Ends all callers; resolves when the last answer is in. */
   async end(): Promise<LoadTally> {
     this.running = false;
-    await Promise.all(this.lanes);
+    await Promise.all(this.callerLoops);
     await Promise.all(this.targets.splice(0).map(({ pool }) => pool.close()));
     return this.tally;
   }
 
-  private async runLane(first: number): Promise<void> {
+  private async runCaller(first: number): Promise<void> {
     for (let turn = first; this.running; turn += 1) {
       const target = this.targets[turn % this.targets.length];
-      const isAway = target !== undefined && performance.now() < target.awayUntil;
-      await (target === undefined || isAway ? delay(PAUSE_MS) : this.ask(target));
+      const isPaused = target !== undefined && performance.now() < target.pausedUntil;
+      await (target === undefined || isPaused ? delay(PAUSE_MS) : this.sendQuery(target));
     }
   }
 
-  private async ask(target: Target): Promise<void> {
+  private async sendQuery(target: Target): Promise<void> {
     const { marks } = this;
     const { pool, url } = target;
     try {
@@ -102,7 +102,7 @@
         headers: { authorization: `Bearer ${CALLER_SECRET}`, 'x-crossroad-kind': 'page' },
         body: '{"payload":1}',
       });
-      await this.take(response, target, marks);
+      await this.countAnswer(response, target, marks);
     } catch (error) {
       if (isBeforeSending(error)) {
         this.tally.refused += 1;
@@ -113,7 +113,7 @@
     }
   }
 
-  private async take(
+  private async countAnswer(
     response: Dispatcher.ResponseData,
     target: Target,
     marks: number,
@@ -128,7 +128,7 @@
       }
     } else if (answer.outcome === 'not-run') {
       this.tally.refused += 1;
-      target.awayUntil = performance.now() + (answer.retryAfterMs ?? 0);
+      target.pausedUntil = performance.now() + (answer.retryAfterMs ?? 0);
     } else {
       this.tally.failed.push(`${url} ${text.slice(0, 300)}`);
     }
--- a/test/runtime/caller-port.test.ts
+++ b/test/runtime/caller-port.test.ts
@@ -3,9 +3,9 @@
 import type { RunningNode } from '../../src/runtime/running-node.js';
 import { startNode } from '../../src/runtime/start-node.js';
 import { type FakePlatform, startFakePlatform } from './fake-platform.js';
-import { answerWell, type FakeReplica, startFakeReplica } from './fake-replica.js';
+import { answerAtOnce, type FakeReplica, startFakeReplica } from './fake-replica.js';
 import {
-  ask,
+  sendQuery,
   nodeSettings,
   OPERATOR_SECRET,
   SHARDS,
@@ -25,7 +25,7 @@
 });
 
 beforeEach(() => {
-  replica.answer = answerWell;
+  replica.answer = answerAtOnce;
 });
 
 afterAll(async () => {
@@ -35,7 +35,7 @@
 });
 
 const expectServing = async (): Promise<void> => {
-  expect((await ask(node)).status).toBe(200);
+  expect((await sendQuery(node)).status).toBe(200);
 };
 
 /** Writes raw bytes to the caller port and reads until the node closes the connection. */
@@ -50,7 +50,7 @@
 
 describe('the caller port', () => {
   it('answers a query with every shard, its snapshot and its request id', async () => {
-    const response = await ask(node);
+    const response = await sendQuery(node);
     const answer = (await response.json()) as Record<string, unknown>;
     expect(response.status).toBe(200);
     expect(response.headers.get('x-crossroad-request')).toBe(answer['request']);
@@ -76,7 +76,7 @@
     ['a body that is not JSON', { body: '{"a":' }, 400, 'malformed-request'],
     ['a body too large', { body: 'x'.repeat(70_000) }, 413, 'body-too-large'],
   ])('refuses %s as a problem and goes on', async (_name, query, status, reason) => {
-    const response = await ask(node, query);
+    const response = await sendQuery(node, query);
     const problem = (await response.json()) as Record<string, unknown>;
     expect(response.status).toBe(status);
     expect(response.headers.get('content-type')).toBe('application/problem+json');
@@ -86,7 +86,7 @@
   });
 
   it('reports all findings of a malformed request together', async () => {
-    const response = await ask(node, {
+    const response = await sendQuery(node, {
       kind: 'no kind',
       headers: {
         'x-crossroad-deadline-ms': '-5',
@@ -120,7 +120,7 @@
     replica.answer = () => undefined;
     const before = replica.legs.length;
     const controller = new AbortController();
-    const asked = ask(node, { signal: controller.signal });
+    const asked = sendQuery(node, { signal: controller.signal });
     await until(() => replica.legs.length === before + SHARDS.length, 'the legs are out');
     controller.abort();
     await expect(asked).rejects.toThrow();
@@ -139,7 +139,7 @@
     const silent = await startFakePlatform([]);
     silent.override = () => true;
     const starting = await startNode(nodeSettings(silent.url), { log: () => undefined });
-    const response = await ask(starting);
+    const response = await sendQuery(starting);
     expect(response.status).toBe(503);
     expect(await response.json()).toMatchObject({ outcome: 'not-run', reason: 'not-ready' });
     expect(response.headers.get('retry-after')).toBe('1');
--- a/test/runtime/fake-replica.ts
+++ b/test/runtime/fake-replica.ts
@@ -45,12 +45,12 @@
   });
 
 /** Answers well, at once. */
-export const answerWell: LegAnswerer = (leg, response) => {
+export const answerAtOnce: LegAnswerer = (leg, response) => {
   response.end(goodAnswer(leg));
 };
 
 /** Starts a fake replica. */
-export const startFakeReplica = async (answer = answerWell, port = 0): Promise<FakeReplica> => {
+export const startFakeReplica = async (answer = answerAtOnce, port = 0): Promise<FakeReplica> => {
   const legs: FakeLeg[] = [];
   const cancelled: string[] = [];
   const open = new Map<string, ServerResponse>();
--- a/test/runtime/node-fixture.ts
+++ b/test/runtime/node-fixture.ts
@@ -151,7 +151,7 @@
 }
 
 /** Asks a node. */
-export const ask = (node: RunningNode, query: TestQuery = {}): Promise<Response> =>
+export const sendQuery = (node: RunningNode, query: TestQuery = {}): Promise<Response> =>
   fetch(`http://127.0.0.1:${node.ports.caller}${query.path ?? '/v1/ensemble/roster'}`, {
     method: 'POST',
     headers: {
--- a/test/runtime/peer-links.test.ts
+++ b/test/runtime/peer-links.test.ts
@@ -79,7 +79,7 @@
 const messagesOf = (member: Member): LinkMessage[] =>
   member.events.flatMap((event) => (event.type === 'link-message-arrived' ? event.message : []));
 
-const lostOf = (member: Member): string[] =>
+const lostLinksOf = (member: Member): string[] =>
   member.events.flatMap((event) => (event.type === 'link-lost' ? event.peer : []));
 
 interface Proxy {
@@ -147,7 +147,7 @@
     socket.once('data', (chunk) => {
       const reading = reader.read(chunk);
       const [body = Buffer.alloc(0)] = reading.type === 'frames' ? reading.bodies : [];
-      const next = handshake.take(body).unsafeCoerce();
+      const next = handshake.handleFrame(body).unsafeCoerce();
       socket.write(encodeFrame(next.body ?? Buffer.alloc(0)), () => resolve());
     });
   });
@@ -177,7 +177,7 @@
     let held: Buffer = Buffer.alloc(0);
     closers.push(() => joined.close());
     send(one, two, long, await listen(joined));
-    const seen = (): number => messagesOf(two).length + lostOf(one).length;
+    const seen = (): number => messagesOf(two).length + lostLinksOf(one).length;
     await until(() => seen() > 0, 'the message came or the link was lost');
     expect(messagesOf(two)).toEqual([long]);
   });
@@ -200,24 +200,27 @@
     send(a, b, pull(3));
     send(b, a, pull(4));
     await until(() => messagesOf(a).length + messagesOf(b).length === 4, 'all have arrived');
-    expect([...lostOf(a), ...lostOf(b)]).toEqual([]);
+    expect([...lostLinksOf(a), ...lostLinksOf(b)]).toEqual([]);
   });
 
   it('do not let a node in that holds another secret, and tell it nothing', async () => {
-    const [a, stranger] = [
+    const [a, otherSecret] = [
       await startMember('a'),
       await startMember('b', { secret: 'some-other-secret-here' }),
     ];
-    send(stranger, a, pull(1));
-    send(a, stranger, pull(2));
-    await until(() => lostOf(stranger).length > 0 && lostOf(a).length > 0, 'both gave up');
-    expect([...messagesOf(a), ...messagesOf(stranger)]).toEqual([]);
+    send(otherSecret, a, pull(1));
+    send(a, otherSecret, pull(2));
+    await until(
+      () => lostLinksOf(otherSecret).length > 0 && lostLinksOf(a).length > 0,
+      'both gave up',
+    );
+    expect([...messagesOf(a), ...messagesOf(otherSecret)]).toEqual([]);
   });
 
   it('to a machine replaced at the same address by another node are refused', async () => {
     const [a, other] = [await startMember('a'), await startMember('c')];
     send(a, { ...other, node: identifier<NodeId>('b') }, pull(1));
-    await until(() => lostOf(a).includes('b'), 'the old node is given up');
+    await until(() => lostLinksOf(a).includes('b'), 'the old node is given up');
     expect(messagesOf(other)).toEqual([]);
   });
 
@@ -237,7 +240,7 @@
   });
 
   it('close a stranger that says nothing', async () => {
-    const a = await startMember('a', { timing: { sweepMs: 10, handshakeMs: 40 } });
+    const a = await startMember('a', { timing: { sweepIntervalMs: 10, handshakeTimeoutMs: 40 } });
     await sendRaw(a.port, Buffer.alloc(0));
     expect(a.events).toEqual([]);
   });
@@ -251,13 +254,18 @@
     const closed = new Promise<void>((resolve) => socket.once('close', () => resolve()));
     socket.write(bytes);
     await closed;
-    await until(() => lostOf(a).includes('x'), 'the core is told');
+    await until(() => lostLinksOf(a).includes('x'), 'the core is told');
     send(b, a, pull(1));
     await until(() => messagesOf(a).length === 1, 'another node is served');
   });
 
   it('notice a half-open connection on both sides', async () => {
-    const timing = { sweepMs: 5, heartbeatMs: 40, silenceMs: 200, pauseMs: 10_000 };
+    const timing = {
+      sweepIntervalMs: 5,
+      heartbeatIntervalMs: 40,
+      receiveTimeoutMs: 200,
+      processPauseMs: 10_000,
+    };
     let now = 0;
     const clock = { now: () => now };
     const a = await startMember('a', { timing, clock });
@@ -265,31 +273,36 @@
     const proxy = await startProxy(b.port);
     send(a, b, pull(1), proxy.port);
     await until(() => messagesOf(b).length === 1, 'the link is open');
-    for (const end = now + 2 * timing.silenceMs; now < end;) {
+    for (const end = now + 2 * timing.receiveTimeoutMs; now < end;) {
       const { to, from } = { ...proxy.forwarded };
-      now += timing.heartbeatMs;
+      now += timing.heartbeatIntervalMs;
       const wasHeard = (): boolean => proxy.forwarded.to > to && proxy.forwarded.from > from;
       await until(wasHeard, 'heartbeats went both ways');
     }
-    expect([...lostOf(a), ...lostOf(b)]).toEqual([]);
+    expect([...lostLinksOf(a), ...lostLinksOf(b)]).toEqual([]);
     proxy.stall();
     // Bytes that were under way may still arrive, so that the silence begins a little later.
     const haveBothNoticed = (): boolean => {
-      now += timing.heartbeatMs;
-      return lostOf(a).includes('b') && lostOf(b).includes('a');
+      now += timing.heartbeatIntervalMs;
+      return lostLinksOf(a).includes('b') && lostLinksOf(b).includes('a');
     };
     await until(haveBothNoticed, 'both noticed');
   });
 
   it('are closed when idle without a loss, and opened again on demand', async () => {
-    const timing = { sweepMs: 10, idleMs: 80, heartbeatMs: 20, pauseMs: 10_000 };
+    const timing = {
+      sweepIntervalMs: 10,
+      idleCloseMs: 80,
+      heartbeatIntervalMs: 20,
+      processPauseMs: 10_000,
+    };
     const [a, b] = [await startMember('a', { timing }), await startMember('b', { timing })];
     send(a, b, pull(1));
     await until(() => messagesOf(b).length === 1, 'the link is open');
     await until(() => a.links.openLinks + b.links.openLinks === 0, 'the link is closed');
     send(b, a, pull(2));
     await until(() => messagesOf(a).length === 1, 'a new link is open');
-    expect([...lostOf(a), ...lostOf(b)]).toEqual([]);
+    expect([...lostLinksOf(a), ...lostLinksOf(b)]).toEqual([]);
   });
 
   it('to a node that is down are lost at once, and open again when it is back', async () => {
@@ -297,7 +310,7 @@
     b.links.destroy();
     await new Promise((resolve) => b.server.close(resolve));
     send(a, b, pull(1));
-    await until(() => lostOf(a).length > 0, 'the loss is told');
+    await until(() => lostLinksOf(a).length > 0, 'the loss is told');
     const again = await startMember('b', { port: b.port });
     await until(() => {
       send(a, again, pull(2));
@@ -311,11 +324,11 @@
     await until(() => messagesOf(b).length === 1, 'the link is open');
     b.sockets.forEach((socket) => socket.pause());
     const attempts = Array.from({ length: 100_000 }, (_, index) => `attempt-${index}-of-many`);
-    for (let sent = 0; sent <= 4 * MAX_SEND_QUEUE_BYTES && lostOf(a).length === 0;) {
+    for (let sent = 0; sent <= 4 * MAX_SEND_QUEUE_BYTES && lostLinksOf(a).length === 0;) {
       send(a, b, { type: 'leg-cancel', attempts: attempts as never });
       sent += attempts.length * 20;
       await delay(1);
     }
-    expect(lostOf(a)).toEqual(['b']);
+    expect(lostLinksOf(a)).toEqual(['b']);
   });
 });
--- a/test/runtime/processes.test.ts
+++ b/test/runtime/processes.test.ts
@@ -13,7 +13,7 @@
 const NAMES = ['bole-1', 'bole-2', 'bole-3'];
 
 /** Longest wait for a condition, in tries of 20 ms. */
-const MAX_TRIES = 1_000;
+const MAX_POLLS = 1_000;
 
 let source: CompiledSource;
 let platform: FakePlatform;
@@ -26,7 +26,7 @@
 
 const untilTrue = async (condition: () => Promise<boolean>, what: string): Promise<void> => {
   for (let tries = 0; !(await condition().catch(() => false)); tries += 1) {
-    if (tries > MAX_TRIES) {
+    if (tries > MAX_POLLS) {
       throw new Error(`waited in vain until ${what}`);
     }
     await delay(20);
@@ -46,13 +46,13 @@
   return node;
 };
 
-const knowsAlive = async (node: NodeProcess, members: number): Promise<boolean> =>
+const hasAliveMembers = async (node: NodeProcess, members: number): Promise<boolean> =>
   (await node.readMetric('crossroad_members', '{state="alive"}')) === members;
 
-const untilWhole = (): Promise<void> =>
+const untilAllServe = (): Promise<void> =>
   untilTrue(async () => {
     const ready = await Promise.all(nodes.map((node) => node.isReady()));
-    const whole = await Promise.all(nodes.map((node) => knowsAlive(node, nodes.length)));
+    const whole = await Promise.all(nodes.map((node) => hasAliveMembers(node, nodes.length)));
     return [...ready, ...whole].every(Boolean);
   }, 'all nodes serve and know each other');
 
@@ -60,7 +60,7 @@
   for (const name of NAMES) {
     await startNode(name);
   }
-  await untilWhole();
+  await untilAllServe();
 };
 
 const startLoad = (): CallerLoad => {
@@ -70,7 +70,7 @@
   return running;
 };
 
-const forget = (node: NodeProcess): void => {
+const removeNode = (node: NodeProcess): void => {
   nodes = nodes.filter((other) => other !== node);
 };
 
@@ -147,11 +147,11 @@
     const running = startLoad();
     for (const node of [...nodes]) {
       await untilAnswered(running, 50);
-      forget(node);
+      removeNode(node);
       expect(await node.end('SIGTERM')).toEqual({ code: 0, signal: null });
       running.remove(node.callerUrl);
       const again = await startNode(node.name);
-      await untilWhole();
+      await untilAllServe();
       running.add(again.callerUrl);
     }
     await untilAnswered(running, 50);
@@ -165,7 +165,7 @@
       replica.answer = () => undefined;
     });
     const node = await startNode('bole-1');
-    await untilWhole();
+    await untilAllServe();
     const running = startLoad();
     await untilTrue(
       () => Promise.resolve(replicas.some((replica) => replica.legs.length > 0)),
@@ -173,7 +173,7 @@
     );
     node.signal('SIGTERM');
     await untilTrue(async () => !(await node.isReady()), 'the node is stopping');
-    forget(node);
+    removeNode(node);
     running.remove(node.callerUrl);
     expect((await node.end('SIGTERM')).code).toBe(1);
   });
@@ -186,18 +186,18 @@
     if (victim === undefined) {
       throw new Error('there is no node');
     }
-    forget(victim);
+    removeNode(victim);
     running.remove(victim.callerUrl);
     await victim.end('SIGKILL');
     await untilTrue(
-      async () => (await Promise.all(nodes.map((node) => knowsAlive(node, 2)))).every(Boolean),
+      async () => (await Promise.all(nodes.map((node) => hasAliveMembers(node, 2)))).every(Boolean),
       'the others know it is gone',
     );
     running.mark();
     await untilAnswered(running, 50);
     expect(running.tally.partial).toEqual([]);
     await startNode(victim.name, victim.peerPort);
-    await untilWhole();
+    await untilAllServe();
     await untilAnswered(running, 50);
     const tally = await running.end();
     expect(tally.failed).toEqual([]);
@@ -213,9 +213,9 @@
     }
     running.remove(paused.callerUrl);
     paused.signal('SIGSTOP');
-    forget(paused);
+    removeNode(paused);
     await untilTrue(
-      async () => (await Promise.all(nodes.map((node) => knowsAlive(node, 2)))).every(Boolean),
+      async () => (await Promise.all(nodes.map((node) => hasAliveMembers(node, 2)))).every(Boolean),
       'the others hold it for gone',
     );
     running.mark();
@@ -223,7 +223,7 @@
     expect(running.tally.partial).toEqual([]);
     paused.signal('SIGCONT');
     nodes.push(paused);
-    await untilWhole();
+    await untilAllServe();
     running.add(paused.callerUrl);
     await untilAnswered(running, 50);
     const tally = await running.end();
--- a/test/runtime/replica-client.test.ts
+++ b/test/runtime/replica-client.test.ts
@@ -10,7 +10,7 @@
 import { MAX_ANSWER_BYTES } from '../../src/runtime/replica/attempt-handler.js';
 import { ReplicaClient } from '../../src/runtime/replica/replica-client.js';
 import {
-  answerWell,
+  answerAtOnce,
   type FakeReplica,
   goodAnswer,
   type LegAnswerer,
@@ -228,10 +228,12 @@
 
   it('that is cancelled frees its connection, also when the replica stays silent', async () => {
     const fixture = createFixture();
-    let heard = 0;
-    const port = await startRaw((socket) => socket.on('data', (chunk) => (heard += chunk.length)));
+    let receivedBytes = 0;
+    const port = await startRaw((socket) =>
+      socket.on('data', (chunk) => (receivedBytes += chunk.length)),
+    );
     fixture.client.send(attemptTo(port));
-    await until(() => heard > 0, 'the replica has heard of the attempt');
+    await until(() => receivedBytes > 0, 'the replica has heard of the attempt');
     fixture.client.cancel({ type: 'cancel-attempt', attempt: identifier('a-1') });
     expect(await endOf(fixture)).toEqual({ type: 'unknown', reason: 'cancelled' });
   });
@@ -240,7 +242,7 @@
     const fixture = createFixture();
     const waiting: (() => void)[] = [];
     const replica = await startReplica((leg, response, port) => {
-      waiting.push(() => answerWell(leg, response, port));
+      waiting.push(() => answerAtOnce(leg, response, port));
     });
     for (let index = 0; index < 8; index += 1) {
       fixture.client.send(attemptTo(replica.port, { attempt: `a-${index}` }));
--- a/test/runtime/store-client.test.ts
+++ b/test/runtime/store-client.test.ts
@@ -37,7 +37,7 @@
 const eventsOf = <Type extends Event['type']>(type: Type): Extract<Event, { type: Type }>[] =>
   events.filter((event): event is Extract<Event, { type: Type }> => event.type === type);
 
-const heldNames = (): string[] =>
+const receivedNames = (): string[] =>
   eventsOf('store-changed').flatMap((event) => event.objects.map((object) => object.name));
 
 /** Answers the path that starts with `prefix` by `respond`, once. */
@@ -61,7 +61,7 @@
 describe('the watch of the store', () => {
   it('starts with all objects, then brings each change', async () => {
     client.watchStore(0);
-    await until(() => new Set(heldNames()).size === CONTENTS.length, 'all objects are read');
+    await until(() => new Set(receivedNames()).size === CONTENTS.length, 'all objects are read');
     CONTENTS.slice(0, 1).forEach((content) => platform.put(content));
     const revision = CONTENTS.length + 1;
     await until(
@@ -90,7 +90,7 @@
   it('reads the objects anew when the store no longer keeps the changes', async () => {
     answerOnce('/v1/watch', (response) => response.writeHead(410).end());
     client.watchStore(2);
-    await until(() => heldNames().length > 0, 'the objects are read');
+    await until(() => receivedNames().length > 0, 'the objects are read');
     expect(eventsOf('store-changed')[0]).toMatchObject({ after: 2, through: CONTENTS.length });
   });
 
@@ -161,7 +161,7 @@
     }
   };
 
-  const only = async (): Promise<Event | undefined> => {
+  const onlyEvent = async (): Promise<Event | undefined> => {
     await until(() => events.length > 0, 'the request has ended');
     expect(events).toHaveLength(1);
     return events[0];
@@ -170,20 +170,20 @@
   it('read an object, or tell that there is none', async () => {
     answerOnce('/v1/objects/', (response) => response.end(objectText()));
     read();
-    expect(await only()).toMatchObject({ type: 'object-read', object: { version: 1 } });
+    expect(await onlyEvent()).toMatchObject({ type: 'object-read', object: { version: 1 } });
     events.length = 0;
     read();
-    expect(await only()).not.toHaveProperty('object');
+    expect(await onlyEvent()).not.toHaveProperty('object');
   });
 
   it('tell that a write was accepted or refused', async () => {
     answerOnce('/v1/objects/', (response) => response.end('{"version":2,"revision":9}'));
     write();
-    expect(await only()).toMatchObject({ type: 'object-written', version: 2, revision: 9 });
+    expect(await onlyEvent()).toMatchObject({ type: 'object-written', version: 2, revision: 9 });
     events.length = 0;
     answerOnce('/v1/objects/', (response) => response.writeHead(409).end('{"version":5}'));
     write();
-    expect(await only()).toMatchObject({ type: 'object-write-refused', version: 5 });
+    expect(await onlyEvent()).toMatchObject({ type: 'object-write-refused', version: 5 });
   });
 
   it.each([
@@ -194,7 +194,7 @@
   ])('that end with %s have failed, once', async (_name, respond) => {
     answerOnce('/v1/objects/', respond);
     write();
-    expect(await only()).toMatchObject({ type: 'object-request-failed', request: REQUEST });
+    expect(await onlyEvent()).toMatchObject({ type: 'object-request-failed', request: REQUEST });
   });
 
   it('read the machine list without machines of a wrong shape', async () => {
@@ -203,6 +203,6 @@
       response.end(JSON.stringify({ machines: [machine, { ...machine, port: 'x' }] })),
     );
     client.readMachines();
-    expect(await only()).toMatchObject({ type: 'machines-read', machines: [machine] });
+    expect(await onlyEvent()).toMatchObject({ type: 'machines-read', machines: [machine] });
   });
 });
