--- a/src/runtime/caller/authenticate-caller.ts
+++ b/src/runtime/caller/authenticate-caller.ts
@@ -1,4 +1,4 @@
-/** Tells whether the bearer of a key may query a partner's routes. */
+/** Checks whether the key of a request allows queries on a partner's routes. */
 import { type Either, Left, Right } from 'purify-ts';
 import { readBearerSecret } from '../../auth/bearer-secret.js';
 import type { KeyRefusal } from '../../auth/refusal-log.js';
@@ -7,7 +7,7 @@
 import type { PartnerKeys } from '../../table/partner-keys.js';
 import type { Problem } from './problem.js';
 
-/** A refusal: what the caller reads, and what the log says. */
+/** A refusal: the problem for the caller, and the details for the log. */
 export interface CallerRefusal {
   readonly refusal: KeyRefusal;
   readonly key?: VerifiedKey;
@@ -40,7 +40,7 @@
     return Left(unauthenticated('unknown', 'The key is not in force.'));
   }
   if (key.role !== 'caller') {
-    return Left(forbidden('wrong-role', key, "The key is no caller's key."));
+    return Left(forbidden('wrong-role', key, 'The key is not a caller key.'));
   }
   if (key.partner !== partner) {
     return Left(forbidden('wrong-partner', key, 'The key belongs to another partner.'));
--- a/src/runtime/caller/caller-request.ts
+++ b/src/runtime/caller/caller-request.ts
@@ -1,19 +1,19 @@
-/** Reads a caller's request: headers and body, with all findings together. */
+/** Reads the headers and the body of a caller's request, and reports all findings together. */
 import { type Either, Left, Right } from 'purify-ts';
 import { identifier, type PartnerId, type RouteName } from '../../core/identifiers.js';
 import type { QueryRequest } from '../../core/query/query-request.js';
 import type { Finding } from '../../table/finding.js';
 
-/** Longest body of a request, in bytes. */
+/** Maximum length of a request body, in bytes. */
 export const MAX_BODY_BYTES = 64 * 1024;
 
-/** Longest wait a caller may ask for, in milliseconds. */
+/** Maximum deadline that a caller may request, in milliseconds. */
 const MAX_DEADLINE_MS = 600_000;
 
-/** Most items a caller may ask for. */
+/** Maximum number of items that a caller may request. */
 const MAX_ITEMS = 100_000;
 
-/** A request as it came over HTTP. */
+/** An HTTP request before validation. */
 export interface RawCallerRequest {
   readonly partner: PartnerId;
   readonly route: RouteName;
@@ -39,7 +39,7 @@
 const isFields = (value: unknown): value is Fields =>
   typeof value === 'object' && value !== null && !Array.isArray(value);
 
-/** Collects findings while a request is read. */
+/** Reads the fields of a request and collects findings. */
 class RequestReader {
   readonly findings: Finding[] = [];
 
@@ -50,7 +50,7 @@
     if (!KIND_PATTERN.test(text)) {
       this.report(
         'header x-crossroad-kind',
-        'is missing or no name',
+        'is missing or not a name',
         '1 to 64 letters, digits, . _ -',
       );
     }
@@ -65,7 +65,7 @@
     const value = Number(text);
     if (!DEADLINE_PATTERN.test(text) || value > MAX_DEADLINE_MS) {
       const allowed = `a whole number from 1 to ${MAX_DEADLINE_MS}`;
-      this.report('header x-crossroad-deadline-ms', 'is no time in milliseconds', allowed);
+      this.report('header x-crossroad-deadline-ms', 'is not a time in milliseconds', allowed);
     }
     return value;
   }
@@ -77,7 +77,11 @@
     }
     const value = Number(text);
     if (!COVERAGE_PATTERN.test(text) || value > 1) {
-      this.report('header x-crossroad-coverage', 'is no share of shards', 'a number from 0 to 1');
+      this.report(
+        'header x-crossroad-coverage',
+        'is not a share of shards',
+        'a number from 0 to 1',
+      );
     }
     return value;
   }
@@ -86,7 +90,7 @@
     const text = this.raw.header('idempotency-key');
     if (text !== undefined && !IDEMPOTENCY_KEY_PATTERN.test(text)) {
       const allowed = '1 to 128 printable ASCII characters';
-      this.report('header idempotency-key', 'is no idempotency key', allowed);
+      this.report('header idempotency-key', 'is not an idempotency key', allowed);
     }
     return text;
   }
@@ -103,7 +107,7 @@
       return {};
     }
     if (!isFields(value)) {
-      this.report('body', 'is no JSON object', 'a JSON object with key, maxItems, payload');
+      this.report('body', 'is not a JSON object', 'a JSON object with key, maxItems, payload');
       return {};
     }
     return value;
@@ -115,7 +119,7 @@
       return undefined;
     }
     if (typeof value !== 'string' || value.length === 0 || value.length > MAX_KEY_LENGTH) {
-      this.report('body key', 'is no key', `text of 1 to ${MAX_KEY_LENGTH} characters`);
+      this.report('body key', 'is not a key', `text of 1 to ${MAX_KEY_LENGTH} characters`);
       return undefined;
     }
     return value;
@@ -129,7 +133,7 @@
     if (!Number.isInteger(value) || (value as number) < 1 || (value as number) > MAX_ITEMS) {
       this.report(
         'body maxItems',
-        'is no number of items',
+        'is not a number of items',
         `a whole number from 1 to ${MAX_ITEMS}`,
       );
       return undefined;
@@ -145,7 +149,7 @@
 const omitUndefined = <Value extends object>(value: Value): Value =>
   Object.fromEntries(Object.entries(value).filter(([, field]) => field !== undefined)) as Value;
 
-/** Reads a request; returns every finding, or the query. */
+/** Reads a request; Left lists all findings. */
 export const readCallerRequest = (raw: RawCallerRequest): Either<Finding[], QueryRequest> => {
   const reader = new RequestReader(raw);
   const body = reader.body();
--- a/src/runtime/caller/caller-server.ts
+++ b/src/runtime/caller/caller-server.ts
@@ -1,4 +1,4 @@
-/** The caller port: turns HTTP requests into queries and outcomes into answers. */
+/** The caller port: converts HTTP requests to queries, and outcomes to responses. */
 import type { HttpBindings } from '@hono/node-server';
 import { type Context, Hono } from 'hono';
 import { createRefusalLog, type RefusalLog } from '../../auth/refusal-log.js';
@@ -19,7 +19,7 @@
 import { type Problem, problemResponse } from './problem.js';
 import { readBody } from './read-body.js';
 
-/** What the caller port needs of its node. */
+/** Dependencies of the caller port. */
 export interface CallerServerContext {
   readonly state: CoreState;
   readonly sink: EventSink;
@@ -47,7 +47,7 @@
 const BODY_CUT: Problem = {
   status: 400,
   title: 'Malformed request',
-  detail: 'The body ended before it was whole.',
+  detail: 'The connection closed before the body was complete.',
   outcome: 'not-run',
   reason: 'body-cut',
 };
@@ -55,12 +55,12 @@
 const NOT_FOUND: Problem = {
   status: 404,
   title: 'Not found',
-  detail: 'The caller port serves POST /v1/{partner}/{route} alone.',
+  detail: 'The caller port serves only POST /v1/{partner}/{route}.',
   outcome: 'not-run',
   reason: 'not-found',
 };
 
-/** A node that starts knows no keys yet, so it cannot tell a stranger from a caller. */
+/** A starting node has read no keys yet and cannot authenticate callers. */
 const STARTING: Problem = {
   status: 503,
   title: 'Not ready',
@@ -81,13 +81,13 @@
 const malformed = (findings: readonly Finding[]): Problem => ({
   status: 400,
   title: 'Malformed request',
-  detail: 'The request has errors; none of it ran.',
+  detail: 'The request is invalid; none of it ran.',
   outcome: 'not-run',
   reason: 'malformed-request',
   findings,
 });
 
-/** Holds the calls that wait for their outcome. */
+/** Handles requests to the caller port and holds the pending calls. */
 export class CallerServer {
   readonly fetch: FetchHandler;
   private readonly calls = new Map<CallId, PendingCall>();
@@ -102,12 +102,12 @@
     this.fetch = this.createApp().fetch;
   }
 
-  /** Calls without an answer. */
+  /** Number of calls without an answer. */
   get pendingCalls(): number {
     return this.calls.size;
   }
 
-  /** Carries out `answer-caller`; a call whose caller has left is ignored. */
+  /** Carries out `answer-caller`; ignored if the caller has closed its connection. */
   answer(effect: AnswerCaller): void {
     const call = this.calls.get(effect.call);
     if (call === undefined) {
--- a/src/runtime/caller/problem.ts
+++ b/src/runtime/caller/problem.ts
@@ -1,4 +1,4 @@
-/** Answers other than 200, as `application/problem+json`. */
+/** Responses other than 200, as `application/problem+json`. */
 import type { Finding } from '../../table/finding.js';
 
 /** The media type of a problem. */
@@ -6,12 +6,12 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** A problem as a caller reads it. */
+/** An error response. */
 export interface Problem {
   readonly status: number;
   readonly title: string;
   readonly detail: string;
-  /** `not-run`: nothing of the request ran; `unknown`: it may have run. */
+  /** `not-run`: no part of the request ran; `unknown`: it may have run. */
   readonly outcome: 'not-run' | 'unknown';
   readonly reason: string;
   readonly request?: string;
@@ -19,11 +19,11 @@
   readonly findings?: readonly Finding[];
 }
 
-/** The body of a problem. */
+/** Formats the body of an error response. */
 export const formatProblem = (problem: Problem): string =>
   JSON.stringify({ type: `urn:crossroad:problem:${problem.reason}`, ...problem });
 
-/** The headers of a problem. */
+/** The headers of an error response. */
 const problemHeaders = (problem: Problem): Record<string, string> => {
   const headers: Record<string, string> = { 'content-type': PROBLEM_MEDIA_TYPE };
   if (problem.retryAfterMs !== undefined) {
@@ -38,7 +38,7 @@
   return headers;
 };
 
-/** Turns a problem into a response. */
+/** Creates the response for a problem. */
 export const problemResponse = (problem: Problem): Response =>
   new Response(formatProblem(problem), {
     status: problem.status,
--- a/src/runtime/caller/read-body.ts
+++ b/src/runtime/caller/read-body.ts
@@ -1,11 +1,11 @@
-/** Reads the body of a caller's request, of bounded length, without a web stream in between. */
+/** Reads the body of a caller's request up to a length limit, without the cost of a web stream. */
 import type { IncomingMessage } from 'node:http';
 
-/** What came of reading a body. */
+/** The result of reading a body. */
 export type BodyReadResult =
   | { readonly type: 'read'; readonly text: string }
   | { readonly type: 'too-large' }
-  /** The caller went away before the body was whole. */
+  /** The connection closed before the body was complete. */
   | { readonly type: 'cut' };
 
 const exceedsContentLength = (incoming: IncomingMessage, maxBytes: number): boolean =>
--- a/src/runtime/core-timers.ts
+++ b/src/runtime/core-timers.ts
@@ -1,4 +1,4 @@
-/** Timers of the core. */
+/** Timers that the core sets. */
 import type { SetTimer } from '../core/effect.js';
 import type { TimerKey } from '../core/timer-key.js';
 import type { EventSink } from './core-loop.js';
@@ -37,7 +37,7 @@
     }
   }
 
-  /** Forgets all timers. */
+  /** Cancels all timers. */
   close(): void {
     this.timers.clear();
     this.deadlines.clear();
--- a/src/runtime/deadline-queue.ts
+++ b/src/runtime/deadline-queue.ts
@@ -1,28 +1,28 @@
 /**
- * Many deadlines over one timer of the process. A heap holds them by time; a cancelled one stays in
- * it until its time comes or until cancelled ones are the majority.
+ * Many deadlines that share one timer of the process. A heap orders them by time. A cancelled deadline
+ * stays in the heap until it is due, or until most deadlines in the heap are cancelled.
  */
 import { BinaryHeap } from '../core/binary-heap.js';
 import type { MonotonicClock } from './monotonic-clock.js';
 
-/** Longest delay that the process's timers take, in milliseconds. */
+/** Maximum delay of a timer of the process, in milliseconds. */
 const MAX_DELAY_MS = 2_147_483_647;
 
-/** Heaps smaller than this are never compacted. */
+/** Size up to which a heap is never compacted. */
 const COMPACTION_MINIMUM = 1_024;
 
-/** A deadline that has been set; whoever set it keeps it to cancel it. */
+/** A deadline that has been set; the caller needs it to cancel the deadline. */
 export interface Deadline<Subject> {
   readonly subject: Subject;
   readonly at: number;
-  /** It is due, or was cancelled. */
+  /** True once the deadline was due or cancelled. */
   isOver: boolean;
 }
 
 const isDueBefore = <Subject>(left: Deadline<Subject>, right: Deadline<Subject>): boolean =>
   left.at < right.at;
 
-/** Calls back once for each deadline when its time has come. */
+/** Calls back once for each deadline when it is due. */
 export class DeadlineQueue<Subject> {
   private readonly heap = new BinaryHeap<Deadline<Subject>>(isDueBefore);
   private live = 0;
@@ -34,7 +34,7 @@
     private readonly onDue: (subject: Subject) => void,
   ) {}
 
-  /** Sets a deadline for `subject`, due at `at`. */
+  /** Sets a deadline for `subject`, due at `at` by the queue's clock. */
   set(subject: Subject, at: number): Deadline<Subject> {
     const deadline = { subject, at, isOver: false };
     this.live += 1;
@@ -45,7 +45,7 @@
     return deadline;
   }
 
-  /** Forgets a deadline; no matter if it is over. */
+  /** Cancels a deadline; no effect if it is over. */
   cancel(deadline: Deadline<Subject>): void {
     if (deadline.isOver) {
       return;
@@ -57,12 +57,12 @@
     }
   }
 
-  /** Counts the time to the first deadline anew: the clock has jumped, and the process's timers have not. */
+  /** Restarts the timer after a jump of the clock, which the timers of the process do not follow. */
   refresh(): void {
     this.armTimer();
   }
 
-  /** Forgets all deadlines. */
+  /** Cancels all deadlines. */
   clear(): void {
     this.live = 0;
     this.heap.clear();
--- a/src/runtime/effect-runner.ts
+++ b/src/runtime/effect-runner.ts
@@ -1,4 +1,4 @@
-/** Hands each effect to the part that carries it out. */
+/** Dispatches each effect to the component that carries it out. */
 import type { Effect } from '../core/effect.js';
 import type { CallerServer } from './caller/caller-server.js';
 import type { CoreTimers } from './core-timers.js';
@@ -9,7 +9,7 @@
 import type { ReplicaClient } from './replica/replica-client.js';
 import type { StoreClient } from './store/store-client.js';
 
-/** The parts of a node that carry out effects. */
+/** The components of a node that carry out effects. */
 export interface EffectParts {
   readonly timers: CoreTimers;
   readonly callers: CallerServer;
@@ -19,11 +19,11 @@
   readonly store: StoreClient;
   readonly edits: OperatorEdits;
   readonly log: LogWriter;
-  /** All work is done: the node may end. */
+  /** Called when all work is done and the node may exit. */
   endProcess(): void;
 }
 
-/** Carries out one effect. A plain switch: it runs for each leg. */
+/** Carries out an effect. A plain switch for speed, as it runs for each leg. */
 export const runEffect = (parts: EffectParts, effect: Effect): void => {
   switch (effect.type) {
     case 'send-attempt':
--- a/src/runtime/event-loop.ts
+++ b/src/runtime/event-loop.ts
@@ -1,13 +1,13 @@
-/** Runs a reducer: takes events one at a time and carries out the effects of each. */
+/** Runs a reducer: handles one event at a time and carries out its effects. */
 
-/** Takes events. */
+/** Receives events. */
 export interface EventReceiver<Event> {
   emit(event: Event): void;
 }
 
 /**
- * The loop over the events of a reducer. An event emitted while another is handled waits for its turn,
- * so that the effects of one event are all carried out before the next event is taken.
+ * The event loop of a reducer. An event that is emitted while another is handled is queued, so that all
+ * effects of an event are carried out before the next event is handled.
  */
 export class EventLoop<Event, Effect> implements EventReceiver<Event> {
   private queue: Event[] = [];
@@ -15,8 +15,8 @@
   private halted = false;
 
   /**
-   * @param step - takes one event, updates the state and returns the effects in their order
-   * @param carryOut - carries out one effect
+   * @param step - handles an event: updates the state and returns the effects in order
+   * @param carryOut - carries out an effect
    */
   constructor(
     private readonly step: (event: Event) => readonly Effect[],
@@ -33,7 +33,7 @@
     }
   }
 
-  /** Takes no further event. */
+  /** Discards queued events and ignores further ones. */
   halt(): void {
     this.halted = true;
     this.queue = [];
--- a/src/runtime/event-recorder.ts
+++ b/src/runtime/event-recorder.ts
@@ -1,4 +1,4 @@
-/** Records the core's events to a file, when the operator asks for it, up to a bound. */
+/** Records the core's events to a file of limited size, if the settings name one. */
 import { createWriteStream, type WriteStream } from 'node:fs';
 import type { Effect } from '../core/effect.js';
 import type { Event } from '../core/event.js';
@@ -6,13 +6,13 @@
 import { encodeEntry, encodeHeader } from '../replay/event-record.js';
 import type { LogWriter } from './node-log.js';
 
-/** Longest record, in bytes; recording ends there. */
+/** Maximum size of a record, in bytes; recording stops at this size. */
 const MAX_RECORD_BYTES = 256 * 1024 * 1024;
 
-/** Most bytes that wait to be written; recording ends when the file is slower than that. */
+/** Maximum number of bytes queued for writing; recording stops if the file is written too slowly. */
 const MAX_QUEUED_BYTES = 32 * 1024 * 1024;
 
-/** Writes one record. A file that fails ends the recording, never the node. */
+/** Writes one record. If the file fails, the recording stops and the node continues. */
 export class EventRecorder {
   private readonly stream: WriteStream;
   private written = 0;
@@ -25,18 +25,18 @@
     private readonly maxBytes = MAX_RECORD_BYTES,
   ) {
     this.stream = createWriteStream(file);
-    this.stream.on('error', (error) => this.stop(`the file failed: ${error.message}`));
+    this.stream.on('error', (error) => this.stop(`writing to the file failed: ${error.message}`));
     this.write(encodeHeader(options));
   }
 
-  /** Takes one step of the core. */
+  /** Records a step of the core. */
   record(event: Event, effects: readonly Effect[]): void {
     if (!this.ended) {
       this.write(encodeEntry(event, effects));
     }
   }
 
-  /** Ends the record; resolves when it is written. */
+  /** Ends the record; resolves when it has been written. */
   close(): Promise<void> {
     this.ended = true;
     return new Promise((resolve) => {
@@ -47,13 +47,13 @@
 
   private write(frame: Buffer): void {
     if (this.written + frame.length > this.maxBytes) {
-      this.stop(`the bound of ${this.maxBytes} bytes is reached`);
+      this.stop(`the limit of ${this.maxBytes} bytes is reached`);
       return;
     }
     this.written += frame.length;
     this.stream.write(frame);
     if (this.stream.writableLength > MAX_QUEUED_BYTES) {
-      this.stop('the file is too slow');
+      this.stop('the file is written too slowly');
     }
   }
 
@@ -61,7 +61,7 @@
     if (!this.ended) {
       this.ended = true;
       this.stream.end();
-      this.log('warn', 'node', `Recording of events has ended: ${reason}.`);
+      this.log('warn', 'node', `Recording of events stopped: ${reason}.`);
     }
   }
 }
--- a/src/runtime/http-listener.ts
+++ b/src/runtime/http-listener.ts
@@ -1,4 +1,4 @@
-/** An HTTP server over a hono application, with the bounds that every port of a node has. */
+/** An HTTP server for a hono application, with the limits that apply to every HTTP port of a node. */
 import { setImmediate as nextTurn, setTimeout as delay } from 'node:timers/promises';
 import { createServer, type Server, type ServerResponse } from 'node:http';
 import { type AddressInfo, Server as NetServer, type Socket } from 'node:net';
@@ -11,16 +11,16 @@
   problemResponse,
 } from './caller/problem.js';
 
-/** Most connections one port holds. */
+/** Maximum number of connections to one port. */
 const MAX_CONNECTIONS = 10_000;
 
-/** Longest time for a request to arrive whole, in milliseconds. */
+/** Maximum time for a complete request to arrive, in milliseconds. */
 const REQUEST_TIMEOUT_MS = 30_000;
 
-/** Time an idle connection is kept, in milliseconds. */
+/** Time after which an idle connection is closed, in milliseconds. */
 const KEEP_ALIVE_MS = 65_000;
 
-/** Turns of the loop that a port which is closed still serves its connections. */
+/** Length of a turn in milliseconds, and number of turns that a closed port serves its connections. */
 const DRAIN_TURN_MS = 25;
 const MIN_DRAIN_TURNS = 8;
 const MAX_DRAIN_TURNS = 80;
@@ -34,7 +34,7 @@
 const MALFORMED_PROBLEM: Problem = {
   status: 400,
   title: 'Malformed request',
-  detail: 'The request is no well-formed HTTP/1.1 request.',
+  detail: 'The request is not a well-formed HTTP/1.1 request.',
   outcome: 'not-run',
   reason: 'malformed-http',
 };
@@ -59,8 +59,8 @@
 };
 
 /**
- * Closes the port alone. The close of an HTTP server would end at once the connections on which no
- * request has been read yet, among them those just accepted, whose first request is on its way.
+ * Closes the port but no connection. `close` of an HTTP server would immediately close connections on
+ * which no request has been read yet, among them new ones whose first request is in transit.
  */
 const closePort = (server: Server): void => {
   NetServer.prototype.close.call(server);
@@ -76,7 +76,7 @@
     readonly port: number,
   ) {}
 
-  /** Listens on `address`; rejects when the address cannot be had. */
+  /** Listens on `address`; rejects if the address is not available. */
   static async open(address: HostPort, fetch: FetchHandler): Promise<HttpListener> {
     const handle = getRequestListener((request, env) => fetch(request, env as HttpBindings), {
       errorHandler: () => problemResponse(MALFORMED_PROBLEM),
@@ -110,15 +110,15 @@
     return listener;
   }
 
-  /** From now on each answer asks the client to close its connection. */
+  /** Makes each further answer request the client to close its connection. */
   closeConnectionsAfterAnswers(): void {
     this.closesAfterAnswers = true;
   }
 
   /**
-   * Closes the port in order: takes no new connection, and gives those that are open time to be
-   * answered. Time is counted in turns of the loop, each of which reads what has arrived, so that a
-   * process that was held up cuts nobody off when it goes on.
+   * Closes the port gracefully: accepts no new connection and gives open ones time to be answered. Time
+   * is counted in turns of the loop, each of which reads arrived data, so that a process does not cut
+   * off requests that arrived while it was paused.
    */
   async drain(): Promise<void> {
     this.closesAfterAnswers = true;
--- a/src/runtime/monotonic-clock.ts
+++ b/src/runtime/monotonic-clock.ts
@@ -1,11 +1,11 @@
-/** The clock from which all events take their time. */
+/** The clock that timestamps all events. */
 
-/** Tells the time in milliseconds since an arbitrary start; it never goes back. */
+/** A clock in milliseconds since an arbitrary start; it never goes back. */
 export interface MonotonicClock {
   now(): number;
 }
 
-/** The clock of this process. */
+/** Creates a monotonic clock of this process. */
 export const createMonotonicClock = (): MonotonicClock => {
   let latest = 0;
   return {
--- a/src/runtime/node-log.ts
+++ b/src/runtime/node-log.ts
@@ -1,17 +1,17 @@
-/** Logs of a node: short sentences, each with the fixed prefix of its part. */
+/** Log of a node: short sentences, each tagged with the component that logs it. */
 import { createConsola, type ConsolaInstance } from 'consola/basic';
 import type { LogPart, WriteLog } from '../core/effect.js';
 import type { LogLevel } from '../settings/log-level.js';
 
-/** Parts of the driver that log, besides those of the core. */
+/** Components of the driver that write to the log, in addition to those of the core. */
 export type DriverPart = 'caller' | 'replica' | 'peer' | 'store' | 'operator' | 'node';
 
-/** Writes one line. */
+/** Writes a log line. */
 export type LogWriter = (level: LogLevel, part: LogPart | DriverPart, sentence: string) => void;
 
 const CONSOLA_LEVELS: Readonly<Record<LogLevel, number>> = { error: 0, warn: 1, info: 3, debug: 4 };
 
-/** Creates a writer that leaves out what is more talkative than `level`. */
+/** Creates a writer that omits lines more verbose than `level`. */
 export const createLogWriter = (level: LogLevel): LogWriter => {
   const log = createConsola({ level: CONSOLA_LEVELS[level] });
   const parts = new Map<string, ConsolaInstance>();
--- a/src/runtime/operator/operator-edits.ts
+++ b/src/runtime/operator/operator-edits.ts
@@ -1,14 +1,14 @@
-/** Hands operators' edits to the core and its answers back. */
+/** Passes operators' edits to the core and returns their outcomes. */
 import type { AnswerOperator } from '../../core/effect.js';
 import { type CallId, identifier } from '../../core/identifiers.js';
 import type { EditOutcome, EditRequest } from '../../table/edit.js';
 import type { EventSink } from '../core-loop.js';
 import type { MonotonicClock } from '../monotonic-clock.js';
 
-/** Most edits without an answer. */
+/** Maximum number of pending edits. */
 const MAX_PENDING_EDITS = 256;
 
-/** Holds the edits that wait for their outcome. */
+/** Holds the pending edits. */
 export class OperatorEdits {
   private readonly pendingEdits = new Map<CallId, (outcome: EditOutcome) => void>();
   private submittedEdits = 0;
@@ -18,14 +18,18 @@
     private readonly sink: EventSink,
   ) {}
 
-  /** Hands an edit to the core; resolves with its final word. */
+  /** Submits an edit to the core; resolves with its final outcome. */
   submit(edit: EditRequest): Promise<EditOutcome> {
     if (this.pendingEdits.size >= MAX_PENDING_EDITS) {
       return Promise.resolve({
         type: 'refused',
         edit: edit.edit,
         findings: [
-          { severity: 'error', place: 'edit', problem: 'too many edits wait; try again later' },
+          {
+            severity: 'error',
+            place: 'edit',
+            problem: 'too many edits are pending; try again later',
+          },
         ],
       });
     }
--- a/src/runtime/peer/datagrams.ts
+++ b/src/runtime/peer/datagrams.ts
@@ -1,4 +1,4 @@
-/** Sends and takes datagrams; each carries a tag made with the shared secret. */
+/** Sends and receives datagrams, which are authenticated by a tag made with the shared secret. */
 import type { Socket } from 'node:dgram';
 import type { SendDatagram } from '../../core/effect.js';
 import { decodeDatagram, encodeDatagram } from '../../protocol/codec/datagram.js';
@@ -7,7 +7,7 @@
 import type { LogWriter } from '../node-log.js';
 import { areEqual, type SharedSecret } from './shared-secret.js';
 
-/** What datagrams need of their node. */
+/** Dependencies of `Datagrams`. */
 export interface DatagramsContext {
   readonly socket: Socket;
   readonly secret: SharedSecret;
@@ -51,7 +51,7 @@
   private handleDatagram(bytes: Buffer): void {
     const { secret, sink, clock } = this.context;
     decodeDatagram(bytes, secret.tagDatagram, areEqual).caseOf({
-      Left: (problem) => this.logProblem(`A datagram was refused: it ${problem}`),
+      Left: (problem) => this.logProblem(`A datagram was discarded: it ${problem}`),
       Right: (message) => sink.emit({ type: 'datagram-arrived', at: clock.now(), message }),
     });
   }
--- a/src/runtime/peer/handshake.ts
+++ b/src/runtime/peer/handshake.ts
@@ -1,12 +1,12 @@
 /**
- * The handshake of a link. Both sides prove that they hold the shared secret before either takes a
- * message:
+ * The handshake of a link. Both sides prove that they have the shared secret before either accepts
+ * messages:
  *
  *     connector -> acceptor   hello      protocol, from, to, nonce
  *     acceptor  -> connector  challenge  nonce, proof over both nonces and both names
- *     connector -> acceptor   proof      the same under another label
+ *     connector -> acceptor   proof      over the same values, with another label
  *
- * The two labels keep a proof from being reflected; the names keep it from being used elsewhere.
+ * The labels prevent a reflected proof from being accepted; the names prevent its use with another node.
  */
 import { randomBytes } from 'node:crypto';
 import { type Either, Left, Right } from 'purify-ts';
@@ -15,10 +15,10 @@
 import { isFields, isText } from '../../protocol/codec/shape.js';
 import { areEqual, type SharedSecret } from './shared-secret.js';
 
-/** Version of the protocol between nodes; peers of another version are refused. */
+/** Version of the protocol between nodes; peers with another version are refused. */
 const PROTOCOL_VERSION = 1;
 
-/** Longest frame before both sides are authenticated, in bytes. */
+/** Maximum length of a frame before both sides are authenticated, in bytes. */
 export const MAX_HANDSHAKE_BYTES = 512;
 
 const NONCE_BYTES = 16;
@@ -34,14 +34,14 @@
   readonly nonce: Uint8Array;
 }
 
-/** What a side must do next. */
+/** The next action of a side. */
 export type HandshakeStep =
   | { readonly type: 'send'; readonly body: Buffer }
   | { readonly type: 'done'; readonly peer: NodeId; readonly body?: Buffer };
 
 /** One side of a handshake. */
 export interface Handshake {
-  /** Takes the body of the peer's next frame; the problem ends the link. */
+  /** Handles the body of the peer's next frame; Left describes a problem that closes the link. */
   handleFrame(body: Uint8Array): Either<string, HandshakeStep>;
 }
 
@@ -58,7 +58,7 @@
 const readHello = (body: Uint8Array): Either<string, Hello> =>
   decodeFields(body).chain((fields) => {
     if (fields['protocol'] !== PROTOCOL_VERSION) {
-      return Left(`the peer speaks protocol ${String(fields['protocol'])}`);
+      return Left(`the peer uses protocol version ${String(fields['protocol'])}`);
     }
     const { from, to, nonce } = fields;
     return isText(from) && isText(to) && isBytes(nonce) && nonce.length === NONCE_BYTES
@@ -66,7 +66,7 @@
       : Left('the hello is malformed');
   });
 
-/** The side that opened the connection, with the first frame it sends. */
+/** The side that opens the connection and sends the first frame. */
 export class ConnectorHandshake implements Handshake {
   private readonly hello: Hello;
 
@@ -78,7 +78,7 @@
     this.hello = { from: self, to: peer, nonce: randomBytes(NONCE_BYTES) };
   }
 
-  /** The body of the first frame. */
+  /** Returns the body of the first frame. */
   begin(): Buffer {
     return encodeCbor({ protocol: PROTOCOL_VERSION, ...this.hello });
   }
@@ -99,7 +99,7 @@
   }
 }
 
-/** The side that accepted the connection. */
+/** The side that accepts the connection. */
 export class AcceptorHandshake implements Handshake {
   private nonces: Nonces | undefined;
 
@@ -115,7 +115,7 @@
   private answerHello(body: Uint8Array): Either<string, HandshakeStep> {
     return readHello(body).chain((hello): Either<string, HandshakeStep> => {
       if (hello.to !== this.self) {
-        return Left(`the peer asks for ${hello.to}`);
+        return Left(`the peer expects node ${hello.to}`);
       }
       const nonces = { hello, nonce: randomBytes(NONCE_BYTES) };
       this.nonces = nonces;
--- a/src/runtime/peer/link-timing.ts
+++ b/src/runtime/peer/link-timing.ts
@@ -1,20 +1,20 @@
-/** Times of links, all in milliseconds. */
+/** Intervals and timeouts of links, all in milliseconds. */
 export interface LinkTiming {
-  /** How often links are looked over. */
+  /** Interval at which all links are checked. */
   readonly sweepIntervalMs: number;
-  /** Links are not judged right after this process itself stood still for this long. */
+  /** A check is skipped if the previous one is longer ago than this, as the process was paused. */
   readonly processPauseMs: number;
-  /** A link on which nothing was sent for this long sends a heartbeat. */
+  /** A link sends a heartbeat if it has sent nothing for this time. */
   readonly heartbeatIntervalMs: number;
-  /** A link from which nothing came for this long is taken for half-open. */
+  /** A link that has received nothing for this time is considered half-open and is closed. */
   readonly receiveTimeoutMs: number;
-  /** A link without messages for this long is closed. */
+  /** A link without messages for this time is closed. */
   readonly idleCloseMs: number;
-  /** Longest time to connect and authenticate. */
+  /** Maximum time to connect and authenticate. */
   readonly handshakeTimeoutMs: number;
 }
 
-/** The times of a node. */
+/** The intervals and timeouts of a node. */
 export const DEFAULT_LINK_TIMING: LinkTiming = {
   sweepIntervalMs: 500,
   processPauseMs: 1_500,
--- a/src/runtime/peer/link.ts
+++ b/src/runtime/peer/link.ts
@@ -1,4 +1,4 @@
-/** One TCP connection to a peer: handshake first, then frames of messages. */
+/** A TCP connection to a peer: first the handshake, then frames of messages. */
 import type { Socket } from 'node:net';
 import type { NodeId } from '../../core/identifiers.js';
 import { encodeFrame } from '../../protocol/codec/frame.js';
@@ -13,26 +13,26 @@
 import type { MonotonicClock } from '../monotonic-clock.js';
 import { type Handshake, MAX_HANDSHAKE_BYTES } from './handshake.js';
 
-/** Most bytes that wait to be written; a peer that reads slower than this loses the link. */
+/** Maximum length of the send queue, in bytes; the link to a peer that reads too slowly is closed. */
 export const MAX_SEND_QUEUE_BYTES = 32 * 1024 * 1024;
 
-/** What a link tells its owner. */
+/** Receives the events of a link. */
 export interface LinkListener {
   onReady(link: Link, peer: NodeId): void;
   onMessages(link: Link, peer: NodeId, messages: readonly LinkMessage[]): void;
-  /** Called once; `problem` is absent when the peer closed the connection in order. */
+  /** Called once; `problem` is undefined if the connection was closed without an error. */
   onClosed(link: Link, problem: string | undefined): void;
 }
 
-/** A link in any state. */
+/** A link, in any state of its connection. */
 export class Link {
-  /** Set once both sides are authenticated. */
+  /** The peer; undefined until both sides are authenticated. */
   peer: NodeId | undefined;
-  /** When bytes last came, in milliseconds on the node's clock. */
+  /** When bytes were last received, in milliseconds by the node's clock. */
   lastReceivedAt: number;
-  /** When a message last came or went. */
+  /** When a message was last received or sent. */
   lastMessageAt: number;
-  /** When a frame last went. */
+  /** When a frame was last sent. */
   lastSentAt: number;
   private readonly reader = new FrameReader(MAX_HANDSHAKE_BYTES);
   private closed = false;
@@ -50,7 +50,7 @@
     socket.on('data', (chunk: Buffer) => this.read(chunk));
     socket.on('error', (error) => this.close(error.message));
     socket.on('end', () => this.close(undefined));
-    socket.on('close', () => this.close('the connection was closed'));
+    socket.on('close', () => this.close('the connection closed'));
   }
 
   /** Sends a frame of the handshake. */
@@ -58,7 +58,7 @@
     this.socket.write(encodeFrame(body));
   }
 
-  /** Sends messages in one frame; closes the link when too much waits already. */
+  /** Sends messages in one frame; closes the link if the frame or the send queue is too long. */
   send(messages: readonly LinkMessage[]): void {
     const frame = encodeLinkFrame(messages);
     this.lastMessageAt = this.clock.now();
@@ -69,12 +69,12 @@
     this.write(frame);
   }
 
-  /** Tells the peer that this side lives. */
+  /** Sends a heartbeat, which shows the peer that the connection is alive. */
   sendHeartbeat(): void {
     this.write(HEARTBEAT_FRAME);
   }
 
-  /** Ends the link in order: what was sent still arrives. */
+  /** Closes the link gracefully: data that was sent still arrives. */
   end(): void {
     if (!this.closed) {
       this.closed = true;
@@ -83,7 +83,7 @@
     }
   }
 
-  /** Ends the link at once. */
+  /** Closes the link at once. */
   close(problem: string | undefined): void {
     if (this.closed) {
       return;
@@ -97,7 +97,7 @@
     this.lastSentAt = this.clock.now();
     this.socket.write(frame);
     if (this.socket.writableLength > MAX_SEND_QUEUE_BYTES) {
-      this.close(`${this.socket.writableLength} bytes wait to be sent`);
+      this.close(`the send queue holds ${this.socket.writableLength} bytes`);
     }
   }
 
@@ -108,7 +108,7 @@
 
   private handleReadResult(reading: FrameReadResult): void {
     if (reading.type === 'oversized') {
-      this.close(`a frame of ${reading.length} bytes was announced`);
+      this.close(`the peer announced a frame of ${reading.length} bytes`);
       return;
     }
     for (const body of reading.bodies) {
--- a/src/runtime/peer/peer-links.ts
+++ b/src/runtime/peer/peer-links.ts
@@ -1,4 +1,4 @@
-/** All links of a node: opened when there is something to send, shared by both directions. */
+/** All links of a node. A link is opened on demand and carries messages in both directions. */
 import { connect, type Socket } from 'node:net';
 import type { SendLink } from '../../core/effect.js';
 import type { NodeId } from '../../core/identifiers.js';
@@ -12,17 +12,17 @@
 import { DEFAULT_LINK_TIMING, type LinkTiming } from './link-timing.js';
 import type { SharedSecret } from './shared-secret.js';
 
-/** Most connections of strangers that are not authenticated yet. */
+/** Maximum number of accepted connections that are not authenticated yet. */
 const MAX_UNAUTHENTICATED = 256;
 
-/** Most messages that wait for a link to open. */
+/** Maximum number of messages that are queued until a link opens. */
 const MAX_QUEUED_MESSAGES = 10_000;
 
-/** Wait before another connect to a peer that could not be reached, doubling, in milliseconds. */
+/** First and longest delay before connecting again after a failure, in milliseconds; doubles each time. */
 const FIRST_BACKOFF_MS = 50;
 const LAST_BACKOFF_MS = 1_000;
 
-/** What links need of their node. */
+/** Dependencies of `PeerLinks`. */
 export interface PeerLinksContext {
   readonly self: NodeId;
   readonly secret: SharedSecret;
@@ -38,11 +38,11 @@
   dialing: Link | undefined;
   outgoing: LinkMessage[];
   backoffMs: number;
-  /** No connect is tried before this time. */
+  /** Earliest time of the next connect. */
   nextDialAt: number;
 }
 
-/** Holds the links and carries out `send-link`. */
+/** Manages the links and carries out `send-link`. */
 export class PeerLinks implements LinkListener {
   private readonly peers = new Map<NodeId, Peer>();
   private readonly links = new Set<Link>();
@@ -60,12 +60,12 @@
     this.sweeper = setInterval(() => this.sweep(), this.timing.sweepIntervalMs);
   }
 
-  /** Peers to which a link is open. */
+  /** Number of peers with an open link. */
   get openLinks(): number {
     return [...this.peers.values()].filter((peer) => peer.link !== undefined).length;
   }
 
-  /** Queues a message; all those of one turn of the loop go in one frame. */
+  /** Queues a message; all messages of one turn of the loop are sent in one frame. */
   send(effect: SendLink): void {
     const peer = this.peerOf(effect.to);
     peer.address = effect.address;
@@ -77,7 +77,7 @@
     }
   }
 
-  /** Takes a connection that a peer opened. */
+  /** Accepts a connection that a peer opened. */
   accept(socket: Socket): void {
     const unauthenticated = [...this.links].filter((link) => link.peer === undefined).length;
     if (this.ended || unauthenticated >= MAX_UNAUTHENTICATED) {
@@ -88,14 +88,14 @@
     this.links.add(new Link(socket, new AcceptorHandshake(secret, self), clock, this));
   }
 
-  /** Sends what waits and ends all links in order. */
+  /** Sends the queued messages and closes all links gracefully. */
   end(): void {
     this.flush();
     this.stop();
     this.links.forEach((link) => link.end());
   }
 
-  /** Ends all links at once. */
+  /** Closes all links at once. */
   destroy(): void {
     this.stop();
     this.links.forEach((link) => link.close(undefined));
@@ -124,8 +124,8 @@
     }
     const peer = this.peerOfLink(link);
     if (problem !== undefined) {
-      const name = peer?.node ?? link.peer ?? 'a stranger';
-      this.context.log('debug', 'peer', `The link to ${name} ended: ${problem}.`);
+      const name = peer?.node ?? link.peer ?? 'an unauthenticated peer';
+      this.context.log('debug', 'peer', `The link to ${name} closed: ${problem}.`);
     }
     if (peer?.dialing === link) {
       this.handleDialFailure(peer);
@@ -218,7 +218,7 @@
     }
   }
 
-  /** A link that the peer closed in order because it was idle lost nothing. */
+  /** No message is lost if the peer closed an idle link gracefully, so that is not reported. */
   private reportUnlessIdle(peer: Peer, link: Link, problem: string | undefined): void {
     const idleMs = this.context.clock.now() - link.lastMessageAt;
     const wasIdle =
@@ -259,12 +259,12 @@
   private sweepLink(link: Link, now: number): void {
     if (link.peer === undefined) {
       if (now - link.lastMessageAt > this.timing.handshakeTimeoutMs) {
-        link.close('the handshake took too long');
+        link.close('the handshake timed out');
       }
       return;
     }
     if (now - link.lastReceivedAt > this.timing.receiveTimeoutMs) {
-      link.close('nothing was heard for too long');
+      link.close('nothing was received within the timeout');
     } else if (now - link.lastMessageAt > this.timing.idleCloseMs) {
       this.endIdleLink(link, link.peer);
     } else if (now - link.lastSentAt >= this.timing.heartbeatIntervalMs) {
--- a/src/runtime/peer/peer-port.ts
+++ b/src/runtime/peer/peer-port.ts
@@ -1,12 +1,12 @@
-/** Opens TCP and UDP on one port. */
+/** Opens TCP and UDP sockets on the same port. */
 import { createSocket, type Socket as DatagramSocket } from 'node:dgram';
 import { type AddressInfo, createServer, isIPv6, type Server } from 'node:net';
 import type { HostPort } from '../../settings/node-settings.js';
 
-/** Most tries to find a port that is free for both protocols, when the kernel picks. */
+/** Maximum number of attempts to find a port that is free for both protocols, if the kernel chooses. */
 const MAX_BIND_ATTEMPTS = 20;
 
-/** Both sockets of the peer port. */
+/** The TCP and UDP sockets of the peer port. */
 export interface PeerPort {
   readonly server: Server;
   readonly datagrams: DatagramSocket;
@@ -48,7 +48,7 @@
   }
 };
 
-/** Listens on `address`; with port 0 another port is tried when UDP has the first one in use. */
+/** Listens on `address`; with port 0, tries another port if the chosen one is in use for UDP. */
 export const openPeerPort = async (address: HostPort): Promise<PeerPort> => {
   for (let tries = 1; ; tries += 1) {
     try {
--- a/src/runtime/peer/shared-secret.ts
+++ b/src/runtime/peer/shared-secret.ts
@@ -1,12 +1,12 @@
-/** Proofs that a peer or a datagram's sender holds the shared secret (HMAC-SHA-256). */
+/** Proofs that a peer or the sender of a datagram has the shared secret (HMAC-SHA-256). */
 import { createHmac, timingSafeEqual } from 'node:crypto';
 import { DATAGRAM_TAG_BYTES } from '../../protocol/codec/datagram.js';
 
-/** The secret all nodes share. */
+/** The secret that all nodes share. */
 export class SharedSecret {
   constructor(private readonly secret: string) {}
 
-  /** A proof over `parts`; each part is preceded by its length, so that none runs into the next. */
+  /** Computes a proof over `parts`; length prefixes keep different divisions into parts apart. */
   prove(parts: readonly (string | Uint8Array)[]): Buffer {
     const hmac = createHmac('sha256', this.secret);
     for (const part of parts) {
@@ -17,16 +17,16 @@
     return hmac.digest();
   }
 
-  /** A secret for another use, the same at all nodes; tells nothing of this one. */
+  /** Derives a secret for another use. It is the same at all nodes and does not reveal this secret. */
   derive(use: string): string {
     return this.prove(['derived', use]).toString('hex');
   }
 
-  /** The tag of a datagram's body. */
+  /** Computes the tag of the body of a datagram. */
   readonly tagDatagram = (body: Uint8Array): Buffer =>
     this.prove(['datagram', body]).subarray(0, DATAGRAM_TAG_BYTES);
 }
 
-/** Compares in constant time. */
+/** Compares two byte strings in constant time. */
 export const areEqual = (left: Uint8Array, right: Uint8Array): boolean =>
   left.length === right.length && timingSafeEqual(left, right);
--- a/src/runtime/replica/attempt-handler.ts
+++ b/src/runtime/replica/attempt-handler.ts
@@ -1,6 +1,6 @@
 /**
- * Follows one attempt through undici's dispatch interface, the cheapest it has: raw headers, no
- * promise, no stream.
+ * Handles one attempt through undici's dispatch interface, its cheapest one: raw headers, no promises
+ * and no streams.
  */
 import type { Dispatcher } from 'undici';
 import type { SendAttempt } from '../../core/effect.js';
@@ -8,16 +8,16 @@
 import type { Deadline } from '../deadline-queue.js';
 import { readLegAnswer } from './leg-answer.js';
 
-/** Longest answer taken from a replica, in bytes. */
+/** Maximum length of an answer of a replica, in bytes. */
 export const MAX_ANSWER_BYTES = 4 * 1024 * 1024;
 
 const LIFECYCLE_HEADER = 'x-crossroad-lifecycle';
 const LEAVING = 'leaving';
 
-/** Why an attempt in progress is given up when its time comes. */
+/** Why an attempt is abandoned at its deadline. */
 export type AbandonReason = 'deadline' | 'cancelled';
 
-/** Takes the outcome of an attempt, once. */
+/** Called once with the outcome of an attempt. */
 export type AttemptListener = (handler: AttemptHandler, outcome: AttemptOutcome) => void;
 
 const hasLeavingHeader = (rawHeaders: readonly Buffer[]): boolean => {
@@ -33,18 +33,18 @@
   return false;
 };
 
-/** One attempt on its way. */
+/** An attempt in progress. */
 export class AttemptHandler implements Dispatcher.DispatchHandler {
-  /** True once bytes of the request may have left. */
+  /** True once bytes of the request may have been sent. */
   sent = false;
-  /** When it is given up, and why; both are kept by its client. */
+  /** When and why the attempt is abandoned; the replica client sets both. */
   deadline: Deadline<AttemptHandler> | undefined;
   abandonReason: AbandonReason = 'deadline';
   private ended = false;
   private status = 0;
   private leaving = false;
   private length = 0;
-  /** The answer; most come in one piece. */
+  /** The chunks of the answer; most answers have only one. */
   private first: Buffer | undefined;
   private rest: Buffer[] | undefined;
   private abortRequest: ((error?: Error) => void) | undefined;
@@ -56,7 +56,7 @@
     private readonly listener: AttemptListener,
   ) {}
 
-  /** Gives up: `not-run` when no byte has left, `unknown` otherwise. */
+  /** Abandons the attempt; the outcome is `not-run` if no byte was sent, otherwise `unknown`. */
   abandon(notRun: NotRunReason, unknown: UnknownReason): void {
     this.end(
       this.sent ? { type: 'unknown', reason: unknown } : { type: 'not-run', reason: notRun },
@@ -64,7 +64,7 @@
     this.abortRequest?.();
   }
 
-  /** Called right before the first byte is written; a second call would be a second run. */
+  /** Called right before the first byte is written. A second call would run the attempt twice. */
   onConnect(abort: (error?: Error) => void): void {
     if (this.ended || this.sent) {
       this.end({ type: 'unknown', reason: 'connection-lost' });
--- a/src/runtime/replica/cancel-client.ts
+++ b/src/runtime/replica/cancel-client.ts
@@ -1,27 +1,27 @@
-/** Tells replicas which attempts are no longer wanted; those of one turn of the loop go together. */
+/** Cancels attempts at replicas; the cancellations of one turn of the loop are sent together. */
 import { Pool } from 'undici';
 import type { ReplicaStatus } from '../../catalog/partner-index.js';
 import type { AttemptId } from '../../core/identifiers.js';
 import { originOf } from './replica-origin.js';
 
-/** Connections to one replica for cancellations alone, so that they pass waiting requests. */
+/** Number of connections to a replica for cancellations only, so that they overtake queued requests. */
 const CANCEL_CONNECTIONS = 1;
 
-/** Longest wait for the answer to a cancellation, in milliseconds. */
+/** Timeout of cancellations, in milliseconds. */
 const CANCEL_TIMEOUT_MS = 1_000;
 
-/** Time an idle connection is kept, in milliseconds. */
+/** Time after which an idle connection is closed, in milliseconds. */
 const KEEP_ALIVE_MS = 4_000;
 
 const ignore = (): void => undefined;
 
-/** Sends cancellations; their loss costs work at the replica, never a wrong answer. */
+/** Sends cancellations. A lost one wastes work of the replica but never causes a wrong answer. */
 export class CancelClient {
   private readonly pools = new Map<string, Pool>();
   private readonly queuedByOrigin = new Map<string, AttemptId[]>();
   private flushScheduled = false;
 
-  /** Cancels an attempt at `replica`, together with all others of this turn. */
+  /** Cancels an attempt at `replica`, together with the others of this turn of the loop. */
   cancel(replica: ReplicaStatus, attempt: AttemptId): void {
     const origin = originOf(replica);
     const attempts = this.queuedByOrigin.get(origin);
--- a/src/runtime/replica/leg-answer.ts
+++ b/src/runtime/replica/leg-answer.ts
@@ -1,4 +1,4 @@
-/** Reads what a replica answered; whatever is malformed counts as having run. */
+/** Reads the answer of a replica. A malformed answer counts as an attempt that may have run. */
 import { identifier } from '../../core/identifiers.js';
 import type { AttemptId, RequestId, ShardId } from '../../core/identifiers.js';
 import { isAnswerItem, isNotRunReason, isReplicaLoad } from '../../protocol/codec/leg-shapes.js';
@@ -12,15 +12,15 @@
 } from '../../protocol/codec/shape.js';
 import type { AnswerItem, AttemptOutcome, ReplicaLoad } from '../../protocol/leg-messages.js';
 
-/** A replica's answer as it came over HTTP. */
+/** The HTTP answer of a replica. */
 export interface RawLegAnswer {
   readonly status: number;
   readonly body: string;
-  /** True when a header says that the replica is leaving. */
+  /** True if a header reports that the replica is leaving. */
   readonly leaving: boolean;
 }
 
-/** An answer while it is put together. */
+/** An answer under construction. */
 type Answered = {
   -readonly [Field in keyof ReadonlyAnswered]: ReadonlyAnswered[Field];
 };
@@ -30,7 +30,7 @@
 const SERVER_ERROR: AttemptOutcome = { type: 'unknown', reason: 'server-error' };
 const CANCELLED: AttemptOutcome = { type: 'unknown', reason: 'cancelled' };
 
-/** Written with `try`: it runs for each leg. */
+/** Uses `try` rather than `Either.encase` for speed, as it runs for each leg. */
 const parseFields = (body: string): Fields | undefined => {
   try {
     const value: unknown = JSON.parse(body);
@@ -80,7 +80,7 @@
     : { type: 'not-run', reason };
 };
 
-/** Tells how `attempt` ended from the replica's answer. */
+/** Determines the outcome of `attempt` from the answer of the replica. */
 export const readLegAnswer = (answer: RawLegAnswer, attempt: AttemptId): AttemptOutcome => {
   switch (answer.status) {
     case 200:
--- a/src/runtime/replica/leg-request.ts
+++ b/src/runtime/replica/leg-request.ts
@@ -1,9 +1,9 @@
-/** Bodies of requests to replicas. What the legs of one query share is encoded once. */
+/** Bodies of requests to replicas. The fields that the legs of a query share are encoded once. */
 import type { LegAttempt, LegContext } from '../../protocol/leg-messages.js';
 
 const encodedContexts = new WeakMap<LegContext, string>();
 
-/** Legs of one query mostly come one after the other. */
+/** The last context, which skips the map lookup: legs of a query mostly follow each other. */
 let lastContext: LegContext | undefined;
 let lastEncoded = '';
 
@@ -38,7 +38,7 @@
   return lastEncoded;
 };
 
-/** The body of `POST /v1/leg`. */
+/** Formats the body of `POST /v1/leg`. */
 export const formatLegRequest = (context: LegContext, leg: LegAttempt): string => {
   const shared = encodedContext(context);
   const attempt = JSON.stringify(leg.attempt);
--- a/src/runtime/replica/replica-client.ts
+++ b/src/runtime/replica/replica-client.ts
@@ -1,4 +1,4 @@
-/** Sends attempts to replicas and reports how each ended, exactly once. */
+/** Sends attempts to replicas and reports the outcome of each exactly once. */
 import type { CancelAttempt, CloseReplica, SendAttempt } from '../../core/effect.js';
 import type { AttemptId } from '../../core/identifiers.js';
 import type { AttemptOutcome, LegResult } from '../../protocol/leg-messages.js';
@@ -11,7 +11,7 @@
 import { ReplicaConnections } from './replica-connections.js';
 import { originOf } from './replica-origin.js';
 
-/** Time a replica has to confirm a cancellation before its connection is given up, in ms. */
+/** Time a replica has to confirm a cancellation before the connection is closed, in milliseconds. */
 const CANCEL_GRACE_MS = 100;
 
 /** Carries out `send-attempt`, `cancel-attempt` and `close-replica`. */
@@ -29,7 +29,7 @@
     this.deadlines = new DeadlineQueue(clock, (handler) => this.handleDeadline(handler));
   }
 
-  /** Attempts that have not ended. */
+  /** Number of attempts that have not ended. */
   get attemptsRunning(): number {
     return this.running.size;
   }
@@ -69,7 +69,7 @@
     this.cancels.closeReplica(origin);
   }
 
-  /** Closes all connections at once; attempts in progress are not reported any more. */
+  /** Closes all connections at once; attempts in progress are no longer reported. */
   destroy(): void {
     this.deadlines.clear();
     this.running.clear();
--- a/src/runtime/replica/replica-connections.ts
+++ b/src/runtime/replica/replica-connections.ts
@@ -2,13 +2,16 @@
 import { Pool } from 'undici';
 import type { AttemptHandler } from './attempt-handler.js';
 
-/** Longest time to open a connection, in milliseconds; an attempt's own deadline may be shorter. */
+/** Connect timeout, in milliseconds; the deadline of an attempt may be shorter. */
 const CONNECT_TIMEOUT_MS = 2_000;
 
-/** Time an idle connection is kept, in milliseconds. */
+/** Time after which an idle connection is closed, in milliseconds. */
 const KEEP_ALIVE_MS = 30_000;
 
-/** Connections and deadlines are bounded here and not by undici, whose timers are coarse. */
+/**
+ * Creates a pool without timeouts for answers, as the timers of undici are coarse: the replica client
+ * enforces deadlines itself.
+ */
 const createPool = (origin: string, connections: number): Pool =>
   new Pool(origin, {
     connections,
@@ -33,7 +36,7 @@
     this.pool = createPool(origin, connections);
   }
 
-  /** Changes the share; requests in progress finish on the connections they have. */
+  /** Changes the number of connections; requests in progress finish on their connections. */
   resize(connections: number): void {
     if (connections === this.connections) {
       return;
--- a/src/runtime/replica/replica-origin.ts
+++ b/src/runtime/replica/replica-origin.ts
@@ -1,7 +1,7 @@
-/** The origin of a replica's URLs, formatted once for each address object. */
+/** Origins of replica URLs, cached for each address object. */
 import { formatHostPort } from '../../settings/parse-host-port.js';
 
-/** Where a replica listens. */
+/** Address on which a replica listens. */
 interface ReplicaAddress {
   readonly host: string;
   readonly port: number;
@@ -9,7 +9,7 @@
 
 const origins = new WeakMap<ReplicaAddress, string>();
 
-/** The origin of `address`, such as `http://127.0.0.1:8080`. */
+/** Returns the origin of `address`, e.g. `http://127.0.0.1:8080`. */
 export const originOf = (address: ReplicaAddress): string => {
   const known = origins.get(address);
   if (known !== undefined) {
--- a/src/runtime/running-node.ts
+++ b/src/runtime/running-node.ts
@@ -1,10 +1,10 @@
-/** A node that runs in this process. */
+/** Handle of a node that runs in this process. */
 import type { CoreState } from '../core/state.js';
 
-/** The ports a node has bound; those of settings, or what the kernel picked for 0. */
+/** The ports that a node has bound: those of the settings, or chosen by the kernel for port 0. */
 export interface BoundPorts {
   readonly caller: number;
-  /** TCP and UDP. */
+  /** For both TCP and UDP. */
   readonly peer: number;
   readonly operator: number;
 }
@@ -12,12 +12,12 @@
 /** A started node. */
 export interface RunningNode {
   readonly ports: BoundPorts;
-  /** The core's state; read only. */
+  /** The core's state; callers must not change it. */
   readonly state: CoreState;
-  /** Resolves when the node has ended, planned or not. */
+  /** Resolves when the node has stopped or was killed. */
   readonly ended: Promise<void>;
-  /** Planned stop: refuses new work, finishes what runs, then ends. */
+  /** Graceful stop: refuses new work, finishes running work and closes the node. */
   stop(): Promise<void>;
-  /** Abrupt end: every connection is closed at once and nothing is finished. */
+  /** Abrupt stop: closes all connections at once and finishes no work. */
   kill(): Promise<void>;
 }
--- a/src/runtime/start-node.ts
+++ b/src/runtime/start-node.ts
@@ -1,4 +1,4 @@
-/** Starts a node: opens its ports, builds its parts and runs the core over them. */
+/** Starts a node: opens its ports, creates its components and runs the core. */
 import { randomInt } from 'node:crypto';
 import { identifier, type NodeId, type ZoneName } from '../core/identifiers.js';
 import type { QueryPolicy } from '../core/query/query-policy.js';
@@ -23,16 +23,16 @@
 import type { RunningNode } from './running-node.js';
 import { StoreClient } from './store/store-client.js';
 
-/** Bound of a drawn seed. */
+/** Upper bound (exclusive) of a random seed. */
 const SEED_RANGE = 0x7fff_ffff;
 
-/** What tests and embedding programs may choose besides the settings. */
+/** Options for tests and embedding programs, in addition to the settings. */
 export interface StartOptions {
-  /** Replaces the logs on standard output. */
+  /** Replaces the log on standard output. */
   readonly log?: LogWriter;
-  /** What differs from the default query policy, for comparisons. */
+  /** Overrides of the default query policy, for comparisons. */
   readonly policy?: Partial<QueryPolicy>;
-  /** Sees each step of the core. */
+  /** Observes each step of the core. */
   readonly observe?: StepObserver;
 }
 
@@ -53,7 +53,7 @@
   ...(policy && { policy }),
 });
 
-/** The parts of one node and their ends. */
+/** The components of a node, and how they are closed. */
 class NodeProcess {
   readonly ended: Promise<void>;
   private readonly loop: CoreLoop;
@@ -98,7 +98,7 @@
     this.parts = this.createParts();
   }
 
-  /** Opens the HTTP ports and tells the core. */
+  /** Opens the HTTP ports and starts the core. */
   async openPorts(): Promise<RunningNode['ports']> {
     const { caller, operator } = this.settings;
     const callerListener = await HttpListener.open(caller, this.parts.callers.fetch);
@@ -163,8 +163,8 @@
   }
 
   /**
-   * What callers and peers sent before they knew of the stop is still answered, as not run, while
-   * the ports are closed in order.
+   * Requests that callers and peers sent before they learned of the stop are still answered, as not
+   * run, while the ports close gracefully.
    */
   private async closeGracefully(): Promise<void> {
     await Promise.all(this.listeners.map((listener) => listener.drain()));
--- a/src/runtime/store/read-answer-body.ts
+++ b/src/runtime/store/read-answer-body.ts
@@ -1,10 +1,10 @@
-/** Reads answers of the platform, of bounded length. */
+/** Reads the bodies of the platform's answers up to a length limit. */
 import type { Dispatcher } from 'undici';
 
-/** Longest answer taken from the platform, in bytes. */
+/** Maximum length of an answer, or of a line of a watch, in bytes. */
 const MAX_STORE_ANSWER_BYTES = 64 * 1024 * 1024;
 
-/** Reads a body whole; rejects when it is too long. */
+/** Reads a whole body; rejects if it is too long. */
 export const readLimitedText = async (body: Dispatcher.ResponseData['body']): Promise<string> => {
   const chunks: Buffer[] = [];
   let length = 0;
@@ -19,7 +19,7 @@
   return Buffer.concat(chunks, length).toString('utf8');
 };
 
-/** Yields the lines of a body; rejects when one is too long. */
+/** Yields the lines of a body; rejects if a line is too long. */
 export async function* readLines(body: AsyncIterable<Buffer>): AsyncGenerator<string> {
   let rest: Buffer[] = [];
   let held = 0;
--- a/src/runtime/store/store-answers.ts
+++ b/src/runtime/store/store-answers.ts
@@ -1,15 +1,15 @@
-/** Reads the platform's answers; what has not the right shape is an error, never trusted. */
+/** Parses the platform's answers; an answer of unexpected shape is an error. */
 import { Either, Left, Right } from 'purify-ts';
 import type { Machine, StoreObject } from '../../catalog/store-object.js';
 import { checkStoreObject, isMachine } from '../../protocol/codec/store-object-shape.js';
 import { type Fields, isCount, isFields } from '../../protocol/codec/shape.js';
 
-/** Changes of the store, as a watch or a list of objects shows them. */
+/** Changes of the store, from a watch or from a list of objects. */
 export interface StoreChanges {
   readonly after: number;
   readonly through: number;
   readonly objects: readonly StoreObject[];
-  /** What was left out because its shape is wrong, one sentence each. */
+  /** One sentence for each object that was omitted because of its shape. */
   readonly problems: readonly string[];
 }
 
@@ -36,7 +36,7 @@
   return { ...range, objects, problems };
 };
 
-/** Reads one line of a watch. */
+/** Parses a line of a watch. */
 export const readWatchLine = (line: string): Either<string, StoreChanges> =>
   parseFields(line).chain((fields): Either<string, StoreChanges> => {
     const { after, through, objects } = fields;
@@ -45,7 +45,7 @@
       : Left('the line of the watch is malformed');
   });
 
-/** Reads the answer to `GET /v1/objects?after=`. */
+/** Parses the answer to `GET /v1/objects?after=`. */
 export const readObjectList = (text: string, after: number): Either<string, StoreChanges> =>
   parseFields(text).chain((fields): Either<string, StoreChanges> => {
     const { revision, objects } = fields;
@@ -54,11 +54,11 @@
       : Left('the list of objects is malformed');
   });
 
-/** Reads one object. */
+/** Parses an object. */
 export const readObject = (text: string): Either<string, StoreObject> =>
   parseFields(text).chain(checkStoreObject);
 
-/** Reads the machine list; machines of a wrong shape are left out. */
+/** Parses the machine list; machines of unexpected shape are omitted. */
 export const readMachines = (text: string): Either<string, Machine[]> =>
   parseFields(text).chain((fields): Either<string, Machine[]> => {
     const { machines } = fields;
@@ -67,13 +67,13 @@
       : Left('the machine list is malformed');
   });
 
-/** Where a write stands. */
+/** Version and revision that a write produced. */
 export interface WriteResult {
   readonly version: number;
   readonly revision: number;
 }
 
-/** Reads the answer to an accepted write. */
+/** Parses the answer to an accepted write. */
 export const readWritten = (text: string): Either<string, WriteResult> =>
   parseFields(text).chain((fields): Either<string, WriteResult> => {
     const { version, revision } = fields;
@@ -82,7 +82,7 @@
       : Left('the answer to the write is malformed');
   });
 
-/** Reads the version that stands, from the answer to a refused write. */
+/** Parses the current version of the object from the answer to a refused write. */
 export const readCurrentVersion = (text: string): Either<string, number> =>
   parseFields(text).chain((fields): Either<string, number> => {
     const { version } = fields;
--- a/src/runtime/store/store-client.ts
+++ b/src/runtime/store/store-client.ts
@@ -1,4 +1,4 @@
-/** The platform's object API, as the effects of the core need it. */
+/** Client of the platform's object API, which carries out effects of the core. */
 import { Pool } from 'undici';
 import { type Either, Left, type Maybe, Right } from 'purify-ts';
 import type { StoreObject } from '../../catalog/store-object.js';
@@ -17,13 +17,13 @@
 } from './store-answers.js';
 import { StoreWatch } from './store-watch.js';
 
-/** Connections to the store for requests other than the watch. */
+/** Number of connections for requests other than the watch. */
 const STORE_CONNECTIONS = 4;
 
-/** Longest wait for an answer of the store, in milliseconds. */
+/** Timeout of requests to the store, in milliseconds. */
 const STORE_TIMEOUT_MS = 5_000;
 
-/** What the store client needs of its node. */
+/** Dependencies of the store client. */
 export interface StoreClientContext {
   /** Base URL of the object API. */
   readonly platform: string;
@@ -48,7 +48,7 @@
 
 const objectPath = (name: string): string => `/v1/objects/${encodeURIComponent(name)}`;
 
-/** Carries out the effects about the store. */
+/** Carries out the effects that concern the store. */
 export class StoreClient {
   private readonly pool: Pool;
   private readonly watch: StoreWatch;
@@ -99,7 +99,7 @@
     );
   }
 
-  /** Reads an object for other use than the core's; Nothing when there is none or no answer. */
+  /** Reads an object outside the core; Nothing if it does not exist or the request fails. */
   async fetchObject(name: ObjectName): Promise<Maybe<StoreObject>> {
     const called = await this.call({ path: objectPath(name), method: 'GET' });
     return called
--- a/src/runtime/store/store-watch.ts
+++ b/src/runtime/store/store-watch.ts
@@ -1,20 +1,20 @@
 /**
- * Watches the store, one try for each order. A try that fails is reported once; when the next one is
- * made is for the core to say, which knows when others have heard from the store.
+ * Watches the store. A failure is reported once and is not retried here: the core decides when to start
+ * the watch again, as it knows when other nodes have received an answer from the store.
  */
 import { Client, type Dispatcher } from 'undici';
 import { readLimitedText, readLines } from './read-answer-body.js';
 import { readObjectList, readWatchLine, type StoreChanges } from './store-answers.js';
 
-/** Longest silence of a watch, in milliseconds; the store sends a bookmark every 5 s. */
+/** Timeout of a watch without data, in milliseconds; the store sends a bookmark every 5 s. */
 const WATCH_IDLE_TIMEOUT_MS = 15_000;
 
-/** Longest wait for the first bytes of an answer, in milliseconds. */
+/** Timeout for connecting and for the headers of an answer, in milliseconds. */
 const ANSWER_TIMEOUT_MS = 5_000;
 
 const STATUS_GONE = 410;
 
-/** Takes what a watch brings. */
+/** Receives the changes and the failure of a watch. */
 export interface WatchListener {
   onChanges(changes: StoreChanges): void;
   onFailure(problem: string): void;
@@ -23,7 +23,7 @@
 const describeError = (error: unknown): string =>
   error instanceof Error ? error.message || error.name : String(error);
 
-/** At most one watch at a time. */
+/** Runs at most one watch at a time. */
 export class StoreWatch {
   private client: Client;
   private after = 0;
@@ -37,7 +37,7 @@
     this.client = this.createClient();
   }
 
-  /** Watches for changes after `after`, in place of any watch or try before. */
+  /** Starts a watch for changes after revision `after`; replaces an earlier watch. */
   start(after: number): void {
     this.after = after;
     this.running = true;
@@ -46,14 +46,14 @@
     void this.run(this.generation);
   }
 
-  /** Ends the watch. */
+  /** Stops the watch. */
   stop(): void {
     this.running = false;
     this.generation += 1;
     this.renewClient();
   }
 
-  /** Closes the connection for good. */
+  /** Stops the watch and closes the connection for good. */
   destroy(): void {
     this.stop();
     void this.client.destroy().catch(() => undefined);
--- a/test/runtime/caller-load.ts
+++ b/test/runtime/caller-load.ts
@@ -1,23 +1,23 @@
-/** Callers that ask without pause; one that was refused comes back no sooner than it was told. */
+/** Callers that send queries continuously; after a refusal they wait for the time that it asks for. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { type Dispatcher, Pool } from 'undici';
 import { CALLER_SECRET, SHARDS } from './node-fixture.js';
 
-/** What became of the queries. */
+/** Outcomes of the queries. */
 export interface LoadTally {
   answered: number;
-  /** Refused as not run, or not sent because the node took no connection. */
+  /** Refused as not run, or not sent because the connect failed. */
   refused: number;
-  /** Answered with fewer shards than there are, though asked after the last mark. */
+  /** Answered with missing shards; only queries sent since the last mark count. */
   partial: string[];
-  /** Cut off, or answered as nothing above. */
+  /** Connection closed, or any other answer. */
   failed: string[];
 }
 
 interface Target {
   readonly url: string;
   readonly pool: Pool;
-  /** Until when the node has asked callers to stay away, on the clock of `performance.now()`. */
+  /** Time by `performance.now()` until which the node has asked callers to send no query. */
   pausedUntil: number;
 }
 
@@ -29,13 +29,13 @@
 
 const CALLERS_PER_NODE = 3;
 
-/** Pause of a caller that found no node to ask, in milliseconds. */
+/** Pause of a caller that found no available node, in milliseconds. */
 const PAUSE_MS = 5;
 
 const codeOf = (error: unknown): string =>
   error instanceof Error && 'code' in error ? String(error.code) : '';
 
-/** Whether the error came before a connection was there, so that no byte was sent. */
+/** Whether the error occurred before the connection was open, so that no byte was sent. */
 const isBeforeSending = (error: unknown): boolean =>
   codeOf(error) === 'UND_ERR_CONNECT_TIMEOUT' ||
   (error instanceof Error && 'syscall' in error && error.syscall === 'connect');
@@ -43,7 +43,7 @@
 const describe = (error: unknown): string =>
   error instanceof Error ? `${error.name}: ${error.message} ${codeOf(error)}` : String(error);
 
-/** A load over some nodes; ends when told to. */
+/** A load of queries on some nodes. */
 export class CallerLoad {
   readonly tally: LoadTally = { answered: 0, refused: 0, partial: [], failed: [] };
   private readonly targets: Target[] = [];
@@ -51,7 +51,7 @@
   private running = true;
   private marks = 0;
 
-  /** Adds a node that may be asked. */
+  /** Adds a node that receives queries. */
   add(url: string): void {
     this.targets.push({
       url,
@@ -63,20 +63,20 @@
     }
   }
 
-  /** Asks a node no more. */
+  /** Stops sending queries to a node. */
   remove(url: string): void {
     const index = this.targets.findIndex((target) => target.url === url);
     this.targets.splice(index, 1).forEach(({ pool }) => void pool.close());
   }
 
-  /** From now on only queries that are asked later count as partial or as answered. */
+  /** Resets the counts of answered and partial queries; only queries sent later count. */
   mark(): void {
     this.marks += 1;
     this.tally.answered = 0;
     this.tally.partial = [];
   }
 
-  /** Ends all callers; resolves when the last answer is in. */
+  /** Stops all callers; resolves when the last answer has arrived. */
   async end(): Promise<LoadTally> {
     this.running = false;
     await Promise.all(this.callerLoops);
--- a/test/runtime/caller-port.test.ts
+++ b/test/runtime/caller-port.test.ts
@@ -75,7 +75,7 @@
     ['an unknown path', { path: '/v2' }, 404, 'not-found'],
     ['a body that is not JSON', { body: '{"a":' }, 400, 'malformed-request'],
     ['a body too large', { body: 'x'.repeat(70_000) }, 413, 'body-too-large'],
-  ])('refuses %s as a problem and goes on', async (_name, query, status, reason) => {
+  ])('refuses %s with a problem and continues to serve', async (_name, query, status, reason) => {
     const response = await sendQuery(node, query);
     const problem = (await response.json()) as Record<string, unknown>;
     expect(response.status).toBe(status);
@@ -107,21 +107,21 @@
   });
 
   it.each([
-    ['no HTTP', 'hello\r\n\r\n'],
-    ['a header without end', `POST / HTTP/1.1\r\n${'a'.repeat(70_000)}\r\n\r\n`],
+    ['a line that is not HTTP', 'hello\r\n\r\n'],
+    ['a header that is too long', `POST / HTTP/1.1\r\n${'a'.repeat(70_000)}\r\n\r\n`],
     ['a target with a backslash', 'POST /v1\\a HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n'],
     ['a negative length', 'POST /v1/a/b HTTP/1.1\r\nhost: x\r\ncontent-length: -1\r\n\r\n'],
-  ])('answers %s with a problem and goes on', async (_name, bytes) => {
+  ])('answers %s with a problem and continues to serve', async (_name, bytes) => {
     expect(await exchangeRaw(bytes)).toMatch(/^HTTP\/1.1 4\d\d .*application\/problem\+json/s);
     await expectServing();
   });
 
-  it('gives up a query whose caller leaves, and cancels its legs', async () => {
+  it('abandons a query whose caller closes the connection, and cancels its legs', async () => {
     replica.answer = () => undefined;
     const before = replica.legs.length;
     const controller = new AbortController();
     const asked = sendQuery(node, { signal: controller.signal });
-    await until(() => replica.legs.length === before + SHARDS.length, 'the legs are out');
+    await until(() => replica.legs.length === before + SHARDS.length, 'the legs are sent');
     controller.abort();
     await expect(asked).rejects.toThrow();
     await until(() => node.state.query.inProgress === 0, 'the query has ended');
@@ -134,8 +134,8 @@
   });
 });
 
-describe('the caller port of a node that starts', () => {
-  it('says not ready, not that the key is unknown, while no configuration is in force', async () => {
+describe('the caller port of a starting node', () => {
+  it('answers not-ready instead of unknown key until a configuration is in force', async () => {
     const silent = await startFakePlatform([]);
     silent.override = () => true;
     const starting = await startNode(nodeSettings(silent.url), { log: () => undefined });
--- a/test/runtime/compiled-source.ts
+++ b/test/runtime/compiled-source.ts
@@ -1,4 +1,4 @@
-/** Compiles `src/` for tests that start processes, without type checks, into `out/`. */
+/** Compiles `src/` into `out/`, without type checks, for tests that start processes. */
 import { execFile } from 'node:child_process';
 import { mkdir, mkdtemp, readdir, readFile, rm, writeFile } from 'node:fs/promises';
 import { dirname, join, resolve } from 'node:path';
@@ -37,7 +37,7 @@
   return mkdtemp(join(ROOT, 'out/compiled-'));
 };
 
-/** Compiles all sources into a folder of their own. */
+/** Compiles all sources into a new folder. */
 export const compileSource = async (): Promise<CompiledSource> => {
   const folder = await createFolder();
   await compileFolder('src', folder);
@@ -47,7 +47,7 @@
   };
 };
 
-/** Bundles the program that runs on the users' platform, as its deployment does. */
+/** Bundles the program for the users' platform, in the same way as its deployment. */
 export const bundlePlatform = async (): Promise<CompiledSource> => {
   const folder = await createFolder();
   const main = join(folder, 'gateway.cjs');
--- a/test/runtime/deadline-queue.test.ts
+++ b/test/runtime/deadline-queue.test.ts
@@ -21,7 +21,7 @@
 };
 
 describe('deadlines', () => {
-  it('come due in order of time, once each', () => {
+  it('become due once each, in order of time', () => {
     const { queue, due } = createFixture();
     queue.set('late', 30);
     queue.set('early', 10);
@@ -31,7 +31,7 @@
     expect(due).toEqual(['early', 'late']);
   });
 
-  it('do not come due once cancelled, however many are cancelled', () => {
+  it('do not become due after their cancellation, even if most are cancelled', () => {
     const { queue, due } = createFixture();
     const cancelled = Array.from({ length: MANY }, (_, index) => queue.set(`c-${index}`, index));
     queue.set('kept', MANY);
@@ -41,7 +41,7 @@
     expect(due).toEqual(['kept']);
   });
 
-  it('may be cancelled while others come due', () => {
+  it('may be cancelled by the callback of another deadline', () => {
     const due: string[] = [];
     const queue = new DeadlineQueue<string>({ now: () => 10 }, (subject) => {
       due.push(subject);
@@ -53,7 +53,7 @@
     expect(due).toEqual(['first']);
   });
 
-  it('do not come due after the queue was cleared', () => {
+  it('do not become due after the queue is cleared', () => {
     const { queue, due } = createFixture();
     queue.set('one', 10);
     queue.clear();
--- a/test/runtime/fake-platform.ts
+++ b/test/runtime/fake-platform.ts
@@ -1,4 +1,4 @@
-/** A platform for tests of the driver: the objects it is given, one watch line for each change. */
+/** A platform for tests of the driver. It serves given objects and sends a watch line per change. */
 import { createServer, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import type { StoreContent, StoreObject } from '../../src/catalog/store-object.js';
@@ -9,10 +9,10 @@
   readonly url: string;
   /** Paths of all requests so far. */
   readonly requests: string[];
-  /** When set, each request is answered by it. */
+  /** Called first for each request; returns true if it has answered the request. */
   override: ((path: string, response: ServerResponse) => boolean) | undefined;
   put(content: StoreContent): void;
-  /** Ends all connections, watches among them. */
+  /** Closes all connections, including watches. */
   cut(): void;
   close(): void;
 }
--- a/test/runtime/fake-replica.ts
+++ b/test/runtime/fake-replica.ts
@@ -1,8 +1,8 @@
-/** A replica for tests of the driver: answers each leg as the test says, and remembers it. */
+/** A replica for tests of the driver. It records each leg and answers it by a callback of the test. */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** The fields of a leg's request that tests look at. */
+/** The fields of the request for a leg that tests check. */
 export interface FakeLeg {
   readonly request: string;
   readonly attempt: string;
@@ -19,7 +19,7 @@
   readonly port: number;
   readonly legs: FakeLeg[];
   readonly cancelled: string[];
-  /** Most connections that were open at once. */
+  /** Returns the largest number of connections that were open at once. */
   readonly peakConnections: () => number;
   answer: LegAnswerer;
   close(): void;
@@ -33,7 +33,7 @@
   return Buffer.concat(chunks).toString();
 };
 
-/** The body of a good answer with one item named after the shard. */
+/** The body of a valid answer with one item, named after the shard. */
 export const goodAnswer = (leg: FakeLeg): string =>
   JSON.stringify({
     request: leg.request,
@@ -44,7 +44,7 @@
     load: { inFlight: 1, queued: 0 },
   });
 
-/** Answers well, at once. */
+/** Sends a valid answer at once. */
 export const answerAtOnce: LegAnswerer = (leg, response) => {
   response.end(goodAnswer(leg));
 };
--- a/test/runtime/node-fixture.ts
+++ b/test/runtime/node-fixture.ts
@@ -1,4 +1,4 @@
-/** A small tier for tests of the driver: one partner, one service, nodes over loopback. */
+/** Fixtures for tests of the driver: one partner, one service and nodes on loopback addresses. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { hashSecret } from '../../src/auth/hash-secret.js';
 import type { StoreContent } from '../../src/catalog/store-object.js';
@@ -8,16 +8,16 @@
 import { startNode } from '../../src/runtime/start-node.js';
 import type { NodeSettings } from '../../src/settings/node-settings.js';
 
-/** Secret of the partner's caller. */
+/** Secret of the caller key. */
 export const CALLER_SECRET = 'caller-secret-of-the-tests';
 
-/** Secret of the partner's operator. */
+/** Secret of the operator key. */
 export const OPERATOR_SECRET = 'operator-secret-of-the-tests';
 
-/** Secret that the nodes share. */
+/** Shared secret of the nodes. */
 export const PEER_SECRET = 'peer-secret-of-the-tests';
 
-/** Shards of the one service. */
+/** Shards of the service. */
 export const SHARDS = ['s-0', 's-1', 's-2'];
 
 const LOOPBACK = { host: '127.0.0.1', port: 0 };
@@ -41,7 +41,7 @@
   snapshotPolicy: 'covered' as const,
 });
 
-/** The objects of a partner whose one service runs at `ports`. */
+/** Store contents of a partner with one service, whose replicas listen on `ports`. */
 export const storeContents = (ports: readonly number[]): StoreContent[] => [
   {
     type: 'sheet',
@@ -95,7 +95,7 @@
   },
 ];
 
-/** Settings of a node on ports the kernel picks. */
+/** Settings of a node whose ports are chosen by the kernel. */
 export const nodeSettings = (
   platform: string,
   changes: Partial<NodeSettings> = {},
@@ -114,17 +114,17 @@
   ...changes,
 });
 
-/** A log that keeps its lines. */
+/** Creates a log that records its lines. */
 export const createMemoryLog = (): { lines: string[]; log: LogWriter } => {
   const lines: string[] = [];
   return { lines, log: (level, part, sentence) => lines.push(`${level} [${part}] ${sentence}`) };
 };
 
-/** Waits until `condition` holds; fails after a generous while. */
+/** Waits until `condition` holds; throws after 2,000 checks, about 10 s. */
 export const until = async (condition: () => boolean, what: string): Promise<void> => {
   for (let tries = 0; !condition(); tries += 1) {
     if (tries > 2_000) {
-      throw new Error(`waited in vain until ${what}`);
+      throw new Error(`timed out waiting until ${what}`);
     }
     await delay(5);
   }
@@ -140,7 +140,7 @@
   return node;
 };
 
-/** What a test asks of the caller port. */
+/** A query to the caller port; the defaults are valid. */
 export interface TestQuery {
   readonly secret?: string;
   readonly kind?: string;
@@ -150,7 +150,7 @@
   readonly signal?: AbortSignal;
 }
 
-/** Asks a node. */
+/** Sends a query to a node. */
 export const sendQuery = (node: RunningNode, query: TestQuery = {}): Promise<Response> =>
   fetch(`http://127.0.0.1:${node.ports.caller}${query.path ?? '/v1/ensemble/roster'}`, {
     method: 'POST',
--- a/test/runtime/node-process.ts
+++ b/test/runtime/node-process.ts
@@ -1,25 +1,25 @@
-/** A node in a process of its own, started as an operator would start it. */
+/** A node in a separate process, started through the command line. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { PEER_SECRET } from './node-fixture.js';
 
-/** How a process ended. */
+/** Exit status and standard error of a process. */
 export interface ProcessEnd {
   readonly code: number | null;
   readonly signal: NodeJS.Signals | null;
   readonly errors: string;
 }
 
-/** What a node is started with besides its name. */
+/** Options of a node process. */
 export interface NodeProcessOptions {
   readonly main: string;
   readonly platform: string;
   readonly seeds?: readonly number[];
-  /** The port for peers; picked by the kernel unless given. */
+  /** The port for peers; chosen by the kernel if absent. */
   readonly peerPort?: number;
 }
 
-/** Runs the command line to its end. */
+/** Runs a command and waits for its exit. */
 export const runCommand = async (main: string, args: readonly string[]): Promise<ProcessEnd> => {
   const child = spawn(process.execPath, [main, ...args], { stdio: ['ignore', 'ignore', 'pipe'] });
   let errors = '';
@@ -29,8 +29,9 @@
 };
 
 /**
- * Where the nodes of this process take peers. A successor comes back at the port of the one before, which nothing else may
- * have been given meanwhile: the address is this process's own, and no connection leaves from it.
+ * Address for peers of the nodes that this test process starts. A restarted node reuses the port of its
+ * predecessor, which must not be assigned otherwise in between. The address is therefore unique to this
+ * test process, and no outgoing connection uses it.
  */
 const PEER_ADDRESS = `127.1.${(process.pid >> 8) & 0xff}.${process.pid & 0xff}`;
 
@@ -46,7 +47,7 @@
 
 const PORTS_PATTERN = /listens on ports (\d+), (\d+), (\d+)/;
 
-/** A running node process. */
+/** A started node process. */
 export class NodeProcess {
   private constructor(
     readonly name: string,
@@ -56,7 +57,7 @@
     private readonly operatorPort: number,
   ) {}
 
-  /** Starts a node; resolves when its ports are open. */
+  /** Starts a node; resolves when its ports are open, rejects if it exits before. */
   static async start(name: string, options: NodeProcessOptions): Promise<NodeProcess> {
     const child = spawn(process.execPath, argumentsOf(name, options), {
       stdio: ['ignore', 'pipe', 'pipe'],
@@ -78,7 +79,7 @@
       });
       child.once('close', (code, signal) => {
         const end = `code ${code}, signal ${signal}`;
-        reject(new Error(`${name} ended at its start (${end}): ${printed}${errors}`));
+        reject(new Error(`${name} exited at its start (${end}): ${printed}${errors}`));
       });
     });
     const [caller = 0, peer = 0, operator = 0] = ports;
@@ -90,14 +91,14 @@
     return `http://127.0.0.1:${this.callerPort}`;
   }
 
-  /** Whether the node takes queries. */
+  /** Whether the node is ready to serve queries. */
   async isReady(): Promise<boolean> {
     const response = await fetch(`http://127.0.0.1:${this.operatorPort}/health/ready`);
     await response.text();
     return response.status === 200;
   }
 
-  /** The value of a metric without labels. */
+  /** Reads the value of a metric; `labels` as in the exposition format. */
   async readMetric(name: string, labels = ''): Promise<number> {
     const response = await fetch(`http://127.0.0.1:${this.operatorPort}/metrics`);
     const text = await response.text();
@@ -110,7 +111,7 @@
     this.child.kill(signal);
   }
 
-  /** Sends a signal and waits for the end. */
+  /** Sends a signal and waits for the exit. */
   async end(signal: NodeJS.Signals): Promise<Omit<ProcessEnd, 'errors'>> {
     if (this.child.exitCode !== null || this.child.signalCode !== null) {
       return { code: this.child.exitCode, signal: this.child.signalCode };
--- a/test/runtime/peer-links.test.ts
+++ b/test/runtime/peer-links.test.ts
@@ -89,7 +89,7 @@
   readonly stall: () => void;
 }
 
-/** Forwards bytes until it is told to stall: then both sides stay open and nothing moves. */
+/** Forwards bytes until `stall` is called; then both connections stay open without data. */
 const startProxy = async (target: number): Promise<Proxy> => {
   const sockets: Socket[] = [];
   const forwarded = { to: 0, from: 0 };
@@ -131,7 +131,7 @@
     socket.resume();
   });
 
-/** Opens an authenticated connection by hand, to send what no node would. */
+/** Opens an authenticated connection over which a test can send frames that no node sends. */
 const authenticate = async (member: Member, as: string): Promise<Socket> => {
   const handshake = new ConnectorHandshake(
     new SharedSecret(PEER_SECRET),
@@ -154,8 +154,8 @@
   return socket;
 };
 
-describe('links between nodes', () => {
-  it('take a long first message that comes in one piece with the end of the handshake', async () => {
+describe('a link between nodes', () => {
+  it('receives a long first message in the same chunk as the last handshake frame', async () => {
     const [one, two] = [await startMember('one'), await startMember('two')];
     const long: LinkMessage = { type: 'leg-cancel', attempts: [identifier('a'.repeat(5_000))] };
     let handshake: Buffer | undefined;
@@ -178,11 +178,11 @@
     closers.push(() => joined.close());
     send(one, two, long, await listen(joined));
     const seen = (): number => messagesOf(two).length + lostLinksOf(one).length;
-    await until(() => seen() > 0, 'the message came or the link was lost');
+    await until(() => seen() > 0, 'the message has arrived or the link is lost');
     expect(messagesOf(two)).toEqual([long]);
   });
 
-  it('carry messages in order, in both directions over one connection', async () => {
+  it('delivers messages in order, in both directions over one connection', async () => {
     const [a, b] = [await startMember('a'), await startMember('b')];
     [1, 2, 3].forEach((after) => send(a, b, pull(after)));
     await until(() => messagesOf(b).length === 3, 'all have arrived');
@@ -192,7 +192,7 @@
     expect(a.sockets.size + b.sockets.size).toBe(1);
   });
 
-  it('lose no message when both sides connect at once', async () => {
+  it('loses no message if both nodes connect at the same time', async () => {
     const [a, b] = [await startMember('a'), await startMember('b')];
     send(a, b, pull(1));
     send(b, a, pull(2));
@@ -203,7 +203,7 @@
     expect([...lostLinksOf(a), ...lostLinksOf(b)]).toEqual([]);
   });
 
-  it('do not let a node in that holds another secret, and tell it nothing', async () => {
+  it('is refused between nodes with different secrets, and no message is delivered', async () => {
     const [a, otherSecret] = [
       await startMember('a'),
       await startMember('b', { secret: 'some-other-secret-here' }),
@@ -212,26 +212,26 @@
     send(a, otherSecret, pull(2));
     await until(
       () => lostLinksOf(otherSecret).length > 0 && lostLinksOf(a).length > 0,
-      'both gave up',
+      'both nodes report the link as lost',
     );
     expect([...messagesOf(a), ...messagesOf(otherSecret)]).toEqual([]);
   });
 
-  it('to a machine replaced at the same address by another node are refused', async () => {
+  it('is refused if another node listens on the address', async () => {
     const [a, other] = [await startMember('a'), await startMember('c')];
     send(a, { ...other, node: identifier<NodeId>('b') }, pull(1));
-    await until(() => lostLinksOf(a).includes('b'), 'the old node is given up');
+    await until(() => lostLinksOf(a).includes('b'), 'the link to the old node is lost');
     expect(messagesOf(other)).toEqual([]);
   });
 
   it.each([
     ['another version', encodeCbor({ protocol: 99, from: 'x', to: 'a', nonce: Buffer.alloc(16) })],
-    ['no hello', encodeCbor([1, 2, 3])],
-    ['a message in place of a hello', encodeCbor([pull(1)])],
+    ['a list as hello', encodeCbor([1, 2, 3])],
+    ['a message instead of a hello', encodeCbor([pull(1)])],
     ['a short nonce', encodeCbor({ protocol: 1, from: 'x', to: 'a', nonce: Buffer.alloc(2) })],
-    ['a hello too long', Buffer.alloc(600)],
-    ['no CBOR', Buffer.from([0xff, 0xff, 0xff])],
-  ])('refuse a stranger with %s and go on', async (_name, body) => {
+    ['a hello that is too long', Buffer.alloc(600)],
+    ['a hello that is not CBOR', Buffer.from([0xff, 0xff, 0xff])],
+  ])('is refused for %s, and other nodes are served', async (_name, body) => {
     const [a, b] = [await startMember('a'), await startMember('b')];
     await sendRaw(a.port, encodeFrame(body));
     send(b, a, pull(1));
@@ -239,7 +239,7 @@
     expect(messagesOf(a)).toEqual([pull(1)]);
   });
 
-  it('close a stranger that says nothing', async () => {
+  it('is closed if the peer sends no hello in time', async () => {
     const a = await startMember('a', { timing: { sweepIntervalMs: 10, handshakeTimeoutMs: 40 } });
     await sendRaw(a.port, Buffer.alloc(0));
     expect(a.events).toEqual([]);
@@ -248,18 +248,21 @@
   it.each([
     ['oversized', Buffer.from([0xff, 0xff, 0xff, 0xff])],
     ['malformed', encodeFrame(encodeCbor([{ type: 'leg-batch' }]))],
-  ])('close on an %s frame of a peer and go on', async (_name, bytes) => {
-    const [a, b] = [await startMember('a'), await startMember('b')];
-    const socket = await authenticate(a, 'x');
-    const closed = new Promise<void>((resolve) => socket.once('close', () => resolve()));
-    socket.write(bytes);
-    await closed;
-    await until(() => lostLinksOf(a).includes('x'), 'the core is told');
-    send(b, a, pull(1));
-    await until(() => messagesOf(a).length === 1, 'another node is served');
-  });
+  ])(
+    'is closed on receipt of a frame that is %s, and other nodes are served',
+    async (_name, bytes) => {
+      const [a, b] = [await startMember('a'), await startMember('b')];
+      const socket = await authenticate(a, 'x');
+      const closed = new Promise<void>((resolve) => socket.once('close', () => resolve()));
+      socket.write(bytes);
+      await closed;
+      await until(() => lostLinksOf(a).includes('x'), 'the link is reported as lost');
+      send(b, a, pull(1));
+      await until(() => messagesOf(a).length === 1, 'another node is served');
+    },
+  );
 
-  it('notice a half-open connection on both sides', async () => {
+  it('is reported as lost by both sides if the connection is half-open', async () => {
     const timing = {
       sweepIntervalMs: 5,
       heartbeatIntervalMs: 40,
@@ -277,19 +280,19 @@
       const { to, from } = { ...proxy.forwarded };
       now += timing.heartbeatIntervalMs;
       const wasHeard = (): boolean => proxy.forwarded.to > to && proxy.forwarded.from > from;
-      await until(wasHeard, 'heartbeats went both ways');
+      await until(wasHeard, 'heartbeats are sent in both directions');
     }
     expect([...lostLinksOf(a), ...lostLinksOf(b)]).toEqual([]);
     proxy.stall();
-    // Bytes that were under way may still arrive, so that the silence begins a little later.
+    // Bytes in transit may still arrive, so the timeout may start a little later than the stall.
     const haveBothNoticed = (): boolean => {
       now += timing.heartbeatIntervalMs;
       return lostLinksOf(a).includes('b') && lostLinksOf(b).includes('a');
     };
-    await until(haveBothNoticed, 'both noticed');
+    await until(haveBothNoticed, 'both nodes report the link as lost');
   });
 
-  it('are closed when idle without a loss, and opened again on demand', async () => {
+  it('is closed without a loss when idle, and opened again on demand', async () => {
     const timing = {
       sweepIntervalMs: 10,
       idleCloseMs: 80,
@@ -305,12 +308,12 @@
     expect([...lostLinksOf(a), ...lostLinksOf(b)]).toEqual([]);
   });
 
-  it('to a node that is down are lost at once, and open again when it is back', async () => {
+  it('is reported as lost at once if the node is down, and opens again after its restart', async () => {
     const [a, b] = [await startMember('a'), await startMember('b')];
     b.links.destroy();
     await new Promise((resolve) => b.server.close(resolve));
     send(a, b, pull(1));
-    await until(() => lostLinksOf(a).length > 0, 'the loss is told');
+    await until(() => lostLinksOf(a).length > 0, 'the loss is reported');
     const again = await startMember('b', { port: b.port });
     await until(() => {
       send(a, again, pull(2));
@@ -318,7 +321,7 @@
     }, 'the link is open again');
   });
 
-  it('are dropped when a peer reads slower than is sent to it', async () => {
+  it('is closed if the peer reads slower than messages are sent', async () => {
     const [a, b] = [await startMember('a'), await startMember('b')];
     send(a, b, pull(0));
     await until(() => messagesOf(b).length === 1, 'the link is open');
--- a/test/runtime/processes.test.ts
+++ b/test/runtime/processes.test.ts
@@ -12,22 +12,22 @@
 
 const NAMES = ['bole-1', 'bole-2', 'bole-3'];
 
-/** Longest wait for a condition, in tries of 20 ms. */
+/** Maximum number of checks of a condition, one every 20 ms. */
 const MAX_POLLS = 1_000;
 
 let source: CompiledSource;
 let platform: FakePlatform;
 let replicas: FakeReplica[];
-/** Nodes that should serve. */
+/** Nodes that are expected to serve. */
 let nodes: NodeProcess[] = [];
-/** All nodes that were started, for the end of the test. */
+/** All started nodes, which are killed at the end of the test. */
 let started: NodeProcess[] = [];
 let load: CallerLoad | undefined;
 
 const untilTrue = async (condition: () => Promise<boolean>, what: string): Promise<void> => {
   for (let tries = 0; !(await condition().catch(() => false)); tries += 1) {
     if (tries > MAX_POLLS) {
-      throw new Error(`waited in vain until ${what}`);
+      throw new Error(`timed out waiting until ${what}`);
     }
     await delay(20);
   }
@@ -54,7 +54,7 @@
     const ready = await Promise.all(nodes.map((node) => node.isReady()));
     const whole = await Promise.all(nodes.map((node) => hasAliveMembers(node, nodes.length)));
     return [...ready, ...whole].every(Boolean);
-  }, 'all nodes serve and know each other');
+  }, 'all nodes serve and consider each other alive');
 
 const startTier = async (): Promise<void> => {
   for (const name of NAMES) {
@@ -113,7 +113,7 @@
 });
 
 describe('crossroad node', () => {
-  it('names every wrong field of its settings and exits 78', async () => {
+  it('reports every invalid field of its settings and exits 78', async () => {
     const folder = await mkdtemp(join(tmpdir(), 'crossroad-test-'));
     const file = join(folder, 'node.yaml');
     await writeFile(file, 'node: "a b"\ncaller: localhost:1\npeer: 127.0.0.1:0\ncolour: red\n');
@@ -142,7 +142,7 @@
     expect((await runCommand(source.main, ['node', '--colour', 'red'])).code).toBe(2);
   });
 
-  it('stops each node in turn under load without cutting off a query', async () => {
+  it('stops and restarts under load without failing a query, one node after another', async () => {
     await startTier();
     const running = startLoad();
     for (const node of [...nodes]) {
@@ -160,7 +160,7 @@
     expect(tally.partial).toEqual([]);
   });
 
-  it('exits 1 at once at a second signal', async () => {
+  it('exits 1 immediately on a second SIGTERM', async () => {
     replicas.forEach((replica) => {
       replica.answer = () => undefined;
     });
@@ -178,7 +178,7 @@
     expect((await node.end('SIGTERM')).code).toBe(1);
   });
 
-  it('goes on when another node is killed, and takes its successor in', async () => {
+  it('continues to serve when another node is killed, and accepts its successor', async () => {
     await startTier();
     const running = startLoad();
     await untilAnswered(running, 50);
@@ -191,7 +191,7 @@
     await victim.end('SIGKILL');
     await untilTrue(
       async () => (await Promise.all(nodes.map((node) => hasAliveMembers(node, 2)))).every(Boolean),
-      'the others know it is gone',
+      'the others no longer consider it alive',
     );
     running.mark();
     await untilAnswered(running, 50);
@@ -216,7 +216,7 @@
     removeNode(paused);
     await untilTrue(
       async () => (await Promise.all(nodes.map((node) => hasAliveMembers(node, 2)))).every(Boolean),
-      'the others hold it for gone',
+      'the others no longer consider it alive',
     );
     running.mark();
     await untilAnswered(running, 50);
--- a/test/runtime/replica-client.test.ts
+++ b/test/runtime/replica-client.test.ts
@@ -117,7 +117,7 @@
 const LEG = { request: 'q-1', attempt: 'a-1', shard: 's-0', snapshot: 1, payload: null };
 
 describe('an attempt at a replica', () => {
-  it('is answered, with load and leaving', async () => {
+  it('is answered, with the load and the leaving state of the replica', async () => {
     const fixture = createFixture();
     const port = await answerRaw(
       http('200 OK', goodAnswer(LEG), 'X-Crossroad-Lifecycle: leaving\r\n'),
@@ -146,20 +146,20 @@
 
   it.each([
     ['a truncated body', `HTTP/1.1 200 OK\r\ncontent-length: 999\r\n\r\n${goodAnswer(LEG)}`],
-    ['no JSON', http('200 OK', 'hello')],
+    ['a body that is not JSON', http('200 OK', 'hello')],
     ['JSON of another shape', http('200 OK', '{"items":1}')],
     ['an item without a score', http('200 OK', goodAnswer(LEG).replace('"score":1,', ''))],
     ['the answer of another attempt', http('200 OK', goodAnswer({ ...LEG, attempt: 'a-2' }))],
-    ['no HTTP', 'good day to you\r\n\r\n'],
+    ['a line that is not HTTP', 'good day to you\r\n\r\n'],
     ['a refusal with an unknown reason', http('503 X', '{"outcome":"not-run","reason":"mood"}')],
-    ['a 503 that does not say not-run', http('503 X', 'Service Unavailable')],
-  ])('with %s counts as having run: bad answer', async (_name, bytes) => {
+    ['a 503 without the outcome not-run', http('503 X', 'Service Unavailable')],
+  ])('that is answered with %s may have run: bad-answer', async (_name, bytes) => {
     const fixture = createFixture();
     fixture.client.send(attemptTo(await answerRaw(bytes)));
     expect(await endOf(fixture)).toEqual({ type: 'unknown', reason: 'bad-answer' });
   });
 
-  it('with an answer too long is given up before the answer is held', async () => {
+  it('is abandoned if the answer is too long', async () => {
     const fixture = createFixture();
     const replica = await startReplica((leg, response) => {
       response.write(goodAnswer(leg));
@@ -169,13 +169,13 @@
     expect(await endOf(fixture)).toEqual({ type: 'unknown', reason: 'bad-answer' });
   });
 
-  it('with a server error may have run', async () => {
+  it('that is answered with a server error may have run', async () => {
     const fixture = createFixture();
     fixture.client.send(attemptTo(await answerRaw(http('500 X', 'oops'))));
     expect(await endOf(fixture)).toEqual({ type: 'unknown', reason: 'server-error' });
   });
 
-  it('whose connection is cut after the request may have run, and is not sent again', async () => {
+  it('may have run and is not sent again if its connection closes after the request', async () => {
     const fixture = createFixture();
     const replica = await startReplica((_leg, response) => response.destroy());
     fixture.client.send(attemptTo(replica.port));
@@ -183,7 +183,7 @@
     expect(replica.legs).toHaveLength(1);
   });
 
-  it('on a kept connection that is cut is not sent again either', async () => {
+  it('is not sent again if a reused connection closes after the request', async () => {
     const fixture = createFixture();
     const replica = await startReplica();
     fixture.client.send(attemptTo(replica.port));
@@ -195,7 +195,7 @@
     expect(replica.legs.map((leg) => leg.attempt)).toEqual(['a-1', 'a-2']);
   });
 
-  it('that cannot connect did not run', async () => {
+  it('did not run if the connect fails', async () => {
     const fixture = createFixture();
     const replica = await startReplica();
     replica.close();
@@ -203,7 +203,7 @@
     expect(await endOf(fixture)).toEqual({ type: 'not-run', reason: 'connect-failed' });
   });
 
-  it('at a frozen replica ends at its deadline as unknown, and is cancelled', async () => {
+  it('at a frozen replica times out with outcome unknown and is cancelled', async () => {
     const fixture = createFixture();
     const replica = await startReplica(() => undefined);
     fixture.client.send(attemptTo(replica.port, { remainingMs: 60 }));
@@ -211,11 +211,11 @@
     await until(() => replica.cancelled.includes('a-1'), 'the attempt is cancelled');
   });
 
-  it('that waits for a connection until its deadline did not run', async () => {
+  it('did not run if it waits for a connection until its deadline', async () => {
     const fixture = createFixture();
     const replica = await startReplica(() => undefined);
     fixture.client.send(attemptTo(replica.port, { connections: 1 }));
-    await until(() => replica.legs.length === 1, 'the first attempt is out');
+    await until(() => replica.legs.length === 1, 'the first attempt is sent');
     const second = attemptTo(replica.port, { attempt: 'a-2', connections: 1, remainingMs: 40 });
     fixture.client.send(second);
     await until(() => fixture.results.length === 1, 'the second attempt has ended');
@@ -226,19 +226,19 @@
     expect(replica.legs.map((leg) => leg.attempt)).toEqual(['a-1']);
   });
 
-  it('that is cancelled frees its connection, also when the replica stays silent', async () => {
+  it('ends after its cancellation, even if the replica does not answer', async () => {
     const fixture = createFixture();
     let receivedBytes = 0;
     const port = await startRaw((socket) =>
       socket.on('data', (chunk) => (receivedBytes += chunk.length)),
     );
     fixture.client.send(attemptTo(port));
-    await until(() => receivedBytes > 0, 'the replica has heard of the attempt');
+    await until(() => receivedBytes > 0, 'the replica has received the attempt');
     fixture.client.cancel({ type: 'cancel-attempt', attempt: identifier('a-1') });
     expect(await endOf(fixture)).toEqual({ type: 'unknown', reason: 'cancelled' });
   });
 
-  it('ends together with the others of one turn of the loop, in one event', async () => {
+  it('is reported in one event with others that end in the same turn of the loop', async () => {
     const fixture = createFixture();
     const waiting: (() => void)[] = [];
     const replica = await startReplica((leg, response, port) => {
@@ -247,14 +247,14 @@
     for (let index = 0; index < 8; index += 1) {
       fixture.client.send(attemptTo(replica.port, { attempt: `a-${index}` }));
     }
-    await until(() => waiting.length === 8, 'all attempts are out');
+    await until(() => waiting.length === 8, 'all attempts are sent');
     waiting.forEach((answer) => answer());
     await until(() => fixture.results.length === 8, 'all attempts have ended');
     expect(fixture.events.length).toBeLessThan(8);
     expect(new Set(fixture.results.map((result) => result.attempt)).size).toBe(8);
   });
 
-  it('opens no more connections than its share', async () => {
+  it('opens no more connections than allowed', async () => {
     const fixture = createFixture();
     const replica = await startReplica();
     for (let index = 0; index < 20; index += 1) {
--- a/test/runtime/store-client.test.ts
+++ b/test/runtime/store-client.test.ts
@@ -40,7 +40,7 @@
 const receivedNames = (): string[] =>
   eventsOf('store-changed').flatMap((event) => event.objects.map((object) => object.name));
 
-/** Answers the path that starts with `prefix` by `respond`, once. */
+/** Answers the next request to a path that starts with `prefix` by `respond`. */
 const answerOnce = (prefix: string, respond: (response: ServerResponse) => void): void => {
   platform.override = (path, response) => {
     if (!path.startsWith(prefix)) {
@@ -59,24 +59,24 @@
 };
 
 describe('the watch of the store', () => {
-  it('starts with all objects, then brings each change', async () => {
+  it('delivers all objects, then each change', async () => {
     client.watchStore(0);
     await until(() => new Set(receivedNames()).size === CONTENTS.length, 'all objects are read');
     CONTENTS.slice(0, 1).forEach((content) => platform.put(content));
     const revision = CONTENTS.length + 1;
     await until(
       () => eventsOf('store-changed').some((event) => event.through === revision),
-      'the change is seen',
+      'the change has arrived',
     );
   });
 
-  it('goes on after a cut where the core says, and reports the cut once', async () => {
+  it('reports a closed connection once and restarts at the given revision', async () => {
     client.watchStore(0);
     await until(() => platform.requests.includes('GET /v1/watch'), 'the watch is open');
     await until(() => eventsOf('store-changed').length === 2, 'the first line is read');
     platform.cut();
     CONTENTS.slice(0, 1).forEach((content) => platform.put(content));
-    await until(() => eventsOf('store-failed').length === 1, 'the cut is reported');
+    await until(() => eventsOf('store-failed').length === 1, 'the closed connection is reported');
     client.watchStore(CONTENTS.length);
     await until(() => eventsOf('store-changed').length === 3, 'the watch is open again');
     expect(eventsOf('store-failed')).toHaveLength(1);
@@ -87,14 +87,14 @@
     });
   });
 
-  it('reads the objects anew when the store no longer keeps the changes', async () => {
+  it('reads all objects if the store no longer has the changes', async () => {
     answerOnce('/v1/watch', (response) => response.writeHead(410).end());
     client.watchStore(2);
     await until(() => receivedNames().length > 0, 'the objects are read');
     expect(eventsOf('store-changed')[0]).toMatchObject({ after: 2, through: CONTENTS.length });
   });
 
-  it('leaves out an object of a wrong shape, says so, and keeps the others', async () => {
+  it('omits and logs an object of unexpected shape, and delivers the others', async () => {
     const bad = { name: 'keys/ensemble', version: 1, revision: 2, content: { type: 'keys' } };
     answerOnce('/v1/objects', (response) =>
       response.end(`{"revision":2,"objects":[${objectText()},${JSON.stringify(bad)}]}`),
@@ -108,10 +108,10 @@
   });
 
   it.each([
-    ['no JSON', (response: ServerResponse) => response.write('hello\n')],
-    ['a line of another shape', (response: ServerResponse) => response.write('{"after":"x"}\n')],
+    ['a line that is not JSON', (response: ServerResponse) => response.write('hello\n')],
+    ['a line of unexpected shape', (response: ServerResponse) => response.write('{"after":"x"}\n')],
     ['status 500', (response: ServerResponse) => response.writeHead(500).end()],
-  ])('reports %s and goes on', async (_name, respond) => {
+  ])('reports %s and can be started again', async (_name, respond) => {
     answerOnce('/v1/watch', respond);
     client.watchStore(1);
     await until(() => eventsOf('store-failed').length === 1, 'the failure is reported');
@@ -119,7 +119,7 @@
     await until(() => eventsOf('store-changed').length > 0, 'the watch is open again');
   });
 
-  it('makes one try for each order, at once, and reports each failure once', async () => {
+  it('connects once for each start, at once, and reports each failure once', async () => {
     platform.override = (_path, response) => {
       response.destroy();
       return true;
@@ -140,7 +140,7 @@
   });
 });
 
-describe('requests for one object', () => {
+describe('a request for one object', () => {
   const read = (): void =>
     client.readObject({
       type: 'read-object',
@@ -167,7 +167,7 @@
     return events[0];
   };
 
-  it('read an object, or tell that there is none', async () => {
+  it('returns the object, or reports that it does not exist', async () => {
     answerOnce('/v1/objects/', (response) => response.end(objectText()));
     read();
     expect(await onlyEvent()).toMatchObject({ type: 'object-read', object: { version: 1 } });
@@ -176,7 +176,7 @@
     expect(await onlyEvent()).not.toHaveProperty('object');
   });
 
-  it('tell that a write was accepted or refused', async () => {
+  it('reports that a write was accepted or refused', async () => {
     answerOnce('/v1/objects/', (response) => response.end('{"version":2,"revision":9}'));
     write();
     expect(await onlyEvent()).toMatchObject({ type: 'object-written', version: 2, revision: 9 });
@@ -189,15 +189,15 @@
   it.each([
     ['a lost answer', (response: ServerResponse) => response.destroy()],
     ['status 500', (response: ServerResponse) => response.writeHead(500).end()],
-    ['no JSON', (response: ServerResponse) => response.end('fine')],
-    ['another shape', (response: ServerResponse) => response.end('{"version":"two"}')],
-  ])('that end with %s have failed, once', async (_name, respond) => {
+    ['a body that is not JSON', (response: ServerResponse) => response.end('fine')],
+    ['a body of unexpected shape', (response: ServerResponse) => response.end('{"version":"two"}')],
+  ])('is reported as failed once after %s', async (_name, respond) => {
     answerOnce('/v1/objects/', respond);
     write();
     expect(await onlyEvent()).toMatchObject({ type: 'object-request-failed', request: REQUEST });
   });
 
-  it('read the machine list without machines of a wrong shape', async () => {
+  it('returns the machine list without machines of unexpected shape', async () => {
     const machine = { id: 'm', host: '127.0.0.1', port: 1, zone: 'bole', state: 'live' };
     answerOnce('/v1/machines', (response) =>
       response.end(JSON.stringify({ machines: [machine, { ...machine, port: 'x' }] })),
