--- a/src/runtime/peer/peer-port.ts
+++ b/src/runtime/peer/peer-port.ts
@@ -50,11 +50,11 @@
 
 /** Listens on `address`; with port 0, tries another port if the chosen one is in use for UDP. */
 export const openPeerPort = async (address: HostPort): Promise<PeerPort> => {
-  for (let tries = 1; ; tries += 1) {
+  for (let bindAttempts = 1; ; bindAttempts += 1) {
     try {
       return await openOnce(address);
     } catch (error) {
-      if (address.port !== 0 || tries >= MAX_BIND_ATTEMPTS) {
+      if (address.port !== 0 || bindAttempts >= MAX_BIND_ATTEMPTS) {
         throw error;
       }
     }
--- a/test/runtime/node-fixture.ts
+++ b/test/runtime/node-fixture.ts
@@ -122,8 +122,8 @@
 
 /** Waits until `condition` holds; throws after 2,000 checks, about 10 s. */
 export const until = async (condition: () => boolean, what: string): Promise<void> => {
-  for (let tries = 0; !condition(); tries += 1) {
-    if (tries > 2_000) {
+  for (let polls = 0; !condition(); polls += 1) {
+    if (polls > 2_000) {
       throw new Error(`timed out waiting until ${what}`);
     }
     await delay(5);
--- a/test/runtime/processes.test.ts
+++ b/test/runtime/processes.test.ts
@@ -25,8 +25,8 @@
 let load: CallerLoad | undefined;
 
 const untilTrue = async (condition: () => Promise<boolean>, what: string): Promise<void> => {
-  for (let tries = 0; !(await condition().catch(() => false)); tries += 1) {
-    if (tries > MAX_POLLS) {
+  for (let polls = 0; !(await condition().catch(() => false)); polls += 1) {
+    if (polls > MAX_POLLS) {
       throw new Error(`timed out waiting until ${what}`);
     }
     await delay(20);
@@ -52,8 +52,8 @@
 const untilAllServe = (): Promise<void> =>
   untilTrue(async () => {
     const ready = await Promise.all(nodes.map((node) => node.isReady()));
-    const whole = await Promise.all(nodes.map((node) => hasAliveMembers(node, nodes.length)));
-    return [...ready, ...whole].every(Boolean);
+    const haveAll = await Promise.all(nodes.map((node) => hasAliveMembers(node, nodes.length)));
+    return [...ready, ...haveAll].every(Boolean);
   }, 'all nodes serve and consider each other alive');
 
 const startTier = async (): Promise<void> => {
--- a/test/runtime/replica-client.test.ts
+++ b/test/runtime/replica-client.test.ts
@@ -91,7 +91,7 @@
   return fixture.results[0]?.outcome as LegResult['outcome'];
 };
 
-const startRaw = async (onSocket: (socket: Socket) => void): Promise<number> => {
+const startRawServer = async (onSocket: (socket: Socket) => void): Promise<number> => {
   const sockets = new Set<Socket>();
   const server: Server = createServer((socket) => {
     sockets.add(socket);
@@ -107,7 +107,7 @@
 };
 
 const answerRaw = (bytes: string, end = true) =>
-  startRaw((socket) => {
+  startRawServer((socket) => {
     socket.once('data', () => (end ? socket.end(bytes) : socket.write(bytes)));
   });
 
@@ -229,7 +229,7 @@
   it('ends after its cancellation, even if the replica does not answer', async () => {
     const fixture = createFixture();
     let receivedBytes = 0;
-    const port = await startRaw((socket) =>
+    const port = await startRawServer((socket) =>
       socket.on('data', (chunk) => (receivedBytes += chunk.length)),
     );
     fixture.client.send(attemptTo(port));
--- a/test/runtime/store-client.test.ts
+++ b/test/runtime/store-client.test.ts
@@ -127,10 +127,10 @@
     client.watchStore(1);
     await until(() => eventsOf('store-failed').length === 1, 'the failure is reported');
     await delay(1_000);
-    for (let tries = 2; tries <= 5; tries += 1) {
-      expect(platform.requests).toHaveLength(tries - 1);
+    for (let starts = 2; starts <= 5; starts += 1) {
+      expect(platform.requests).toHaveLength(starts - 1);
       client.watchStore(1);
-      await until(() => eventsOf('store-failed').length === tries, 'the failure is reported');
+      await until(() => eventsOf('store-failed').length === starts, 'the failure is reported');
     }
     platform.override = undefined;
     client.watchStore(1);
