--- a/src/core/configuration/apply-objects.ts
+++ b/src/core/configuration/apply-objects.ts
@@ -1,6 +1,6 @@
 /** Puts objects into force if they are newer than those held. */
 import type { StoreContent, StoreObject } from '../../catalog/store-object.js';
-import { trimHistory } from '../../table/node-history.js';
+import { trimHistory } from '../../table/spread-history.js';
 import type { CoreState } from '../state.js';
 import { REBUILD_CHANGES } from './bounds.js';
 import { updateInForce, deriveInForce } from './derive-in-force.js';
--- a/src/core/configuration/older-store.ts
+++ b/src/core/configuration/older-store.ts
@@ -9,7 +9,7 @@
  * revision that all nodes accept. Objects written by the platform are not overwritten.
  */
 import type { StoreObject } from '../../catalog/store-object.js';
-import { completeHistory } from '../../table/node-history.js';
+import { completeHistory } from '../../table/spread-history.js';
 import type { Effect } from '../effect.js';
 import type {
   ObjectRead,
--- a/src/core/configuration/store-watch.ts
+++ b/src/core/configuration/store-watch.ts
@@ -1,5 +1,5 @@
 /** The watch of the store: which node runs it, how changes are handled, and when it is retried. */
-import { trimHistory } from '../../table/node-history.js';
+import { trimHistory } from '../../table/spread-history.js';
 import type { Effect } from '../effect.js';
 import type { StoreChanged, StoreFailed } from '../event.js';
 import type { CoreState } from '../state.js';
--- a/src/core/editing/decide-edit.ts
+++ b/src/core/editing/decide-edit.ts
@@ -1,7 +1,7 @@
 /** Decides an edit against the object read from the store. */
 import { match } from 'ts-pattern';
 import type { EditRequest } from '../../table/edit.js';
-import { historyOf } from '../../table/node-history.js';
+import { historyOf } from '../../table/spread-history.js';
 import { identifier, type ObjectName } from '../identifiers.js';
 import { decideApproval, decideProposal } from './decide-agreement-edit.js';
 import { decideKeysEdit } from './decide-keys-edit.js';
--- a/src/core/editing/find-older-store.ts
+++ b/src/core/editing/find-older-store.ts
@@ -1,7 +1,7 @@
 /** Detects a store that is older than what this node has in force. */
 import type { StoreObject } from '../../catalog/store-object.js';
 import { HISTORY_LIMIT } from '../../table/sheet.js';
-import { historyOf } from '../../table/node-history.js';
+import { historyOf } from '../../table/spread-history.js';
 
 const hasLostNewestEdit = (held: StoreObject, read: StoreObject): boolean => {
   const newest = historyOf(held.content).at(-1);
--- a/src/core/editing/read-back.ts
+++ b/src/core/editing/read-back.ts
@@ -7,7 +7,7 @@
  * version, the result is not known yet.
  */
 import type { StoreObject } from '../../catalog/store-object.js';
-import { historyOf } from '../../table/node-history.js';
+import { historyOf } from '../../table/spread-history.js';
 import { describeOlderStore } from '../configuration/older-store.js';
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
--- a/src/operator/read-history.ts
+++ b/src/operator/read-history.ts
@@ -5,7 +5,7 @@
 import type { HistoryBody } from '../operator-protocol/table-body.js';
 import type { PartnerId } from '../core/identifiers.js';
 import { type EditRecord, NODE_HISTORY_LIMIT } from '../table/sheet.js';
-import { completeHistory, historyOf } from '../table/node-history.js';
+import { completeHistory, historyOf } from '../table/spread-history.js';
 import type { OperatorContext } from './operator-context.js';
 import { findSheet, type HeldSheet } from './read-table.js';
 
--- a/test/configuration/push-deltas.test.ts
+++ b/test/configuration/push-deltas.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 import { identifier, type ObjectName } from '../../src/core/identifiers.js';
 import type { StoreObject } from '../../src/catalog/store-object.js';
-import { trimHistory } from '../../src/table/node-history.js';
+import { trimHistory } from '../../src/table/spread-history.js';
 import { sheetOf } from '../support/store-contents.js';
 import { VirtualCluster } from '../support/virtual-cluster.js';
 
--- a/test/table/node-history.test.ts
+++ b/test/table/spread-history.test.ts
@@ -3,7 +3,7 @@
 import { identifier } from '../../src/core/identifiers.js';
 import { step } from '../../src/core/reducer.js';
 import { type EditRecord, type Sheet, NODE_HISTORY_LIMIT } from '../../src/table/sheet.js';
-import { completeHistory, historyOf, trimHistory } from '../../src/table/node-history.js';
+import { completeHistory, historyOf, trimHistory } from '../../src/table/spread-history.js';
 import { EditingWorld, sheetName } from '../editing/editing-world.js';
 import { editRows, setRow } from '../editing/edits.js';
 import { VirtualCluster } from '../support/virtual-cluster.js';
