--- a/src/settings/node-settings-schema.ts
+++ b/src/settings/node-settings-schema.ts
@@ -35,7 +35,7 @@
 const peerAddress = (): z.ZodType<HostPort, string> =>
   hostPort().refine(
     (address) => !UNSPECIFIED_HOSTS.includes(address.host),
-    'must name the address other nodes connect to; allowed: an IP number other than 0.0.0.0 and ::',
+    'is not an address to which other nodes can connect; allowed: an IP address other than 0.0.0.0 and ::',
   );
 
 const seedAddress = (): z.ZodType<HostPort, string> =>
@@ -50,20 +50,20 @@
   return url.protocol === 'http:' && isIP(host) !== 0 && url.pathname === '/';
 };
 
-const PLATFORM_FORMAT = 'http://, an IP number and a port, e.g. http://127.0.0.1:7000';
+const PLATFORM_FORMAT = 'http://, an IP address and a port, e.g. http://127.0.0.1:7000';
 
 /** The fields of a settings file; an unknown field is an error. */
 export const NODE_SETTINGS_SCHEMA = z.strictObject({
   node: name().describe('Name of the node, unique over all nodes, e.g. `bole-1`.'),
-  zone: name().describe('Zone in which the node stands.'),
+  zone: name().describe('Zone in which the node runs.'),
   region: name().describe('Region to which the zone belongs.'),
   caller: hostPort().describe(
-    'Where callers connect, over HTTP: an IP number and a port; port 0 lets the kernel pick.',
+    'Address for callers (HTTP): an IP address and a port; for port 0, the kernel chooses one.',
   ),
   peer: peerAddress().describe(
-    'Where other nodes connect, over TCP and UDP on one port; the address that they use.',
+    'Address to which other nodes connect, over TCP and UDP on the same port.',
   ),
-  operator: hostPort().describe('Where operators, health checks and metrics connect, over HTTP.'),
+  operator: hostPort().describe('Address for operators, health checks and metrics (HTTP).'),
   platform: z
     .string(`is missing or not text; allowed: ${PLATFORM_FORMAT}`)
     .refine(isPlatformUrl, `is not a base URL; allowed: ${PLATFORM_FORMAT}`)
@@ -71,21 +71,21 @@
   seeds: z
     .array(seedAddress(), `is not a list; allowed: a list of ${HOST_PORT_FORMAT}`)
     .default([])
-    .describe("Peers to ask first; the platform's machine list is used besides."),
+    .describe("Peers to contact at start, in addition to the platform's machine list."),
   peerSecret: z
     .string(`is missing or not text; allowed: at least ${MIN_SECRET_LENGTH} characters`)
     .min(MIN_SECRET_LENGTH, `is too short; allowed: at least ${MIN_SECRET_LENGTH} characters`)
     .describe(
-      'Secret that all nodes share, at least 16 characters. It lets strangers in nowhere and signs the sessions of the web page.',
+      'Secret that all nodes share, at least 16 characters. It authenticates nodes to each other and signs the sessions of the web page.',
     ),
   logLevel: z
     .enum(LOG_LEVELS, `is not a level; allowed: ${LOG_LEVELS.join(', ')}`)
     .default('info')
-    .describe('Least level of lines that are logged.'),
+    .describe('Least severe level that is logged.'),
   seed: z
     .int32('is not a whole number; allowed: a 32-bit integer')
     .optional()
-    .describe("Seeds the core's generator, a 32-bit integer; drawn at random when absent."),
+    .describe("Seed of the core's random generator, a 32-bit integer; chosen at random if absent."),
   record: z
     .string('is not text; allowed: a file name')
     .min(1)
--- a/src/settings/parse-host-port.ts
+++ b/src/settings/parse-host-port.ts
@@ -9,9 +9,9 @@
 const ADDRESS_PATTERN = /^(?:\[([^\]]+)\]|([^:[\]]+)):(\d{1,5})$/;
 
 /** Description of the address format, for findings and help texts. */
-export const HOST_PORT_FORMAT = 'IP number and port, e.g. 127.0.0.1:8080 or [::1]:8080';
+export const HOST_PORT_FORMAT = 'IP address and port, e.g. 127.0.0.1:8080 or [::1]:8080';
 
-/** Parses an address; host names are refused. Port 0 is accepted, its meaning is up to the caller. */
+/** Parses an address; host names are refused. Port 0 is accepted. */
 export const parseHostPort = (text: string): Either<string, HostPort> => {
   const parts = ADDRESS_PATTERN.exec(text);
   if (parts === null) {
@@ -20,7 +20,7 @@
   const host = parts[1] ?? parts[2] ?? '';
   const port = Number(parts[3]);
   if (isIP(host) === 0) {
-    return Left('its host is not an IP number');
+    return Left('its host is not an IP address');
   }
   if (port > MAX_PORT) {
     return Left(`its port is above ${MAX_PORT}`);
--- a/src/table/columns.ts
+++ b/src/table/columns.ts
@@ -71,32 +71,32 @@
   {
     name: 'partner',
     type: 'name',
-    help: 'The partner whose row it is. Only its own operators can write the row.',
+    help: 'Partner that owns the row. Only its operators can write the row.',
   },
   { name: 'route', type: 'name', help: 'Name of the route; callers use it in the path.' },
   {
     name: 'kind',
     type: 'name',
-    help: 'Kind of request. Route and kind together name the row.',
+    help: 'Kind of request. Route and kind together identify the row.',
   },
   {
     name: 'services',
     type: 'services',
-    help: 'Services whose shards a query touches; a prefix ending in * stands for all that begin with it.',
+    help: 'Services whose shards a query uses; a prefix ending in * matches all services that begin with it.',
   },
   {
     name: 'fanOut',
     type: 'choice',
     choices: ['all', 'key'],
     defaultValue: 'all',
-    help: 'Whether a query goes to every shard of the services or to the one that its key hashes to.',
+    help: 'Whether a query goes to every shard of the services, or only to the shard its key hashes to.',
   },
   {
     name: 'merge',
     type: 'choice',
     choices: ['concatenate', 'top', 'sum'],
     defaultValue: 'concatenate',
-    help: 'How the answers of the shards become one: all items, those with the highest scores, or the sum of scores by item.',
+    help: 'How the answers of the shards are merged: all items, the items with the highest scores, or the sum of scores by item.',
   },
   {
     name: 'maxItems',
@@ -105,7 +105,7 @@
     minimum: 1,
     maximum: MAX_ITEMS_LIMIT,
     defaultValue: 100,
-    help: 'Most items in an answer.',
+    help: 'Maximum number of items in an answer.',
   },
   {
     name: 'weight',
@@ -125,7 +125,7 @@
     maximum: DEADLINE_LIMIT_MS,
     unit: 'ms',
     defaultValue: 1_000,
-    help: 'Longest a query may take when the caller names no shorter time.',
+    help: 'Maximum duration of a query; callers may request a shorter one.',
   },
   {
     name: 'coverage',
@@ -134,7 +134,7 @@
     minimum: 0,
     maximum: 1,
     defaultValue: 1,
-    help: 'Share of shards with which a query may end before its deadline; 1 waits for all.',
+    help: 'Share of shards that is enough to answer a query before its deadline; 1 waits for all.',
   },
   {
     name: 'safeToRepeat',
@@ -149,7 +149,7 @@
     maximum: QUERY_LIMIT,
     unit: 'queries',
     optional: true,
-    help: 'Most queries in progress at once, over all nodes together.',
+    help: 'Maximum number of concurrent queries, over all nodes together.',
   },
   {
     name: 'perSecondLimit',
@@ -160,7 +160,7 @@
     maximum: QUERY_LIMIT,
     unit: 'queries a second',
     optional: true,
-    help: 'Most queries a second, over all nodes together.',
+    help: 'Maximum number of queries per second, over all nodes together.',
   },
   {
     name: 'extraLoadLimit',
@@ -169,7 +169,7 @@
     minimum: 0,
     maximum: 1,
     defaultValue: 0.02,
-    help: 'Hedges and retries as a share of the legs that the queries need.',
+    help: 'Maximum number of hedges and retries, as a share of the legs that the queries need.',
   },
   {
     name: 'hedging',
