--- a/src/core/admission/find-holder.ts
+++ b/src/core/admission/find-holder.ts
@@ -3,7 +3,7 @@
  * member by rendezvous hashing. Where too many nodes would ask the holder, it is the first member of
  * the zone or of a group of the zone's nodes.
  */
-import type { GrantAsker, GrantLevel } from '../../protocol/grant-messages.js';
+import type { GrantRequester, GrantLevel } from '../../protocol/grant-messages.js';
 import { hash32 } from '../hash.js';
 import type { NodeId } from '../identifiers.js';
 import { findFirstMember, findFirstOf } from '../keepers/first-member.js';
@@ -57,7 +57,7 @@
     return known;
   }
   const holder = findFirstMember(state, `limit|${row}`);
-  const cached = { viewVersion, holder, asked: new Map<GrantAsker, GrantHolder>() };
+  const cached = { viewVersion, holder, asked: new Map<GrantRequester, GrantHolder>() };
   state.admission.holders.set(row, cached);
   return cached;
 };
@@ -67,7 +67,7 @@
   getCachedHolder(state, row).holder;
 
 /** Returns the level from which `asker` requests its grants. */
-const levelAbove = (levels: ZoneLevels, asker: GrantAsker): GrantLevel => {
+const levelAbove = (levels: ZoneLevels, asker: GrantRequester): GrantLevel => {
   switch (asker) {
     case 'node':
       return levels.first;
@@ -92,7 +92,7 @@
 };
 
 /** Returns the node and level from which this node, as `asker`, requests grants of the row's limits. */
-export const findAsked = (state: CoreState, row: string, asker: GrantAsker): GrantHolder => {
+export const findAsked = (state: CoreState, row: string, asker: GrantRequester): GrantHolder => {
   const { asked } = getCachedHolder(state, row);
   const known = asked.get(asker);
   if (known !== undefined) {
--- a/src/core/admission/state.ts
+++ b/src/core/admission/state.ts
@@ -1,6 +1,6 @@
 /** State of limits that apply to all nodes together. */
 import type {
-  GrantAsker,
+  GrantRequester,
   GrantLevel,
   GrantRequest,
   LimitBound,
@@ -37,7 +37,7 @@
 /** A requester of grants of a limit: this node for itself, or as a divider for its grantees. */
 export interface Grantee {
   readonly limit: LimitKey;
-  readonly asker: GrantAsker;
+  readonly asker: GrantRequester;
   held: HeldGrant | undefined;
   pending: PendingGrant | undefined;
   /** Demand reported with the last request, and the time of that request. */
@@ -156,7 +156,7 @@
   readonly viewVersion: number;
   readonly holder: NodeId;
   /** Nodes that this node asks for itself, its group and its zone; filled on demand. */
-  readonly asked: Map<GrantAsker, GrantHolder>;
+  readonly asked: Map<GrantRequester, GrantHolder>;
 }
 
 /** Levels at which this node's zone requests grants, for one version of the view. */
@@ -210,7 +210,7 @@
 export const limitName = (limit: LimitKey): string => `${limit.row}|${limit.bound}`;
 
 /** Returns the key of a divider. */
-export const dividerName = (limit: LimitKey, asker: GrantAsker): string =>
+export const dividerName = (limit: LimitKey, asker: GrantRequester): string =>
   `${limitName(limit)}|${asker}`;
 
 /**
@@ -218,5 +218,5 @@
  * because grants of an earlier process may still be in use at other nodes. A node's own use ends with
  * its process, so the node has a single slice.
  */
-export const sliceName = (from: NodeId, asker: GrantAsker, process: number): string =>
+export const sliceName = (from: NodeId, asker: GrantRequester, process: number): string =>
   asker === 'node' ? from : `${from}|${asker}|${process}`;
--- a/src/gateway/runtime/peers/peer-connection.ts
+++ b/src/gateway/runtime/peers/peer-connection.ts
@@ -1,7 +1,7 @@
 /** One TCP connection between two gateways; messages are framed with their length. */
 import type { Socket } from 'node:net';
 import type { MonotonicClock } from '../../../runtime/monotonic-clock.js';
-import { frameBytes } from '../../../protocol/codec/frame.js';
+import { encodeFrame } from '../../../protocol/codec/frame.js';
 import { FrameReader } from '../../../protocol/codec/frame-reader.js';
 import { decodePeerMessage, encodePeerMessage } from './peer-codec.js';
 import type { PeerMessage } from './peer-message.js';
@@ -13,7 +13,7 @@
 const MAX_PENDING_BYTES = 8 * 1024 * 1024;
 
 /** Returns a message as a frame. */
-export const frameOf = (message: PeerMessage): Buffer => frameBytes(encodePeerMessage(message));
+export const frameOf = (message: PeerMessage): Buffer => encodeFrame(encodePeerMessage(message));
 
 /** Receives the events of a connection. */
 export interface PeerConnectionListener {
--- a/src/runtime/caller/caller-server.ts
+++ b/src/runtime/caller/caller-server.ts
@@ -1,4 +1,4 @@
-/** The caller port: turns HTTP requests into queries and outcomes into answers. */
+/** The caller port: converts HTTP requests to queries, and outcomes to responses. */
 import type { HttpBindings } from '@hono/node-server';
 import { type Context, Hono } from 'hono';
 import { createRefusalLog, type RefusalLog } from '../../auth/refusal-log.js';
@@ -19,7 +19,7 @@
 import { type Problem, problemResponse } from './problem.js';
 import { readBody } from './read-body.js';
 
-/** What the caller port needs of its node. */
+/** Dependencies of the caller port. */
 export interface CallerServerContext {
   readonly state: CoreState;
   readonly sink: EventSink;
@@ -28,7 +28,7 @@
   readonly answers: AnswerRecorder;
 }
 
-interface OpenCall {
+interface PendingCall {
   readonly query: QueryRequest;
   readonly arrivedAt: number;
   resolve(outcome: QueryOutcome): void;
@@ -44,10 +44,10 @@
   reason: 'body-too-large',
 };
 
-const CUT: Problem = {
+const BODY_CUT: Problem = {
   status: 400,
   title: 'Malformed request',
-  detail: 'The body ended before it was whole.',
+  detail: 'The connection closed before the body was complete.',
   outcome: 'not-run',
   reason: 'body-cut',
 };
@@ -55,12 +55,12 @@
 const NOT_FOUND: Problem = {
   status: 404,
   title: 'Not found',
-  detail: 'The caller port serves POST /v1/{partner}/{route} alone.',
+  detail: 'The caller port serves only POST /v1/{partner}/{route}.',
   outcome: 'not-run',
   reason: 'not-found',
 };
 
-/** A node that starts knows no keys yet, so it cannot tell a stranger from a caller. */
+/** A starting node has read no keys yet and cannot authenticate callers. */
 const STARTING: Problem = {
   status: 503,
   title: 'Not ready',
@@ -81,18 +81,18 @@
 const malformed = (findings: readonly Finding[]): Problem => ({
   status: 400,
   title: 'Malformed request',
-  detail: 'The request has errors; none of it ran.',
+  detail: 'The request is invalid; none of it ran.',
   outcome: 'not-run',
   reason: 'malformed-request',
   findings,
 });
 
-/** Holds the calls that wait for their outcome. */
+/** Handles requests to the caller port and holds the pending calls. */
 export class CallerServer {
   readonly fetch: FetchHandler;
-  private readonly calls = new Map<CallId, OpenCall>();
+  private readonly calls = new Map<CallId, PendingCall>();
   private readonly refusals: RefusalLog;
-  private callsTaken = 0;
+  private receivedCalls = 0;
 
   constructor(private readonly context: CallerServerContext) {
     this.refusals = createRefusalLog(
@@ -102,12 +102,12 @@
     this.fetch = this.createApp().fetch;
   }
 
-  /** Calls without an answer. */
-  get openCalls(): number {
+  /** Number of calls without an answer. */
+  get pendingCalls(): number {
     return this.calls.size;
   }
 
-  /** Carries out `answer-caller`; a call whose caller has left is ignored. */
+  /** Carries out `answer-caller`; ignored if the caller has closed its connection. */
   answer(effect: AnswerCaller): void {
     const call = this.calls.get(effect.call);
     if (call === undefined) {
@@ -122,7 +122,7 @@
   private createApp(): Hono<{ Bindings: HttpBindings }> {
     const app = new Hono<{ Bindings: HttpBindings }>();
     app.post('/v1/:partner/:route', (call) =>
-      this.handle(call, call.req.param('partner'), call.req.param('route')),
+      this.handleRequest(call, call.req.param('partner'), call.req.param('route')),
     );
     app.notFound(() => problemResponse(NOT_FOUND));
     app.onError((error) => {
@@ -132,7 +132,11 @@
     return app;
   }
 
-  private async handle(call: CallerContext, partner: string, route: string): Promise<Response> {
+  private async handleRequest(
+    call: CallerContext,
+    partner: string,
+    route: string,
+  ): Promise<Response> {
     if (this.context.state.phase === 'starting') {
       return problemResponse(STARTING);
     }
@@ -144,7 +148,7 @@
     }
     const body = await readBody(call.env.incoming, MAX_BODY_BYTES);
     if (body.type !== 'read') {
-      return problemResponse(body.type === 'cut' ? CUT : TOO_LARGE);
+      return problemResponse(body.type === 'cut' ? BODY_CUT : TOO_LARGE);
     }
     const query = readCallerRequest({
       partner: partnerId,
@@ -155,7 +159,7 @@
     if (query.isLeft()) {
       return problemResponse(malformed(query.swap().orDefault([])));
     }
-    return outcomeResponse(await this.ask(call, query.unsafeCoerce()));
+    return outcomeResponse(await this.submitQuery(call, query.unsafeCoerce()));
   }
 
   private refuse(call: CallerContext, refused: CallerRefusal): Response {
@@ -168,9 +172,9 @@
     return problemResponse(refused.problem);
   }
 
-  private ask(call: CallerContext, query: QueryRequest): Promise<QueryOutcome> {
-    this.callsTaken += 1;
-    const id = identifier<CallId>(`call-${this.callsTaken}`);
+  private submitQuery(call: CallerContext, query: QueryRequest): Promise<QueryOutcome> {
+    this.receivedCalls += 1;
+    const id = identifier<CallId>(`call-${this.receivedCalls}`);
     const arrivedAt = this.context.clock.now();
     return new Promise((resolve) => {
       this.calls.set(id, { query, arrivedAt, resolve });
--- a/src/runtime/caller/read-body.ts
+++ b/src/runtime/caller/read-body.ts
@@ -1,19 +1,19 @@
-/** Reads the body of a caller's request, of bounded length, without a web stream in between. */
+/** Reads the body of a caller's request up to a length limit, without the cost of a web stream. */
 import type { IncomingMessage } from 'node:http';
 
-/** What came of reading a body. */
-export type BodyReading =
+/** The result of reading a body. */
+export type BodyReadResult =
   | { readonly type: 'read'; readonly text: string }
   | { readonly type: 'too-large' }
-  /** The caller went away before the body was whole. */
+  /** The connection closed before the body was complete. */
   | { readonly type: 'cut' };
 
-const announcesTooMuch = (incoming: IncomingMessage, maxBytes: number): boolean =>
+const exceedsContentLength = (incoming: IncomingMessage, maxBytes: number): boolean =>
   Number(incoming.headers['content-length'] ?? 0) > maxBytes;
 
 /** Reads a body of at most `maxBytes`. */
-export const readBody = (incoming: IncomingMessage, maxBytes: number): Promise<BodyReading> => {
-  if (announcesTooMuch(incoming, maxBytes)) {
+export const readBody = (incoming: IncomingMessage, maxBytes: number): Promise<BodyReadResult> => {
+  if (exceedsContentLength(incoming, maxBytes)) {
     return Promise.resolve({ type: 'too-large' });
   }
   return new Promise((resolve) => {
--- a/src/runtime/event-loop.ts
+++ b/src/runtime/event-loop.ts
@@ -1,22 +1,22 @@
-/** Runs a reducer: takes events one at a time and carries out the effects of each. */
+/** Runs a reducer: handles one event at a time and carries out its effects. */
 
-/** Takes events. */
-export interface EventTaker<Event> {
+/** Receives events. */
+export interface EventReceiver<Event> {
   emit(event: Event): void;
 }
 
 /**
- * The loop over the events of a reducer. An event emitted while another is handled waits for its turn,
- * so that the effects of one event are all carried out before the next event is taken.
+ * The event loop of a reducer. An event that is emitted while another is handled is queued, so that all
+ * effects of an event are carried out before the next event is handled.
  */
-export class EventLoop<Event, Effect> implements EventTaker<Event> {
+export class EventLoop<Event, Effect> implements EventReceiver<Event> {
   private queue: Event[] = [];
   private running = false;
   private halted = false;
 
   /**
-   * @param step - takes one event, updates the state and returns the effects in their order
-   * @param carryOut - carries out one effect
+   * @param step - handles an event: updates the state and returns the effects in order
+   * @param carryOut - carries out an effect
    */
   constructor(
     private readonly step: (event: Event) => readonly Effect[],
@@ -33,7 +33,7 @@
     }
   }
 
-  /** Takes no further event. */
+  /** Discards queued events and ignores further ones. */
   halt(): void {
     this.halted = true;
     this.queue = [];
@@ -45,7 +45,7 @@
       for (let index = 0; index < this.queue.length; index += 1) {
         const event = this.queue[index];
         if (event !== undefined) {
-          this.take(event);
+          this.handleEvent(event);
         }
       }
     } finally {
@@ -54,7 +54,7 @@
     }
   }
 
-  private take(event: Event): void {
+  private handleEvent(event: Event): void {
     for (const effect of this.step(event)) {
       this.carryOut(effect);
     }
--- a/src/runtime/peer/datagrams.ts
+++ b/src/runtime/peer/datagrams.ts
@@ -1,4 +1,4 @@
-/** Sends and takes datagrams; each carries a tag made with the shared secret. */
+/** Sends and receives datagrams, which are authenticated by a tag made with the shared secret. */
 import type { Socket } from 'node:dgram';
 import type { SendDatagram } from '../../core/effect.js';
 import { decodeDatagram, encodeDatagram } from '../../protocol/codec/datagram.js';
@@ -7,7 +7,7 @@
 import type { LogWriter } from '../node-log.js';
 import { areEqual, type SharedSecret } from './shared-secret.js';
 
-/** What datagrams need of their node. */
+/** Dependencies of `Datagrams`. */
 export interface DatagramsContext {
   readonly socket: Socket;
   readonly secret: SharedSecret;
@@ -21,8 +21,8 @@
   private closed = false;
 
   constructor(private readonly context: DatagramsContext) {
-    context.socket.on('message', (bytes) => this.take(bytes));
-    context.socket.on('error', (error) => this.report(error.message));
+    context.socket.on('message', (bytes) => this.handleDatagram(bytes));
+    context.socket.on('error', (error) => this.logProblem(error.message));
   }
 
   send(effect: SendDatagram): void {
@@ -31,11 +31,11 @@
     }
     const { socket, secret } = this.context;
     encodeDatagram(effect.message, secret.tagDatagram).caseOf({
-      Left: (problem) => this.report(`A datagram was not sent: it ${problem}`),
+      Left: (problem) => this.logProblem(`A datagram was not sent: it ${problem}`),
       Right: (bytes) =>
         socket.send(bytes, effect.to.port, effect.to.host, (error) => {
           if (error !== null) {
-            this.report(error.message);
+            this.logProblem(error.message);
           }
         }),
     });
@@ -48,15 +48,15 @@
     }
   }
 
-  private take(bytes: Buffer): void {
+  private handleDatagram(bytes: Buffer): void {
     const { secret, sink, clock } = this.context;
     decodeDatagram(bytes, secret.tagDatagram, areEqual).caseOf({
-      Left: (problem) => this.report(`A datagram was refused: it ${problem}`),
+      Left: (problem) => this.logProblem(`A datagram was discarded: it ${problem}`),
       Right: (message) => sink.emit({ type: 'datagram-arrived', at: clock.now(), message }),
     });
   }
 
-  private report(sentence: string): void {
+  private logProblem(sentence: string): void {
     this.context.log('debug', 'peer', `${sentence}.`);
   }
 }
--- a/src/runtime/peer/link-timing.ts
+++ b/src/runtime/peer/link-timing.ts
@@ -1,25 +1,25 @@
-/** Times of links, all in milliseconds. */
+/** Intervals and timeouts of links, all in milliseconds. */
 export interface LinkTiming {
-  /** How often links are looked over. */
-  readonly sweepMs: number;
-  /** Links are not judged right after this process itself stood still for this long. */
-  readonly pauseMs: number;
-  /** A link on which nothing was sent for this long sends a heartbeat. */
-  readonly heartbeatMs: number;
-  /** A link from which nothing came for this long is taken for half-open. */
-  readonly silenceMs: number;
-  /** A link without messages for this long is closed. */
-  readonly idleMs: number;
-  /** Longest time to connect and authenticate. */
-  readonly handshakeMs: number;
+  /** Interval at which all links are checked. */
+  readonly sweepIntervalMs: number;
+  /** A check is skipped if the previous one is longer ago than this, as the process was paused. */
+  readonly processPauseMs: number;
+  /** A link sends a heartbeat if it has sent nothing for this time. */
+  readonly heartbeatIntervalMs: number;
+  /** A link that has received nothing for this time is considered half-open and is closed. */
+  readonly receiveTimeoutMs: number;
+  /** A link without messages for this time is closed. */
+  readonly idleCloseMs: number;
+  /** Maximum time to connect and authenticate. */
+  readonly handshakeTimeoutMs: number;
 }
 
-/** The times of a node. */
+/** The intervals and timeouts of a node. */
 export const DEFAULT_LINK_TIMING: LinkTiming = {
-  sweepMs: 500,
-  pauseMs: 1_500,
-  heartbeatMs: 1_000,
-  silenceMs: 3_500,
-  idleMs: 30_000,
-  handshakeMs: 2_000,
+  sweepIntervalMs: 500,
+  processPauseMs: 1_500,
+  heartbeatIntervalMs: 1_000,
+  receiveTimeoutMs: 3_500,
+  idleCloseMs: 30_000,
+  handshakeTimeoutMs: 2_000,
 };
--- a/src/runtime/peer/link.ts
+++ b/src/runtime/peer/link.ts
@@ -1,8 +1,8 @@
-/** One TCP connection to a peer: handshake first, then frames of messages. */
+/** A TCP connection to a peer: first the handshake, then frames of messages. */
 import type { Socket } from 'node:net';
 import type { NodeId } from '../../core/identifiers.js';
-import { frameBytes } from '../../protocol/codec/frame.js';
-import { FrameReader, type FrameReading } from '../../protocol/codec/frame-reader.js';
+import { encodeFrame } from '../../protocol/codec/frame.js';
+import { FrameReader, type FrameReadResult } from '../../protocol/codec/frame-reader.js';
 import {
   decodeLinkFrame,
   encodeLinkFrame,
@@ -13,27 +13,27 @@
 import type { MonotonicClock } from '../monotonic-clock.js';
 import { type Handshake, MAX_HANDSHAKE_BYTES } from './handshake.js';
 
-/** Most bytes that wait to be written; a peer that reads slower than this loses the link. */
+/** Maximum length of the send queue, in bytes; the link to a peer that reads too slowly is closed. */
 export const MAX_SEND_QUEUE_BYTES = 32 * 1024 * 1024;
 
-/** What a link tells its owner. */
+/** Receives the events of a link. */
 export interface LinkListener {
   onReady(link: Link, peer: NodeId): void;
   onMessages(link: Link, peer: NodeId, messages: readonly LinkMessage[]): void;
-  /** Called once; `problem` is absent when the peer closed the connection in order. */
+  /** Called once; `problem` is undefined if the connection was closed without an error. */
   onClosed(link: Link, problem: string | undefined): void;
 }
 
-/** A link in any state. */
+/** A link, in any state of its connection. */
 export class Link {
-  /** Set once both sides are authenticated. */
+  /** The peer; undefined until both sides are authenticated. */
   peer: NodeId | undefined;
-  /** When bytes last came, in milliseconds on the node's clock. */
-  heardAt: number;
-  /** When a message last came or went. */
-  usedAt: number;
-  /** When a frame last went. */
-  sentAt: number;
+  /** When bytes were last received, in milliseconds by the node's clock. */
+  lastReceivedAt: number;
+  /** When a message was last received or sent. */
+  lastMessageAt: number;
+  /** When a frame was last sent. */
+  lastSentAt: number;
   private readonly reader = new FrameReader(MAX_HANDSHAKE_BYTES);
   private closed = false;
 
@@ -43,25 +43,25 @@
     private readonly clock: MonotonicClock,
     private readonly listener: LinkListener,
   ) {
-    this.heardAt = clock.now();
-    this.usedAt = this.heardAt;
-    this.sentAt = this.heardAt;
+    this.lastReceivedAt = clock.now();
+    this.lastMessageAt = this.lastReceivedAt;
+    this.lastSentAt = this.lastReceivedAt;
     socket.setNoDelay(true);
     socket.on('data', (chunk: Buffer) => this.read(chunk));
     socket.on('error', (error) => this.close(error.message));
     socket.on('end', () => this.close(undefined));
-    socket.on('close', () => this.close('the connection was closed'));
+    socket.on('close', () => this.close('the connection closed'));
   }
 
   /** Sends a frame of the handshake. */
   sendHandshake(body: Buffer): void {
-    this.socket.write(frameBytes(body));
+    this.socket.write(encodeFrame(body));
   }
 
-  /** Sends messages in one frame; closes the link when too much waits already. */
+  /** Sends messages in one frame; closes the link if the frame or the send queue is too long. */
   send(messages: readonly LinkMessage[]): void {
     const frame = encodeLinkFrame(messages);
-    this.usedAt = this.clock.now();
+    this.lastMessageAt = this.clock.now();
     if (frame.length > MAX_FRAME_BYTES) {
       this.close(`a frame of ${frame.length} bytes is too long to send`);
       return;
@@ -69,12 +69,12 @@
     this.write(frame);
   }
 
-  /** Tells the peer that this side lives. */
+  /** Sends a heartbeat, which shows the peer that the connection is alive. */
   sendHeartbeat(): void {
     this.write(HEARTBEAT_FRAME);
   }
 
-  /** Ends the link in order: what was sent still arrives. */
+  /** Closes the link gracefully: data that was sent still arrives. */
   end(): void {
     if (!this.closed) {
       this.closed = true;
@@ -83,7 +83,7 @@
     }
   }
 
-  /** Ends the link at once. */
+  /** Closes the link at once. */
   close(problem: string | undefined): void {
     if (this.closed) {
       return;
@@ -94,43 +94,43 @@
   }
 
   private write(frame: Buffer): void {
-    this.sentAt = this.clock.now();
+    this.lastSentAt = this.clock.now();
     this.socket.write(frame);
     if (this.socket.writableLength > MAX_SEND_QUEUE_BYTES) {
-      this.close(`${this.socket.writableLength} bytes wait to be sent`);
+      this.close(`the send queue holds ${this.socket.writableLength} bytes`);
     }
   }
 
   private read(chunk: Buffer): void {
-    this.heardAt = this.clock.now();
-    this.takeReading(this.reader.read(chunk));
+    this.lastReceivedAt = this.clock.now();
+    this.handleReadResult(this.reader.read(chunk));
   }
 
-  private takeReading(reading: FrameReading): void {
+  private handleReadResult(reading: FrameReadResult): void {
     if (reading.type === 'oversized') {
-      this.close(`a frame of ${reading.length} bytes was announced`);
+      this.close(`the peer announced a frame of ${reading.length} bytes`);
       return;
     }
     for (const body of reading.bodies) {
       if (!this.closed) {
-        this.takeBody(body);
+        this.handleBody(body);
       }
     }
     if (reading.more && !this.closed) {
-      this.takeReading(this.reader.readHeld());
+      this.handleReadResult(this.reader.readBuffered());
     }
   }
 
-  private takeBody(body: Buffer): void {
+  private handleBody(body: Buffer): void {
     if (this.peer === undefined) {
-      this.takeHandshake(body);
+      this.handleHandshake(body);
     } else if (body.length > 0) {
-      this.takeMessages(body, this.peer);
+      this.handleMessages(body, this.peer);
     }
   }
 
-  private takeHandshake(body: Buffer): void {
-    this.handshake.take(body).caseOf({
+  private handleHandshake(body: Buffer): void {
+    this.handshake.handleFrame(body).caseOf({
       Left: (problem) => this.close(problem),
       Right: (next) => {
         if (next.body !== undefined) {
@@ -145,8 +145,8 @@
     });
   }
 
-  private takeMessages(body: Buffer, peer: NodeId): void {
-    this.usedAt = this.clock.now();
+  private handleMessages(body: Buffer, peer: NodeId): void {
+    this.lastMessageAt = this.clock.now();
     decodeLinkFrame(body).caseOf({
       Left: (problem) => this.close(`a frame ${problem}`),
       Right: (messages) => this.listener.onMessages(this, peer, messages),
--- a/src/runtime/peer/peer-links.ts
+++ b/src/runtime/peer/peer-links.ts
@@ -1,4 +1,4 @@
-/** All links of a node: opened when there is something to send, shared by both directions. */
+/** All links of a node. A link is opened on demand and carries messages in both directions. */
 import { connect, type Socket } from 'node:net';
 import type { SendLink } from '../../core/effect.js';
 import type { NodeId } from '../../core/identifiers.js';
@@ -12,17 +12,17 @@
 import { DEFAULT_LINK_TIMING, type LinkTiming } from './link-timing.js';
 import type { SharedSecret } from './shared-secret.js';
 
-/** Most connections of strangers that are not authenticated yet. */
+/** Maximum number of accepted connections that are not authenticated yet. */
 const MAX_UNAUTHENTICATED = 256;
 
-/** Most messages that wait for a link to open. */
-const MAX_WAITING_MESSAGES = 10_000;
+/** Maximum number of messages that are queued until a link opens. */
+const MAX_QUEUED_MESSAGES = 10_000;
 
-/** Wait before another connect to a peer that could not be reached, doubling, in milliseconds. */
+/** First and longest delay before connecting again after a failure, in milliseconds; doubles each time. */
 const FIRST_BACKOFF_MS = 50;
 const LAST_BACKOFF_MS = 1_000;
 
-/** What links need of their node. */
+/** Dependencies of `PeerLinks`. */
 export interface PeerLinksContext {
   readonly self: NodeId;
   readonly secret: SharedSecret;
@@ -36,13 +36,13 @@
   address: PeerAddress | undefined;
   link: Link | undefined;
   dialing: Link | undefined;
-  waiting: LinkMessage[];
+  outgoing: LinkMessage[];
   backoffMs: number;
-  /** No connect is tried before this time. */
-  dialAt: number;
+  /** Earliest time of the next connect. */
+  nextDialAt: number;
 }
 
-/** Holds the links and carries out `send-link`. */
+/** Manages the links and carries out `send-link`. */
 export class PeerLinks implements LinkListener {
   private readonly peers = new Map<NodeId, Peer>();
   private readonly links = new Set<Link>();
@@ -57,19 +57,19 @@
     private readonly timing: LinkTiming = DEFAULT_LINK_TIMING,
   ) {
     this.sweptAt = context.clock.now();
-    this.sweeper = setInterval(() => this.sweep(), this.timing.sweepMs);
+    this.sweeper = setInterval(() => this.sweep(), this.timing.sweepIntervalMs);
   }
 
-  /** Peers to which a link is open. */
+  /** Number of peers with an open link. */
   get openLinks(): number {
     return [...this.peers.values()].filter((peer) => peer.link !== undefined).length;
   }
 
-  /** Queues a message; all those of one turn of the loop go in one frame. */
+  /** Queues a message; all messages of one turn of the loop are sent in one frame. */
   send(effect: SendLink): void {
     const peer = this.peerOf(effect.to);
     peer.address = effect.address;
-    peer.waiting.push(effect.message);
+    peer.outgoing.push(effect.message);
     this.pending.add(peer);
     if (!this.flushScheduled) {
       this.flushScheduled = true;
@@ -77,7 +77,7 @@
     }
   }
 
-  /** Takes a connection that a peer opened. */
+  /** Accepts a connection that a peer opened. */
   accept(socket: Socket): void {
     const unauthenticated = [...this.links].filter((link) => link.peer === undefined).length;
     if (this.ended || unauthenticated >= MAX_UNAUTHENTICATED) {
@@ -88,14 +88,14 @@
     this.links.add(new Link(socket, new AcceptorHandshake(secret, self), clock, this));
   }
 
-  /** Sends what waits and ends all links in order. */
+  /** Sends the queued messages and closes all links gracefully. */
   end(): void {
     this.flush();
     this.stop();
     this.links.forEach((link) => link.end());
   }
 
-  /** Ends all links at once. */
+  /** Closes all links at once. */
   destroy(): void {
     this.stop();
     this.links.forEach((link) => link.close(undefined));
@@ -106,7 +106,7 @@
     peer.link = link;
     peer.dialing = peer.dialing === link ? undefined : peer.dialing;
     peer.backoffMs = FIRST_BACKOFF_MS;
-    peer.dialAt = 0;
+    peer.nextDialAt = 0;
     this.flushPeer(peer);
   }
 
@@ -122,13 +122,13 @@
     if (this.ended) {
       return;
     }
-    const peer = this.peerWith(link);
+    const peer = this.peerOfLink(link);
     if (problem !== undefined) {
-      const name = peer?.node ?? link.peer ?? 'a stranger';
-      this.context.log('debug', 'peer', `The link to ${name} ended: ${problem}.`);
+      const name = peer?.node ?? link.peer ?? 'an unauthenticated peer';
+      this.context.log('debug', 'peer', `The link to ${name} closed: ${problem}.`);
     }
     if (peer?.dialing === link) {
-      this.failDial(peer);
+      this.handleDialFailure(peer);
     } else if (peer?.link === link) {
       peer.link = this.otherLinkTo(peer.node);
       this.reportUnlessIdle(peer, link, problem);
@@ -151,15 +151,15 @@
       address: undefined,
       link: undefined,
       dialing: undefined,
-      waiting: [],
+      outgoing: [],
       backoffMs: FIRST_BACKOFF_MS,
-      dialAt: 0,
+      nextDialAt: 0,
     };
     this.peers.set(node, created);
     return created;
   }
 
-  private peerWith(link: Link): Peer | undefined {
+  private peerOfLink(link: Link): Peer | undefined {
     if (link.peer !== undefined) {
       return this.peers.get(link.peer);
     }
@@ -178,17 +178,17 @@
   }
 
   private flushPeer(peer: Peer): void {
-    if (peer.waiting.length === 0) {
+    if (peer.outgoing.length === 0) {
       return;
     }
     if (peer.link !== undefined) {
-      const messages = peer.waiting;
-      peer.waiting = [];
+      const messages = peer.outgoing;
+      peer.outgoing = [];
       peer.link.send(messages);
       return;
     }
-    const isOver = peer.waiting.length > MAX_WAITING_MESSAGES;
-    if (isOver || (peer.dialing === undefined && this.context.clock.now() < peer.dialAt)) {
+    const isOverLimit = peer.outgoing.length > MAX_QUEUED_MESSAGES;
+    if (isOverLimit || (peer.dialing === undefined && this.context.clock.now() < peer.nextDialAt)) {
       this.reportLost(peer);
       return;
     }
@@ -208,35 +208,35 @@
     link.sendHandshake(handshake.begin());
   }
 
-  private failDial(peer: Peer): void {
+  private handleDialFailure(peer: Peer): void {
     peer.dialing = undefined;
     const jitter = 0.5 + Math.random();
-    peer.dialAt = this.context.clock.now() + peer.backoffMs * jitter;
+    peer.nextDialAt = this.context.clock.now() + peer.backoffMs * jitter;
     peer.backoffMs = Math.min(LAST_BACKOFF_MS, peer.backoffMs * 2);
     if (peer.link === undefined) {
       this.reportLost(peer);
     }
   }
 
-  /** A link that the peer closed in order because it was idle lost nothing. */
+  /** No message is lost if the peer closed an idle link gracefully, so that is not reported. */
   private reportUnlessIdle(peer: Peer, link: Link, problem: string | undefined): void {
-    const idleMs = this.context.clock.now() - link.usedAt;
+    const idleMs = this.context.clock.now() - link.lastMessageAt;
     const wasIdle =
-      problem === undefined && idleMs > this.timing.idleMs / 2 && peer.waiting.length === 0;
+      problem === undefined && idleMs > this.timing.idleCloseMs / 2 && peer.outgoing.length === 0;
     if (!wasIdle) {
       this.reportLost(peer);
     }
   }
 
   private reportLost(peer: Peer): void {
-    peer.waiting = [];
+    peer.outgoing = [];
     const at = this.context.clock.now();
     this.context.sink.emit({ type: 'link-lost', at, peer: peer.node });
   }
 
   private sweep(): void {
     const now = this.context.clock.now();
-    const wasPaused = now - this.sweptAt > this.timing.pauseMs;
+    const wasPaused = now - this.sweptAt > this.timing.processPauseMs;
     this.sweptAt = now;
     if (wasPaused) {
       return;
@@ -248,8 +248,8 @@
       const isUsed = peer.link ?? peer.dialing;
       if (
         isUsed === undefined &&
-        peer.waiting.length === 0 &&
-        now - peer.dialAt > this.timing.idleMs
+        peer.outgoing.length === 0 &&
+        now - peer.nextDialAt > this.timing.idleCloseMs
       ) {
         this.peers.delete(peer.node);
       }
@@ -258,21 +258,21 @@
 
   private sweepLink(link: Link, now: number): void {
     if (link.peer === undefined) {
-      if (now - link.usedAt > this.timing.handshakeMs) {
-        link.close('the handshake took too long');
+      if (now - link.lastMessageAt > this.timing.handshakeTimeoutMs) {
+        link.close('the handshake timed out');
       }
       return;
     }
-    if (now - link.heardAt > this.timing.silenceMs) {
-      link.close('nothing was heard for too long');
-    } else if (now - link.usedAt > this.timing.idleMs) {
-      this.endIdle(link, link.peer);
-    } else if (now - link.sentAt >= this.timing.heartbeatMs) {
+    if (now - link.lastReceivedAt > this.timing.receiveTimeoutMs) {
+      link.close('nothing was received within the timeout');
+    } else if (now - link.lastMessageAt > this.timing.idleCloseMs) {
+      this.endIdleLink(link, link.peer);
+    } else if (now - link.lastSentAt >= this.timing.heartbeatIntervalMs) {
       link.sendHeartbeat();
     }
   }
 
-  private endIdle(link: Link, node: NodeId): void {
+  private endIdleLink(link: Link, node: NodeId): void {
     const peer = this.peers.get(node);
     this.links.delete(link);
     link.end();
--- a/src/runtime/replica/leg-request.ts
+++ b/src/runtime/replica/leg-request.ts
@@ -1,9 +1,9 @@
-/** Bodies of requests to replicas. What the legs of one query share is encoded once. */
+/** Bodies of requests to replicas. The fields that the legs of a query share are encoded once. */
 import type { LegAttempt, LegContext } from '../../protocol/leg-messages.js';
 
 const encodedContexts = new WeakMap<LegContext, string>();
 
-/** Legs of one query mostly come one after the other. */
+/** The last context, which skips the map lookup: legs of a query mostly follow each other. */
 let lastContext: LegContext | undefined;
 let lastEncoded = '';
 
@@ -20,7 +20,7 @@
     payload: context.payload,
   }).slice(1);
 
-const findEncoded = (context: LegContext): string => {
+const encodeCached = (context: LegContext): string => {
   const known = encodedContexts.get(context);
   if (known !== undefined) {
     return known;
@@ -30,17 +30,17 @@
   return encoded;
 };
 
-const encodedOf = (context: LegContext): string => {
+const encodedContext = (context: LegContext): string => {
   if (context !== lastContext) {
-    lastEncoded = findEncoded(context);
+    lastEncoded = encodeCached(context);
     lastContext = context;
   }
   return lastEncoded;
 };
 
-/** The body of `POST /v1/leg`. */
+/** Formats the body of `POST /v1/leg`. */
 export const formatLegRequest = (context: LegContext, leg: LegAttempt): string => {
-  const shared = encodedOf(context);
+  const shared = encodedContext(context);
   const attempt = JSON.stringify(leg.attempt);
   const shard = JSON.stringify(leg.shard);
   return `{"attempt":${attempt},"shard":${shard},${shared}`;
--- a/src/runtime/replica/replica-client.ts
+++ b/src/runtime/replica/replica-client.ts
@@ -1,4 +1,4 @@
-/** Sends attempts to replicas and reports how each ended, exactly once. */
+/** Sends attempts to replicas and reports the outcome of each exactly once. */
 import type { CancelAttempt, CloseReplica, SendAttempt } from '../../core/effect.js';
 import type { AttemptId } from '../../core/identifiers.js';
 import type { AttemptOutcome, LegResult } from '../../protocol/leg-messages.js';
@@ -11,7 +11,7 @@
 import { ReplicaConnections } from './replica-connections.js';
 import { originOf } from './replica-origin.js';
 
-/** Time a replica has to confirm a cancellation before its connection is given up, in ms. */
+/** Time a replica has to confirm a cancellation before the connection is closed, in milliseconds. */
 const CANCEL_GRACE_MS = 100;
 
 /** Carries out `send-attempt`, `cancel-attempt` and `close-replica`. */
@@ -26,10 +26,10 @@
     private readonly clock: MonotonicClock,
     private readonly sink: EventSink,
   ) {
-    this.deadlines = new DeadlineQueue(clock, (handler) => this.giveUp(handler));
+    this.deadlines = new DeadlineQueue(clock, (handler) => this.handleDeadline(handler));
   }
 
-  /** Attempts that have not ended. */
+  /** Number of attempts that have not ended. */
   get attemptsRunning(): number {
     return this.running.size;
   }
@@ -53,11 +53,11 @@
       return;
     }
     if (!handler.sent) {
-      handler.giveUp('cancelled-before-sent', 'cancelled');
+      handler.abandon('cancelled-before-sent', 'cancelled');
       return;
     }
-    handler.due = 'cancelled';
-    this.forgetDeadline(handler);
+    handler.abandonReason = 'cancelled';
+    this.cancelDeadline(handler);
     handler.deadline = this.deadlines.set(handler, this.clock.now() + CANCEL_GRACE_MS);
     this.cancels.cancel(handler.effect.replica, effect.attempt);
   }
@@ -69,7 +69,7 @@
     this.cancels.closeReplica(origin);
   }
 
-  /** Closes all connections at once; attempts in progress are not reported any more. */
+  /** Closes all connections at once; attempts in progress are no longer reported. */
   destroy(): void {
     this.deadlines.clear();
     this.running.clear();
@@ -90,18 +90,18 @@
     return created;
   }
 
-  private giveUp(handler: AttemptHandler): void {
-    if (handler.due === 'cancelled') {
-      handler.giveUp('cancelled-before-sent', 'cancelled');
+  private handleDeadline(handler: AttemptHandler): void {
+    if (handler.abandonReason === 'cancelled') {
+      handler.abandon('cancelled-before-sent', 'cancelled');
       return;
     }
     if (handler.sent) {
       this.cancels.cancel(handler.effect.replica, handler.effect.leg.attempt);
     }
-    handler.giveUp('deadline-passed', 'timed-out');
+    handler.abandon('deadline-passed', 'timed-out');
   }
 
-  private forgetDeadline(handler: AttemptHandler): void {
+  private cancelDeadline(handler: AttemptHandler): void {
     if (handler.deadline !== undefined) {
       this.deadlines.cancel(handler.deadline);
     }
@@ -112,15 +112,15 @@
     if (!this.running.delete(attempt)) {
       return;
     }
-    this.forgetDeadline(handler);
+    this.cancelDeadline(handler);
     const serviceMs = handler.sent ? this.clock.now() - handler.startedAt : 0;
     if (this.results.length === 0) {
-      setImmediate(() => this.report());
+      setImmediate(() => this.emitResults());
     }
     this.results.push({ attempt, outcome, queuedMs: 0, serviceMs });
   };
 
-  private report(): void {
+  private emitResults(): void {
     const { results } = this;
     this.results = [];
     this.sink.emit({ type: 'attempts-ended', at: this.clock.now(), results });
--- a/src/runtime/store/store-client.ts
+++ b/src/runtime/store/store-client.ts
@@ -1,4 +1,4 @@
-/** The platform's object API, as the effects of the core need it. */
+/** Client of the platform's object API, which carries out effects of the core. */
 import { Pool } from 'undici';
 import { type Either, Left, type Maybe, Right } from 'purify-ts';
 import type { StoreObject } from '../../catalog/store-object.js';
@@ -7,23 +7,23 @@
 import type { EventSink } from '../core-loop.js';
 import type { MonotonicClock } from '../monotonic-clock.js';
 import type { LogWriter } from '../node-log.js';
-import { readLimitedText } from './read-limited.js';
+import { readLimitedText } from './read-answer-body.js';
 import {
   readMachines,
   readObject,
-  readStandingVersion,
+  readCurrentVersion,
   readWritten,
   type StoreChanges,
 } from './store-answers.js';
 import { StoreWatch } from './store-watch.js';
 
-/** Connections to the store for requests other than the watch. */
+/** Number of connections for requests other than the watch. */
 const STORE_CONNECTIONS = 4;
 
-/** Longest wait for an answer of the store, in milliseconds. */
+/** Timeout of requests to the store, in milliseconds. */
 const STORE_TIMEOUT_MS = 5_000;
 
-/** What the store client needs of its node. */
+/** Dependencies of the store client. */
 export interface StoreClientContext {
   /** Base URL of the object API. */
   readonly platform: string;
@@ -48,7 +48,7 @@
 
 const objectPath = (name: string): string => `/v1/objects/${encodeURIComponent(name)}`;
 
-/** Carries out the effects about the store. */
+/** Carries out the effects that concern the store. */
 export class StoreClient {
   private readonly pool: Pool;
   private readonly watch: StoreWatch;
@@ -63,8 +63,8 @@
       connect: { timeout: STORE_TIMEOUT_MS },
     });
     this.watch = new StoreWatch(origin, {
-      onChanges: (changes) => this.takeChanges(changes),
-      onFailure: (problem) => this.reportFailure('watch', problem),
+      onChanges: (changes) => this.handleChanges(changes),
+      onFailure: (problem) => this.reportStoreFailure('watch', problem),
     });
   }
 
@@ -83,7 +83,7 @@
       );
       machines.caseOf({
         Left: (problem) =>
-          this.reportFailure('machines', `The machine list was not read: ${problem}`),
+          this.reportStoreFailure('machines', `The machine list was not read: ${problem}`),
         Right: (list) =>
           this.emit({ type: 'machines-read', at: this.context.clock.now(), machines: list }),
       });
@@ -93,13 +93,13 @@
   readObject({ request, name }: ReadObject): void {
     void this.call({ path: objectPath(name), method: 'GET' }).then((called) =>
       called.caseOf({
-        Left: (problem) => this.reportRequest(request, problem),
-        Right: (answer) => this.takeObject(request, answer),
+        Left: (problem) => this.reportRequestFailure(request, problem),
+        Right: (answer) => this.handleReadAnswer(request, answer),
       }),
     );
   }
 
-  /** Reads an object for other use than the core's; Nothing when there is none or no answer. */
+  /** Reads an object outside the core; Nothing if it does not exist or the request fails. */
   async fetchObject(name: ObjectName): Promise<Maybe<StoreObject>> {
     const called = await this.call({ path: objectPath(name), method: 'GET' });
     return called
@@ -113,8 +113,8 @@
     const body = JSON.stringify({ expectedVersion, content });
     void this.call({ path: objectPath(name), method: 'PUT', body }).then((called) =>
       called.caseOf({
-        Left: (problem) => this.reportRequest(request, problem),
-        Right: (answer) => this.takeWrite(request, answer),
+        Left: (problem) => this.reportRequestFailure(request, problem),
+        Right: (answer) => this.handleWriteAnswer(request, answer),
       }),
     );
   }
@@ -142,7 +142,7 @@
     }
   }
 
-  private takeObject(request: StoreRequestId, { status, text }: StoreAnswer): void {
+  private handleReadAnswer(request: StoreRequestId, { status, text }: StoreAnswer): void {
     const at = this.context.clock.now();
     if (status === 404) {
       this.emit({ type: 'object-read', at, request });
@@ -150,40 +150,40 @@
     }
     const read = status === 200 ? readObject(text) : Left(`status ${status}`);
     read.caseOf({
-      Left: (problem) => this.reportRequest(request, problem),
+      Left: (problem) => this.reportRequestFailure(request, problem),
       Right: (object) => this.emit({ type: 'object-read', at, request, object }),
     });
   }
 
-  private takeWrite(request: StoreRequestId, { status, text }: StoreAnswer): void {
+  private handleWriteAnswer(request: StoreRequestId, { status, text }: StoreAnswer): void {
     const at = this.context.clock.now();
     if (status === 409) {
-      readStandingVersion(text).caseOf({
-        Left: (problem) => this.reportRequest(request, problem),
+      readCurrentVersion(text).caseOf({
+        Left: (problem) => this.reportRequestFailure(request, problem),
         Right: (version) => this.emit({ type: 'object-write-refused', at, request, version }),
       });
       return;
     }
     const written = status === 200 ? readWritten(text) : Left(`status ${status}`);
     written.caseOf({
-      Left: (problem) => this.reportRequest(request, problem),
+      Left: (problem) => this.reportRequestFailure(request, problem),
       Right: (place) => this.emit({ type: 'object-written', at, request, ...place }),
     });
   }
 
-  private takeChanges(changes: StoreChanges): void {
+  private handleChanges(changes: StoreChanges): void {
     const { after, through, objects } = changes;
     changes.problems.forEach((problem) => this.context.log('warn', 'store', problem));
     const at = this.context.clock.now();
     this.emit({ type: 'store-changed', at, after, through, objects });
   }
 
-  private reportRequest(request: StoreRequestId, problem: string): void {
+  private reportRequestFailure(request: StoreRequestId, problem: string): void {
     const at = this.context.clock.now();
     this.emit({ type: 'object-request-failed', at, request, problem });
   }
 
-  private reportFailure(request: 'watch' | 'machines', problem: string): void {
+  private reportStoreFailure(request: 'watch' | 'machines', problem: string): void {
     this.context.log('warn', 'store', `${problem}.`);
     this.emit({ type: 'store-failed', at: this.context.clock.now(), request, problem });
   }
--- a/src/table/columns.ts
+++ b/src/table/columns.ts
@@ -1,50 +1,50 @@
 /**
- * The columns of a partner's sheet, typed and documented once. Validation, the CSV header, help
- * texts, the operators' page and the reference are all derived from this list.
+ * The columns of a partner's sheet, with their types and documentation. Validation, the CSV header,
+ * help texts, the operators' page and the reference page are derived from this list.
  */
 import type { RouteRow } from './route-row.js';
 
-/** A column's name; also the row's field in JSON and the header in CSV. */
+/** The name of a column; also the field of a row in JSON and the header in CSV. */
 export type ColumnName = keyof RouteRow;
 
 interface ColumnBase {
   readonly name: ColumnName;
-  /** What the column means, as one or two sentences. */
+  /** Description of the column, in one or two sentences. */
   readonly help: string;
 }
 
-/** A name in lower case, e.g. `season-roster`. */
+/** A column that holds a lower-case name, e.g. `season-roster`. */
 export interface NameColumn extends ColumnBase {
   readonly type: 'name';
 }
 
-/** A list of services, or of prefixes that end in `*`; in CSV separated by spaces. */
+/** A column that holds service names or prefixes ending in `*`, separated by spaces in CSV. */
 export interface ServicesColumn extends ColumnBase {
   readonly type: 'services';
 }
 
-/** One of a few words. */
+/** A column that holds one of a fixed set of words. */
 export interface ChoiceColumn extends ColumnBase {
   readonly type: 'choice';
   readonly choices: readonly string[];
   readonly defaultValue?: string;
 }
 
-/** A number between two bounds. */
+/** A column that holds a number between two bounds. */
 export interface NumberColumn extends ColumnBase {
   readonly type: 'number';
   readonly integer: boolean;
   readonly minimum: number;
-  /** True when the minimum itself is not allowed. */
+  /** True if the minimum is exclusive. */
   readonly aboveMinimum?: boolean;
   readonly maximum: number;
   readonly unit?: string;
   readonly defaultValue?: number;
-  /** True when an empty cell means that there is no limit. */
+  /** True if the cell may be empty, which means no limit. */
   readonly optional?: boolean;
 }
 
-/** True or false. */
+/** A column that holds true or false. */
 export interface FlagColumn extends ColumnBase {
   readonly type: 'flag';
   readonly defaultValue?: boolean;
@@ -53,17 +53,17 @@
 /** A column of the sheet. */
 export type Column = NameColumn | ServicesColumn | ChoiceColumn | NumberColumn | FlagColumn;
 
-/** Longest name of a partner, route, kind or service, in characters. */
+/** Maximum length of the name of a partner, route, kind or service, in characters. */
 export const NAME_LIMIT = 63;
-/** Most services or prefixes in one row. */
+/** Maximum number of services or prefixes in one row. */
 export const SERVICES_LIMIT = 64;
-/** Most items an answer may have. */
+/** Largest allowed value of `maxItems`. */
 const MAX_ITEMS_LIMIT = 10_000;
-/** Largest weight of a row. */
+/** Largest allowed weight of a row. */
 const WEIGHT_LIMIT = 1_000;
-/** Longest deadline of a row, in milliseconds. */
+/** Largest allowed deadline of a row, in milliseconds. */
 const DEADLINE_LIMIT_MS = 60_000;
-/** Largest limit of queries, concurrent or per second. */
+/** Largest allowed limit of queries, concurrent or per second. */
 const QUERY_LIMIT = 1_000_000;
 
 /** All columns, in the order of the sheet. */
@@ -71,32 +71,32 @@
   {
     name: 'partner',
     type: 'name',
-    help: 'The partner whose row it is. Only its own operators can write the row.',
+    help: 'Partner that owns the row. Only its operators can write the row.',
   },
   { name: 'route', type: 'name', help: 'Name of the route; callers use it in the path.' },
   {
     name: 'kind',
     type: 'name',
-    help: 'Kind of request. Route and kind together name the row.',
+    help: 'Kind of request. Route and kind together identify the row.',
   },
   {
     name: 'services',
     type: 'services',
-    help: 'Services whose shards a query touches; a prefix ending in * stands for all that begin with it.',
+    help: 'Services whose shards a query uses; a prefix ending in * matches all services that begin with it.',
   },
   {
     name: 'fanOut',
     type: 'choice',
     choices: ['all', 'key'],
     defaultValue: 'all',
-    help: 'Whether a query goes to every shard of the services or to the one that its key hashes to.',
+    help: 'Whether a query goes to every shard of the services, or only to the shard its key hashes to.',
   },
   {
     name: 'merge',
     type: 'choice',
     choices: ['concatenate', 'top', 'sum'],
     defaultValue: 'concatenate',
-    help: 'How the answers of the shards become one: all items, those with the highest scores, or the sum of scores by item.',
+    help: 'How the answers of the shards are merged: all items, the items with the highest scores, or the sum of scores by item.',
   },
   {
     name: 'maxItems',
@@ -105,7 +105,7 @@
     minimum: 1,
     maximum: MAX_ITEMS_LIMIT,
     defaultValue: 100,
-    help: 'Most items in an answer.',
+    help: 'Maximum number of items in an answer.',
   },
   {
     name: 'weight',
@@ -125,7 +125,7 @@
     maximum: DEADLINE_LIMIT_MS,
     unit: 'ms',
     defaultValue: 1_000,
-    help: 'Longest a query may take when the caller names no shorter time.',
+    help: 'Maximum duration of a query; callers may request a shorter one.',
   },
   {
     name: 'coverage',
@@ -134,7 +134,7 @@
     minimum: 0,
     maximum: 1,
     defaultValue: 1,
-    help: 'Share of shards with which a query may end before its deadline; 1 waits for all.',
+    help: 'Share of shards that is enough to answer a query before its deadline; 1 waits for all.',
   },
   {
     name: 'safeToRepeat',
@@ -149,7 +149,7 @@
     maximum: QUERY_LIMIT,
     unit: 'queries',
     optional: true,
-    help: 'Most queries in progress at once, over all nodes together.',
+    help: 'Maximum number of concurrent queries, over all nodes together.',
   },
   {
     name: 'perSecondLimit',
@@ -160,7 +160,7 @@
     maximum: QUERY_LIMIT,
     unit: 'queries a second',
     optional: true,
-    help: 'Most queries a second, over all nodes together.',
+    help: 'Maximum number of queries per second, over all nodes together.',
   },
   {
     name: 'extraLoadLimit',
@@ -169,7 +169,7 @@
     minimum: 0,
     maximum: 1,
     defaultValue: 0.02,
-    help: 'Hedges and retries as a share of the legs that the queries need.',
+    help: 'Maximum number of hedges and retries, as a share of the legs that the queries need.',
   },
   {
     name: 'hedging',
--- a/src/table/read-row.ts
+++ b/src/table/read-row.ts
@@ -1,4 +1,4 @@
-/** Reads a row that came as JSON, of which nothing is known yet. */
+/** Validates a row of untrusted JSON. */
 import { Left, Right, type Either } from 'purify-ts';
 import { defaultOf, describeAllowed, isAllowed, mayBeEmpty, quoteCell } from './cell.js';
 import { COLUMNS, type Column } from './columns.js';
@@ -8,7 +8,7 @@
 
 const COLUMN_NAMES: ReadonlySet<string> = new Set(COLUMNS.map((column) => column.name));
 
-const findValue = (column: Column, value: unknown, place: string): Finding[] => {
+const checkValue = (column: Column, value: unknown, place: string): Finding[] => {
   if (value === undefined && mayBeEmpty(column)) {
     return [];
   }
@@ -22,7 +22,7 @@
 const isRecord = (value: unknown): value is Record<string, unknown> =>
   typeof value === 'object' && value !== null && !Array.isArray(value);
 
-const nameRow = (record: Record<string, unknown>, index: string): string => {
+const rowLabel = (record: Record<string, unknown>, index: string): string => {
   const { route, kind } = record;
   const named = [route, kind].every(
     (part) => typeof part === 'string' && /^[a-z0-9-]+$/.test(part),
@@ -36,10 +36,10 @@
 };
 
 /**
- * Checks every column of `value` and fills in defaults.
+ * Checks every column of `value` and fills in the defaults.
  *
- * @param sheet - name of the sheet or file for the findings' places
- * @param index - names the row in a place when its own name is unusable, e.g. `#3`
+ * @param sheet - name of the sheet or file, used in the places of findings
+ * @param index - names the row in places if it has no valid route and kind, e.g. `#3`
  */
 export const readRow = (
   value: unknown,
@@ -51,9 +51,9 @@
       { severity: 'error', place: rowPlace(sheet, index), problem: 'is not an object of columns' },
     ]);
   }
-  const row = nameRow(value, index);
+  const row = rowLabel(value, index);
   const findings = COLUMNS.flatMap((column) =>
-    findValue(column, value[column.name], rowPlace(sheet, row, column.name)),
+    checkValue(column, value[column.name], rowPlace(sheet, row, column.name)),
   );
   const unknown = Object.keys(value).filter((name) => !COLUMN_NAMES.has(name));
   for (const name of unknown) {
--- a/src/table/row-order.ts
+++ b/src/table/row-order.ts
@@ -1,36 +1,40 @@
 /**
- * Sheets in the order of their rows: finding, replacing and comparing rows without building an index,
- * so that an edit of one row costs little in a long sheet, and rows that stay are shared.
+ * Operations on sorted rows: finding, replacing and comparing without an index. An edit of one row
+ * of a long sheet is cheap, and the new list shares the unchanged rows with the old one.
  */
-import { compareNames, rowKey, type RowName } from './row-key.js';
+import { compareRowNames, rowKey, type RowName } from './row-key.js';
 import type { SheetRow } from './sheet.js';
 
-/** Whether rows are by route and kind, each once. */
+/** Whether `rows` are sorted by route and kind, without duplicates. */
 export const isOrdered = (rows: readonly SheetRow[]): boolean => {
   for (let index = 1; index < rows.length; index += 1) {
     const [before, after] = [rows[index - 1], rows[index]];
-    if (before !== undefined && after !== undefined && compareNames(before.row, after.row) >= 0) {
+    if (
+      before !== undefined &&
+      after !== undefined &&
+      compareRowNames(before.row, after.row) >= 0
+    ) {
       return false;
     }
   }
   return true;
 };
 
-/** The rows by route and kind, each once; `rows` itself where it is in this order already. */
+/** Sorts by route and kind; the last of duplicate rows wins. Returns `rows` itself if it is sorted. */
 export const orderRows = (rows: readonly SheetRow[]): readonly SheetRow[] =>
   isOrdered(rows)
     ? rows
     : [...new Map(rows.map((each) => [rowKey(each.row), each])).values()].sort((left, right) =>
-        compareNames(left.row, right.row),
+        compareRowNames(left.row, right.row),
       );
 
-/** Position of the first row that does not stand before `name`. */
-const findPlace = (rows: readonly SheetRow[], name: RowName): number => {
+/** Index of the first row that does not sort before `name`. */
+const findInsertionIndex = (rows: readonly SheetRow[], name: RowName): number => {
   let [low, high] = [0, rows.length];
   while (low < high) {
     const middle = (low + high) >>> 1;
     const row = rows[middle]?.row;
-    if (row !== undefined && compareNames(row, name) < 0) {
+    if (row !== undefined && compareRowNames(row, name) < 0) {
       low = middle + 1;
     } else {
       high = middle;
@@ -39,18 +43,18 @@
   return low;
 };
 
-/** Finds a row in `rows`, which are in order. */
+/** Finds a row in `rows`, which must be sorted. */
 export const findRow = (rows: readonly SheetRow[], name: RowName): SheetRow | undefined => {
-  const found = rows[findPlace(rows, name)];
-  return found !== undefined && compareNames(found.row, name) === 0 ? found : undefined;
+  const found = rows[findInsertionIndex(rows, name)];
+  return found !== undefined && compareRowNames(found.row, name) === 0 ? found : undefined;
 };
 
 /**
- * Removes and sets rows; all others are shared with `rows`.
+ * Removes and sets rows; the result shares all other rows with `rows`.
  *
- * @param rows - in order
- * @param removed - `route/kind` of the rows that go
- * @param changed - rows that are new or take the place of their namesakes, each once, in any order
+ * @param rows - sorted rows
+ * @param removed - names (`route/kind`) of the rows to remove
+ * @param changed - rows to add, or to replace the rows of the same name; in any order, no duplicates
  */
 export const replaceRows = (
   rows: readonly SheetRow[],
@@ -58,23 +62,23 @@
   changed: readonly SheetRow[],
 ): SheetRow[] => {
   const kept = removed.size === 0 ? rows : rows.filter(({ row }) => !removed.has(rowKey(row)));
-  const ordered = [...changed].sort((left, right) => compareNames(left.row, right.row));
+  const ordered = [...changed].sort((left, right) => compareRowNames(left.row, right.row));
   const replaced: SheetRow[] = [];
   let next = 0;
   for (const each of ordered) {
-    const place = findPlace(kept, each.row);
+    const place = findInsertionIndex(kept, each.row);
     replaced.push(...kept.slice(next, place), each);
-    const standing = kept[place];
-    const isReplaced = standing !== undefined && compareNames(standing.row, each.row) === 0;
+    const existing = kept[place];
+    const isReplaced = existing !== undefined && compareRowNames(existing.row, each.row) === 0;
     next = isReplaced ? place + 1 : place;
   }
   return [...replaced, ...kept.slice(next)];
 };
 
-/** Takes a row before and after a change; undefined where it does not stand. */
+/** Called with a row before and after a change; undefined where the row does not exist. */
 export type RowVisitor = (before: SheetRow | undefined, after: SheetRow | undefined) => void;
 
-/** Walks two lists of rows, both in order, side by side; rows that both share are passed over. */
+/** Merges two sorted lists of rows and visits each row that differs; skips rows that both share. */
 export const visitChangedRows = (
   before: readonly SheetRow[],
   after: readonly SheetRow[],
@@ -83,7 +87,7 @@
   let [left, right] = [0, 0];
   while (left < before.length || right < after.length) {
     const [old, current] = [before[left], after[right]];
-    const order = compareEnds(old, current);
+    const order = compareHeads(old, current);
     if (old !== current) {
       visit(order <= 0 ? old : undefined, order >= 0 ? current : undefined);
     }
@@ -92,13 +96,13 @@
   }
 };
 
-/** Orders the next rows of two lists; a list that has ended comes last. */
-const compareEnds = (left: SheetRow | undefined, right: SheetRow | undefined): number => {
+/** Compares the next rows of two lists; undefined marks the end of a list and sorts last. */
+const compareHeads = (left: SheetRow | undefined, right: SheetRow | undefined): number => {
   if (left === right) {
     return 0;
   }
   if (left === undefined || right === undefined) {
     return left === undefined ? 1 : -1;
   }
-  return compareNames(left.row, right.row);
+  return compareRowNames(left.row, right.row);
 };
--- a/src/table/sheet-csv.ts
+++ b/src/table/sheet-csv.ts
@@ -1,4 +1,4 @@
-/** Sheets as CSV files: a header of column names, one row a line, in a stable order. */
+/** Sheets as CSV files: a header of column names and one line per row, in a stable order. */
 import { CsvError, parse } from 'csv-parse/sync';
 import { stringify } from 'csv-stringify/sync';
 import { Left, Right, type Either } from 'purify-ts';
@@ -8,22 +8,22 @@
 import type { RouteRow } from './route-row.js';
 import { compareRows, rowKey } from './row-key.js';
 
-/** Longest CSV text that is read, in characters. */
+/** Maximum length of a CSV text, in characters. */
 const CSV_TEXT_LIMIT = 16 * 1024 * 1024;
 
-/** The cells of one record of the file. */
+/** The cells of one record. */
 type CsvRecord = readonly string[];
 
-/** A file as it was read. */
+/** A parsed CSV file. */
 interface CsvFile {
   readonly place: string;
   readonly records: readonly CsvRecord[];
-  /** The line on which a record ends. */
+  /** The number of the line on which a record ends. */
   lineOf(record: number): number;
 }
 
-/** For each column of the sheet, where it stands in the file; -1 when the file has it not. */
-type Positions = readonly { readonly column: Column; readonly position: number }[];
+/** The position of each column in the file; -1 if the file does not have the column. */
+type ColumnPositions = readonly { readonly column: Column; readonly position: number }[];
 
 const COLUMN_NAMES: readonly string[] = COLUMNS.map((column) => column.name);
 
@@ -38,15 +38,15 @@
   readonly info: { readonly lines: number };
 }
 
-// The parser counts two lines for CR LF within quotes, and its types do not tell what its option
-// `info` does to a record.
+// The parser counts CR LF within quotes as two lines, so CR LF is replaced first. The cast is needed
+// because the types of the parser ignore its option `info`.
 const parseWithLines = (text: string): readonly RecordWithLine[] =>
   parse(text.replaceAll('\r\n', '\n'), {
     ...PARSE_OPTIONS,
     info: true,
   }) as unknown as readonly RecordWithLine[];
 
-/** Lines that are not empty, by number; without quotes each of them is a record. */
+/** Numbers of the lines that are not empty; in a file without quotes, each of them is a record. */
 const listLines = (text: string): readonly number[] =>
   text.split(/\r?\n/).flatMap((line, index) => (line === '' ? [] : [index + 1]));
 
@@ -55,7 +55,7 @@
   return lines.length === records ? lines : parseWithLines(text).map(({ info }) => info.lines);
 };
 
-/** Looks up the lines on which records end; only findings need them. */
+/** Creates the lookup of line numbers. They are computed on first use, as only findings need them. */
 const createLineLookup = (text: string, records: number): CsvFile['lineOf'] => {
   let lines: readonly number[] | undefined;
   return (record) => {
@@ -81,7 +81,7 @@
   }
 };
 
-const findHeader = (names: readonly string[], file: CsvFile): Finding[] => {
+const checkHeader = (names: readonly string[], file: CsvFile): Finding[] => {
   const placeOf = (name: string): string => `${file.place}:${file.lineOf(0)} column ${name}`;
   const findings: Finding[] = [];
   names.forEach((name, index) => {
@@ -100,21 +100,24 @@
   return findings;
 };
 
-const listPositions = (names: readonly string[]): Positions =>
+const listPositions = (names: readonly string[]): ColumnPositions =>
   COLUMNS.map((column) => ({ column, position: names.indexOf(column.name) }));
 
 const hasExtraCells = (record: CsvRecord, width: number): boolean =>
   record.length > width && record.slice(width).some((cell) => cell.trim() !== '');
 
-interface WrongCell {
+interface InvalidCell {
   readonly column: Column;
   readonly problem: string;
 }
 
-/** The row of a record, or what is wrong with its cells. */
-const readCsvRow = (record: CsvRecord, positions: Positions): Either<WrongCell[], RouteRow> => {
+/** Reads the row of a record; Left lists the invalid cells. */
+const readCsvRow = (
+  record: CsvRecord,
+  positions: ColumnPositions,
+): Either<InvalidCell[], RouteRow> => {
   const row: Record<string, unknown> = {};
-  const wrong: WrongCell[] = [];
+  const wrong: InvalidCell[] = [];
   for (const { column, position } of positions) {
     const cell = parseCell(column, record[position] ?? '');
     if (cell.isLeft()) {
@@ -126,12 +129,12 @@
   return wrong.length > 0 ? Left(wrong) : Right(row as unknown as RouteRow);
 };
 
-const findWrongCells = (wrong: readonly WrongCell[], place: string): Finding[] =>
+const invalidCellFindings = (wrong: readonly InvalidCell[], place: string): Finding[] =>
   wrong.map(({ column, problem }) =>
     errorAt(`${place} column ${column.name}`, problem, describeAllowed(column)),
   );
 
-/** Reads the records after the header, which is the first. */
+/** Reads all records after the header. */
 const readRows = (
   { records, place, lineOf }: CsvFile,
   names: readonly string[],
@@ -148,7 +151,7 @@
       findings.push(errorAt(placeOf(index), 'has more cells than the header', allowed));
     }
     readCsvRow(record, positions).caseOf({
-      Left: (wrong) => findings.push(...findWrongCells(wrong, placeOf(index))),
+      Left: (wrong) => findings.push(...invalidCellFindings(wrong, placeOf(index))),
       Right: (row) => {
         const key = `${row.partner}/${rowKey(row)}`;
         const first = seen.get(key);
@@ -166,11 +169,11 @@
 };
 
 /**
- * Reads a sheet from CSV. All findings come at once, each with its line and column.
+ * Reads a sheet from CSV. Left lists all findings, each with its line and column.
  *
- * @param text - the file's text; the header may name the columns in any order, and columns that
- *   have a default may be left out
- * @param place - name of the file or sheet for the findings' places
+ * @param text - the text of the file; the header may list the columns in any order and omit columns
+ *   that have a default
+ * @param place - name of the file or sheet, used in the places of findings
  */
 export const parseSheetCsv = (text: string, place: string): Either<Finding[], RouteRow[]> =>
   readRecords(text, place).chain((file) => {
@@ -179,11 +182,11 @@
       return Left([errorAt(`${place}:1`, 'has no header', COLUMN_NAMES.join(','))]);
     }
     const names = header.map((name) => name.trim());
-    const findings = findHeader(names, file);
+    const findings = checkHeader(names, file);
     return findings.length > 0 ? Left(findings) : readRows(file, names);
   });
 
-/** Writes rows as CSV, ordered by partner, route and kind, so that files compare line by line. */
+/** Formats rows as CSV, sorted by partner, route and kind so that files can be compared by line. */
 export const formatSheetCsv = (rows: readonly RouteRow[]): string => {
   const records = [...rows]
     .sort(compareRows)
--- a/src/table/sheet-delta.ts
+++ b/src/table/sheet-delta.ts
@@ -1,6 +1,6 @@
 /**
- * What a write changed of a sheet. A sheet carries its history, so that a lost answer can be
- * resolved; pushed whole, each small edit would cost every node the whole history again.
+ * Deltas between two revisions of a sheet. A sheet includes its history, which resolves lost answers;
+ * without deltas, each small edit would send the whole history to every node again.
  */
 import type { StoreObject } from '../catalog/store-object.js';
 import type { ObjectName } from '../core/identifiers.js';
@@ -8,23 +8,23 @@
 import type { RouteRow } from './route-row.js';
 import { rowKey } from './row-key.js';
 import { isOrdered, orderRows, replaceRows, visitChangedRows } from './row-order.js';
-import { type EditRecord, type Sheet, type SheetRow, SPREAD_HISTORY_LIMIT } from './sheet.js';
+import { type EditRecord, type Sheet, type SheetRow, NODE_HISTORY_LIMIT } from './sheet.js';
 
-/** Most rows and edits of a delta; a larger change is sent as the whole sheet. */
+/** Maximum number of rows and edits in a delta; a larger change is sent as the whole sheet. */
 export const DELTA_LIMIT = 256;
 
-/** The change of a sheet from one revision to another. */
+/** The changes of a sheet from one revision to another. */
 export interface SheetDelta {
   readonly name: ObjectName;
-  /** Only a holder of the sheet at this revision can take the delta. */
+  /** The delta applies only to the sheet at this revision. */
   readonly fromRevision: number;
   readonly version: number;
   readonly revision: number;
-  /** `route/kind` of each row that is no more. */
+  /** Names (`route/kind`) of the removed rows. */
   readonly removed: readonly string[];
-  /** Rows that are new or changed. */
+  /** Added and changed rows. */
   readonly rows: readonly SheetRow[];
-  /** Edits added to the history. */
+  /** Edits appended to the history. */
   readonly records: readonly EditRecord[];
 }
 
@@ -44,7 +44,7 @@
   return true;
 };
 
-const isSame = (left: SheetRow | undefined, right: SheetRow): boolean =>
+const isSameSheetRow = (left: SheetRow | undefined, right: SheetRow): boolean =>
   left !== undefined &&
   left.rowVersion === right.rowVersion &&
   left.writtenBy === right.writtenBy &&
@@ -55,12 +55,12 @@
   readonly removed: readonly string[];
 }
 
-/** Compares rows in order. */
+/** Compares two lists of rows; `after` must be sorted. */
 const diffSheetRows = (before: readonly SheetRow[], after: readonly SheetRow[]): RowChanges => {
   const rows: SheetRow[] = [];
   const removed: string[] = [];
   visitChangedRows(orderRows(before), after, (old, current) => {
-    if (current !== undefined && !isSame(old, current)) {
+    if (current !== undefined && !isSameSheetRow(old, current)) {
       rows.push(current);
     } else if (current === undefined && old !== undefined) {
       removed.push(rowKey(old.row));
@@ -69,27 +69,27 @@
   return { rows, removed };
 };
 
-/** The edits of `to` that follow those of `from`; undefined when it does not continue it. */
-const findAdded = (
+/** The edits that `to` appends to the history `from`; undefined if `to` does not continue `from`. */
+const findAddedRecords = (
   from: readonly EditRecord[],
   to: readonly EditRecord[],
 ): readonly EditRecord[] | undefined => {
   const newest = from.at(-1);
   const start = newest === undefined ? 0 : to.findLastIndex(({ edit }) => edit === newest.edit) + 1;
   const added = to.slice(start);
-  const expected = [...from, ...added].slice(-SPREAD_HISTORY_LIMIT);
+  const expected = [...from, ...added].slice(-NODE_HISTORY_LIMIT);
   const continues =
     expected.length === to.length && expected.every(({ edit }, index) => edit === to[index]?.edit);
   return continues ? added : undefined;
 };
 
-/** Tells what changed from `from` to `to`; undefined when the whole sheet is better sent. */
+/** Computes the delta from `from` to `to`; undefined if the whole sheet must be sent instead. */
 export const diffSheet = (from: StoreObject, to: StoreObject): SheetDelta | undefined => {
   if (from.content.type !== 'sheet' || to.content.type !== 'sheet' || from.name !== to.name) {
     return undefined;
   }
   const [before, after] = [from.content.sheet, to.content.sheet];
-  const records = findAdded(before.history, after.history);
+  const records = findAddedRecords(before.history, after.history);
   if (records === undefined || before.partner !== after.partner || !isOrdered(after.rows)) {
     return undefined;
   }
@@ -104,10 +104,10 @@
 const applyToSheet = (sheet: Sheet, delta: SheetDelta): Sheet => ({
   partner: sheet.partner,
   rows: replaceRows(orderRows(sheet.rows), new Set(delta.removed), delta.rows),
-  history: [...sheet.history, ...delta.records].slice(-SPREAD_HISTORY_LIMIT),
+  history: [...sheet.history, ...delta.records].slice(-NODE_HISTORY_LIMIT),
 });
 
-/** Makes the sheet of `delta`; undefined when `held` is not what it starts from. */
+/** Applies `delta` to `held`; undefined if `held` is not the sheet at the delta's base revision. */
 export const applySheetDelta = (
   held: StoreObject | undefined,
   delta: SheetDelta,
--- a/src/table/spread-history.ts
+++ b/src/table/spread-history.ts
@@ -1,11 +1,12 @@
 /**
- * The part of a history that nodes hold and pass on. The store keeps the whole; a node needs the
- * newest edits only, to know its own by their ids and to give back what the store has lost.
+ * The part of a history that nodes hold and send to each other. The store keeps the whole history; a
+ * node needs only the newest edits, to recognise its own by their ids and to restore edits that the
+ * store has lost.
  */
 import type { StoreContent, StoreObject } from '../catalog/store-object.js';
-import { type EditRecord, SPREAD_HISTORY_LIMIT } from './sheet.js';
+import { type EditRecord, NODE_HISTORY_LIMIT } from './sheet.js';
 
-/** The history kept with an object. */
+/** The history of an object; empty for objects without one. */
 export const historyOf = (content: StoreContent | undefined): readonly EditRecord[] => {
   switch (content?.type) {
     case 'sheet':
@@ -32,18 +33,18 @@
   }
 };
 
-/** The object with the newest edits of its history only; the same one when it has no more. */
+/** Drops all but the newest edits from the history; returns `object` itself if it has no more. */
 export const trimHistory = (object: StoreObject): StoreObject => {
   const history = historyOf(object.content);
-  return history.length <= SPREAD_HISTORY_LIMIT
+  return history.length <= NODE_HISTORY_LIMIT
     ? object
-    : { ...object, content: withHistory(object.content, history.slice(-SPREAD_HISTORY_LIMIT)) };
+    : { ...object, content: withHistory(object.content, history.slice(-NODE_HISTORY_LIMIT)) };
 };
 
 /**
- * What a node holds, with the older edits that the store still shows. They are added only where the
- * store shows the oldest edit held as well: with a gap between them, the absence of an edit's id
- * would no longer be proof that it was never applied.
+ * Adds the older edits of the stored history to the history that a node holds. They are added only
+ * if the stored history includes the oldest edit held: with a gap between the two, the absence of an
+ * edit's id would no longer prove that the edit was never applied.
  */
 export const completeHistory = (
   held: StoreContent,
@@ -51,7 +52,7 @@
 ): StoreContent => {
   const newest = historyOf(held);
   const [oldest] = newest;
-  if (oldest === undefined || newest.length < SPREAD_HISTORY_LIMIT) {
+  if (oldest === undefined || newest.length < NODE_HISTORY_LIMIT) {
     return held;
   }
   const all = historyOf(stored);
--- a/src/table/validate-rows.ts
+++ b/src/table/validate-rows.ts
@@ -1,29 +1,29 @@
-/** Checks the rows of one sheet: all findings at once, each with sheet, row and column. */
+/** Validates the rows of a sheet and reports all findings, each with sheet, row and column. */
 import type { PartnerId } from '../core/identifiers.js';
 import type { BackendService } from './backend-service.js';
 import { describeAllowed, isAllowed, mayBeEmpty, quoteCell } from './cell.js';
 import { COLUMNS } from './columns.js';
 import type { Finding } from './finding.js';
-import { findDoubts } from './find-doubts.js';
+import { findRowWarnings } from './row-warnings.js';
 import type { RouteRow } from './route-row.js';
 import { createRowContext, type RowContext } from './row-context.js';
 import { rowKey, rowPlace } from './row-key.js';
 import type { SheetRow } from './sheet.js';
 
-/** Most rows of a sheet. */
+/** Maximum number of rows of a sheet. */
 export const ROWS_LIMIT = 20_000;
 
-/** What a sheet is checked against. */
+/** Context against which a sheet is validated. */
 export interface SheetCheck {
-  /** Names the sheet or file in the findings' places. */
+  /** Name of the sheet or file, used in the places of findings. */
   readonly place: string;
-  /** The partner whose sheet it is; every row must be its own. */
+  /** Owner of the sheet; rows of other partners are errors. */
   readonly partner: PartnerId;
-  /** The partner's services; absent when they are not known, as for an offline check. */
+  /** The partner's services; absent if unknown, as in an offline check. */
   readonly services?: readonly BackendService[] | undefined;
 }
 
-const findWrongCells = (row: RouteRow, place: string): Finding[] => {
+const findInvalidCells = (row: RouteRow, place: string): Finding[] => {
   const findings: Finding[] = [];
   for (const column of COLUMNS) {
     const value = row[column.name];
@@ -40,7 +40,7 @@
   return findings;
 };
 
-const findForeign = (row: RouteRow, check: SheetCheck): Finding[] =>
+const findForeignRow = (row: RouteRow, check: SheetCheck): Finding[] =>
   row.partner === check.partner
     ? []
     : [
@@ -52,7 +52,7 @@
         },
       ];
 
-const findDoubled = (row: RouteRow, seen: Set<string>, place: string): Finding[] => {
+const findDuplicate = (row: RouteRow, seen: Set<string>, place: string): Finding[] => {
   const key = rowKey(row);
   if (!seen.has(key)) {
     seen.add(key);
@@ -68,8 +68,8 @@
   ];
 };
 
-const findWarnings = (row: RouteRow, context: RowContext, place: string): Finding[] =>
-  findDoubts(row, context).map(({ column, problem }) => ({
+const warningFindings = (row: RouteRow, context: RowContext, place: string): Finding[] =>
+  findRowWarnings(row, context).map(({ column, problem }) => ({
     severity: 'warning',
     place: rowPlace(place, rowKey(row), column),
     problem,
@@ -77,25 +77,25 @@
 
 interface RowErrors {
   readonly errors: readonly Finding[];
-  /** Rows whose cells and owner are as they should be. */
-  readonly sound: readonly RouteRow[];
+  /** Rows without invalid cells that belong to the owner of the sheet. */
+  readonly valid: readonly RouteRow[];
 }
 
 const findErrors = (rows: readonly RouteRow[], check: SheetCheck): RowErrors => {
   const errors: Finding[] = [];
-  const sound: RouteRow[] = [];
+  const valid: RouteRow[] = [];
   const seen = new Set<string>();
   for (const row of rows) {
-    const wrong = [...findWrongCells(row, check.place), ...findForeign(row, check)];
-    errors.push(...findDoubled(row, seen, check.place), ...wrong);
+    const wrong = [...findInvalidCells(row, check.place), ...findForeignRow(row, check)];
+    errors.push(...findDuplicate(row, seen, check.place), ...wrong);
     if (wrong.length === 0) {
-      sound.push(row);
+      valid.push(row);
     }
   }
-  return { errors, sound };
+  return { errors, valid };
 };
 
-const findExcess = (rows: number, place: string): Finding[] =>
+const findExcessRows = (rows: number, place: string): Finding[] =>
   rows <= ROWS_LIMIT
     ? []
     : [
@@ -107,41 +107,41 @@
         },
       ];
 
-/** Checks `rows`, all rows of the sheet; errors stand before warnings. */
+/** Validates all rows of a sheet; errors precede warnings in the result. */
 export const validateRows = (rows: readonly RouteRow[], check: SheetCheck): Finding[] => {
-  const excess = findExcess(rows.length, check.place);
+  const excess = findExcessRows(rows.length, check.place);
   if (excess.length > 0) {
     return excess;
   }
-  const { errors, sound } = findErrors(rows, check);
-  const context = createRowContext(sound, sound, check.services);
-  return [...errors, ...sound.flatMap((row) => findWarnings(row, context, check.place))];
+  const { errors, valid } = findErrors(rows, check);
+  const context = createRowContext(valid, valid, check.services);
+  return [...errors, ...valid.flatMap((row) => warningFindings(row, context, check.place))];
 };
 
 /**
- * Checks the rows that an edit changed, and against the others what concerns them; the others were
- * checked when they were written.
+ * Validates only the rows that an edit changed, using the other rows as context. The other rows were
+ * validated when they were written.
  *
- * @param rows - all rows of the sheet, each once
- * @param changed - those of them that are new or changed
+ * @param rows - all rows of the sheet, without duplicates
+ * @param changed - the new and changed rows among them
  */
 export const validateChangedRows = (
   rows: readonly SheetRow[],
   changed: readonly RouteRow[],
   check: SheetCheck,
 ): Finding[] => {
-  const excess = findExcess(rows.length, check.place);
+  const excess = findExcessRows(rows.length, check.place);
   if (excess.length > 0) {
     return excess;
   }
-  const { errors, sound } = findErrors(changed, check);
-  const unsound = new Set(changed);
-  sound.forEach((row) => unsound.delete(row));
-  const usable = rows.map(({ row }) => row).filter((row) => !unsound.has(row));
-  const context = createRowContext(usable, sound, check.services);
-  return [...errors, ...sound.flatMap((row) => findWarnings(row, context, check.place))];
+  const { errors, valid } = findErrors(changed, check);
+  const invalid = new Set(changed);
+  valid.forEach((row) => invalid.delete(row));
+  const usable = rows.map(({ row }) => row).filter((row) => !invalid.has(row));
+  const context = createRowContext(usable, valid, check.services);
+  return [...errors, ...valid.flatMap((row) => warningFindings(row, context, check.place))];
 };
 
-/** Whether any finding is an error, so that the input must be refused whole. */
+/** Whether any finding is an error; the whole input must then be refused. */
 export const hasErrors = (findings: readonly Finding[]): boolean =>
   findings.some((finding) => finding.severity === 'error');
--- a/test/runtime/caller-load.ts
+++ b/test/runtime/caller-load.ts
@@ -1,24 +1,24 @@
-/** Callers that ask without pause; one that was refused comes back no sooner than it was told. */
+/** Callers that send queries continuously; after a refusal they wait for the time that it asks for. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { type Dispatcher, Pool } from 'undici';
 import { CALLER_SECRET, SHARDS } from './node-fixture.js';
 
-/** What became of the queries. */
+/** Outcomes of the queries. */
 export interface LoadTally {
   answered: number;
-  /** Refused as not run, or not sent because the node took no connection. */
+  /** Refused as not run, or not sent because the connect failed. */
   refused: number;
-  /** Answered with fewer shards than there are, though asked after the last mark. */
+  /** Answered with missing shards; only queries sent since the last mark count. */
   partial: string[];
-  /** Cut off, or answered as nothing above. */
+  /** Connection closed, or any other answer. */
   failed: string[];
 }
 
 interface Target {
   readonly url: string;
   readonly pool: Pool;
-  /** Until when the node has asked callers to stay away, on the clock of `performance.now()`. */
-  awayUntil: number;
+  /** Time by `performance.now()` until which the node has asked callers to send no query. */
+  pausedUntil: number;
 }
 
 interface LoadAnswer {
@@ -29,13 +29,13 @@
 
 const CALLERS_PER_NODE = 3;
 
-/** Pause of a caller that found no node to ask, in milliseconds. */
+/** Pause of a caller that found no available node, in milliseconds. */
 const PAUSE_MS = 5;
 
 const codeOf = (error: unknown): string =>
   error instanceof Error && 'code' in error ? String(error.code) : '';
 
-/** Whether the error came before a connection was there, so that no byte was sent. */
+/** Whether the error occurred before the connection was open, so that no byte was sent. */
 const isBeforeSending = (error: unknown): boolean =>
   codeOf(error) === 'UND_ERR_CONNECT_TIMEOUT' ||
   (error instanceof Error && 'syscall' in error && error.syscall === 'connect');
@@ -43,56 +43,56 @@
 const describe = (error: unknown): string =>
   error instanceof Error ? `${error.name}: ${error.message} ${codeOf(error)}` : String(error);
 
-/** A load over some nodes; ends when told to. */
+/** A load of queries on some nodes. */
 export class CallerLoad {
   readonly tally: LoadTally = { answered: 0, refused: 0, partial: [], failed: [] };
   private readonly targets: Target[] = [];
-  private readonly lanes: Promise<void>[] = [];
+  private readonly callerLoops: Promise<void>[] = [];
   private running = true;
   private marks = 0;
 
-  /** Adds a node that may be asked. */
+  /** Adds a node that receives queries. */
   add(url: string): void {
     this.targets.push({
       url,
       pool: new Pool(url, { connections: CALLERS_PER_NODE }),
-      awayUntil: 0,
+      pausedUntil: 0,
     });
     for (let lane = 0; lane < CALLERS_PER_NODE; lane += 1) {
-      this.lanes.push(this.runLane(this.targets.length - 1 + lane));
+      this.callerLoops.push(this.runCaller(this.targets.length - 1 + lane));
     }
   }
 
-  /** Asks a node no more. */
+  /** Stops sending queries to a node. */
   remove(url: string): void {
     const index = this.targets.findIndex((target) => target.url === url);
     this.targets.splice(index, 1).forEach(({ pool }) => void pool.close());
   }
 
-  /** From now on only queries that are asked later count as partial or as answered. */
+  /** Resets the counts of answered and partial queries; only queries sent later count. */
   mark(): void {
     this.marks += 1;
     this.tally.answered = 0;
     this.tally.partial = [];
   }
 
-  /** Ends all callers; resolves when the last answer is in. */
+  /** Stops all callers; resolves when the last answer has arrived. */
   async end(): Promise<LoadTally> {
     this.running = false;
-    await Promise.all(this.lanes);
+    await Promise.all(this.callerLoops);
     await Promise.all(this.targets.splice(0).map(({ pool }) => pool.close()));
     return this.tally;
   }
 
-  private async runLane(first: number): Promise<void> {
+  private async runCaller(first: number): Promise<void> {
     for (let turn = first; this.running; turn += 1) {
       const target = this.targets[turn % this.targets.length];
-      const isAway = target !== undefined && performance.now() < target.awayUntil;
-      await (target === undefined || isAway ? delay(PAUSE_MS) : this.ask(target));
+      const isPaused = target !== undefined && performance.now() < target.pausedUntil;
+      await (target === undefined || isPaused ? delay(PAUSE_MS) : this.sendQuery(target));
     }
   }
 
-  private async ask(target: Target): Promise<void> {
+  private async sendQuery(target: Target): Promise<void> {
     const { marks } = this;
     const { pool, url } = target;
     try {
@@ -102,7 +102,7 @@
         headers: { authorization: `Bearer ${CALLER_SECRET}`, 'x-crossroad-kind': 'page' },
         body: '{"payload":1}',
       });
-      await this.take(response, target, marks);
+      await this.countAnswer(response, target, marks);
     } catch (error) {
       if (isBeforeSending(error)) {
         this.tally.refused += 1;
@@ -113,7 +113,7 @@
     }
   }
 
-  private async take(
+  private async countAnswer(
     response: Dispatcher.ResponseData,
     target: Target,
     marks: number,
@@ -128,7 +128,7 @@
       }
     } else if (answer.outcome === 'not-run') {
       this.tally.refused += 1;
-      target.awayUntil = performance.now() + (answer.retryAfterMs ?? 0);
+      target.pausedUntil = performance.now() + (answer.retryAfterMs ?? 0);
     } else {
       this.tally.failed.push(`${url} ${text.slice(0, 300)}`);
     }
--- a/test/runtime/peer-links.test.ts
+++ b/test/runtime/peer-links.test.ts
@@ -5,7 +5,7 @@
 import { identifier, type NodeId } from '../../src/core/identifiers.js';
 import { encodeCbor } from '../../src/protocol/codec/cbor.js';
 import { FrameReader } from '../../src/protocol/codec/frame-reader.js';
-import { frameBytes } from '../../src/protocol/codec/frame.js';
+import { encodeFrame } from '../../src/protocol/codec/frame.js';
 import { MAX_FRAME_BYTES } from '../../src/protocol/codec/link-frame.js';
 import type { LinkMessage } from '../../src/protocol/peer-message.js';
 import { createMonotonicClock, type MonotonicClock } from '../../src/runtime/monotonic-clock.js';
@@ -79,7 +79,7 @@
 const messagesOf = (member: Member): LinkMessage[] =>
   member.events.flatMap((event) => (event.type === 'link-message-arrived' ? event.message : []));
 
-const lostOf = (member: Member): string[] =>
+const lostLinksOf = (member: Member): string[] =>
   member.events.flatMap((event) => (event.type === 'link-lost' ? event.peer : []));
 
 interface Proxy {
@@ -89,7 +89,7 @@
   readonly stall: () => void;
 }
 
-/** Forwards bytes until it is told to stall: then both sides stay open and nothing moves. */
+/** Forwards bytes until `stall` is called; then both connections stay open without data. */
 const startProxy = async (target: number): Promise<Proxy> => {
   const sockets: Socket[] = [];
   const forwarded = { to: 0, from: 0 };
@@ -131,7 +131,7 @@
     socket.resume();
   });
 
-/** Opens an authenticated connection by hand, to send what no node would. */
+/** Opens an authenticated connection over which a test can send frames that no node sends. */
 const authenticate = async (member: Member, as: string): Promise<Socket> => {
   const handshake = new ConnectorHandshake(
     new SharedSecret(PEER_SECRET),
@@ -142,20 +142,20 @@
   const socket = connect(member.port, '127.0.0.1');
   closers.push(() => socket.destroy());
   socket.on('error', () => undefined);
-  socket.write(frameBytes(handshake.begin()));
+  socket.write(encodeFrame(handshake.begin()));
   await new Promise<void>((resolve) => {
     socket.once('data', (chunk) => {
       const reading = reader.read(chunk);
       const [body = Buffer.alloc(0)] = reading.type === 'frames' ? reading.bodies : [];
-      const next = handshake.take(body).unsafeCoerce();
-      socket.write(frameBytes(next.body ?? Buffer.alloc(0)), () => resolve());
+      const next = handshake.handleFrame(body).unsafeCoerce();
+      socket.write(encodeFrame(next.body ?? Buffer.alloc(0)), () => resolve());
     });
   });
   return socket;
 };
 
-describe('links between nodes', () => {
-  it('take a long first message that comes in one piece with the end of the handshake', async () => {
+describe('a link between nodes', () => {
+  it('receives a long first message in the same chunk as the last handshake frame', async () => {
     const [one, two] = [await startMember('one'), await startMember('two')];
     const long: LinkMessage = { type: 'leg-cancel', attempts: [identifier('a'.repeat(5_000))] };
     let handshake: Buffer | undefined;
@@ -177,12 +177,12 @@
     let held: Buffer = Buffer.alloc(0);
     closers.push(() => joined.close());
     send(one, two, long, await listen(joined));
-    const seen = (): number => messagesOf(two).length + lostOf(one).length;
-    await until(() => seen() > 0, 'the message came or the link was lost');
+    const seen = (): number => messagesOf(two).length + lostLinksOf(one).length;
+    await until(() => seen() > 0, 'the message has arrived or the link is lost');
     expect(messagesOf(two)).toEqual([long]);
   });
 
-  it('carry messages in order, in both directions over one connection', async () => {
+  it('delivers messages in order, in both directions over one connection', async () => {
     const [a, b] = [await startMember('a'), await startMember('b')];
     [1, 2, 3].forEach((after) => send(a, b, pull(after)));
     await until(() => messagesOf(b).length === 3, 'all have arrived');
@@ -192,7 +192,7 @@
     expect(a.sockets.size + b.sockets.size).toBe(1);
   });
 
-  it('lose no message when both sides connect at once', async () => {
+  it('loses no message if both nodes connect at the same time', async () => {
     const [a, b] = [await startMember('a'), await startMember('b')];
     send(a, b, pull(1));
     send(b, a, pull(2));
@@ -200,64 +200,75 @@
     send(a, b, pull(3));
     send(b, a, pull(4));
     await until(() => messagesOf(a).length + messagesOf(b).length === 4, 'all have arrived');
-    expect([...lostOf(a), ...lostOf(b)]).toEqual([]);
+    expect([...lostLinksOf(a), ...lostLinksOf(b)]).toEqual([]);
   });
 
-  it('do not let a node in that holds another secret, and tell it nothing', async () => {
-    const [a, stranger] = [
+  it('is refused between nodes with different secrets, and no message is delivered', async () => {
+    const [a, otherSecret] = [
       await startMember('a'),
       await startMember('b', { secret: 'some-other-secret-here' }),
     ];
-    send(stranger, a, pull(1));
-    send(a, stranger, pull(2));
-    await until(() => lostOf(stranger).length > 0 && lostOf(a).length > 0, 'both gave up');
-    expect([...messagesOf(a), ...messagesOf(stranger)]).toEqual([]);
+    send(otherSecret, a, pull(1));
+    send(a, otherSecret, pull(2));
+    await until(
+      () => lostLinksOf(otherSecret).length > 0 && lostLinksOf(a).length > 0,
+      'both nodes report the link as lost',
+    );
+    expect([...messagesOf(a), ...messagesOf(otherSecret)]).toEqual([]);
   });
 
-  it('to a machine replaced at the same address by another node are refused', async () => {
+  it('is refused if another node listens on the address', async () => {
     const [a, other] = [await startMember('a'), await startMember('c')];
     send(a, { ...other, node: identifier<NodeId>('b') }, pull(1));
-    await until(() => lostOf(a).includes('b'), 'the old node is given up');
+    await until(() => lostLinksOf(a).includes('b'), 'the link to the old node is lost');
     expect(messagesOf(other)).toEqual([]);
   });
 
   it.each([
     ['another version', encodeCbor({ protocol: 99, from: 'x', to: 'a', nonce: Buffer.alloc(16) })],
-    ['no hello', encodeCbor([1, 2, 3])],
-    ['a message in place of a hello', encodeCbor([pull(1)])],
+    ['a list as hello', encodeCbor([1, 2, 3])],
+    ['a message instead of a hello', encodeCbor([pull(1)])],
     ['a short nonce', encodeCbor({ protocol: 1, from: 'x', to: 'a', nonce: Buffer.alloc(2) })],
-    ['a hello too long', Buffer.alloc(600)],
-    ['no CBOR', Buffer.from([0xff, 0xff, 0xff])],
-  ])('refuse a stranger with %s and go on', async (_name, body) => {
+    ['a hello that is too long', Buffer.alloc(600)],
+    ['a hello that is not CBOR', Buffer.from([0xff, 0xff, 0xff])],
+  ])('is refused for %s, and other nodes are served', async (_name, body) => {
     const [a, b] = [await startMember('a'), await startMember('b')];
-    await sendRaw(a.port, frameBytes(body));
+    await sendRaw(a.port, encodeFrame(body));
     send(b, a, pull(1));
     await until(() => messagesOf(a).length === 1, 'another node is served');
     expect(messagesOf(a)).toEqual([pull(1)]);
   });
 
-  it('close a stranger that says nothing', async () => {
-    const a = await startMember('a', { timing: { sweepMs: 10, handshakeMs: 40 } });
+  it('is closed if the peer sends no hello in time', async () => {
+    const a = await startMember('a', { timing: { sweepIntervalMs: 10, handshakeTimeoutMs: 40 } });
     await sendRaw(a.port, Buffer.alloc(0));
     expect(a.events).toEqual([]);
   });
 
   it.each([
     ['oversized', Buffer.from([0xff, 0xff, 0xff, 0xff])],
-    ['malformed', frameBytes(encodeCbor([{ type: 'leg-batch' }]))],
-  ])('close on an %s frame of a peer and go on', async (_name, bytes) => {
-    const [a, b] = [await startMember('a'), await startMember('b')];
-    const socket = await authenticate(a, 'x');
-    const closed = new Promise<void>((resolve) => socket.once('close', () => resolve()));
-    socket.write(bytes);
-    await closed;
-    await until(() => lostOf(a).includes('x'), 'the core is told');
-    send(b, a, pull(1));
-    await until(() => messagesOf(a).length === 1, 'another node is served');
-  });
+    ['malformed', encodeFrame(encodeCbor([{ type: 'leg-batch' }]))],
+  ])(
+    'is closed on receipt of a frame that is %s, and other nodes are served',
+    async (_name, bytes) => {
+      const [a, b] = [await startMember('a'), await startMember('b')];
+      const socket = await authenticate(a, 'x');
+      const closed = new Promise<void>((resolve) => socket.once('close', () => resolve()));
+      socket.write(bytes);
+      await closed;
+      await until(() => lostLinksOf(a).includes('x'), 'the link is reported as lost');
+      send(b, a, pull(1));
+      await until(() => messagesOf(a).length === 1, 'another node is served');
+    },
+  );
 
-  it('notice a half-open connection on both sides', async () => {
-    const timing = { sweepMs: 5, heartbeatMs: 40, silenceMs: 200, pauseMs: 10_000 };
+  it('is reported as lost by both sides if the connection is half-open', async () => {
+    const timing = {
+      sweepIntervalMs: 5,
+      heartbeatIntervalMs: 40,
+      receiveTimeoutMs: 200,
+      processPauseMs: 10_000,
+    };
     let now = 0;
     const clock = { now: () => now };
     const a = await startMember('a', { timing, clock });
@@ -265,39 +276,44 @@
     const proxy = await startProxy(b.port);
     send(a, b, pull(1), proxy.port);
     await until(() => messagesOf(b).length === 1, 'the link is open');
-    for (const end = now + 2 * timing.silenceMs; now < end;) {
+    for (const end = now + 2 * timing.receiveTimeoutMs; now < end;) {
       const { to, from } = { ...proxy.forwarded };
-      now += timing.heartbeatMs;
+      now += timing.heartbeatIntervalMs;
       const wasHeard = (): boolean => proxy.forwarded.to > to && proxy.forwarded.from > from;
-      await until(wasHeard, 'heartbeats went both ways');
+      await until(wasHeard, 'heartbeats are sent in both directions');
     }
-    expect([...lostOf(a), ...lostOf(b)]).toEqual([]);
+    expect([...lostLinksOf(a), ...lostLinksOf(b)]).toEqual([]);
     proxy.stall();
-    // Bytes that were under way may still arrive, so that the silence begins a little later.
+    // Bytes in transit may still arrive, so the timeout may start a little later than the stall.
     const haveBothNoticed = (): boolean => {
-      now += timing.heartbeatMs;
-      return lostOf(a).includes('b') && lostOf(b).includes('a');
+      now += timing.heartbeatIntervalMs;
+      return lostLinksOf(a).includes('b') && lostLinksOf(b).includes('a');
     };
-    await until(haveBothNoticed, 'both noticed');
+    await until(haveBothNoticed, 'both nodes report the link as lost');
   });
 
-  it('are closed when idle without a loss, and opened again on demand', async () => {
-    const timing = { sweepMs: 10, idleMs: 80, heartbeatMs: 20, pauseMs: 10_000 };
+  it('is closed without a loss when idle, and opened again on demand', async () => {
+    const timing = {
+      sweepIntervalMs: 10,
+      idleCloseMs: 80,
+      heartbeatIntervalMs: 20,
+      processPauseMs: 10_000,
+    };
     const [a, b] = [await startMember('a', { timing }), await startMember('b', { timing })];
     send(a, b, pull(1));
     await until(() => messagesOf(b).length === 1, 'the link is open');
     await until(() => a.links.openLinks + b.links.openLinks === 0, 'the link is closed');
     send(b, a, pull(2));
     await until(() => messagesOf(a).length === 1, 'a new link is open');
-    expect([...lostOf(a), ...lostOf(b)]).toEqual([]);
+    expect([...lostLinksOf(a), ...lostLinksOf(b)]).toEqual([]);
   });
 
-  it('to a node that is down are lost at once, and open again when it is back', async () => {
+  it('is reported as lost at once if the node is down, and opens again after its restart', async () => {
     const [a, b] = [await startMember('a'), await startMember('b')];
     b.links.destroy();
     await new Promise((resolve) => b.server.close(resolve));
     send(a, b, pull(1));
-    await until(() => lostOf(a).length > 0, 'the loss is told');
+    await until(() => lostLinksOf(a).length > 0, 'the loss is reported');
     const again = await startMember('b', { port: b.port });
     await until(() => {
       send(a, again, pull(2));
@@ -305,17 +321,17 @@
     }, 'the link is open again');
   });
 
-  it('are dropped when a peer reads slower than is sent to it', async () => {
+  it('is closed if the peer reads slower than messages are sent', async () => {
     const [a, b] = [await startMember('a'), await startMember('b')];
     send(a, b, pull(0));
     await until(() => messagesOf(b).length === 1, 'the link is open');
     b.sockets.forEach((socket) => socket.pause());
     const attempts = Array.from({ length: 100_000 }, (_, index) => `attempt-${index}-of-many`);
-    for (let sent = 0; sent <= 4 * MAX_SEND_QUEUE_BYTES && lostOf(a).length === 0;) {
+    for (let sent = 0; sent <= 4 * MAX_SEND_QUEUE_BYTES && lostLinksOf(a).length === 0;) {
       send(a, b, { type: 'leg-cancel', attempts: attempts as never });
       sent += attempts.length * 20;
       await delay(1);
     }
-    expect(lostOf(a)).toEqual(['b']);
+    expect(lostLinksOf(a)).toEqual(['b']);
   });
 });
--- a/test/runtime/processes.test.ts
+++ b/test/runtime/processes.test.ts
@@ -12,22 +12,22 @@
 
 const NAMES = ['bole-1', 'bole-2', 'bole-3'];
 
-/** Longest wait for a condition, in tries of 20 ms. */
-const MAX_TRIES = 1_000;
+/** Maximum number of checks of a condition, one every 20 ms. */
+const MAX_POLLS = 1_000;
 
 let source: CompiledSource;
 let platform: FakePlatform;
 let replicas: FakeReplica[];
-/** Nodes that should serve. */
+/** Nodes that are expected to serve. */
 let nodes: NodeProcess[] = [];
-/** All nodes that were started, for the end of the test. */
+/** All started nodes, which are killed at the end of the test. */
 let started: NodeProcess[] = [];
 let load: CallerLoad | undefined;
 
 const untilTrue = async (condition: () => Promise<boolean>, what: string): Promise<void> => {
-  for (let tries = 0; !(await condition().catch(() => false)); tries += 1) {
-    if (tries > MAX_TRIES) {
-      throw new Error(`waited in vain until ${what}`);
+  for (let polls = 0; !(await condition().catch(() => false)); polls += 1) {
+    if (polls > MAX_POLLS) {
+      throw new Error(`timed out waiting until ${what}`);
     }
     await delay(20);
   }
@@ -46,21 +46,21 @@
   return node;
 };
 
-const knowsAlive = async (node: NodeProcess, members: number): Promise<boolean> =>
+const hasAliveMembers = async (node: NodeProcess, members: number): Promise<boolean> =>
   (await node.readMetric('crossroad_members', '{state="alive"}')) === members;
 
-const untilWhole = (): Promise<void> =>
+const untilAllServe = (): Promise<void> =>
   untilTrue(async () => {
     const ready = await Promise.all(nodes.map((node) => node.isReady()));
-    const whole = await Promise.all(nodes.map((node) => knowsAlive(node, nodes.length)));
-    return [...ready, ...whole].every(Boolean);
-  }, 'all nodes serve and know each other');
+    const haveAll = await Promise.all(nodes.map((node) => hasAliveMembers(node, nodes.length)));
+    return [...ready, ...haveAll].every(Boolean);
+  }, 'all nodes serve and consider each other alive');
 
 const startTier = async (): Promise<void> => {
   for (const name of NAMES) {
     await startNode(name);
   }
-  await untilWhole();
+  await untilAllServe();
 };
 
 const startLoad = (): CallerLoad => {
@@ -70,7 +70,7 @@
   return running;
 };
 
-const forget = (node: NodeProcess): void => {
+const removeNode = (node: NodeProcess): void => {
   nodes = nodes.filter((other) => other !== node);
 };
 
@@ -113,7 +113,7 @@
 });
 
 describe('crossroad node', () => {
-  it('names every wrong field of its settings and exits 78', async () => {
+  it('reports every invalid field of its settings and exits 78', async () => {
     const folder = await mkdtemp(join(tmpdir(), 'crossroad-test-'));
     const file = join(folder, 'node.yaml');
     await writeFile(file, 'node: "a b"\ncaller: localhost:1\npeer: 127.0.0.1:0\ncolour: red\n');
@@ -142,16 +142,16 @@
     expect((await runCommand(source.main, ['node', '--colour', 'red'])).code).toBe(2);
   });
 
-  it('stops each node in turn under load without cutting off a query', async () => {
+  it('stops and restarts under load without failing a query, one node after another', async () => {
     await startTier();
     const running = startLoad();
     for (const node of [...nodes]) {
       await untilAnswered(running, 50);
-      forget(node);
+      removeNode(node);
       expect(await node.end('SIGTERM')).toEqual({ code: 0, signal: null });
       running.remove(node.callerUrl);
       const again = await startNode(node.name);
-      await untilWhole();
+      await untilAllServe();
       running.add(again.callerUrl);
     }
     await untilAnswered(running, 50);
@@ -160,12 +160,12 @@
     expect(tally.partial).toEqual([]);
   });
 
-  it('exits 1 at once at a second signal', async () => {
+  it('exits 1 immediately on a second SIGTERM', async () => {
     replicas.forEach((replica) => {
       replica.answer = () => undefined;
     });
     const node = await startNode('bole-1');
-    await untilWhole();
+    await untilAllServe();
     const running = startLoad();
     await untilTrue(
       () => Promise.resolve(replicas.some((replica) => replica.legs.length > 0)),
@@ -173,12 +173,12 @@
     );
     node.signal('SIGTERM');
     await untilTrue(async () => !(await node.isReady()), 'the node is stopping');
-    forget(node);
+    removeNode(node);
     running.remove(node.callerUrl);
     expect((await node.end('SIGTERM')).code).toBe(1);
   });
 
-  it('goes on when another node is killed, and takes its successor in', async () => {
+  it('continues to serve when another node is killed, and accepts its successor', async () => {
     await startTier();
     const running = startLoad();
     await untilAnswered(running, 50);
@@ -186,18 +186,18 @@
     if (victim === undefined) {
       throw new Error('there is no node');
     }
-    forget(victim);
+    removeNode(victim);
     running.remove(victim.callerUrl);
     await victim.end('SIGKILL');
     await untilTrue(
-      async () => (await Promise.all(nodes.map((node) => knowsAlive(node, 2)))).every(Boolean),
-      'the others know it is gone',
+      async () => (await Promise.all(nodes.map((node) => hasAliveMembers(node, 2)))).every(Boolean),
+      'the others no longer consider it alive',
     );
     running.mark();
     await untilAnswered(running, 50);
     expect(running.tally.partial).toEqual([]);
     await startNode(victim.name, victim.peerPort);
-    await untilWhole();
+    await untilAllServe();
     await untilAnswered(running, 50);
     const tally = await running.end();
     expect(tally.failed).toEqual([]);
@@ -213,17 +213,17 @@
     }
     running.remove(paused.callerUrl);
     paused.signal('SIGSTOP');
-    forget(paused);
+    removeNode(paused);
     await untilTrue(
-      async () => (await Promise.all(nodes.map((node) => knowsAlive(node, 2)))).every(Boolean),
-      'the others hold it for gone',
+      async () => (await Promise.all(nodes.map((node) => hasAliveMembers(node, 2)))).every(Boolean),
+      'the others no longer consider it alive',
     );
     running.mark();
     await untilAnswered(running, 50);
     expect(running.tally.partial).toEqual([]);
     paused.signal('SIGCONT');
     nodes.push(paused);
-    await untilWhole();
+    await untilAllServe();
     running.add(paused.callerUrl);
     await untilAnswered(running, 50);
     const tally = await running.end();
--- a/test/settings/read-node-settings.test.ts
+++ b/test/settings/read-node-settings.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import { readNodeSettings } from '../../src/settings/read-node-settings.js';
 
-const GOOD = `node: bole-1
+const VALID_SETTINGS = `node: bole-1
 zone: bole
 region: addis
 caller: 127.0.0.1:8080
@@ -16,9 +16,12 @@
 const findingsOf = (text: string, overrides = {}) =>
   readNodeSettings({ fileName: 'node.yaml', text }, overrides).swap().orDefault([]);
 
-describe('settings of a node', () => {
-  it('are read with their defaults', () => {
-    const settings = readNodeSettings({ fileName: 'node.yaml', text: GOOD }).unsafeCoerce();
+describe('readNodeSettings', () => {
+  it('applies the defaults', () => {
+    const settings = readNodeSettings({
+      fileName: 'node.yaml',
+      text: VALID_SETTINGS,
+    }).unsafeCoerce();
     expect(settings.caller).toEqual({ host: '127.0.0.1', port: 8080 });
     expect(settings.operator).toEqual({ host: '::1', port: 8082 });
     expect(settings.seeds).toEqual([{ host: '127.0.0.1', port: 9081 }]);
@@ -26,15 +29,15 @@
     expect('seed' in settings).toBe(false);
   });
 
-  it('let flags override the file', () => {
+  it('overrides the file by flags', () => {
     const settings = readNodeSettings(
-      { fileName: 'node.yaml', text: GOOD },
+      { fileName: 'node.yaml', text: VALID_SETTINGS },
       { zone: 'arada', seed: 7 },
     ).unsafeCoerce();
     expect([settings.zone, settings.seed]).toEqual(['arada', 7]);
   });
 
-  it('name every wrong field in one run, each with its place', () => {
+  it('reports every invalid field in one run, each with its place', () => {
     const findings = findingsOf(
       [
         'node: "no spaces allowed"',
@@ -72,15 +75,17 @@
     expect(findings.every((finding) => finding.problem.length > 0)).toBe(true);
   });
 
-  it('name a wrong flag by its flag', () => {
-    expect(findingsOf(GOOD, { zone: '' }).map((finding) => finding.place)).toEqual(['--zone']);
+  it('reports an invalid flag by the name of the flag', () => {
+    expect(findingsOf(VALID_SETTINGS, { zone: '' }).map((finding) => finding.place)).toEqual([
+      '--zone',
+    ]);
   });
 
   it.each([
     ['a: [', 'node.yaml:'],
     ['- 1', 'node.yaml:1:1'],
     ['a: 1\na: 2', 'node.yaml:2:1'],
-  ])('report what is no settings file at all: %j', (text, place) => {
+  ])('reports a text that is not a settings file: %j', (text, place) => {
     expect(findingsOf(text)[0]?.place).toContain(place);
   });
 });
