--- a/src/metrics/answer-recorder.ts
+++ b/src/metrics/answer-recorder.ts
@@ -104,8 +104,8 @@
 
   const labelsOf = (query: QueryRequest, outcome: QueryOutcome): RowLabels => {
     const known = seriesByRow.has(`${query.partner}/${query.route}/${query.kind}`);
-    const hasRoom = known || seriesByRow.size < RECORDED_ROW_LIMIT;
-    return isUnknownRoute(outcome) || !hasRoom
+    const hasOwnFigures = known || seriesByRow.size < RECORDED_ROW_LIMIT;
+    return isUnknownRoute(outcome) || !hasOwnFigures
       ? [query.partner, OTHER_LABEL, OTHER_LABEL]
       : [query.partner, query.route, query.kind];
   };
