--- a/src/cli/replay.ts
+++ b/src/cli/replay.ts
@@ -6,7 +6,7 @@
 import { decodeHistory, isHistoryFile } from '../replay/history-file.js';
 import { type HistoryReplay, replayHistory } from '../replay/replay-history.js';
 import { type ReplayResult, replayRecord } from '../replay/replay-record.js';
-import type { StepFunction } from '../simulation/node-surroundings.js';
+import type { StepFunction } from '../simulation/node-environment.js';
 import type { Command } from './command.js';
 import { ExitCode } from './exit-code.js';
 import { defineCommand, UsageError } from './flags.js';
--- a/src/replay/replay-history.ts
+++ b/src/replay/replay-history.ts
@@ -3,7 +3,7 @@
 import type { History } from '../simulation/history/action.js';
 import { type HistoryResult, runHistory } from '../simulation/history/run-history.js';
 import type { Violation } from '../simulation/invariants/violation.js';
-import type { StepFunction } from '../simulation/node-surroundings.js';
+import type { StepFunction } from '../simulation/node-environment.js';
 
 /** What came of a history that was run again. */
 export interface HistoryReplay extends HistoryResult {
--- a/src/simulation/backend-client.ts
+++ b/src/simulation/backend-client.ts
@@ -13,9 +13,9 @@
 /** How long a connection may take to open, in milliseconds. */
 const CONNECT_TIMEOUT_MS = 1_000;
 /** How soon a refused or broken connection is noticed, in milliseconds. */
-const RESET_NOTICE_MS = 1;
+const RESET_DETECTION_MS = 1;
 /** How long after the first a doubled answer comes, in milliseconds. */
-const DOUBLED_AFTER_MS = 30;
+const DUPLICATE_DELAY_MS = 30;
 
 /** Finds the replica that listens at an address. */
 export type FindReplica = (address: string) => SimulatedReplica | undefined;
@@ -82,12 +82,12 @@
       startedAt: scheduler.now,
       deadlineAt: scheduler.now + effect.remainingMs,
       timeout: scheduler.schedule(effect.remainingMs, () => {
-        this.timeOut(attempt);
+        this.handleTimeout(attempt);
       }),
       sent: false,
     };
     this.attempts.set(id, attempt);
-    this.takeConnection(attempt);
+    this.acquireConnection(attempt);
   }
 
   /** Cancels an attempt; its outcome tells whether any byte had left. */
@@ -119,7 +119,7 @@
   }
 
   /** The process has died: connections break, and nothing is reported. */
-  die(): void {
+  terminate(): void {
     this.dead = true;
     for (const attempt of this.attempts.values()) {
       this.options.scheduler.cancel(attempt.timeout);
@@ -142,11 +142,11 @@
     return pool;
   }
 
-  private takeConnection(attempt: Attempt): void {
+  private acquireConnection(attempt: Attempt): void {
     const { pool } = attempt;
     if (pool.idle > 0) {
       pool.idle -= 1;
-      this.sendOver(attempt);
+      this.sendOnConnection(attempt);
     } else if (pool.open < Math.max(1, attempt.effect.connections)) {
       pool.open += 1;
       this.connect(attempt);
@@ -159,13 +159,13 @@
     const replica = this.options.findReplica(attempt.pool.address);
     if (replica !== undefined && !this.canReach(replica)) {
       this.options.scheduler.schedule(CONNECT_TIMEOUT_MS, () => {
-        this.failToConnect(attempt);
+        this.handleConnectFailure(attempt);
       });
       return;
     }
     if (replica === undefined || !replica.openConnection()) {
-      this.options.scheduler.schedule(RESET_NOTICE_MS, () => {
-        this.failToConnect(attempt);
+      this.options.scheduler.schedule(RESET_DETECTION_MS, () => {
+        this.handleConnectFailure(attempt);
       });
       return;
     }
@@ -180,24 +180,24 @@
     if (!this.isOpen(attempt)) {
       this.releaseConnection(attempt.pool);
     } else if (replica.faults.dead) {
-      this.failToConnect(attempt);
+      this.handleConnectFailure(attempt);
     } else {
-      this.sendOver(attempt);
+      this.sendOnConnection(attempt);
     }
   }
 
-  private failToConnect(attempt: Attempt): void {
+  private handleConnectFailure(attempt: Attempt): void {
     this.dropConnection(attempt.pool);
     if (this.isOpen(attempt)) {
       this.end(attempt, { type: 'not-run', reason: 'connect-failed' });
     }
   }
 
-  private sendOver(attempt: Attempt): void {
+  private sendOnConnection(attempt: Attempt): void {
     const { scheduler, place, findReplica } = this.options;
     const replica = findReplica(attempt.pool.address);
     if (replica === undefined || replica.faults.dead) {
-      this.failToConnect(attempt);
+      this.handleConnectFailure(attempt);
       return;
     }
     attempt.sent = true;
@@ -212,13 +212,17 @@
         feeder: place.name,
         remainingMs: attempt.deadlineAt - scheduler.now,
         answer: (outcome) => {
-          this.takeOutcome(attempt, replica, outcome);
+          this.handleOutcome(attempt, replica, outcome);
         },
       });
     });
   }
 
-  private takeOutcome(attempt: Attempt, replica: SimulatedReplica, outcome: AttemptOutcome): void {
+  private handleOutcome(
+    attempt: Attempt,
+    replica: SimulatedReplica,
+    outcome: AttemptOutcome,
+  ): void {
     if (!this.canReach(replica)) {
       return;
     }
@@ -231,13 +235,13 @@
         this.end(attempt, outcome);
       }
     });
-    if (replica.doublesAnswers) {
-      this.deliverAgain(attempt, outcome);
+    if (replica.duplicatesAnswers) {
+      this.deliverDuplicate(attempt, outcome);
     }
   }
 
-  private deliverAgain({ effect }: Attempt, outcome: AttemptOutcome): void {
-    this.options.scheduler.schedule(DOUBLED_AFTER_MS, () => {
+  private deliverDuplicate({ effect }: Attempt, outcome: AttemptOutcome): void {
+    this.options.scheduler.schedule(DUPLICATE_DELAY_MS, () => {
       if (!this.dead) {
         this.options.onEnded(effect.leg.attempt, outcome, 0);
       }
@@ -245,7 +249,7 @@
   }
 
   private breakConnection(attempt: Attempt): void {
-    this.options.scheduler.schedule(RESET_NOTICE_MS, () => {
+    this.options.scheduler.schedule(RESET_DETECTION_MS, () => {
       if (this.isOpen(attempt)) {
         this.dropConnection(attempt.pool);
         this.finish(attempt, { type: 'unknown', reason: 'connection-lost' });
@@ -253,7 +257,7 @@
     });
   }
 
-  private timeOut(attempt: Attempt): void {
+  private handleTimeout(attempt: Attempt): void {
     if (!this.isOpen(attempt)) {
       return;
     }
@@ -291,7 +295,7 @@
     if (next === undefined) {
       pool.idle += 1;
     } else {
-      this.sendOver(next);
+      this.sendOnConnection(next);
     }
   }
 
@@ -302,7 +306,7 @@
     this.closeConnections(pool, 1);
     const next = pool.waiting.shift();
     if (next !== undefined) {
-      this.takeConnection(next);
+      this.acquireConnection(next);
     }
   }
 
--- a/src/simulation/quiet.ts
+++ b/src/simulation/disturbance-tracker.ts
@@ -4,31 +4,31 @@
  */
 
 /** Tracks disturbances: what lasts (cuts, pauses, an absent store) and what happens once (crashes). */
-export class Quiet {
-  private readonly lasting = new Set<string>();
+export class DisturbanceTracker {
+  private readonly ongoing = new Set<string>();
   private lastEndedAt = 0;
 
   constructor(private readonly clock: { readonly now: number }) {}
 
   /** Notes something that happens at once, such as a crash. */
-  disturb(): void {
+  recordMomentary(): void {
     this.lastEndedAt = this.clock.now;
   }
 
   /** Begins something that lasts until `end` is called with the same name. */
   begin(name: string): void {
-    this.lasting.add(name);
+    this.ongoing.add(name);
   }
 
   /** Ends something that lasts. */
   end(name: string): void {
-    if (this.lasting.delete(name)) {
+    if (this.ongoing.delete(name)) {
       this.lastEndedAt = this.clock.now;
     }
   }
 
   /** Since when there has been no disturbance; undefined while one lasts. */
-  get since(): number | undefined {
-    return this.lasting.size > 0 ? undefined : this.lastEndedAt;
+  get undisturbedSince(): number | undefined {
+    return this.ongoing.size > 0 ? undefined : this.lastEndedAt;
   }
 }
--- a/src/simulation/history/action.ts
+++ b/src/simulation/history/action.ts
@@ -62,7 +62,7 @@
 export type TrapFaultName = (typeof TRAP_FAULT_NAMES)[number];
 
 /** Longest time from the begin of a drain or a roll-out to its publication or end. */
-const LONGEST_LAG_MS = 15_000;
+const MAX_LAG_MS = 15_000;
 
 /** Actions name nodes, replicas, rows and zones by index; each is taken modulo how many there are. */
 export const actionSchema = z.discriminatedUnion('type', [
@@ -117,14 +117,14 @@
   z.object({
     type: z.literal('drain'),
     replica: index,
-    publishAfterMs: z.number().min(0).max(LONGEST_LAG_MS),
+    publishAfterMs: z.number().min(0).max(MAX_LAG_MS),
   }),
   /** A snapshot is added, the replicas take it one after the other, then the oldest goes away. */
   z.object({
     type: z.literal('roll-out'),
     partner: index,
     addedShards: index.max(3),
-    overMs: z.number().min(0).max(LONGEST_LAG_MS),
+    overMs: z.number().min(0).max(MAX_LAG_MS),
   }),
   /** A snapshot is added to a partner's layout, with so many shards more in each service. */
   z.object({ type: z.literal('add-snapshot'), partner: index, addedShards: index.max(3) }),
@@ -156,7 +156,7 @@
 export type Action = z.infer<typeof actionSchema>;
 
 /** Most actions that a history may have; the fuzzer draws far fewer. */
-const MOST_ACTIONS = 10_000;
+const MAX_ACTIONS = 10_000;
 
 /** A history file: a seed, the world, what was done to it, and the promise that broke, if any did. */
 export const historySchema = z.object({
@@ -165,7 +165,7 @@
   seed: z.number().int(),
   world: z.enum(['small', 'ensemble', 'tawe', 'both']),
   nodesPerZone: z.number().int().min(1).max(20),
-  actions: z.array(actionSchema).max(MOST_ACTIONS),
+  actions: z.array(actionSchema).max(MAX_ACTIONS),
   /** The breach for which the history was written; a run with the same program finds it again. */
   broke: z
     .object({ invariant: z.enum(PROMISE_NAMES), at: z.number(), detail: z.string() })
--- a/src/simulation/history/history-calls.ts
+++ b/src/simulation/history/history-calls.ts
@@ -2,7 +2,7 @@
 import { createRandom } from '../../core/random.js';
 import { createIdempotencyKey } from '../../protocol/idempotency-key.js';
 import type { RouteRow } from '../../table/route-row.js';
-import { VIRTUAL_EPOCH_MS } from '../node-surroundings.js';
+import { VIRTUAL_EPOCH_MS } from '../node-environment.js';
 import type { Simulation } from '../simulation.js';
 import type { Action } from './action.js';
 import { pick } from './pick.js';
--- a/src/simulation/history/history-edits.ts
+++ b/src/simulation/history/history-edits.ts
@@ -2,7 +2,7 @@
 import { identifier, type EditId } from '../../core/identifiers.js';
 import type { EditRequest } from '../../table/edit.js';
 import type { RouteRow } from '../../table/route-row.js';
-import { VIRTUAL_EPOCH_MS } from '../node-surroundings.js';
+import { VIRTUAL_EPOCH_MS } from '../node-environment.js';
 import type { Simulation } from '../simulation.js';
 import type { Action } from './action.js';
 import { pick } from './pick.js';
@@ -30,15 +30,15 @@
   apply(action: ActionOf<EditActionName>): void {
     switch (action.type) {
       case 'edit':
-        this.send(action.node, this.make(action));
+        this.send(action.node, this.buildEdit(action));
         return;
       case 'resend-edit':
         this.send(action.node, this.sent[action.edit]);
         return;
       case 'race-edits': {
         const { row, deadlineMs } = action;
-        this.send(action.first, this.make({ row, deadlineMs, stale: false }));
-        this.send(action.second, this.make({ row, deadlineMs: deadlineMs + 1, stale: false }));
+        this.send(action.first, this.buildEdit({ row, deadlineMs, stale: false }));
+        this.send(action.second, this.buildEdit({ row, deadlineMs: deadlineMs + 1, stale: false }));
       }
     }
   }
@@ -50,7 +50,7 @@
     }
   }
 
-  private make({
+  private buildEdit({
     row: index,
     deadlineMs,
     stale,
@@ -59,10 +59,8 @@
     const object = this.simulation.store.model.read(`sheet/${row.partner}`);
     const content = object?.content;
     const rows = content?.type === 'sheet' ? content.sheet.rows : [];
-    const standing = rows.find(
-      (each) => each.row.route === row.route && each.row.kind === row.kind,
-    );
-    const rowVersion = standing?.rowVersion ?? 0;
+    const current = rows.find((each) => each.row.route === row.route && each.row.kind === row.kind);
+    const rowVersion = current?.rowVersion ?? 0;
     return {
       edit: identifier<EditId>(`edit-${this.sent.length + 1}`),
       partner: row.partner,
--- a/src/simulation/history/replica-fault.ts
+++ b/src/simulation/history/replica-fault.ts
@@ -8,7 +8,7 @@
 
 const SLOW_FACTOR = 10;
 const COLD_MS = 3_000;
-const MISLEADING_SHARE = 0.5;
+const FAULTY_ANSWER_SHARE = 0.5;
 /** Makes work outlast the deadlines of most queries. */
 const LATE_FACTOR = 400;
 
@@ -20,12 +20,12 @@
   shedding: { shedding: true },
   leaving: { lifecycle: 'leaving' },
   cold: { coldMs: COLD_MS, lifecycle: 'warming' },
-  'wrong-answers': { wrongAnswerShare: MISLEADING_SHARE },
-  truncated: { truncatedShare: MISLEADING_SHARE },
+  'wrong-answers': { wrongAnswerShare: FAULTY_ANSWER_SHARE },
+  truncated: { truncatedShare: FAULTY_ANSWER_SHARE },
   'load-frozen': { loadReport: 'frozen' },
   'load-inverted': { loadReport: 'inverted' },
   late: { slowFactor: LATE_FACTOR },
-  oversized: { oversizedShare: MISLEADING_SHARE },
+  oversized: { oversizedShare: FAULTY_ANSWER_SHARE },
   doubled: {},
 };
 
@@ -33,6 +33,6 @@
 export const applyReplicaFault = (replica: SimulatedReplica, fault: ReplicaFaultName): void => {
   replica.setFaults(CHANGES[fault]);
   if (fault === 'doubled' || fault === 'none') {
-    replica.doublesAnswers = fault === 'doubled';
+    replica.duplicatesAnswers = fault === 'doubled';
   }
 };
--- a/src/simulation/history/tier.ts
+++ b/src/simulation/history/tier.ts
@@ -46,7 +46,7 @@
   private readonly edits: HistoryEdits;
   private readonly traps = new Traps((trap, node) => {
     this.simulation.after(0, () => {
-      this.spring(trap, node);
+      this.triggerTrap(trap, node);
     });
   });
   /** The store's revision before the first action. */
@@ -101,7 +101,7 @@
         this.changeProcess(action);
         return;
       default:
-        this.disturb(action);
+        this.applyFault(action);
     }
   }
 
@@ -109,7 +109,7 @@
   settle(): void {
     const { simulation } = this;
     this.traps.disarm();
-    this.letSprungTrapsAct();
+    this.runTriggeredTraps();
     simulation.network.reachability.healAll();
     simulation.store.setFaults({ down: false, delayMs: 0, loseAnswerShare: 0 });
     for (const node of simulation.nodes.values()) {
@@ -122,7 +122,7 @@
   }
 
   /** A trap that has sprung in the last action acts now, or it would after all is healed. */
-  private letSprungTrapsAct(): void {
+  private runTriggeredTraps(): void {
     this.simulation.runFor(0);
   }
 
@@ -151,7 +151,7 @@
     }
   }
 
-  private disturb(
+  private applyFault(
     action: ActionOf<
       'cut-zones' | 'isolate' | 'heal' | 'network' | 'trap' | StoreActionName | BackendActionName
     >,
@@ -204,7 +204,7 @@
   }
 
   /** Brings the fault of a trap about at `node`, whose moment it is, or at the trap's target. */
-  private spring({ fault, target }: Trap, node: string): void {
+  private triggerTrap({ fault, target }: Trap, node: string): void {
     const { simulation } = this;
     const { watchers } = simulation.store;
     const reader = watchers[target % Math.max(1, watchers.length)];
--- a/src/simulation/history/traps.ts
+++ b/src/simulation/history/traps.ts
@@ -8,7 +8,7 @@
 export type Trap = Extract<Action, { type: 'trap' }>;
 
 /** Brings the fault of a trap about; `node` is the one whose moment it is. */
-export type SpringTrap = (trap: Trap, node: string) => void;
+export type TriggerTrap = (trap: Trap, node: string) => void;
 
 /** Most traps that are armed at once; further ones are left out. */
 const ARMED_LIMIT = 8;
@@ -21,7 +21,7 @@
   event.message.type === 'claim-reply' &&
   event.message.verdict === 'granted';
 
-const isMoment = (moment: MomentName, { event, effects }: StepRecord): boolean => {
+const matchesMoment = (moment: MomentName, { event, effects }: StepRecord): boolean => {
   switch (moment) {
     case 'query-arrived':
     case 'stop-requested':
@@ -45,7 +45,7 @@
 export class Traps implements SimulationObserver {
   private armed: Trap[] = [];
 
-  constructor(private readonly spring: SpringTrap) {}
+  constructor(private readonly trigger: TriggerTrap) {}
 
   /** Arms a trap. */
   arm(trap: Trap): void {
@@ -63,8 +63,8 @@
     if (this.armed.length === 0) {
       return;
     }
-    const sprung = this.armed.filter(({ moment }) => isMoment(moment, step));
-    this.armed = this.armed.filter((trap) => !sprung.includes(trap));
-    sprung.forEach((trap) => this.spring(trap, step.node));
+    const triggered = this.armed.filter(({ moment }) => matchesMoment(moment, step));
+    this.armed = this.armed.filter((trap) => !triggered.includes(trap));
+    triggered.forEach((trap) => this.trigger(trap, step.node));
   }
 }
--- a/src/simulation/invariants/answer-checks.ts
+++ b/src/simulation/invariants/answer-checks.ts
@@ -70,43 +70,43 @@
   );
 
 /** What the coverage of an answer is compared with. */
-export interface CoverageFacts {
+export interface CoverageContext {
   /** Shards of the answer's snapshot that the query must reach. */
   readonly layoutShards: ReadonlySet<string>;
   /** What the replicas ran for this request. */
   readonly runs: readonly RunRecord[];
   /** Whether every contributing shard has items in the answer. */
-  readonly isWhole: boolean;
+  readonly listsAllContributors: boolean;
 }
 
 /** The coverage counts shards that truly contributed, over all shards of the snapshot. */
 export const checkCoverage = (
   answer: Answered,
-  facts: CoverageFacts,
+  context: CoverageContext,
   report: ReportViolation,
 ): void => {
   const missing = checkMissing(answer, report);
-  if (answer.shards !== facts.layoutShards.size) {
+  if (answer.shards !== context.layoutShards.size) {
     report(
       'true-coverage',
-      `${answer.request} names ${answer.shards} shards, the layout has ${facts.layoutShards.size}`,
+      `${answer.request} names ${answer.shards} shards, the layout has ${context.layoutShards.size}`,
     );
   }
   const ran = new Set<string>(
-    facts.runs.filter(({ snapshot }) => snapshot === answer.snapshot).map(({ shard }) => shard),
+    context.runs.filter(({ snapshot }) => snapshot === answer.snapshot).map(({ shard }) => shard),
   );
-  const unfounded = [...facts.layoutShards].filter(
-    (shard) => facts.layoutShards.size > 1 && !missing.has(shard) && !ran.has(shard),
+  const countedWithoutRun = [...context.layoutShards].filter(
+    (shard) => context.layoutShards.size > 1 && !missing.has(shard) && !ran.has(shard),
   );
   const inAnswer = listContributors(answer);
-  const denied = [...inAnswer].filter((shard) => missing.has(shard) || !ran.has(shard));
-  if (unfounded.length > 0 || denied.length > 0) {
+  const includedWithoutRun = [...inAnswer].filter((shard) => missing.has(shard) || !ran.has(shard));
+  if (countedWithoutRun.length > 0 || includedWithoutRun.length > 0) {
     report(
       'true-coverage',
-      `${answer.request}: counted without a run: ${unfounded.join(' ')}; in the answer and called missing or never run: ${denied.join(' ')}`,
+      `${answer.request}: counted without a run: ${countedWithoutRun.join(' ')}; in the answer and called missing or never run: ${includedWithoutRun.join(' ')}`,
     );
   }
-  if (facts.isWhole && inAnswer.size !== answer.contributed) {
+  if (context.listsAllContributors && inAnswer.size !== answer.contributed) {
     report(
       'true-coverage',
       `${answer.request}: ${inAnswer.size} shards in the answer, ${answer.contributed} counted`,
--- a/src/simulation/invariants/configuration-checks.ts
+++ b/src/simulation/invariants/configuration-checks.ts
@@ -8,9 +8,9 @@
 const IN_FORCE_BOUND_MS = 3_000;
 
 /** How soon after the last disturbance the tier must be whole again, in milliseconds. */
-const WHOLE_AGAIN_MS = 5_000;
+const RECOVERY_BOUND_MS = 5_000;
 
-interface HeldByProcess {
+interface ProcessConfiguration {
   readonly process: number;
   readonly revisions: Map<string, number>;
   revision: number;
@@ -19,7 +19,7 @@
 
 /** Follows what each process holds. */
 export class ConfigurationChecks {
-  private readonly held = new Map<string, HeldByProcess>();
+  private readonly held = new Map<string, ProcessConfiguration>();
   private readonly writes = new Map<number, StoreObject>();
   private readonly overdue = new Set<string>();
   private rolledBack = false;
@@ -30,7 +30,7 @@
   ) {}
 
   /** The store has accepted a write. */
-  noteWrite(object: StoreObject): void {
+  handleWrite(object: StoreObject): void {
     if (this.writes.has(object.revision)) {
       this.rolledBack = true;
     }
@@ -42,9 +42,9 @@
   }
 
   /** A node has taken a step. */
-  noteStep({ node, state }: StepRecord): void {
+  handleStep({ node, state }: StepRecord): void {
     const process = this.simulation.node(node).processNumber;
-    const held = this.heldBy(node, process);
+    const held = this.findOrCreateHeld(node, process);
     const { configuration } = state;
     if (configuration.revision < held.revision) {
       this.report(
@@ -59,12 +59,12 @@
     }
   }
 
-  private heldBy(node: string, process: number): HeldByProcess {
+  private findOrCreateHeld(node: string, process: number): ProcessConfiguration {
     const found = this.held.get(node);
     if (found?.process === process) {
       return found;
     }
-    const created: HeldByProcess = {
+    const created: ProcessConfiguration = {
       process,
       revisions: new Map(),
       revision: 0,
@@ -74,7 +74,11 @@
     return created;
   }
 
-  private checkObjects(node: string, held: HeldByProcess, objects: Iterable<StoreObject>): void {
+  private checkObjects(
+    node: string,
+    held: ProcessConfiguration,
+    objects: Iterable<StoreObject>,
+  ): void {
     for (const object of objects) {
       const before = held.revisions.get(object.name) ?? 0;
       if (object.revision < before) {
@@ -101,12 +105,12 @@
 
   /** Looks at a write after the bound; looks again later if something disturbed the tier. */
   private checkInForce(object: StoreObject, writtenAt: number): void {
-    const { quiet, now, nodes } = this.simulation;
+    const { disturbances, now, nodes } = this.simulation;
     if (this.rolledBack) {
       return;
     }
-    const since = quiet.since ?? now;
-    const from = since >= writtenAt ? since + WHOLE_AGAIN_MS : writtenAt;
+    const since = disturbances.undisturbedSince ?? now;
+    const from = since >= writtenAt ? since + RECOVERY_BOUND_MS : writtenAt;
     if (now - from < IN_FORCE_BOUND_MS) {
       this.simulation.after(IN_FORCE_BOUND_MS - (now - from), () => {
         this.checkInForce(object, writtenAt);
--- a/src/simulation/invariants/edit-checks.ts
+++ b/src/simulation/invariants/edit-checks.ts
@@ -30,7 +30,7 @@
   constructor(private readonly report: ReportViolation) {}
 
   /** The store has accepted a write. */
-  noteWrite({ content, name, revision }: StoreObject): void {
+  handleWrite({ content, name, revision }: StoreObject): void {
     this.rolledBack ||= revision <= this.lastRevision;
     this.lastRevision = revision;
     if (content.type !== 'sheet' || this.rolledBack) {
@@ -58,7 +58,7 @@
   }
 
   /** An operator was told what became of an edit. */
-  noteOutcome({ edit, outcome }: EditCallRecord): void {
+  handleOutcome({ edit, outcome }: EditCallRecord): void {
     if (this.rolledBack) {
       return;
     }
--- a/src/simulation/invariants/invariant-checker.ts
+++ b/src/simulation/invariants/invariant-checker.ts
@@ -23,7 +23,7 @@
 /** Most violations that are kept. */
 const VIOLATION_LIMIT = 1_000;
 /** Items the stand-in returns for each shard, at least; an answer with fewer places is not whole. */
-const MOST_ITEMS_PER_SHARD = 3;
+const MAX_ITEMS_PER_SHARD = 3;
 
 const isServedBy = (row: RouteRow, service: string): boolean =>
   row.services.some((pattern) =>
@@ -59,14 +59,14 @@
   }
 
   stepped(step: StepRecord): void {
-    this.configuration.noteStep(step);
+    this.configuration.handleStep(step);
   }
 
-  stored(object: StoreObject): void {
-    this.configuration.noteWrite(object);
-    this.edits.noteWrite(object);
+  objectWritten(object: StoreObject): void {
+    this.configuration.handleWrite(object);
+    this.edits.handleWrite(object);
     if (object.content.type === 'status') {
-      this.leaving.notePublished(object.content.status.replicas);
+      this.leaving.handlePublishedStatus(object.content.status.replicas);
     }
     if (object.content.type === 'sheet') {
       for (const { row } of object.content.sheet.rows) {
@@ -75,24 +75,24 @@
     }
   }
 
-  ran(run: RunRecord): void {
-    this.runs.noteRun(run);
+  attemptStarted(run: RunRecord): void {
+    this.runs.handleRun(run);
   }
 
-  arrived(arrival: ArrivalRecord): void {
-    this.leaving.noteArrival(arrival);
+  attemptArrived(arrival: ArrivalRecord): void {
+    this.leaving.handleArrival(arrival);
   }
 
-  saidLeaving(replica: string): void {
-    this.leaving.noteSaid(replica);
+  announcedLeaving(replica: string): void {
+    this.leaving.handleAnnouncement(replica);
   }
 
   lifecycleChanged(replica: string, isLeaving: boolean): void {
-    this.leaving.noteLifecycle(replica, isLeaving);
+    this.leaving.handleLifecycleChange(replica, isLeaving);
   }
 
   endedAsPlanned(node: NodeId, openAttempts: number): void {
-    this.leaving.notePlannedEnd(node, openAttempts);
+    this.leaving.handlePlannedStop(node, openAttempts);
   }
 
   answered(call: CallRecord): void {
@@ -101,9 +101,9 @@
       return;
     }
     this.checkRequest(call, outcome.request);
-    this.leaving.noteAnswer(call);
+    this.leaving.handleAnswer(call);
     if (outcome.type === 'not-run') {
-      this.runs.noteRefusal(outcome.request);
+      this.runs.handleRefusal(outcome.request);
     }
     if (outcome.type === 'answered') {
       this.checkAnswer(call, outcome);
@@ -111,7 +111,7 @@
   }
 
   editAnswered(edit: EditCallRecord): void {
-    this.edits.noteOutcome(edit);
+    this.edits.handleOutcome(edit);
   }
 
   answeredAgain(call: CallRecord): void {
@@ -140,11 +140,15 @@
       return;
     }
     const layoutShards = this.listShards(call, row, answer);
-    const isWhole =
-      row.merge === 'concatenate' && layoutShards.size * MOST_ITEMS_PER_SHARD <= row.maxItems;
+    const listsAllContributors =
+      row.merge === 'concatenate' && layoutShards.size * MAX_ITEMS_PER_SHARD <= row.maxItems;
     checkCoverage(
       answer,
-      { layoutShards, runs: this.runs.runsOf(answer.request), isWhole },
+      {
+        layoutShards,
+        runs: this.runs.runsOf(answer.request),
+        listsAllContributors,
+      },
       report,
     );
   }
--- a/src/simulation/invariants/leaving-checks.ts
+++ b/src/simulation/invariants/leaving-checks.ts
@@ -23,7 +23,7 @@
   ) {}
 
   /** A replica's lifecycle has changed. */
-  noteLifecycle(replica: string, isLeaving: boolean): void {
+  handleLifecycleChange(replica: string, isLeaving: boolean): void {
     if (isLeaving) {
       this.leaving.add(replica);
     } else {
@@ -33,28 +33,28 @@
   }
 
   /** The platform has published what it knows of a service's replicas. */
-  notePublished(replicas: readonly ReplicaStatus[]): void {
+  handlePublishedStatus(replicas: readonly ReplicaStatus[]): void {
     for (const { replica, lifecycle } of replicas) {
       if (lifecycle === 'leaving') {
-        this.noteSign(replica);
+        this.recordFirstSign(replica);
       }
     }
   }
 
   /** A replica has said that it leaves. */
-  noteSaid(replica: string): void {
+  handleAnnouncement(replica: string): void {
     if (this.leaving.has(replica)) {
-      this.noteSign(replica);
+      this.recordFirstSign(replica);
     }
   }
 
   /** An attempt has reached a replica. */
-  noteArrival(arrival: ArrivalRecord): void {
+  handleArrival(arrival: ArrivalRecord): void {
     if (!this.leaving.has(arrival.replica)) {
       return;
     }
     const firstSignAt = this.firstSignAt.get(arrival.replica);
-    const quietSince = this.simulation.quiet.since;
+    const quietSince = this.simulation.disturbances.undisturbedSince;
     if (firstSignAt === undefined || quietSince === undefined) {
       return;
     }
@@ -68,14 +68,14 @@
     }
   }
 
-  private noteSign(replica: string): void {
+  private recordFirstSign(replica: string): void {
     if (!this.firstSignAt.has(replica)) {
       this.firstSignAt.set(replica, this.simulation.now);
     }
   }
 
   /** A node's process has ended after a planned stop. */
-  notePlannedEnd(node: string, openAttempts: number): void {
+  handlePlannedStop(node: string, openAttempts: number): void {
     if (openAttempts > 0) {
       this.report(
         'planned-stop-cuts-nothing',
@@ -88,9 +88,9 @@
   }
 
   /** A caller has got its answer. */
-  noteAnswer(call: CallRecord): void {
+  handleAnswer(call: CallRecord): void {
     const { outcome } = call;
-    const quietSince = this.simulation.quiet.since;
+    const quietSince = this.simulation.disturbances.undisturbedSince;
     const wasQuiet = quietSince !== undefined && quietSince < call.sentAt - LEAVING_BOUND_MS;
     const lostPeer =
       (outcome?.type === 'unknown' && outcome.reason === 'peer-lost') ||
--- a/src/simulation/invariants/run-checks.ts
+++ b/src/simulation/invariants/run-checks.ts
@@ -16,7 +16,7 @@
   }
 
   /** A replica has begun to work on an attempt. */
-  noteRun(run: RunRecord): void {
+  handleRun(run: RunRecord): void {
     const runs = this.runsByRequest.get(run.request) ?? [];
     runs.push(run);
     this.runsByRequest.set(run.request, runs);
@@ -32,7 +32,7 @@
   }
 
   /** A caller was told that its request did not run. */
-  noteRefusal(request: string): void {
+  handleRefusal(request: string): void {
     this.refused.add(request);
     const [run] = this.runsOf(request);
     if (run !== undefined) {
--- a/src/simulation/network-endpoint.ts
+++ b/src/simulation/network-endpoint.ts
@@ -20,8 +20,8 @@
   /** False while the process does not exist; a paused one is up. */
   readonly isUp: boolean;
   receiveDatagram(message: MembershipMessage): void;
-  receiveLink(from: NodeId, message: LinkMessage): void;
-  loseLink(peer: NodeId): void;
+  receiveLinkMessage(from: NodeId, message: LinkMessage): void;
+  handleLinkLost(peer: NodeId): void;
 }
 
 /** Names an address. */
--- a/src/simulation/node-surroundings.ts
+++ b/src/simulation/node-environment.ts
@@ -10,7 +10,7 @@
 import type { EditOutcome } from '../table/edit.js';
 import type { BackendLatency, FindReplica } from './backend-client.js';
 import type { SimulationObserver } from './observer.js';
-import type { Quiet } from './quiet.js';
+import type { DisturbanceTracker } from './disturbance-tracker.js';
 import type { Scheduler } from './scheduler.js';
 import type { SimulatedStore } from './simulated-store.js';
 import type { VirtualNetwork } from './virtual-network.js';
@@ -33,11 +33,11 @@
   answerCaller(call: CallId, outcome: QueryOutcome): void;
   answerOperator(call: CallId, outcome: EditOutcome): void;
   /** The process is gone; its calls are lost. */
-  endProcess(node: NodeId): void;
+  handleProcessEnd(node: NodeId): void;
 }
 
 /** What a node shares with the rest of the simulation. */
-export interface NodeSurroundings {
+export interface NodeEnvironment {
   readonly scheduler: Scheduler;
   readonly network: VirtualNetwork;
   readonly store: SimulatedStore;
@@ -45,7 +45,7 @@
   readonly backendLatency: BackendLatency;
   readonly observers: readonly SimulationObserver[];
   readonly calls: CallListener;
-  readonly quiet: Quiet;
+  readonly disturbances: DisturbanceTracker;
   readonly random: Random;
   readonly seed: number;
   readonly step: StepFunction;
--- a/src/simulation/observer.ts
+++ b/src/simulation/observer.ts
@@ -28,15 +28,15 @@
   /** An operator was told what became of an edit. */
   editAnswered?(edit: EditCallRecord): void;
   /** An attempt has reached a replica, whether it runs or not. */
-  arrived?(arrival: ArrivalRecord): void;
+  attemptArrived?(arrival: ArrivalRecord): void;
   /** A replica has said that it leaves, by a refusal or with an answer. */
-  saidLeaving?(replica: string): void;
+  announcedLeaving?(replica: string): void;
   /** A replica has begun to leave, or no longer leaves. */
   lifecycleChanged?(replica: string, isLeaving: boolean): void;
   /** A replica has begun to work on an attempt. */
-  ran?(run: RunRecord): void;
+  attemptStarted?(run: RunRecord): void;
   /** A process has ended after a planned stop, with so many attempts still open. */
   endedAsPlanned?(node: NodeId, openAttempts: number): void;
   /** The store has accepted a write. */
-  stored?(object: StoreObject): void;
+  objectWritten?(object: StoreObject): void;
 }
--- a/src/simulation/reachability.ts
+++ b/src/simulation/reachability.ts
@@ -1,6 +1,6 @@
 /** Which parts of the virtual network are cut off from each other. */
 import { zonePairKey } from './network-conditions.js';
-import type { Quiet } from './quiet.js';
+import type { DisturbanceTracker } from './disturbance-tracker.js';
 
 /** A place in the network: a process and its zone. */
 export interface NetworkPlace {
@@ -13,39 +13,39 @@
   private readonly cutZonePairs = new Set<string>();
   private readonly isolated = new Set<string>();
 
-  constructor(private readonly quiet?: Quiet) {}
+  constructor(private readonly disturbances?: DisturbanceTracker) {}
 
   /** Cuts two zones off from each other. */
   cutZones(a: string, b: string): void {
     this.cutZonePairs.add(zonePairKey(a, b));
-    this.quiet?.begin(`cut ${zonePairKey(a, b)}`);
+    this.disturbances?.begin(`cut ${zonePairKey(a, b)}`);
   }
 
   /** Heals the cut between two zones. */
   healZones(a: string, b: string): void {
     this.cutZonePairs.delete(zonePairKey(a, b));
-    this.quiet?.end(`cut ${zonePairKey(a, b)}`);
+    this.disturbances?.end(`cut ${zonePairKey(a, b)}`);
   }
 
   /** Cuts one process off from all others. */
   isolate(name: string): void {
     this.isolated.add(name);
-    this.quiet?.begin(`isolated ${name}`);
+    this.disturbances?.begin(`isolated ${name}`);
   }
 
   /** Ends the isolation of a process. */
-  rejoin(name: string): void {
+  endIsolation(name: string): void {
     this.isolated.delete(name);
-    this.quiet?.end(`isolated ${name}`);
+    this.disturbances?.end(`isolated ${name}`);
   }
 
   /** Heals all cuts. */
   healAll(): void {
     for (const pair of this.cutZonePairs) {
-      this.quiet?.end(`cut ${pair}`);
+      this.disturbances?.end(`cut ${pair}`);
     }
     for (const name of this.isolated) {
-      this.quiet?.end(`isolated ${name}`);
+      this.disturbances?.end(`isolated ${name}`);
     }
     this.cutZonePairs.clear();
     this.isolated.clear();
--- a/src/simulation/scenario/apply-step.ts
+++ b/src/simulation/scenario/apply-step.ts
@@ -16,7 +16,7 @@
 import { findNodes, findReplicas } from './targets.js';
 
 /** What the steps of a scenario act on. */
-export interface ScenarioStage {
+export interface ScenarioContext {
   readonly simulation: Simulation;
   readonly deployments: readonly Deployment[];
   readonly loads: ReadonlyMap<string, SimulatedLoad>;
@@ -44,17 +44,17 @@
   }
 };
 
-const drain = (stage: ScenarioStage, { target, publishAfterMs }: DrainStep): void => {
-  for (const replica of findReplicas(stage.simulation, target)) {
+const drain = (context: ScenarioContext, { target, publishAfterMs }: DrainStep): void => {
+  for (const replica of findReplicas(context.simulation, target)) {
     replica.setFaults({ lifecycle: 'leaving' });
-    stage.onDrain(replica.options.status.replica);
-    stage.simulation.after(publishAfterMs, () => {
-      publishStatus(stage.simulation, replica);
+    context.onDrain(replica.options.status.replica);
+    context.simulation.after(publishAfterMs, () => {
+      publishStatus(context.simulation, replica);
     });
   }
 };
 
-const cutZones = ({ simulation, deployments }: ScenarioStage, { zones }: ZoneCutStep): void => {
+const cutZones = ({ simulation, deployments }: ScenarioContext, { zones }: ZoneCutStep): void => {
   const others = deployments
     .flatMap((deployment) => deployment.zones)
     .filter((zone) => !zones.includes(zone));
@@ -66,7 +66,7 @@
 };
 
 /** Replicas take the new snapshot one after the other; then the one before goes away. */
-const rollOut = ({ simulation, deployments }: ScenarioStage, step: RollOutStep): void => {
+const rollOut = ({ simulation, deployments }: ScenarioContext, step: RollOutStep): void => {
   const deployment = deployments.find(({ partner }) => partner === step.partner);
   if (deployment === undefined) {
     return;
@@ -88,8 +88,8 @@
 };
 
 /** Does one step now. */
-export const applyStep = (stage: ScenarioStage, scenarioStep: ScenarioStep): void => {
-  const { simulation, loads, edits } = stage;
+export const applyStep = (context: ScenarioContext, scenarioStep: ScenarioStep): void => {
+  const { simulation, loads, edits } = context;
   match(scenarioStep)
     .with({ kind: 'replica-fault' }, ({ target, change }) => {
       for (const replica of findReplicas(simulation, target)) {
@@ -97,7 +97,7 @@
       }
     })
     .with({ kind: 'drain' }, (step) => {
-      drain(stage, step);
+      drain(context, step);
     })
     .with({ kind: 'store-fault' }, ({ change }) => {
       simulation.store.setFaults(change);
@@ -108,13 +108,13 @@
       }
     })
     .with({ kind: 'zone-cut' }, (step) => {
-      cutZones(stage, step);
+      cutZones(context, step);
     })
     .with({ kind: 'zone-heal' }, () => {
       simulation.network.reachability.healAll();
     })
     .with({ kind: 'roll-out' }, (step) => {
-      rollOut(stage, step);
+      rollOut(context, step);
     })
     .with({ kind: 'load-factor' }, ({ partner, factor }) => {
       const load = loads.get(partner);
--- a/src/simulation/scenario/faults.ts
+++ b/src/simulation/scenario/faults.ts
@@ -40,17 +40,17 @@
   readonly lastsMs: number;
 }
 
-const FIRST_OF_EACH: ReplicaTarget = { firstOfService: 1 };
+const FIRST_REPLICA_OF_EACH: ReplicaTarget = { firstOfService: 1 };
 const STRAGGLER_SHARE = 0.02;
 const STRAGGLER_FACTOR = 10;
 const FLOOD_FACTOR = 5;
 const SLOW_STORE_MS = 2_000;
 const LOST_ANSWER_SHARE = 0.5;
-const PUBLISH_LATE_MS = 10_000;
+const PUBLISH_DELAY_MS = 10_000;
 const NEXT_SNAPSHOT = 2;
 const EDIT_WEIGHT = 2;
 
-const fromTo = (
+const faultWithEnd = (
   { fromMs, lastsMs }: FaultTime,
   begin: ScenarioStep,
   end: ScenarioStep,
@@ -62,7 +62,7 @@
 const replicaFault =
   (target: ReplicaTarget, begin: ReplicaFaultChange, end: ReplicaFaultChange) =>
   (time: FaultTime): ScenarioFault[] =>
-    fromTo(
+    faultWithEnd(
       time,
       { kind: 'replica-fault', target, change: begin },
       { kind: 'replica-fault', target, change: end },
@@ -71,7 +71,11 @@
 const storeFault =
   (begin: StoreFaultChange, end: StoreFaultChange) =>
   (time: FaultTime): ScenarioFault[] =>
-    fromTo(time, { kind: 'store-fault', change: begin }, { kind: 'store-fault', change: end });
+    faultWithEnd(
+      time,
+      { kind: 'store-fault', change: begin },
+      { kind: 'store-fault', change: end },
+    );
 
 const rollOut =
   (addedShards: number) =>
@@ -92,28 +96,29 @@
     { slowFactor: STRAGGLER_FACTOR, slowShare: STRAGGLER_SHARE },
     { slowFactor: 1, slowShare: 1 },
   ),
-  'replica-lost': replicaFault(FIRST_OF_EACH, { dead: true }, { dead: false }),
-  'replica-frozen': replicaFault(FIRST_OF_EACH, { frozen: true }, { frozen: false }),
+  'replica-lost': replicaFault(FIRST_REPLICA_OF_EACH, { dead: true }, { dead: false }),
+  'replica-frozen': replicaFault(FIRST_REPLICA_OF_EACH, { frozen: true }, { frozen: false }),
   repartition: rollOut(1),
   'roll-out': rollOut(0),
   'store-down': storeFault({ down: true }, { down: false }),
   'store-slow': storeFault({ delayMs: SLOW_STORE_MS }, { delayMs: 0 }),
   'answer-lost': storeFault({ loseAnswerShare: LOST_ANSWER_SHARE }, { loseAnswerShare: 0 }),
-  'zone-cut': (time) => fromTo(time, { kind: 'zone-cut', zones: ['bole'] }, { kind: 'zone-heal' }),
+  'zone-cut': (time) =>
+    faultWithEnd(time, { kind: 'zone-cut', zones: ['bole'] }, { kind: 'zone-heal' }),
   'node-killed': (time) =>
-    fromTo(
+    faultWithEnd(
       time,
       { kind: 'node-fault', target: { node: 'arada-1' }, action: 'kill' },
       { kind: 'node-fault', target: { node: 'arada-1' }, action: 'start' },
     ),
   'node-paused': (time) =>
-    fromTo(
+    faultWithEnd(
       time,
       { kind: 'node-fault', target: { node: 'kirkos-1' }, action: 'pause' },
       { kind: 'node-fault', target: { node: 'kirkos-1' }, action: 'resume' },
     ),
   'node-stopped': (time) =>
-    fromTo(
+    faultWithEnd(
       time,
       { kind: 'node-fault', target: { node: 'yeka-1' }, action: 'stop' },
       { kind: 'node-fault', target: { node: 'yeka-1' }, action: 'start' },
@@ -123,17 +128,22 @@
       atMs: fromMs,
       kind: 'drain',
       target: { group: 'booking-desk', firstOfService: 1 },
-      publishAfterMs: PUBLISH_LATE_MS,
+      publishAfterMs: PUBLISH_DELAY_MS,
     },
   ],
   'cold-start': ({ fromMs, lastsMs }) => [
-    { atMs: fromMs, kind: 'replica-fault', target: FIRST_OF_EACH, change: { coldMs: lastsMs } },
+    {
+      atMs: fromMs,
+      kind: 'replica-fault',
+      target: FIRST_REPLICA_OF_EACH,
+      change: { coldMs: lastsMs },
+    },
   ],
-  shedding: replicaFault(FIRST_OF_EACH, { shedding: true }, { shedding: false }),
+  shedding: replicaFault(FIRST_REPLICA_OF_EACH, { shedding: true }, { shedding: false }),
   'load-frozen': replicaFault({}, { loadReport: 'frozen' }, { loadReport: 'true' }),
   'load-inverted': replicaFault({}, { loadReport: 'inverted' }, { loadReport: 'true' }),
   flood: (time) =>
-    fromTo(
+    faultWithEnd(
       time,
       { kind: 'load-factor', partner: 'ensemble', factor: FLOOD_FACTOR },
       { kind: 'load-factor', partner: 'ensemble', factor: 1 },
--- a/src/simulation/scenario/run-scenario.ts
+++ b/src/simulation/scenario/run-scenario.ts
@@ -12,7 +12,7 @@
 import { Simulation } from '../simulation.js';
 import { TraceHasher } from '../trace.js';
 import { buildWorld, startNodes } from '../world.js';
-import { applyStep, type ScenarioStage } from './apply-step.js';
+import { applyStep, type ScenarioContext } from './apply-step.js';
 import { ScenarioEdits } from './scenario-edits.js';
 import { buildNetwork } from './scenario-network.js';
 import { SimulatedLoad } from './simulated-load.js';
@@ -82,7 +82,7 @@
 const watchDrains = (simulation: Simulation): Map<string, DrainLag & { from: number }> => {
   const drains = new Map<string, DrainLag & { from: number }>();
   simulation.observe({
-    arrived: ({ replica, at }) => {
+    attemptArrived: ({ replica, at }) => {
       const drained = drains.get(replica);
       if (drained !== undefined) {
         drains.set(replica, { ...drained, lastWorkMs: at - drained.from });
@@ -164,10 +164,10 @@
   return { checker, counter, trace };
 };
 
-const scheduleFaults = ({ faults, warmUpMs }: Scenario, stage: ScenarioStage): void => {
+const scheduleFaults = ({ faults, warmUpMs }: Scenario, context: ScenarioContext): void => {
   for (const fault of faults) {
-    stage.simulation.after(warmUpMs + fault.atMs, () => {
-      applyStep(stage, fault);
+    context.simulation.after(warmUpMs + fault.atMs, () => {
+      applyStep(context, fault);
     });
   }
 };
--- a/src/simulation/scenario/scenario-edits.ts
+++ b/src/simulation/scenario/scenario-edits.ts
@@ -4,7 +4,7 @@
 import type { EditInForce } from '../../experiment/scenario-result.js';
 import type { EditRequest } from '../../table/edit.js';
 import type { EditCallRecord } from '../call-record.js';
-import { VIRTUAL_EPOCH_MS } from '../node-surroundings.js';
+import { VIRTUAL_EPOCH_MS } from '../node-environment.js';
 import type { Simulation } from '../simulation.js';
 
 /** How often it is looked whether an edit is in force, in milliseconds: the figures' resolution. */
@@ -38,7 +38,7 @@
     const node = [...this.simulation.nodes.values()].find(
       ({ processState }) => processState === 'running',
     );
-    const edit = this.makeEdit(step);
+    const edit = this.buildEdit(step);
     if (node === undefined || edit === undefined) {
       return;
     }
@@ -69,16 +69,16 @@
     });
   }
 
-  private makeEdit(step: EditStep): EditRequest | undefined {
+  private buildEdit(step: EditStep): EditRequest | undefined {
     const object = this.simulation.store.model.read(`sheet/${step.partner}`);
     const rows = object?.content.type === 'sheet' ? object.content.sheet.rows : [];
-    const standing = rows.find(
+    const current = rows.find(
       ({ row }) => row.route === step.route && row.kind === step.requestKind,
     );
-    if (object === undefined || standing === undefined) {
+    if (object === undefined || current === undefined) {
       return undefined;
     }
-    const row = { ...standing.row, weight: step.weight };
+    const row = { ...current.row, weight: step.weight };
     return {
       edit: identifier<EditId>(`edit-${this.watched.length + 1}`),
       partner: identifier<PartnerId>(step.partner),
@@ -88,7 +88,7 @@
       writtenAt: VIRTUAL_EPOCH_MS + Math.floor(this.simulation.now),
       action: {
         type: 'change-rows',
-        changes: [{ type: 'set', row, basedOn: standing.rowVersion }],
+        changes: [{ type: 'set', row, basedOn: current.rowVersion }],
       },
     };
   }
--- a/src/simulation/scenario/simulated-load.ts
+++ b/src/simulation/scenario/simulated-load.ts
@@ -7,7 +7,7 @@
 import type { Call, CallOutcome, EndedCall } from '../../load/call-outcome.js';
 import type { CallRecord } from '../call-record.js';
 import { deriveSeed } from '../seeds.js';
-import { VIRTUAL_EPOCH_MS } from '../node-surroundings.js';
+import { VIRTUAL_EPOCH_MS } from '../node-environment.js';
 import type { Simulation } from '../simulation.js';
 
 /** What a load is created from. */
--- a/src/simulation/scheduler.ts
+++ b/src/simulation/scheduler.ts
@@ -2,7 +2,7 @@
 import { BinaryHeap } from '../core/binary-heap.js';
 
 /** Most actions of one moment; more means that the simulated parts keep each other busy for ever. */
-const ACTIONS_AT_ONCE_LIMIT = 1_000_000;
+const SAME_TIME_ACTION_LIMIT = 1_000_000;
 
 /**
  * Times are rounded up to this fraction of a millisecond, a power of two: sums and differences of
@@ -30,7 +30,7 @@
   private time = 0;
   private scheduled = 0;
   private ran = 0;
-  private ranNow = 0;
+  private ranAtCurrentTime = 0;
 
   /** The virtual time, in milliseconds since the simulation began. */
   get now(): number {
@@ -76,8 +76,8 @@
       return;
     }
     action.run = undefined;
-    this.ranNow = action.at > this.time ? 0 : this.ranNow + 1;
-    if (this.ranNow > ACTIONS_AT_ONCE_LIMIT) {
+    this.ranAtCurrentTime = action.at > this.time ? 0 : this.ranAtCurrentTime + 1;
+    if (this.ranAtCurrentTime > SAME_TIME_ACTION_LIMIT) {
       throw new Error(`virtual time does not move on from ${this.time} ms`);
     }
     this.time = action.at;
--- a/src/simulation/simulated-node.ts
+++ b/src/simulation/simulated-node.ts
@@ -14,12 +14,12 @@
 import type { NetworkEndpoint } from './network-endpoint.js';
 import {
   type NodePlacement,
-  type NodeSurroundings,
+  type NodeEnvironment,
   type UnstampedEvent,
   VIRTUAL_EPOCH_MS,
-} from './node-surroundings.js';
+} from './node-environment.js';
 import { deriveSeed } from './seeds.js';
-import { carryOutEffect, clockOf, type SimulatedProcess } from './simulated-process.js';
+import { executeEffect, clockOf, type SimulatedProcess } from './simulated-process.js';
 import { type SetTimerEntry, Timers } from './timers.js';
 
 /** Most by which the monotonic clocks of two processes differ, in milliseconds. */
@@ -43,7 +43,7 @@
 
   constructor(
     readonly placement: NodePlacement,
-    private readonly surroundings: NodeSurroundings,
+    private readonly environment: NodeEnvironment,
   ) {}
 
   /** The node's identifier. */
@@ -82,19 +82,19 @@
       return;
     }
     this.processNumber += 1;
-    this.startedAt = this.surroundings.scheduler.now;
+    this.startedAt = this.environment.scheduler.now;
     this.process = this.createProcess();
     this.processState = 'running';
     prepare?.(this.process.state);
-    this.surroundings.network.add(this);
+    this.environment.network.add(this);
     this.deliver({ type: 'started' });
   }
 
   /** Kills the process: all its state is gone, and its callers lose their connections. */
   crash(): void {
     if (this.process !== undefined) {
-      this.surroundings.quiet.disturb();
-      this.end(this.process);
+      this.environment.disturbances.recordMomentary();
+      this.terminateProcess(this.process);
     }
   }
 
@@ -102,7 +102,7 @@
   pause(): void {
     if (this.processState === 'running') {
       this.processState = 'paused';
-      this.surroundings.quiet.begin(`paused ${this.name}`);
+      this.environment.disturbances.begin(`paused ${this.name}`);
     }
   }
 
@@ -112,8 +112,8 @@
       return;
     }
     this.processState = 'running';
-    this.surroundings.quiet.end(`paused ${this.name}`);
-    for (const entry of this.orderInbox()) {
+    this.environment.disturbances.end(`paused ${this.name}`);
+    for (const entry of this.drainInbox()) {
       if (entry.type === 'timer') {
         this.fireTimer(entry.entry);
       } else {
@@ -141,11 +141,11 @@
     this.deliver({ type: 'datagram-arrived', message });
   }
 
-  receiveLink(from: NodeId, message: LinkMessage): void {
+  receiveLinkMessage(from: NodeId, message: LinkMessage): void {
     this.deliver({ type: 'link-message-arrived', from, message });
   }
 
-  loseLink(peer: NodeId): void {
+  handleLinkLost(peer: NodeId): void {
     this.deliver({ type: 'link-lost', peer });
   }
 
@@ -154,14 +154,14 @@
     if (this.processState === 'paused') {
       this.inbox.push({ type: 'event', event });
     } else if (this.process !== undefined) {
-      this.take(this.process, event);
+      this.runStep(this.process, event);
     }
   }
 
-  private take(process: SimulatedProcess, unstamped: UnstampedEvent): void {
-    const { step: takeStep, observers, scheduler } = this.surroundings;
+  private runStep(process: SimulatedProcess, unstamped: UnstampedEvent): void {
+    const { step, observers, scheduler } = this.environment;
     const event = { ...unstamped, at: clockOf(process) } as Event;
-    const effects = takeStep(process.state, event);
+    const effects = step(process.state, event);
     for (const observer of observers) {
       observer.stepped?.({
         at: scheduler.now,
@@ -173,37 +173,37 @@
     }
     for (const effect of effects) {
       if (this.process === process) {
-        carryOutEffect(process, effect);
+        executeEffect(process, effect);
       }
     }
   }
 
-  private end(process: SimulatedProcess): void {
+  private terminateProcess(process: SimulatedProcess): void {
     process.timers.cancelAll();
-    process.backends.die();
-    this.surroundings.store.unwatch(this);
+    process.backends.terminate();
+    this.environment.store.unwatch(this);
     this.process = undefined;
     this.processState = 'down';
-    this.surroundings.quiet.end(`paused ${this.name}`);
+    this.environment.disturbances.end(`paused ${this.name}`);
     this.inbox = [];
-    this.surroundings.network.closeLinksOf(this.name);
-    this.surroundings.calls.endProcess(this.name);
+    this.environment.network.closeLinksOf(this.name);
+    this.environment.calls.handleProcessEnd(this.name);
   }
 
   /** Ends the process because its core has said that its planned stop is done. */
-  endAsPlanned(): void {
+  completePlannedStop(): void {
     const { process } = this;
     if (process !== undefined) {
       const openAttempts = process.backends.openAttempts;
-      this.surroundings.observers.forEach((observer) =>
+      this.environment.observers.forEach((observer) =>
         observer.endedAsPlanned?.(this.name, openAttempts),
       );
-      this.end(process);
+      this.terminateProcess(process);
     }
   }
 
   private createProcess(): SimulatedProcess {
-    const { scheduler, seed, random, policy } = this.surroundings;
+    const { scheduler, seed, random, policy } = this.environment;
     const { node, zone, region, address, seeds } = this.placement;
     const incarnation = VIRTUAL_EPOCH_MS + Math.floor(scheduler.now);
     const state = createCoreState({
@@ -214,10 +214,10 @@
     });
     return {
       node: this,
-      surroundings: this.surroundings,
+      environment: this.environment,
       state,
       timers: new Timers(scheduler, (entry) => {
-        this.runOut(entry);
+        this.handleTimerExpiry(entry);
       }),
       backends: this.createBackends(),
       startedAt: scheduler.now,
@@ -226,7 +226,7 @@
   }
 
   private createBackends(): BackendClient {
-    const { scheduler, network, findReplica, backendLatency } = this.surroundings;
+    const { scheduler, network, findReplica, backendLatency } = this.environment;
     return new BackendClient({
       place: this,
       scheduler,
@@ -240,7 +240,7 @@
     });
   }
 
-  private runOut(entry: SetTimerEntry): void {
+  private handleTimerExpiry(entry: SetTimerEntry): void {
     if (this.processState === 'paused') {
       this.inbox.push({ type: 'timer', entry });
     } else {
@@ -249,17 +249,17 @@
   }
 
   private fireTimer(entry: SetTimerEntry): void {
-    if (this.process?.timers.take(entry) === true) {
-      this.take(this.process, { type: 'timer-fired', key: entry.key });
+    if (this.process?.timers.removeExpired(entry) === true) {
+      this.runStep(this.process, { type: 'timer-fired', key: entry.key });
     }
   }
 
   /** A process that wakes sees its timers or its messages first: either may happen. */
-  private orderInbox(): InboxEntry[] {
+  private drainInbox(): InboxEntry[] {
     const entries = this.inbox;
     this.inbox = [];
     const timers = entries.filter((entry) => entry.type === 'timer');
     const events = entries.filter((entry) => entry.type === 'event');
-    return this.surroundings.random.next() < 0.5 ? [...timers, ...events] : [...events, ...timers];
+    return this.environment.random.next() < 0.5 ? [...timers, ...events] : [...events, ...timers];
   }
 }
--- a/src/simulation/simulated-process.ts
+++ b/src/simulation/simulated-process.ts
@@ -2,14 +2,14 @@
 import type { Effect } from '../core/effect.js';
 import type { CoreState } from '../core/state.js';
 import type { BackendClient } from './backend-client.js';
-import type { NodeSurroundings } from './node-surroundings.js';
+import type { NodeEnvironment } from './node-environment.js';
 import type { SimulatedNode } from './simulated-node.js';
 import type { Timers } from './timers.js';
 
 /** A process from its start to its end; the node's next process is another one. */
 export interface SimulatedProcess {
   readonly node: SimulatedNode;
-  readonly surroundings: NodeSurroundings;
+  readonly environment: NodeEnvironment;
   readonly state: CoreState;
   readonly timers: Timers;
   readonly backends: BackendClient;
@@ -20,10 +20,10 @@
 }
 
 /** The process's monotonic clock, in milliseconds. */
-export const clockOf = ({ surroundings, startedAt, clockOffset }: SimulatedProcess): number =>
-  surroundings.scheduler.now - startedAt + clockOffset;
+export const clockOf = ({ environment, startedAt, clockOffset }: SimulatedProcess): number =>
+  environment.scheduler.now - startedAt + clockOffset;
 
-const carryOutRare = (
+const executeRareEffect = (
   process: SimulatedProcess,
   effect: Extract<
     Effect,
@@ -31,7 +31,7 @@
   >,
 ): void => {
   const { node } = process;
-  const { store } = process.surroundings;
+  const { store } = process.environment;
   switch (effect.type) {
     case 'read-machines':
       store.readMachines(node);
@@ -45,14 +45,14 @@
     case 'write-log':
       return;
     case 'end-process':
-      node.endAsPlanned();
+      node.completePlannedStop();
   }
 };
 
 /** Carries out an effect of the process's core. */
-export const carryOutEffect = (process: SimulatedProcess, effect: Effect): void => {
-  const { node, surroundings } = process;
-  const { network, store, calls } = surroundings;
+export const executeEffect = (process: SimulatedProcess, effect: Effect): void => {
+  const { node, environment } = process;
+  const { network, store, calls } = environment;
   switch (effect.type) {
     case 'set-timer':
       process.timers.set(effect.key, effect.at - clockOf(process));
@@ -88,6 +88,6 @@
       store.unwatch(node);
       return;
     default:
-      carryOutRare(process, effect);
+      executeRareEffect(process, effect);
   }
 };
--- a/src/simulation/simulated-replica.ts
+++ b/src/simulation/simulated-replica.ts
@@ -14,7 +14,7 @@
 import type { ScheduledAction, Scheduler } from './scheduler.js';
 
 /** Median service time of a replica of which nothing else is said, in milliseconds. */
-const MEDIAN_SERVICE_MS = 5;
+const DEFAULT_MEDIAN_SERVICE_MS = 5;
 
 /** What a replica is created from. */
 export interface SimulatedReplicaOptions {
@@ -26,10 +26,10 @@
   readonly connectionOpeningMs?: number;
   readonly scheduler: Scheduler;
   readonly seed: number;
-  readonly onRan?: (run: RunRecord) => void;
-  readonly onArrived?: (arrival: ArrivalRecord) => void;
+  readonly onAttemptStarted?: (run: RunRecord) => void;
+  readonly onAttemptArrived?: (arrival: ArrivalRecord) => void;
   /** The replica has said that it leaves, by a refusal or with an answer. */
-  readonly onSaidLeaving?: (replica: string) => void;
+  readonly onLeavingAnnounced?: (replica: string) => void;
   readonly onLifecycleChanged?: (replica: string, isLeaving: boolean) => void;
 }
 
@@ -50,7 +50,7 @@
   shard: leg.shard,
 });
 
-const saysLeaving = (outcome: AttemptOutcome): boolean =>
+const announcesLeaving = (outcome: AttemptOutcome): boolean =>
   outcome.type === 'answered'
     ? outcome.leaving === true
     : outcome.type === 'not-run' && outcome.reason === 'leaving';
@@ -59,22 +59,22 @@
 export class SimulatedReplica {
   readonly runs: RunRecord[] = [];
   /** The most connections that were ever open at once, over all nodes. */
-  mostConnections = 0;
+  peakConnections = 0;
   /** Whether each answer comes to the node a second time. */
-  doublesAnswers = false;
+  duplicatesAnswers = false;
   private readonly model: ReplicaModel;
   private readonly open = new Map<number, ReplicaRequest>();
   private readonly byAttempt = new Map<string, ReplicaRequest>();
-  private tickets = 0;
-  private runsSeen = 0;
-  private wakeUp: ScheduledAction | undefined;
+  private lastTicket = 0;
+  private recordedRuns = 0;
+  private nextAdvance: ScheduledAction | undefined;
 
   constructor(readonly options: SimulatedReplicaOptions) {
     this.model = new ReplicaModel({
       service: options.service,
       slots: options.status.slots,
       connections: options.status.connections,
-      medianServiceMs: options.medianServiceMs ?? MEDIAN_SERVICE_MS,
+      medianServiceMs: options.medianServiceMs ?? DEFAULT_MEDIAN_SERVICE_MS,
       snapshots: options.snapshots,
       seed: options.seed,
     });
@@ -107,13 +107,13 @@
       const isLeaving = change.lifecycle === 'leaving';
       this.options.onLifecycleChanged?.(this.options.status.replica, isLeaving);
     }
-    this.proceed();
+    this.advanceModel();
   }
 
   /** Opens a connection; false when it is refused. */
   openConnection(): boolean {
     const opened = this.model.openConnection(this.now).type === 'opened';
-    this.mostConnections = Math.max(this.mostConnections, this.model.connections);
+    this.peakConnections = Math.max(this.peakConnections, this.model.connections);
     return opened;
   }
 
@@ -124,24 +124,24 @@
 
   /** Takes a request that has arrived over a connection. */
   receive(request: ReplicaRequest): void {
-    this.tickets += 1;
-    this.open.set(this.tickets, request);
+    this.lastTicket += 1;
+    this.open.set(this.lastTicket, request);
     this.byAttempt.set(request.leg.attempt, request);
-    this.options.onArrived?.({
+    this.options.onAttemptArrived?.({
       at: this.now,
       replica: this.options.status.replica,
       request: request.context.request,
       attempt: request.leg.attempt,
       feeder: request.feeder,
     });
-    this.model.submit(this.now, this.tickets, legRequestOf(request), request.remainingMs);
-    this.proceed();
+    this.model.submit(this.now, this.lastTicket, legRequestOf(request), request.remainingMs);
+    this.advanceModel();
   }
 
   /** Cancels an attempt: it is answered at once and its slot is free again. */
   cancel(attempt: AttemptId): void {
     this.model.cancel(this.now, [attempt]);
-    this.proceed();
+    this.advanceModel();
   }
 
   private get now(): number {
@@ -149,9 +149,9 @@
   }
 
   /** Takes what the model has done up to now, and wakes when it has something to do again. */
-  private proceed(): void {
+  private advanceModel(): void {
     const replies = this.model.advance(this.now);
-    this.noteRuns();
+    this.recordNewRuns();
     for (const reply of replies) {
       const request = this.open.get(reply.ticket);
       this.open.delete(reply.ticket);
@@ -160,40 +160,40 @@
         this.answer(request, attemptOutcomeOf(reply));
       }
     }
-    this.sleep();
+    this.scheduleNextAdvance();
   }
 
   private answer(request: ReplicaRequest, outcome: AttemptOutcome): void {
-    if (saysLeaving(outcome)) {
-      this.options.onSaidLeaving?.(this.options.status.replica);
+    if (announcesLeaving(outcome)) {
+      this.options.onLeavingAnnounced?.(this.options.status.replica);
     }
     request.answer(outcome);
   }
 
-  private sleep(): void {
-    if (this.wakeUp !== undefined) {
-      this.options.scheduler.cancel(this.wakeUp);
-      this.wakeUp = undefined;
+  private scheduleNextAdvance(): void {
+    if (this.nextAdvance !== undefined) {
+      this.options.scheduler.cancel(this.nextAdvance);
+      this.nextAdvance = undefined;
     }
     const next = this.model.nextAt();
     if (next !== undefined) {
-      this.wakeUp = this.options.scheduler.schedule(next - this.now, () => {
-        this.proceed();
+      this.nextAdvance = this.options.scheduler.schedule(next - this.now, () => {
+        this.advanceModel();
       });
     }
   }
 
-  private noteRuns(): void {
+  private recordNewRuns(): void {
     const { ran } = this.model;
-    for (; this.runsSeen < ran.length; this.runsSeen += 1) {
-      const request = this.byAttempt.get(ran[this.runsSeen]?.attempt ?? '');
+    for (; this.recordedRuns < ran.length; this.recordedRuns += 1) {
+      const request = this.byAttempt.get(ran[this.recordedRuns]?.attempt ?? '');
       if (request !== undefined) {
-        this.noteRun(request);
+        this.recordRun(request);
       }
     }
   }
 
-  private noteRun({ context, leg }: ReplicaRequest): void {
+  private recordRun({ context, leg }: ReplicaRequest): void {
     const run: RunRecord = {
       at: this.now,
       replica: this.options.status.replica,
@@ -206,6 +206,6 @@
       ...(context.idempotencyKey !== undefined && { idempotencyKey: context.idempotencyKey }),
     };
     this.runs.push(run);
-    this.options.onRan?.(run);
+    this.options.onAttemptStarted?.(run);
   }
 }
--- a/src/simulation/simulated-store.ts
+++ b/src/simulation/simulated-store.ts
@@ -1,7 +1,7 @@
 /** The platform's store in a simulation: objects with versions, watches, faults, machine list. */
 import type { StoreContent, StoreObject } from '../catalog/store-object.js';
 import type { ObjectName, StoreRequestId } from '../core/identifiers.js';
-import type { Quiet } from './quiet.js';
+import type { DisturbanceTracker } from './disturbance-tracker.js';
 import type { Reachability } from './reachability.js';
 import type { Scheduler } from './scheduler.js';
 import type { SimulatedNode } from './simulated-node.js';
@@ -15,7 +15,7 @@
 /** How long a node waits for the store's answer, in milliseconds. */
 const STORE_REQUEST_TIMEOUT_MS = 5_000;
 /** How long a watch may be silent, bookmarks included, until the node gives it up. */
-const WATCH_SILENCE_MS = 15_000;
+const WATCH_TIMEOUT_MS = 15_000;
 /** How often a watch without news gets a bookmark. */
 const BOOKMARK_MS = 5_000;
 /** Where the store stands in the network; cut this zone off to cut the store off. */
@@ -25,8 +25,8 @@
   readonly node: SimulatedNode;
   readonly process: number;
   through: number;
-  heardAt: number;
-  begun: boolean;
+  lastMessageAt: number;
+  isActive: boolean;
   ended: boolean;
 }
 
@@ -54,14 +54,14 @@
   constructor(
     private readonly scheduler: Scheduler,
     private readonly reachability: Reachability,
-    quiet: Quiet,
+    disturbances: DisturbanceTracker,
     seed: number,
   ) {
     this.model = new StoreModel({ objects: [], seed });
-    this.disturbance = new StoreDisturbance(scheduler, quiet, () => ({
+    this.disturbance = new StoreDisturbance(scheduler, disturbances, () => ({
       down: this.faults.down,
       delayMs: this.faults.delayMs,
-      watchers: this.countBegunWatches(),
+      watchers: this.countActiveWatches(),
     }));
   }
 
@@ -89,7 +89,7 @@
   /** Changes some of the faults; watches end at once when the store goes down. */
   setFaults(change: StoreFaultChange): void {
     this.model.setFaults(change);
-    this.disturbance.noteFaults(change.rollBackTo !== undefined);
+    this.disturbance.handleFaultChange(change.rollBackTo !== undefined);
     for (const watch of [...this.watches.values()]) {
       if (this.faults.down) {
         this.endWatch(watch, STORE_LATENCY_MS, 'the watch ended');
@@ -110,18 +110,18 @@
       node,
       process: node.processNumber,
       through: after,
-      heardAt: this.scheduler.now,
-      begun: false,
+      lastMessageAt: this.scheduler.now,
+      isActive: false,
       ended: false,
     };
     this.watches.set(node, watch);
     this.wanted.set(node, watch);
     this.load.watches += 1;
     this.scheduler.schedule(STORE_LATENCY_MS, () => {
-      this.beginWatch(watch);
+      this.activateWatch(watch);
     });
-    this.scheduler.schedule(WATCH_SILENCE_MS, () => {
-      this.checkSilence(watch);
+    this.scheduler.schedule(WATCH_TIMEOUT_MS, () => {
+      this.checkWatchTimeout(watch);
     });
   }
 
@@ -138,7 +138,7 @@
   /** Reads one object for a node. */
   readObject(node: SimulatedNode, request: StoreRequestId, name: ObjectName): void {
     this.load.reads += 1;
-    this.serve(node, request, () => {
+    this.handleRequest(node, request, () => {
       const object = this.model.read(name);
       return () => {
         node.deliver({ type: 'object-read', request, ...(object && { object }) });
@@ -155,7 +155,7 @@
     content: StoreContent,
   ): void {
     this.load.writes += 1;
-    this.serve(node, request, () => {
+    this.handleRequest(node, request, () => {
       const written = this.write(name, expectedVersion, content);
       if (written.type === 'refused') {
         const { version } = written;
@@ -187,8 +187,8 @@
     });
   }
 
-  private countBegunWatches(): number {
-    return [...this.watches.values()].filter(({ begun }) => begun).length;
+  private countActiveWatches(): number {
+    return [...this.watches.values()].filter(({ isActive }) => isActive).length;
   }
 
   private write(name: string, expectedVersion: number, content: StoreContent): WriteOutcome {
@@ -202,7 +202,7 @@
     return outcome;
   }
 
-  private serve(
+  private handleRequest(
     node: SimulatedNode,
     request: StoreRequestId,
     work: () => (() => void) | undefined,
@@ -257,7 +257,7 @@
     });
   }
 
-  private beginWatch(watch: Watch): void {
+  private activateWatch(watch: Watch): void {
     if (watch.ended) {
       return;
     }
@@ -269,7 +269,7 @@
       this.endWatch(watch, STORE_LATENCY_MS, 'connection refused');
       return;
     }
-    watch.begun = true;
+    watch.isActive = true;
     this.sendChanges(watch);
     this.disturbance.endIfOver();
     this.scheduler.schedule(BOOKMARK_MS, () => {
@@ -302,26 +302,26 @@
     const objects = this.model.readAll(after);
     watch.through = through;
     const delayMs = STORE_LATENCY_MS + this.faults.delayMs;
-    this.disturbance.noteAnswer(this.scheduler.now + delayMs);
+    this.disturbance.recordAnswer(this.scheduler.now + delayMs);
     this.scheduler.schedule(delayMs, () => {
       if (!watch.ended && watch.node.isProcess(watch.process)) {
-        watch.heardAt = this.scheduler.now;
+        watch.lastMessageAt = this.scheduler.now;
         watch.node.deliver({ type: 'store-changed', after, through, objects });
       }
     });
   }
 
-  private checkSilence(watch: Watch): void {
+  private checkWatchTimeout(watch: Watch): void {
     if (watch.ended) {
       return;
     }
-    const silentMs = this.scheduler.now - watch.heardAt;
-    if (silentMs >= WATCH_SILENCE_MS) {
+    const silentMs = this.scheduler.now - watch.lastMessageAt;
+    if (silentMs >= WATCH_TIMEOUT_MS) {
       this.endWatch(watch, 0, 'the watch is silent');
       return;
     }
-    this.scheduler.schedule(WATCH_SILENCE_MS - silentMs, () => {
-      this.checkSilence(watch);
+    this.scheduler.schedule(WATCH_TIMEOUT_MS - silentMs, () => {
+      this.checkWatchTimeout(watch);
     });
   }
 
--- a/src/simulation/simulation-options.ts
+++ b/src/simulation/simulation-options.ts
@@ -3,7 +3,7 @@
 import type { QueryPolicy } from '../core/query/query-policy.js';
 import type { HeldSnapshot } from '../standins/replica-model/replica-faults.js';
 import type { NetworkConditions } from './network-conditions.js';
-import type { StepFunction } from './node-surroundings.js';
+import type { StepFunction } from './node-environment.js';
 import type { SimulationObserver } from './observer.js';
 import type { MeasureMessage } from './virtual-network.js';
 
--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -10,10 +10,10 @@
 import type { CallRecord, EditCallRecord, LostCallReason } from './call-record.js';
 import { findConditions, HEALTHY_NETWORK } from './network-conditions.js';
 import { addressKey } from './network-endpoint.js';
-import type { NodePlacement, NodeSurroundings } from './node-surroundings.js';
+import type { NodePlacement, NodeEnvironment } from './node-environment.js';
 import type { SimulationObserver } from './observer.js';
 import type { RunRecord } from './replica-record.js';
-import { Quiet } from './quiet.js';
+import { DisturbanceTracker } from './disturbance-tracker.js';
 import { Scheduler } from './scheduler.js';
 import { deriveSeed } from './seeds.js';
 import { SimulatedNode } from './simulated-node.js';
@@ -30,7 +30,7 @@
 /** A running simulation. */
 export class Simulation {
   readonly scheduler = new Scheduler();
-  readonly quiet = new Quiet(this.scheduler);
+  readonly disturbances = new DisturbanceTracker(this.scheduler);
   readonly network: VirtualNetwork;
   readonly store: SimulatedStore;
   readonly nodes = new Map<string, SimulatedNode>();
@@ -42,7 +42,7 @@
   private readonly openEdits = new Map<CallId, EditCallRecord>();
   private readonly answeredCalls = new Map<CallId, CallRecord>();
   private readonly replicasByAddress = new Map<string, SimulatedReplica>();
-  private readonly surroundings: NodeSurroundings;
+  private readonly environment: NodeEnvironment;
   private callCount = 0;
 
   constructor(readonly options: SimulationOptions) {
@@ -52,19 +52,19 @@
       scheduler: this.scheduler,
       random: createRandom(deriveSeed(seed, 'network')),
       conditions: options.network ?? HEALTHY_NETWORK,
-      quiet: this.quiet,
+      disturbances: this.disturbances,
       ...(options.measure && { measure: options.measure }),
     });
     this.store = new SimulatedStore(
       this.scheduler,
       this.network.reachability,
-      this.quiet,
+      this.disturbances,
       deriveSeed(seed, 'store'),
     );
     this.store.onStored = (object) => {
-      this.observers.forEach((observer) => observer.stored?.(object));
+      this.observers.forEach((observer) => observer.objectWritten?.(object));
     };
-    this.surroundings = this.createSurroundings();
+    this.environment = this.createEnvironment();
   }
 
   /** The virtual time, in milliseconds. */
@@ -101,7 +101,7 @@
       address: this.addressOfNode(options.node),
       seeds: (options.seeds ?? []).map((seed) => this.addressOfNode(seed)),
     };
-    const node = new SimulatedNode(placement, this.surroundings);
+    const node = new SimulatedNode(placement, this.environment);
     this.nodes.set(options.node, node);
     return node;
   }
@@ -123,14 +123,14 @@
       service: identifier(options.service),
       scheduler: this.scheduler,
       seed: deriveSeed(this.options.seed, options.status.replica),
-      onRan: (run) => {
-        this.observers.forEach((observer) => observer.ran?.(run));
+      onAttemptStarted: (run) => {
+        this.observers.forEach((observer) => observer.attemptStarted?.(run));
       },
-      onArrived: (arrival) => {
-        this.observers.forEach((observer) => observer.arrived?.(arrival));
+      onAttemptArrived: (arrival) => {
+        this.observers.forEach((observer) => observer.attemptArrived?.(arrival));
       },
-      onSaidLeaving: (replica) => {
-        this.observers.forEach((observer) => observer.saidLeaving?.(replica));
+      onLeavingAnnounced: (replica) => {
+        this.observers.forEach((observer) => observer.announcedLeaving?.(replica));
       },
       onLifecycleChanged: (replica, isLeaving) => {
         this.observers.forEach((observer) => observer.lifecycleChanged?.(replica, isLeaving));
@@ -168,7 +168,7 @@
     this.calls.push(record);
     this.openCalls.set(record.call, record);
     this.after(clientLatencyMs, () => {
-      this.reachNode(record);
+      this.deliverCall(record);
     });
     return record;
   }
@@ -176,7 +176,7 @@
   /** The caller goes away before its answer. */
   leave(record: CallRecord): void {
     if (this.openCalls.has(record.call)) {
-      this.loseCall(record, 'caller-left');
+      this.markCallLost(record, 'caller-left');
       this.after(record.clientLatencyMs, () => {
         this.node(record.node).deliver({ type: 'caller-left', call: record.call });
       });
@@ -198,7 +198,7 @@
       if (target.isUp) {
         target.edit(record.call, edit);
       } else {
-        this.loseEdit(record, 'node-down');
+        this.markEditLost(record, 'node-down');
       }
     });
     return record;
@@ -208,7 +208,7 @@
     return this.options.clientLatencyMs ?? CLIENT_LATENCY_MS;
   }
 
-  private createSurroundings(): NodeSurroundings {
+  private createEnvironment(): NodeEnvironment {
     const { seed } = this.options;
     return {
       scheduler: this.scheduler,
@@ -218,16 +218,16 @@
       backendLatency: (place, replica) =>
         findConditions(this.network.conditions, place.zone, replica.options.status.zone).latencyMs,
       observers: this.observers,
-      quiet: this.quiet,
+      disturbances: this.disturbances,
       calls: {
         answerCaller: (call, outcome) => {
-          this.takeAnswer(call, outcome);
+          this.handleAnswer(call, outcome);
         },
         answerOperator: (call, outcome) => {
-          this.takeEditOutcome(call, outcome);
+          this.handleEditOutcome(call, outcome);
         },
-        endProcess: (node) => {
-          this.loseCallsOf(node);
+        handleProcessEnd: (node) => {
+          this.markCallsLost(node);
         },
       },
       random: createRandom(deriveSeed(seed, 'nodes')),
@@ -246,7 +246,7 @@
     return identifier(`call-${this.callCount}`);
   }
 
-  private reachNode(record: CallRecord): void {
+  private deliverCall(record: CallRecord): void {
     const node = this.node(record.node);
     if (!this.openCalls.has(record.call)) {
       return;
@@ -254,36 +254,36 @@
     if (node.isUp) {
       node.query(record.call, record.query);
     } else {
-      this.loseCall(record, 'node-down');
+      this.markCallLost(record, 'node-down');
     }
   }
 
-  private loseCall(record: CallRecord, reason: LostCallReason): void {
+  private markCallLost(record: CallRecord, reason: LostCallReason): void {
     this.openCalls.delete(record.call);
     record.lost = reason;
     record.endedAt = this.now;
   }
 
-  private loseCallsOf(node: NodeId): void {
+  private markCallsLost(node: NodeId): void {
     for (const record of [...this.openCalls.values()]) {
       if (record.node === node) {
-        this.loseCall(record, 'connection-lost');
+        this.markCallLost(record, 'connection-lost');
       }
     }
     for (const record of [...this.openEdits.values()]) {
       if (record.node === node) {
-        this.loseEdit(record, 'connection-lost');
+        this.markEditLost(record, 'connection-lost');
       }
     }
   }
 
-  private loseEdit(record: EditCallRecord, reason: LostCallReason): void {
+  private markEditLost(record: EditCallRecord, reason: LostCallReason): void {
     this.openEdits.delete(record.call);
     record.lost = reason;
     record.endedAt = this.now;
   }
 
-  private takeAnswer(call: CallId, outcome: QueryOutcome): void {
+  private handleAnswer(call: CallId, outcome: QueryOutcome): void {
     const answered = this.answeredCalls.get(call);
     if (answered !== undefined) {
       answered.extraAnswers += 1;
@@ -303,7 +303,7 @@
     });
   }
 
-  private takeEditOutcome(call: CallId, outcome: EditOutcome): void {
+  private handleEditOutcome(call: CallId, outcome: EditOutcome): void {
     const record = this.openEdits.get(call);
     if (record === undefined) {
       return;
--- a/src/simulation/store-disturbance.ts
+++ b/src/simulation/store-disturbance.ts
@@ -2,7 +2,7 @@
  * Tells from when to when the store is disturbed: invariants with a time bound rest meanwhile. A store
  * that was down or slow counts as disturbed until its slow answers and the watches it had are there.
  */
-import type { Quiet } from './quiet.js';
+import type { DisturbanceTracker } from './disturbance-tracker.js';
 import type { Scheduler } from './scheduler.js';
 
 /** Answers that are delayed by more disturb the nodes, in milliseconds. */
@@ -19,30 +19,30 @@
 
 /** Begins and ends the disturbance of one store. */
 export class StoreDisturbance {
-  private watchersWanted = 0;
+  private expectedWatchers = 0;
   private lastSlowAnswerAt = 0;
 
   constructor(
     private readonly scheduler: Scheduler,
-    private readonly quiet: Quiet,
+    private readonly disturbances: DisturbanceTracker,
     private readonly read: () => StoreCondition,
   ) {}
 
   /** The faults of the store have changed. */
-  noteFaults(rolledBack: boolean): void {
-    if (this.isAbsent) {
-      this.quiet.begin('store');
-      this.watchersWanted = Math.max(this.watchersWanted, this.read().watchers);
+  handleFaultChange(rolledBack: boolean): void {
+    if (this.isImpaired) {
+      this.disturbances.begin('store');
+      this.expectedWatchers = Math.max(this.expectedWatchers, this.read().watchers);
     } else {
       this.endIfOver();
     }
     if (rolledBack) {
-      this.quiet.begin('store rolled back');
+      this.disturbances.begin('store rolled back');
     }
   }
 
   /** An answer leaves the store and arrives at `at`, in milliseconds of virtual time. */
-  noteAnswer(at: number): void {
+  recordAnswer(at: number): void {
     if (this.read().delayMs > SLOW_STORE_MS) {
       this.lastSlowAnswerAt = at;
     }
@@ -55,13 +55,13 @@
       this.scheduler.schedule(this.lastSlowAnswerAt - now, () => {
         this.endIfOver();
       });
-    } else if (!this.isAbsent && this.read().watchers >= this.watchersWanted) {
-      this.watchersWanted = 0;
-      this.quiet.end('store');
+    } else if (!this.isImpaired && this.read().watchers >= this.expectedWatchers) {
+      this.expectedWatchers = 0;
+      this.disturbances.end('store');
     }
   }
 
-  private get isAbsent(): boolean {
+  private get isImpaired(): boolean {
     const { down, delayMs } = this.read();
     return down || delayMs > SLOW_STORE_MS;
   }
--- a/src/simulation/timers.ts
+++ b/src/simulation/timers.ts
@@ -14,7 +14,7 @@
 
   constructor(
     private readonly scheduler: Scheduler,
-    private readonly runOut: (entry: SetTimerEntry) => void,
+    private readonly onExpired: (entry: SetTimerEntry) => void,
   ) {}
 
   /** Sets a timer to run out after `delayMs`. */
@@ -23,10 +23,10 @@
     const entry: SetTimerEntry = {
       key,
       action: this.scheduler.schedule(delayMs, () => {
-        this.runOut(entry);
+        this.onExpired(entry);
       }),
     };
-    this.ofPurpose(key.purpose).set(key.subject, entry);
+    this.entriesFor(key.purpose).set(key.subject, entry);
   }
 
   /** Cancels a timer; no matter if it is not set. */
@@ -40,7 +40,7 @@
   }
 
   /** Takes a timer that has run out; false when it was cancelled or replaced in the meantime. */
-  take(entry: SetTimerEntry): boolean {
+  removeExpired(entry: SetTimerEntry): boolean {
     const ofPurpose = this.entries.get(entry.key.purpose);
     if (ofPurpose?.get(entry.key.subject) !== entry) {
       return false;
@@ -59,7 +59,7 @@
     this.entries.clear();
   }
 
-  private ofPurpose(purpose: string): Map<string, SetTimerEntry> {
+  private entriesFor(purpose: string): Map<string, SetTimerEntry> {
     const found = this.entries.get(purpose);
     if (found !== undefined) {
       return found;
--- a/src/simulation/virtual-link.ts
+++ b/src/simulation/virtual-link.ts
@@ -8,8 +8,8 @@
   readonly firstProcess: number;
   readonly secondProcess: number;
   /** Times before which the next message may not arrive, so that order is kept. */
-  towardsFirst: number;
-  towardsSecond: number;
+  lastArrivalAtFirst: number;
+  lastArrivalAtSecond: number;
   /** A broken link loses all that is sent until both ends have noticed. */
   broken: boolean;
 }
@@ -20,8 +20,8 @@
   second,
   firstProcess: first.processNumber,
   secondProcess: second.processNumber,
-  towardsFirst: 0,
-  towardsSecond: 0,
+  lastArrivalAtFirst: 0,
+  lastArrivalAtSecond: 0,
   broken: false,
 });
 
@@ -33,15 +33,15 @@
   link.second.processNumber === link.secondProcess;
 
 /** Takes the next arrival time towards `receiver`, at `earliest` or later, keeping order. */
-export const takeArrivalTime = (
+export const reserveArrivalTime = (
   link: VirtualLink,
   receiver: NetworkEndpoint,
   earliest: number,
 ): number => {
   if (receiver === link.first) {
-    link.towardsFirst = Math.max(link.towardsFirst, earliest);
-    return link.towardsFirst;
+    link.lastArrivalAtFirst = Math.max(link.lastArrivalAtFirst, earliest);
+    return link.lastArrivalAtFirst;
   }
-  link.towardsSecond = Math.max(link.towardsSecond, earliest);
-  return link.towardsSecond;
+  link.lastArrivalAtSecond = Math.max(link.lastArrivalAtSecond, earliest);
+  return link.lastArrivalAtSecond;
 };
--- a/src/simulation/virtual-network.ts
+++ b/src/simulation/virtual-network.ts
@@ -12,13 +12,13 @@
   type NetworkConditions,
 } from './network-conditions.js';
 import { addressKey, type NetworkEndpoint, type TrafficCount } from './network-endpoint.js';
-import type { Quiet } from './quiet.js';
+import type { DisturbanceTracker } from './disturbance-tracker.js';
 import { Reachability } from './reachability.js';
 import type { Scheduler } from './scheduler.js';
-import { areBothEndsUp, openLink, takeArrivalTime, type VirtualLink } from './virtual-link.js';
+import { areBothEndsUp, openLink, reserveArrivalTime, type VirtualLink } from './virtual-link.js';
 
 /** What the ends of a link notice of a process that was killed: the kernel closes its sockets. */
-const RESET_NOTICE_MS = 1;
+const RESET_DETECTION_MS = 1;
 
 /** Sizes of messages on the wire, in bytes. */
 export type MeasureMessage = (message: PeerMessage) => number;
@@ -28,7 +28,7 @@
   readonly scheduler: Scheduler;
   readonly random: Random;
   readonly conditions: NetworkConditions;
-  readonly quiet?: Quiet;
+  readonly disturbances?: DisturbanceTracker;
   /** Counts bytes where given; costs time. */
   readonly measure?: MeasureMessage;
 }
@@ -46,7 +46,7 @@
   constructor(private readonly options: VirtualNetworkOptions) {
     this.conditions = options.conditions;
     this.measure = options.measure;
-    this.reachability = new Reachability(options.quiet);
+    this.reachability = new Reachability(options.disturbances);
   }
 
   /** Adds a process; one that is there at the same address is replaced. */
@@ -73,7 +73,7 @@
     }
     const conditions = findConditions(this.conditions, from.zone, receiver.zone);
     this.deliverDatagram(from, receiver, message, conditions);
-    if (this.happens(conditions.duplicateShare)) {
+    if (this.drawChance(conditions.duplicateShare)) {
       this.deliverDatagram(from, receiver, message, conditions);
     }
   }
@@ -83,7 +83,7 @@
     this.count(from, message);
     const receiver = this.endpoints.get(addressKey(to));
     if (receiver === undefined || receiver.name !== peer) {
-      this.failToConnect(from, peer);
+      this.reportConnectFailure(from, peer);
       return;
     }
     const link = this.findOrOpenLink(from, receiver);
@@ -110,7 +110,7 @@
     message: MembershipMessage,
     conditions: LinkConditions,
   ): void {
-    if (this.happens(conditions.lossShare)) {
+    if (this.drawChance(conditions.lossShare)) {
       return;
     }
     this.options.scheduler.schedule(this.drawLatency(conditions), () => {
@@ -129,7 +129,7 @@
     const { scheduler } = this.options;
     const conditions = findConditions(this.conditions, from.zone, receiver.zone);
     const earliest = scheduler.now + this.drawLatency(conditions);
-    const arrival = takeArrivalTime(link, receiver, earliest);
+    const arrival = reserveArrivalTime(link, receiver, earliest);
     scheduler.schedule(arrival - scheduler.now, () => {
       if (link.broken) {
         return;
@@ -138,7 +138,7 @@
         this.breakLink(link);
         return;
       }
-      receiver.receiveLink(from.name, message);
+      receiver.receiveLinkMessage(from.name, message);
     });
   }
 
@@ -165,26 +165,26 @@
     }
     link.broken = true;
     const isSilent = areBothEndsUp(link) || this.reachability.isCut(link.first, link.second);
-    const noticeMs = isSilent ? this.conditions.linkTimeoutMs : RESET_NOTICE_MS;
+    const noticeMs = isSilent ? this.conditions.linkTimeoutMs : RESET_DETECTION_MS;
     this.options.scheduler.schedule(noticeMs, () => {
       this.links.get(link.first.name)?.delete(link.second.name);
       this.links.get(link.second.name)?.delete(link.first.name);
-      this.noticeLoss(link.first, link.firstProcess, link.second);
-      this.noticeLoss(link.second, link.secondProcess, link.first);
+      this.reportLinkLoss(link.first, link.firstProcess, link.second);
+      this.reportLinkLoss(link.second, link.secondProcess, link.first);
     });
   }
 
-  private noticeLoss(endpoint: NetworkEndpoint, process: number, peer: NetworkEndpoint): void {
+  private reportLinkLoss(endpoint: NetworkEndpoint, process: number, peer: NetworkEndpoint): void {
     if (endpoint.isUp && endpoint.processNumber === process) {
-      endpoint.loseLink(peer.name);
+      endpoint.handleLinkLost(peer.name);
     }
   }
 
-  private failToConnect(from: NetworkEndpoint, peer: string): void {
+  private reportConnectFailure(from: NetworkEndpoint, peer: string): void {
     const process = from.processNumber;
-    this.options.scheduler.schedule(RESET_NOTICE_MS, () => {
+    this.options.scheduler.schedule(RESET_DETECTION_MS, () => {
       if (from.isUp && from.processNumber === process) {
-        from.loseLink(peer as NetworkEndpoint['name']);
+        from.handleLinkLost(peer as NetworkEndpoint['name']);
       }
     });
   }
@@ -196,7 +196,7 @@
     return conditions.latencyMs + this.options.random.next() * conditions.jitterMs;
   }
 
-  private happens(share: number): boolean {
+  private drawChance(share: number): boolean {
     return share > 0 && this.options.random.next() < share;
   }
 
--- a/test/admission/histories.test.ts
+++ b/test/admission/histories.test.ts
@@ -6,7 +6,7 @@
 import type { CoreState } from '../../src/core/state.js';
 import type { GrantRequest } from '../../src/protocol/grant-messages.js';
 import type { Simulation } from '../../src/simulation/simulation.js';
-import type { StepFunction } from '../../src/simulation/node-surroundings.js';
+import type { StepFunction } from '../../src/simulation/node-environment.js';
 import { carryOutFault, faultAction, type FaultAction } from '../support/fault-actions.js';
 import {
   CONCURRENT_LIMIT,
--- a/test/fuzz/commands.ts
+++ b/test/fuzz/commands.ts
@@ -5,7 +5,7 @@
 import { Tier } from '../../src/simulation/history/tier.js';
 import type { Violation } from '../../src/simulation/invariants/violation.js';
 import type { PromiseName } from '../../src/protocol/promise-name.js';
-import type { StepFunction } from '../../src/simulation/node-surroundings.js';
+import type { StepFunction } from '../../src/simulation/node-environment.js';
 import { anyAction } from './actions.js';
 
 /** What the oracle knows of the processes, to leave out actions that do nothing. */
--- a/test/fuzz/mutations.ts
+++ b/test/fuzz/mutations.ts
@@ -11,7 +11,7 @@
 import type { CoreState } from '../../src/core/state.js';
 import type { AttemptOutcome, LegResult } from '../../src/protocol/leg-messages.js';
 import type { PromiseName } from '../../src/protocol/promise-name.js';
-import type { StepFunction } from '../../src/simulation/node-surroundings.js';
+import type { StepFunction } from '../../src/simulation/node-environment.js';
 
 /** A broken core. */
 export interface Mutation {
--- a/test/once/histories.test.ts
+++ b/test/once/histories.test.ts
@@ -5,7 +5,7 @@
 import type { Event } from '../../src/core/event.js';
 import { step } from '../../src/core/reducer.js';
 import type { CoreState } from '../../src/core/state.js';
-import type { StepFunction } from '../../src/simulation/node-surroundings.js';
+import type { StepFunction } from '../../src/simulation/node-environment.js';
 import { carryOutFault, faultAction, type FaultAction } from '../support/fault-actions.js';
 import {
   bookingOf,
--- a/test/once/once-world.ts
+++ b/test/once/once-world.ts
@@ -8,7 +8,7 @@
 import type { CoreState } from '../../src/core/state.js';
 import { AT_MOST_ONCE, buildRow } from '../../src/deployments/row-defaults.js';
 import { createIdempotencyKey } from '../../src/protocol/idempotency-key.js';
-import { VIRTUAL_EPOCH_MS, type StepFunction } from '../../src/simulation/node-surroundings.js';
+import { VIRTUAL_EPOCH_MS, type StepFunction } from '../../src/simulation/node-environment.js';
 import { Simulation } from '../../src/simulation/simulation.js';
 import type { SimulationOptions } from '../../src/simulation/simulation-options.js';
 import { buildWorld, startNodes } from '../../src/simulation/world.js';
--- a/test/simulation/backend-client.test.ts
+++ b/test/simulation/backend-client.test.ts
@@ -77,7 +77,7 @@
       ['c', 'answered'],
       ['d', 'answered'],
     ]);
-    expect(replica.mostConnections).toBe(2);
+    expect(replica.peakConnections).toBe(2);
     expect(replica.runs).toHaveLength(4);
   });
 
--- a/test/simulation/virtual-network.test.ts
+++ b/test/simulation/virtual-network.test.ts
@@ -30,11 +30,11 @@
     this.datagrams.push(message.type === 'gossip' ? -1 : message.sequence);
   }
 
-  receiveLink(_from: NodeId, message: LinkMessage): void {
+  receiveLinkMessage(_from: NodeId, message: LinkMessage): void {
     this.messages.push(message.type === 'configuration-pull' ? message.after : -1);
   }
 
-  loseLink(peer: NodeId): void {
+  handleLinkLost(peer: NodeId): void {
     this.lost.push(peer);
   }
 }
