--- a/src/simulation/backend-client.ts
+++ b/src/simulation/backend-client.ts
@@ -1,6 +1,6 @@
 /**
- * A node's connections to the replicas, as the driver keeps them: a bounded pool for each replica,
- * the deadline kept by the driver, cancellation. Each attempt ends in exactly one outcome.
+ * Simulates the driver's back-end client: a bounded connection pool per replica, attempt deadlines
+ * and cancellation. Each attempt ends with exactly one outcome.
  */
 import type { SendAttempt } from '../core/effect.js';
 import type { AttemptId } from '../core/identifiers.js';
@@ -10,11 +10,11 @@
 import type { ScheduledAction, Scheduler } from './scheduler.js';
 import type { SimulatedReplica } from './simulated-replica.js';
 
-/** How long a connection may take to open, in milliseconds. */
+/** Connect timeout, in milliseconds. */
 const CONNECT_TIMEOUT_MS = 1_000;
-/** How soon a refused or broken connection is noticed, in milliseconds. */
+/** Delay until a refused or broken connection is detected, in milliseconds. */
 const RESET_DETECTION_MS = 1;
-/** How long after the first a doubled answer comes, in milliseconds. */
+/** Delay between an answer and its duplicate, in milliseconds. */
 const DUPLICATE_DELAY_MS = 30;
 
 /** Finds the replica that listens at an address. */
@@ -23,14 +23,14 @@
 /** Latency between a node and a replica, one way, in milliseconds. */
 export type BackendLatency = (node: NetworkPlace, replica: SimulatedReplica) => number;
 
-/** What a back-end client is created from. */
+/** Options of a back-end client. */
 export interface BackendClientOptions {
   readonly place: NetworkPlace;
   readonly scheduler: Scheduler;
   readonly reachability: Reachability;
   readonly findReplica: FindReplica;
   readonly latency: BackendLatency;
-  /** Takes the outcome of an attempt. */
+  /** Called with the outcome of each attempt; `serviceMs` is 0 if no byte was sent. */
   readonly onEnded: (attempt: AttemptId, outcome: AttemptOutcome, serviceMs: number) => void;
 }
 
@@ -40,16 +40,16 @@
   readonly startedAt: number;
   readonly deadlineAt: number;
   readonly timeout: ScheduledAction;
-  /** Whether the first byte has left. */
+  /** Whether the first byte has been sent. */
   sent: boolean;
 }
 
 interface Pool {
   readonly address: string;
-  /** Connections open or being opened. */
+  /** Connections that are open or being opened. */
   open: number;
   idle: number;
-  /** Once for each connection that the replica has accepted. */
+  /** One entry for each connection that the replica has accepted. */
   readonly connected: SimulatedReplica[];
   readonly waiting: Attempt[];
 }
@@ -59,7 +59,7 @@
   zone: replica.options.status.zone,
 });
 
-/** Sends attempts to replicas. */
+/** Sends a node's attempts to the simulated replicas. */
 export class BackendClient {
   private readonly pools = new Map<string, Pool>();
   private readonly attempts = new Map<AttemptId, Attempt>();
@@ -67,12 +67,12 @@
 
   constructor(private readonly options: BackendClientOptions) {}
 
-  /** Attempts that have not ended. */
+  /** Number of attempts that have not ended. */
   get openAttempts(): number {
     return this.attempts.size;
   }
 
-  /** Sends an attempt; it ends through `onEnded`, whatever happens. */
+  /** Sends an attempt. `onEnded` is called for every attempt unless the process terminates. */
   send(effect: SendAttempt): void {
     const { scheduler } = this.options;
     const { attempt: id } = effect.leg;
@@ -90,7 +90,7 @@
     this.acquireConnection(attempt);
   }
 
-  /** Cancels an attempt; its outcome tells whether any byte had left. */
+  /** Cancels an attempt; its outcome states whether any byte had been sent. */
   cancel(id: AttemptId): void {
     const attempt = this.attempts.get(id);
     if (attempt === undefined) {
@@ -109,7 +109,7 @@
     this.end(attempt, { type: 'unknown', reason: 'cancelled' });
   }
 
-  /** Closes the connections to an address that carry nothing. */
+  /** Closes the idle connections to an address. */
   close(host: string, port: number): void {
     const pool = this.pools.get(addressKey({ host, port }));
     if (pool !== undefined) {
@@ -118,7 +118,7 @@
     }
   }
 
-  /** The process has died: connections break, and nothing is reported. */
+  /** Closes all connections when the process ends, without reporting any outcome. */
   terminate(): void {
     this.dead = true;
     for (const attempt of this.attempts.values()) {
@@ -267,7 +267,7 @@
     this.end(attempt, outcome);
   }
 
-  /** Ends an attempt and frees its connection. */
+  /** Ends an attempt and releases its connection. */
   private end(attempt: Attempt, outcome: AttemptOutcome): void {
     if (attempt.sent) {
       this.releaseConnection(attempt.pool);
--- a/src/simulation/call-record.ts
+++ b/src/simulation/call-record.ts
@@ -1,4 +1,4 @@
-/** What callers and operators asked and what they got. */
+/** Records of the calls of callers and operators and their outcomes. */
 import type { CallId, NodeId } from '../core/identifiers.js';
 import type { QueryOutcome, QueryRequest } from '../core/query/query-request.js';
 import type { EditOutcome, EditRequest } from '../table/edit.js';
@@ -6,7 +6,7 @@
 /** Why a call ended without an answer. */
 export type LostCallReason = 'node-down' | 'connection-lost' | 'caller-left';
 
-/** One call of one caller. */
+/** A caller's query and its outcome. */
 export interface CallRecord {
   readonly call: CallId;
   readonly node: NodeId;
@@ -17,11 +17,11 @@
   endedAt?: number;
   outcome?: QueryOutcome;
   lost?: LostCallReason;
-  /** Answers that came after the first one; there must be none. */
+  /** Number of answers after the first one; must stay 0. */
   extraAnswers: number;
 }
 
-/** One edit of one operator. */
+/** An operator's edit and its outcome. */
 export interface EditCallRecord {
   readonly call: CallId;
   readonly node: NodeId;
--- a/src/simulation/disturbance-tracker.ts
+++ b/src/simulation/disturbance-tracker.ts
@@ -1,33 +1,33 @@
 /**
- * Knows since when nothing has disturbed the tier. Promises that hold "within seconds" are counted
- * from the last disturbance: nothing can be known across a cut while it lasts.
+ * Tracks since when nothing has disturbed the tier. The time bounds of the invariants are measured
+ * from the end of the last disturbance, because no information crosses a network cut.
  */
 
-/** Tracks disturbances: what lasts (cuts, pauses, an absent store) and what happens once (crashes). */
+/** Tracks ongoing disturbances (cuts, pauses, store outages) and momentary ones (crashes). */
 export class DisturbanceTracker {
   private readonly ongoing = new Set<string>();
   private lastEndedAt = 0;
 
   constructor(private readonly clock: { readonly now: number }) {}
 
-  /** Notes something that happens at once, such as a crash. */
+  /** Records a momentary disturbance, such as a crash. */
   recordMomentary(): void {
     this.lastEndedAt = this.clock.now;
   }
 
-  /** Begins something that lasts until `end` is called with the same name. */
+  /** Begins a disturbance that lasts until `end` is called with the same name. */
   begin(name: string): void {
     this.ongoing.add(name);
   }
 
-  /** Ends something that lasts. */
+  /** Ends the disturbance `name`; does nothing if it is not ongoing. */
   end(name: string): void {
     if (this.ongoing.delete(name)) {
       this.lastEndedAt = this.clock.now;
     }
   }
 
-  /** Since when there has been no disturbance; undefined while one lasts. */
+  /** Virtual time of the end of the last disturbance; undefined while one is ongoing. */
   get undisturbedSince(): number | undefined {
     return this.ongoing.size > 0 ? undefined : this.lastEndedAt;
   }
--- a/src/simulation/history/action.ts
+++ b/src/simulation/history/action.ts
@@ -1,11 +1,11 @@
-/** Actions of a history: what is done to a simulated tier, as data that fits into a file. */
+/** Actions of a history: serializable operations on a simulated tier. */
 import { z } from 'zod';
 import { PROMISE_NAMES } from '../../protocol/promise-name.js';
 
 const share = z.number().min(0).max(1);
 const index = z.number().int().min(0);
 
-/** What can be made to go wrong at a replica, by name; `none` makes it sound again. */
+/** Names of the faults of a replica; `none` ends all of them. */
 export const REPLICA_FAULT_NAMES = [
   'none',
   'slow',
@@ -18,17 +18,17 @@
   'truncated',
   'load-frozen',
   'load-inverted',
-  /** Answers come after the deadlines of most queries. */
+  /** Answers arrive after the deadlines of most queries. */
   'late',
   'oversized',
-  /** Each answer comes to the node a second time, whatever became of the attempt. */
+  /** Each answer is delivered to the node twice, whether or not the attempt has ended. */
   'doubled',
 ] as const;
 
 /** The name of a fault of a replica. */
 export type ReplicaFaultName = (typeof REPLICA_FAULT_NAMES)[number];
 
-/** Moments in the life of a node in which a fault may be made to happen. */
+/** Events of a node at which a trap may trigger a fault. */
 export const MOMENT_NAMES = [
   'query-arrived',
   'attempt-sent',
@@ -40,10 +40,10 @@
   'stop-requested',
 ] as const;
 
-/** The name of a moment. */
+/** The name of an event at which a trap triggers. */
 export type MomentName = (typeof MOMENT_NAMES)[number];
 
-/** Faults that a trap springs; those without a target hit the node whose moment it is. */
+/** Faults that a trap triggers; those without a target affect the node where the event occurs. */
 export const TRAP_FAULT_NAMES = [
   'crash',
   'pause',
@@ -58,21 +58,21 @@
   'repartition',
 ] as const;
 
-/** The name of a fault of a trap. */
+/** The name of a fault that a trap triggers. */
 export type TrapFaultName = (typeof TRAP_FAULT_NAMES)[number];
 
-/** Longest time from the begin of a drain or a roll-out to its publication or end. */
+/** Maximum time until a drain is published or a roll-out ends, in milliseconds. */
 const MAX_LAG_MS = 15_000;
 
-/** Actions name nodes, replicas, rows and zones by index; each is taken modulo how many there are. */
+/** Schema of an action. Indexes of nodes, replicas, rows and zones wrap around. */
 export const actionSchema = z.discriminatedUnion('type', [
-  /** Lets time pass. */
+  /** Advances virtual time. */
   z.object({ type: z.literal('advance'), ms: z.number().min(0).max(60_000) }),
-  /** A caller asks for a row that is safe to repeat. */
+  /** A caller sends a query for a row that is safe to repeat. */
   z.object({ type: z.literal('query'), node: index, row: index, key: index }),
-  /** A caller asks for what may run at most once; the same key again is a resend. */
+  /** A caller sends an at-most-once request; using the same key again is a resend. */
   z.object({ type: z.literal('book'), node: index, row: index, key: index }),
-  /** The caller of an earlier call goes away. */
+  /** The caller of an earlier call closes its connection. */
   z.object({ type: z.literal('leave'), call: index }),
   z.object({ type: z.literal('crash'), node: index }),
   z.object({ type: z.literal('restart'), node: index }),
@@ -104,35 +104,35 @@
     delayMs: z.number().min(0).max(10_000),
     loseAnswerShare: share,
   }),
-  /** The store forgets its last writes, but for those that were there at first. */
+  /** The store loses its last writes, except those made before the first action. */
   z.object({ type: z.literal('roll-back-store'), writes: z.number().int().min(1).max(20) }),
   z.object({
     type: z.literal('replica'),
     replica: index,
     fault: z.enum(REPLICA_FAULT_NAMES),
   }),
-  /** The platform publishes the lifecycle that a replica has. */
+  /** The platform publishes the current lifecycle of a replica. */
   z.object({ type: z.literal('publish'), replica: index }),
-  /** A replica begins to leave; the platform publishes it so much later. */
+  /** A replica starts leaving; the platform publishes this `publishAfterMs` later. */
   z.object({
     type: z.literal('drain'),
     replica: index,
     publishAfterMs: z.number().min(0).max(MAX_LAG_MS),
   }),
-  /** A snapshot is added, the replicas take it one after the other, then the oldest goes away. */
+  /** A snapshot is added, the replicas load it one by one, then the oldest is removed. */
   z.object({
     type: z.literal('roll-out'),
     partner: index,
     addedShards: index.max(3),
     overMs: z.number().min(0).max(MAX_LAG_MS),
   }),
-  /** A snapshot is added to a partner's layout, with so many shards more in each service. */
+  /** A snapshot is added to a partner's layout, with `addedShards` more shards in each service. */
   z.object({ type: z.literal('add-snapshot'), partner: index, addedShards: index.max(3) }),
-  /** A replica takes all snapshots of the layout, and the platform publishes it. */
+  /** A replica loads all snapshots of the layout, and the platform publishes this. */
   z.object({ type: z.literal('load-snapshots'), replica: index }),
-  /** The oldest of several snapshots goes away, from the layout and from all replicas. */
+  /** The oldest of several snapshots is removed from the layout and from all replicas. */
   z.object({ type: z.literal('retire-snapshot'), partner: index }),
-  /** An operator sets a row; `stale` names a row version that has passed. */
+  /** An operator sets a row; with `stale`, the edit is based on an outdated row version. */
   z.object({
     type: z.literal('edit'),
     node: index,
@@ -140,7 +140,7 @@
     deadlineMs: z.number().int().min(100).max(5_000),
     stale: z.boolean(),
   }),
-  /** Two operators set the same row at once, each through a node of its own. */
+  /** Two operators set the same row at the same time, each through its own node. */
   z.object({
     type: z.literal('race-edits'),
     first: index,
@@ -148,17 +148,17 @@
     row: index,
     deadlineMs: z.number().int().min(100).max(5_000),
   }),
-  /** An operator sends an earlier edit again, perhaps to another node. */
+  /** An operator resends an earlier edit, possibly to another node. */
   z.object({ type: z.literal('resend-edit'), node: index, edit: index }),
 ]);
 
 /** One action. */
 export type Action = z.infer<typeof actionSchema>;
 
-/** Most actions that a history may have; the fuzzer draws far fewer. */
+/** Maximum number of actions of a history; the fuzzer generates far fewer. */
 const MAX_ACTIONS = 10_000;
 
-/** A history file: a seed, the world, what was done to it, and the promise that broke, if any did. */
+/** Schema of a history file: seed, tier, actions and the invariant that was violated, if any. */
 export const historySchema = z.object({
   format: z.literal('crossroad-history'),
   version: z.literal(1),
@@ -166,11 +166,11 @@
   world: z.enum(['small', 'ensemble', 'tawe', 'both']),
   nodesPerZone: z.number().int().min(1).max(20),
   actions: z.array(actionSchema).max(MAX_ACTIONS),
-  /** The breach for which the history was written; a run with the same program finds it again. */
+  /** The violation for which the history was recorded; the same program reproduces it. */
   broke: z
     .object({ invariant: z.enum(PROMISE_NAMES), at: z.number(), detail: z.string() })
     .optional(),
 });
 
-/** A history, as its file holds it. */
+/** The content of a history file. */
 export type History = z.infer<typeof historySchema>;
--- a/src/simulation/history/history-calls.ts
+++ b/src/simulation/history/history-calls.ts
@@ -1,4 +1,4 @@
-/** The queries and bookings that the callers of a history send. */
+/** Sends the queries and at-most-once requests of a history. */
 import { createRandom } from '../../core/random.js';
 import { createIdempotencyKey } from '../../protocol/idempotency-key.js';
 import type { RouteRow } from '../../table/route-row.js';
@@ -9,18 +9,18 @@
 
 type ActionOf<Type extends Action['type']> = Extract<Action, { type: Type }>;
 
-/** How long after its deadline a call must have ended, in milliseconds. */
+/** Time after its deadline by which a call must have ended, in milliseconds. */
 const CALL_GRACE_MS = 2_000;
 
-/** Sends calls by the rows of the table. */
+/** Sends the calls of a history for the rows of the table. */
 export class HistoryCalls {
   private nonces = 0;
   private readonly idempotencyKeys = new Map<number, string>();
 
   /**
-   * @param safeRows - rows that queries choose from, by number
-   * @param onceRows - rows that bookings choose from, by number
-   * @param nodeName - the name of the node of a number
+   * @param safeRows - rows that queries choose from, by index
+   * @param onceRows - at-most-once rows that bookings choose from, by index
+   * @param nodeName - returns the name of the node with an index
    */
   constructor(
     private readonly simulation: Simulation,
@@ -45,7 +45,7 @@
     });
   }
 
-  /** A caller leaves. */
+  /** Closes the connection of an earlier call's caller. */
   leave({ call }: ActionOf<'leave'>): void {
     const { calls } = this.simulation;
     if (calls.length > 0) {
@@ -53,7 +53,7 @@
     }
   }
 
-  /** A sentence for each call that should have ended and has not. */
+  /** Describes each call that has not ended although its deadline has passed. */
   findOverdue(): readonly string[] {
     const { now, calls } = this.simulation;
     return calls
@@ -70,7 +70,7 @@
     return row?.deadlineMs ?? 0;
   }
 
-  /** The key of a number: made when it is first used, the same whenever it is used again. */
+  /** Returns the idempotency key of a number; creates it on first use. */
   private idempotencyKeyOf(number: number): string {
     const known = this.idempotencyKeys.get(number);
     if (known !== undefined) {
--- a/src/simulation/history/history-edits.ts
+++ b/src/simulation/history/history-edits.ts
@@ -1,4 +1,4 @@
-/** The edits that the operators of a history send. */
+/** Sends the edits of a history. */
 import { identifier, type EditId } from '../../core/identifiers.js';
 import type { EditRequest } from '../../table/edit.js';
 import type { RouteRow } from '../../table/route-row.js';
@@ -9,16 +9,16 @@
 
 type ActionOf<Type extends Action['type']> = Extract<Action, { type: Type }>;
 
-/** Actions by which operators edit the table. */
+/** Names of the actions that edit the table. */
 export type EditActionName = 'edit' | 'resend-edit' | 'race-edits';
 
-/** Makes edits of the rows and keeps them, so that one can be sent again. */
+/** Builds and sends edits, and keeps them so that they can be resent. */
 export class HistoryEdits {
   private readonly sent: EditRequest[] = [];
 
   /**
-   * @param rows - the rows that actions choose from, by number
-   * @param nodeName - the name of the node of a number
+   * @param rows - rows that actions choose from, by index
+   * @param nodeName - returns the name of the node with an index
    */
   constructor(
     private readonly simulation: Simulation,
@@ -26,7 +26,7 @@
     private readonly nodeName: (index: number) => string,
   ) {}
 
-  /** Does one action of an operator. */
+  /** Performs an operator's action. */
   apply(action: ActionOf<EditActionName>): void {
     switch (action.type) {
       case 'edit':
--- a/src/simulation/history/pick.ts
+++ b/src/simulation/history/pick.ts
@@ -1,10 +1,14 @@
-/** Picks by the numbers that actions carry. */
+/** Selection of items by the indexes in actions. */
 
-/** The item of a number; numbers beyond the last item begin again at the first. */
+/**
+ * Returns the item at `index` modulo the number of items.
+ *
+ * @throws Error if there are no items
+ */
 export const pick = <Item>(items: readonly Item[], index: number): Item => {
   const item = items[index % items.length];
   if (item === undefined) {
-    throw new Error('there is nothing to pick from');
+    throw new Error('cannot pick an item: the list is empty');
   }
   return item;
 };
--- a/src/simulation/history/replica-fault.ts
+++ b/src/simulation/history/replica-fault.ts
@@ -1,4 +1,4 @@
-/** The named faults of replicas, as changes of the stand-in. */
+/** The named faults of replicas, as fault changes of the replica model. */
 import {
   type ReplicaFaultChange,
   SOUND_BEHAVIOUR,
@@ -9,7 +9,7 @@
 const SLOW_FACTOR = 10;
 const COLD_MS = 3_000;
 const FAULTY_ANSWER_SHARE = 0.5;
-/** Makes work outlast the deadlines of most queries. */
+/** Slows requests beyond the deadlines of most queries. */
 const LATE_FACTOR = 400;
 
 const CHANGES: Readonly<Record<ReplicaFaultName, ReplicaFaultChange>> = {
@@ -29,7 +29,7 @@
   doubled: {},
 };
 
-/** Brings a named fault about at a replica; `none` ends them all. */
+/** Applies a named fault to a replica; `none` ends all faults. */
 export const applyReplicaFault = (replica: SimulatedReplica, fault: ReplicaFaultName): void => {
   replica.setFaults(CHANGES[fault]);
   if (fault === 'doubled' || fault === 'none') {
--- a/src/simulation/history/roll-out.ts
+++ b/src/simulation/history/roll-out.ts
@@ -1,4 +1,4 @@
-/** Roll-outs of index versions in a simulated tier: new snapshots, loaded and retired. */
+/** Roll-outs of index snapshots in a simulated tier: adding, loading and retiring them. */
 import type { ReplicaStatus, SnapshotLayout } from '../../catalog/partner-index.js';
 import type { Deployment } from '../../deployments/deployment.js';
 import { buildLayout } from '../../deployments/initial-objects.js';
@@ -19,7 +19,7 @@
   simulation.store.put(`layout/${partner}`, { type: 'layout', layout: { partner, snapshots } });
 };
 
-/** Adds a snapshot to the layout, with `addedShards` more shards in each service than at first. */
+/** Adds a snapshot to the layout, with `addedShards` more shards per service than initially. */
 export const addSnapshot = (
   simulation: Simulation,
   deployment: Deployment,
@@ -33,7 +33,7 @@
   ]);
 };
 
-/** Publishes what the platform knows of a replica: its lifecycle and snapshots as they are now. */
+/** Publishes the current lifecycle and snapshots of a replica in its service's status. */
 export const publishStatus = (simulation: Simulation, replica: SimulatedReplica): void => {
   const { partner, service, status } = replica.options;
   const name = `status/${partner}/${service}`;
@@ -52,7 +52,7 @@
   simulation.store.put(name, { type: 'status', status: { ...content.status, replicas } });
 };
 
-/** Lets a replica hold all snapshots of its partner's layout, and publishes that. */
+/** Loads all snapshots of the partner's layout into a replica and publishes its status. */
 export const loadSnapshots = (simulation: Simulation, replica: SimulatedReplica): void => {
   const { partner, service } = replica.options;
   const snapshots: HeldSnapshot[] = readSnapshots(simulation, partner).map((layout) => ({
@@ -63,7 +63,7 @@
   publishStatus(simulation, replica);
 };
 
-/** Takes the oldest snapshot away, if there is another: from the layout and from all replicas. */
+/** Removes the oldest snapshot from the layout and all replicas, unless it is the only one. */
 export const retireSnapshot = (simulation: Simulation, deployment: Deployment): void => {
   const [oldest, ...kept] = readSnapshots(simulation, deployment.partner);
   if (oldest === undefined || kept.length === 0) {
@@ -80,7 +80,7 @@
   }
 };
 
-/** Adds a snapshot, lets the replicas take it one after the other, and takes the oldest away. */
+/** Adds a snapshot, loads it into the replicas one by one over `overMs`, and removes the oldest. */
 export const rollOut = (
   simulation: Simulation,
   deployment: Deployment,
@@ -96,7 +96,7 @@
   simulation.after(overMs, () => retireSnapshot(simulation, deployment));
 };
 
-/** A replica begins to leave; the platform publishes it later. */
+/** Makes a replica leave; the platform publishes this `publishAfterMs` later. */
 export const drainReplica = (
   simulation: Simulation,
   replica: SimulatedReplica,
--- a/src/simulation/history/run-history.ts
+++ b/src/simulation/history/run-history.ts
@@ -1,4 +1,4 @@
-/** Runs a history from its first action to its last, and reports the promises it broke. */
+/** Runs a history and reports the violations of the invariants. */
 import { ENSEMBLE } from '../../deployments/ensemble.js';
 import { TAWE } from '../../deployments/tawe.js';
 import type { Violation } from '../invariants/violation.js';
@@ -9,17 +9,17 @@
 import type { History } from './action.js';
 import { Tier } from './tier.js';
 
-/** What came of a history. */
+/** Result of running a history. */
 export interface HistoryResult {
   readonly violations: readonly Violation[];
-  /** The same for the same history and program. */
+  /** Hash of all steps; equal for runs of the same history with the same program. */
   readonly traceHash: string;
   readonly steps: number;
-  /** Virtual time at the end, in milliseconds. */
+  /** Virtual time at the end of the run, in milliseconds. */
   readonly endedAt: number;
 }
 
-/** The tier that a history names. */
+/** Returns the tier that a history runs on. */
 export const worldOf = ({
   world,
   nodesPerZone,
@@ -36,7 +36,7 @@
   }
 };
 
-/** Runs a history; `step` replaces the core's step where given. */
+/** Runs a history; `options.step` replaces the core's step function. */
 export const runHistory = (
   history: History,
   options: Pick<SimulationOptions, 'step'> = {},
--- a/src/simulation/history/tier.ts
+++ b/src/simulation/history/tier.ts
@@ -1,4 +1,4 @@
-/** A simulated tier to which the actions of a history are done. */
+/** A simulated tier on which the actions of a history are performed. */
 import type { Deployment } from '../../deployments/deployment.js';
 import { InvariantChecker } from '../invariants/invariant-checker.js';
 import type { Violation } from '../invariants/violation.js';
@@ -21,9 +21,9 @@
 } from './roll-out.js';
 import { type Trap, Traps } from './traps.js';
 
-/** How long a tier runs before the first action, so that its nodes serve, in milliseconds. */
+/** Time before the first action, in which the nodes start serving, in milliseconds. */
 const WARM_UP_MS = 4_000;
-/** How long a tier runs after the last action, healed, in milliseconds. */
+/** Time that the healed tier runs after the last action, in milliseconds. */
 export const SETTLE_MS = 12_000;
 type ActionOf<Type extends Action['type']> = Extract<Action, { type: Type }>;
 type ProcessActionName = 'crash' | 'restart' | 'pause' | 'wake' | 'stop' | 'nap';
@@ -37,7 +37,7 @@
   | 'load-snapshots'
   | 'retire-snapshot';
 
-/** A tier with its invariants. */
+/** A simulated tier with its invariant checks. */
 export class Tier {
   readonly simulation: Simulation;
   private readonly checker: InvariantChecker;
@@ -69,12 +69,12 @@
     this.firstRevision = this.simulation.store.model.revision;
   }
 
-  /** Breaches of the promises so far. */
+  /** Violations of the invariants so far. */
   get violations(): readonly Violation[] {
     return this.checker.violations;
   }
 
-  /** Does one action; time passes in `advance` only. */
+  /** Performs an action; only `advance` and `nap` advance virtual time. */
   apply(action: Action): void {
     switch (action.type) {
       case 'advance':
@@ -105,7 +105,10 @@
     }
   }
 
-  /** Heals everything, lets the tier settle and checks what must hold then. */
+  /**
+   * Heals the network and the store, resumes paused nodes, runs for `SETTLE_MS` and reports calls
+   * that have not ended.
+   */
   settle(): void {
     const { simulation } = this;
     this.traps.disarm();
@@ -121,7 +124,7 @@
     }
   }
 
-  /** A trap that has sprung in the last action acts now, or it would after all is healed. */
+  /** Applies the faults of traps that the last action triggered, before the tier is healed. */
   private runTriggeredTraps(): void {
     this.simulation.runFor(0);
   }
@@ -203,7 +206,7 @@
     }
   }
 
-  /** Brings the fault of a trap about at `node`, whose moment it is, or at the trap's target. */
+  /** Applies the fault of a trap at `node`, where its event occurred, or at the trap's target. */
   private triggerTrap({ fault, target }: Trap, node: string): void {
     const { simulation } = this;
     const { watchers } = simulation.store;
--- a/src/simulation/history/traps.ts
+++ b/src/simulation/history/traps.ts
@@ -1,16 +1,16 @@
-/** Faults that happen in a moment of something else, such as a crash right after an accepted edit. */
+/** Traps: faults that occur at a chosen event, such as a crash directly after an accepted edit. */
 import type { Effect } from '../../core/effect.js';
 import type { Event } from '../../core/event.js';
 import type { SimulationObserver, StepRecord } from '../observer.js';
 import type { Action, MomentName } from './action.js';
 
-/** A trap, as a history names it. */
+/** A trap of a history. */
 export type Trap = Extract<Action, { type: 'trap' }>;
 
-/** Brings the fault of a trap about; `node` is the one whose moment it is. */
+/** Applies the fault of a trap; `node` is the node where the event occurred. */
 export type TriggerTrap = (trap: Trap, node: string) => void;
 
-/** Most traps that are armed at once; further ones are left out. */
+/** Maximum number of armed traps; further traps are ignored. */
 const ARMED_LIMIT = 8;
 
 const isAccepted = (effect: Effect): boolean =>
@@ -41,7 +41,7 @@
   }
 };
 
-/** Watches for the moments of the traps that are armed; each springs once. */
+/** Watches for the events of the armed traps; each trap triggers once. */
 export class Traps implements SimulationObserver {
   private armed: Trap[] = [];
 
@@ -54,7 +54,7 @@
     }
   }
 
-  /** Takes all traps away. */
+  /** Removes all traps. */
   disarm(): void {
     this.armed = [];
   }
--- a/src/simulation/invariants/answer-checks.ts
+++ b/src/simulation/invariants/answer-checks.ts
@@ -1,4 +1,4 @@
-/** Checks of answers: one snapshot, true coverage, the caller's own request and nothing else. */
+/** Checks of answers: one snapshot, correct coverage, and only items of the caller's request. */
 import type { QueryOutcome } from '../../core/query/query-request.js';
 import {
   AGGREGATE_ITEM_ID,
@@ -8,7 +8,7 @@
 import type { RunRecord } from '../replica-record.js';
 import type { ReportViolation } from './violation.js';
 
-/** An answer with results. */
+/** A query outcome with results. */
 export type Answered = Extract<QueryOutcome, { type: 'answered' }>;
 
 const valueOf = (value: unknown): Partial<StandinItemValue> =>
@@ -19,7 +19,7 @@
     ? (payload as { nonce?: string }).nonce
     : undefined;
 
-/** Every item comes from the snapshot the answer names. */
+/** Checks that every item comes from the snapshot that the answer names. */
 export const checkSnapshot = (answer: Answered, report: ReportViolation): void => {
   for (const item of answer.items) {
     const { snapshot } = valueOf(item.value);
@@ -32,7 +32,7 @@
   }
 };
 
-/** Every item belongs to the caller's own request. */
+/** Checks that every item belongs to the caller's request. */
 export const checkOwnAnswer = (
   call: CallRecord,
   answer: Answered,
@@ -69,17 +69,17 @@
       .map(({ value }) => valueOf(value).shard ?? ''),
   );
 
-/** What the coverage of an answer is compared with. */
+/** What the coverage of an answer is checked against. */
 export interface CoverageContext {
-  /** Shards of the answer's snapshot that the query must reach. */
+  /** Shards of the answer's snapshot that the query covers. */
   readonly layoutShards: ReadonlySet<string>;
-  /** What the replicas ran for this request. */
+  /** Attempts that replicas ran for this request. */
   readonly runs: readonly RunRecord[];
-  /** Whether every contributing shard has items in the answer. */
+  /** Whether every contributing shard must have items in the answer. */
   readonly listsAllContributors: boolean;
 }
 
-/** The coverage counts shards that truly contributed, over all shards of the snapshot. */
+/** Checks that the coverage counts the contributing shards, out of all shards of the snapshot. */
 export const checkCoverage = (
   answer: Answered,
   context: CoverageContext,
@@ -114,7 +114,7 @@
   }
 };
 
-/** An aggregated answer adds 1 for each shard that contributed. */
+/** Checks that the sum of an aggregated answer equals the number of contributing shards. */
 export const checkAggregate = (answer: Answered, report: ReportViolation): void => {
   const item = answer.items.find(({ id }) => id === AGGREGATE_ITEM_ID);
   if (item !== undefined && item.score !== answer.contributed) {
--- a/src/simulation/invariants/configuration-checks.ts
+++ b/src/simulation/invariants/configuration-checks.ts
@@ -1,13 +1,16 @@
-/** Checks of the configuration: what a node holds only grows, and soon is the store's newest. */
+/**
+ * Checks of the configuration: the revisions that a node holds never decrease, and every accepted
+ * write is in force on each serving node within a time bound.
+ */
 import type { StoreObject } from '../../catalog/store-object.js';
 import type { Simulation } from '../simulation.js';
 import type { StepRecord } from '../observer.js';
 import type { ReportViolation } from './violation.js';
 
-/** How soon an accepted write must be in force on every connected node, in milliseconds. */
+/** Time until an accepted write must be in force on every connected node, in milliseconds. */
 const IN_FORCE_BOUND_MS = 3_000;
 
-/** How soon after the last disturbance the tier must be whole again, in milliseconds. */
+/** Time within which the tier must recover after the last disturbance, in milliseconds. */
 const RECOVERY_BOUND_MS = 5_000;
 
 interface ProcessConfiguration {
@@ -17,7 +20,7 @@
   inForce: unknown;
 }
 
-/** Follows what each process holds. */
+/** Tracks the configuration that each process holds. */
 export class ConfigurationChecks {
   private readonly held = new Map<string, ProcessConfiguration>();
   private readonly writes = new Map<number, StoreObject>();
@@ -29,7 +32,7 @@
     private readonly report: ReportViolation,
   ) {}
 
-  /** The store has accepted a write. */
+  /** Handles a write that the store has accepted. */
   handleWrite(object: StoreObject): void {
     if (this.writes.has(object.revision)) {
       this.rolledBack = true;
@@ -41,7 +44,7 @@
     });
   }
 
-  /** A node has taken a step. */
+  /** Handles a step of a node. */
   handleStep({ node, state }: StepRecord): void {
     const process = this.simulation.node(node).processNumber;
     const held = this.findOrCreateHeld(node, process);
@@ -103,7 +106,7 @@
     }
   }
 
-  /** Looks at a write after the bound; looks again later if something disturbed the tier. */
+  /** Checks a write after the time bound, or later if the tier was disturbed. */
   private checkInForce(object: StoreObject, writtenAt: number): void {
     const { disturbances, now, nodes } = this.simulation;
     if (this.rolledBack) {
--- a/src/simulation/invariants/edit-checks.ts
+++ b/src/simulation/invariants/edit-checks.ts
@@ -1,4 +1,7 @@
-/** Checks of edits: an accepted one stands in its sheet's history, once, and only its owner's. */
+/**
+ * Checks of edits: an accepted edit is applied exactly once, and each write of a sheet changes only
+ * the rows that its edit names.
+ */
 import type { StoreObject } from '../../catalog/store-object.js';
 import type { Sheet } from '../../table/sheet.js';
 import type { EditCallRecord } from '../call-record.js';
@@ -15,21 +18,21 @@
   );
 };
 
-/** Follows the sheets as the store holds them. */
+/** Tracks the sheets in the store. */
 export class EditChecks {
   private readonly sheets = new Map<string, Sheet>();
   /** The sheet version at which each edit was applied. */
   private readonly applied = new Map<string, number>();
   private lastRevision = 0;
   /**
-   * The store has forgotten writes, which nodes write back: what it wrote no longer tells what was
-   * applied. That no node goes back to an older object is checked all the same.
+   * Whether the store has lost writes, which nodes then write back: its writes no longer show which
+   * edits were applied. `ConfigurationChecks` still checks that no node reverts to an older object.
    */
   private rolledBack = false;
 
   constructor(private readonly report: ReportViolation) {}
 
-  /** The store has accepted a write. */
+  /** Handles a write that the store has accepted. */
   handleWrite({ content, name, revision }: StoreObject): void {
     this.rolledBack ||= revision <= this.lastRevision;
     this.lastRevision = revision;
@@ -57,7 +60,7 @@
     }
   }
 
-  /** An operator was told what became of an edit. */
+  /** Handles the outcome of an edit that an operator has received. */
   handleOutcome({ edit, outcome }: EditCallRecord): void {
     if (this.rolledBack) {
       return;
--- a/src/simulation/invariants/invariant-checker.ts
+++ b/src/simulation/invariants/invariant-checker.ts
@@ -1,4 +1,4 @@
-/** Checks all promises while a simulation runs. */
+/** Checks all invariants while a simulation runs. */
 import type { StoreObject } from '../../catalog/store-object.js';
 import { identifier, type NodeId, type ObjectName } from '../../core/identifiers.js';
 import type { PromiseName } from '../../protocol/promise-name.js';
@@ -20,9 +20,9 @@
 import { RunChecks } from './run-checks.js';
 import type { Violation } from './violation.js';
 
-/** Most violations that are kept. */
+/** Maximum number of violations that are kept. */
 const VIOLATION_LIMIT = 1_000;
-/** Items the stand-in returns for each shard, at least; an answer with fewer places is not whole. */
+/** Items per shard from the stand-in; answers with a smaller limit may omit contributing shards. */
 const MAX_ITEMS_PER_SHARD = 3;
 
 const isServedBy = (row: RouteRow, service: string): boolean =>
@@ -30,7 +30,7 @@
     pattern.endsWith('*') ? service.startsWith(pattern.slice(0, -1)) : service === pattern,
   );
 
-/** Watches a simulation and collects the breaches of the promises. */
+/** Observes a simulation and collects the violations of its invariants. */
 export class InvariantChecker implements SimulationObserver {
   readonly violations: Violation[] = [];
   private readonly runs: RunChecks;
@@ -51,7 +51,7 @@
     simulation.observe(this);
   }
 
-  /** Notes a breach of a promise; those beyond the bound are dropped. */
+  /** Records a violation; violations beyond `VIOLATION_LIMIT` are dropped. */
   report(invariant: PromiseName, detail: string): void {
     if (this.violations.length < VIOLATION_LIMIT) {
       this.violations.push({ invariant, at: this.simulation.now, detail });
@@ -153,7 +153,7 @@
     );
   }
 
-  /** The shards of the answer's snapshot; for a query placed by key, the one it named. */
+  /** Returns the shards of the answer's snapshot; for a query placed by key, the shard that ran. */
   private listShards(call: CallRecord, row: RouteRow, answer: Answered): Set<string> {
     if (row.fanOut === 'key') {
       const [run] = this.runs.runsOf(answer.request);
--- a/src/simulation/invariants/leaving-checks.ts
+++ b/src/simulation/invariants/leaving-checks.ts
@@ -1,4 +1,4 @@
-/** Checks of what leaves: replicas that drain get no new work, nodes that stop cut nothing off. */
+/** Checks of planned stops: leaving replicas get no new work, stopping nodes abort no request. */
 import type { ReplicaStatus } from '../../catalog/partner-index.js';
 import type { CallRecord } from '../call-record.js';
 import type { ArrivalRecord } from '../replica-record.js';
@@ -6,13 +6,13 @@
 import type { ReportViolation } from './violation.js';
 
 /**
- * How soon after the first sign that a replica leaves it must get no new work, in milliseconds. The
- * first sign is what the platform publishes, or the first word of the replica that says so, a refusal
- * or an answer: nobody can know earlier. A replica that is frozen says nothing.
+ * Time after the first announcement that a replica is leaving within which it must stop receiving
+ * new work, in milliseconds. The first announcement is the platform's status, or the replica's own
+ * refusal or answer; nodes cannot detect it earlier. A frozen replica announces nothing.
  */
 const LEAVING_BOUND_MS = 3_000;
 
-/** Follows replicas that leave and nodes that stop. */
+/** Tracks leaving replicas and stopping nodes. */
 export class LeavingChecks {
   private readonly leaving = new Set<string>();
   private readonly firstSignAt = new Map<string, number>();
@@ -22,7 +22,7 @@
     private readonly report: ReportViolation,
   ) {}
 
-  /** A replica's lifecycle has changed. */
+  /** Handles a change of a replica's lifecycle. */
   handleLifecycleChange(replica: string, isLeaving: boolean): void {
     if (isLeaving) {
       this.leaving.add(replica);
@@ -32,7 +32,7 @@
     }
   }
 
-  /** The platform has published what it knows of a service's replicas. */
+  /** Handles the status of a service's replicas that the platform has published. */
   handlePublishedStatus(replicas: readonly ReplicaStatus[]): void {
     for (const { replica, lifecycle } of replicas) {
       if (lifecycle === 'leaving') {
@@ -41,14 +41,14 @@
     }
   }
 
-  /** A replica has said that it leaves. */
+  /** Handles a replica's announcement that it is leaving. */
   handleAnnouncement(replica: string): void {
     if (this.leaving.has(replica)) {
       this.recordFirstSign(replica);
     }
   }
 
-  /** An attempt has reached a replica. */
+  /** Handles an attempt that has reached a replica. */
   handleArrival(arrival: ArrivalRecord): void {
     if (!this.leaving.has(arrival.replica)) {
       return;
@@ -74,7 +74,7 @@
     }
   }
 
-  /** A node's process has ended after a planned stop. */
+  /** Handles the end of a node's process after a planned stop. */
   handlePlannedStop(node: string, openAttempts: number): void {
     if (openAttempts > 0) {
       this.report(
@@ -87,7 +87,7 @@
     }
   }
 
-  /** A caller has got its answer. */
+  /** Handles an answer that a caller has received. */
   handleAnswer(call: CallRecord): void {
     const { outcome } = call;
     const quietSince = this.simulation.disturbances.undisturbedSince;
--- a/src/simulation/invariants/run-checks.ts
+++ b/src/simulation/invariants/run-checks.ts
@@ -1,8 +1,8 @@
-/** Checks of what replicas ran: nothing that was refused, and nothing twice that may run once. */
+/** Checks of runs: no refused request runs, and no at-most-once request runs twice. */
 import type { RunRecord } from '../replica-record.js';
 import type { ReportViolation } from './violation.js';
 
-/** Compares the replicas' records with what callers were told. */
+/** Compares the replicas' records with the outcomes that callers received. */
 export class RunChecks {
   private readonly runsByRequest = new Map<string, RunRecord[]>();
   private readonly refused = new Set<string>();
@@ -10,12 +10,12 @@
 
   constructor(private readonly report: ReportViolation) {}
 
-  /** What ran for a request. */
+  /** Returns the attempts that ran for a request. */
   runsOf(request: string): readonly RunRecord[] {
     return this.runsByRequest.get(request) ?? [];
   }
 
-  /** A replica has begun to work on an attempt. */
+  /** Handles an attempt that a replica has started to run. */
   handleRun(run: RunRecord): void {
     const runs = this.runsByRequest.get(run.request) ?? [];
     runs.push(run);
@@ -31,7 +31,7 @@
     }
   }
 
-  /** A caller was told that its request did not run. */
+  /** Handles an answer stating that a request did not run. */
   handleRefusal(request: string): void {
     this.refused.add(request);
     const [run] = this.runsOf(request);
--- a/src/simulation/invariants/violation.ts
+++ b/src/simulation/invariants/violation.ts
@@ -1,14 +1,14 @@
-/** What the checks of the promises report. */
+/** Violations that the invariant checks report. */
 import type { PromiseName } from '../../protocol/promise-name.js';
 
-/** One breach of a promise. */
+/** A violation of an invariant. */
 export interface Violation {
   readonly invariant: PromiseName;
   /** Virtual time, in milliseconds. */
   readonly at: number;
-  /** What was seen, as a short sentence. */
+  /** Description of the violation, as a short sentence. */
   readonly detail: string;
 }
 
-/** Takes violations as they are found. */
+/** Records a violation. */
 export type ReportViolation = (invariant: PromiseName, detail: string) => void;
--- a/src/simulation/network-conditions.ts
+++ b/src/simulation/network-conditions.ts
@@ -1,10 +1,10 @@
-/** What the virtual network does to messages. */
+/** Latency, jitter, loss and duplication of messages on the virtual network. */
 
 /** Conditions between two zones, or inside one. */
 export interface LinkConditions {
-  /** Shortest one-way latency, in milliseconds. */
+  /** Minimum one-way latency, in milliseconds. */
   readonly latencyMs: number;
-  /** Most that is added to the latency, uniformly; reorders datagrams. */
+  /** Maximum random delay added to the latency, in milliseconds, uniform; reorders datagrams. */
   readonly jitterMs: number;
   /** Share of datagrams lost, 0 to 1. */
   readonly lossShare: number;
@@ -18,7 +18,7 @@
   readonly betweenZones: LinkConditions;
   /** Conditions between particular zones, by `zonePairKey`. */
   readonly pairs?: ReadonlyMap<string, LinkConditions>;
-  /** How long until the ends of a link notice that the other is out of reach, in milliseconds. */
+  /** Time until the ends of a link detect that their peer is unreachable, in milliseconds. */
   readonly linkTimeoutMs: number;
 }
 
@@ -29,10 +29,10 @@
   linkTimeoutMs: 3_000,
 };
 
-/** Names a pair of zones, whichever comes first. */
+/** Key of a pair of zones, independent of their order. */
 export const zonePairKey = (a: string, b: string): string => (a < b ? `${a}|${b}` : `${b}|${a}`);
 
-/** The conditions between two zones. */
+/** Returns the conditions between two zones. */
 export const findConditions = (
   conditions: NetworkConditions,
   from: string,
--- a/src/simulation/network-endpoint.ts
+++ b/src/simulation/network-endpoint.ts
@@ -1,10 +1,10 @@
-/** A process as the virtual network sees it. */
+/** Interface between a process and the virtual network. */
 import type { NodeId } from '../core/identifiers.js';
 import type { MembershipMessage } from '../protocol/membership-messages.js';
 import type { PeerAddress } from '../protocol/node-address.js';
 import type { LinkMessage } from '../protocol/peer-message.js';
 
-/** What a process has sent, for the measurement of control traffic. */
+/** Messages and bytes that a process has sent, to measure control traffic. */
 export interface TrafficCount {
   messages: number;
   bytes: number;
@@ -15,14 +15,14 @@
   readonly name: NodeId;
   readonly zone: string;
   readonly address: PeerAddress;
-  /** Grows with each restart, so that what was meant for an earlier process is not delivered. */
+  /** Increases with each restart, so that messages to an earlier process are not delivered. */
   readonly processNumber: number;
-  /** False while the process does not exist; a paused one is up. */
+  /** Whether the process exists; true for a paused process. */
   readonly isUp: boolean;
   receiveDatagram(message: MembershipMessage): void;
   receiveLinkMessage(from: NodeId, message: LinkMessage): void;
   handleLinkLost(peer: NodeId): void;
 }
 
-/** Names an address. */
+/** Key of an address, as `host:port`. */
 export const addressKey = (address: PeerAddress): string => `${address.host}:${address.port}`;
--- a/src/simulation/node-environment.ts
+++ b/src/simulation/node-environment.ts
@@ -1,4 +1,4 @@
-/** What a simulated node is placed in: the rest of the simulation as the node sees it. */
+/** The parts of a simulation that a simulated node uses. */
 import type { Effect } from '../core/effect.js';
 import type { Event } from '../core/event.js';
 import type { CallId, NodeId } from '../core/identifiers.js';
@@ -15,28 +15,28 @@
 import type { SimulatedStore } from './simulated-store.js';
 import type { VirtualNetwork } from './virtual-network.js';
 
-/** The wall clock when a simulation begins, in milliseconds since 1970. */
+/** Wall-clock time at which every simulation begins, in milliseconds since 1970. */
 export const VIRTUAL_EPOCH_MS = Date.UTC(2026, 0, 1);
 
-/** An event before the node's clock has stamped it. */
+/** An event without the timestamp of the node's clock. */
 export type UnstampedEvent = Event extends infer E
   ? E extends Event
     ? Omit<E, 'at'>
     : never
   : never;
 
-/** The step a node's core takes; tests may wrap the real one to break it. */
+/** The step function of a node's core; tests wrap the real one to inject faults. */
 export type StepFunction = (state: CoreState, event: Event) => Effect[];
 
-/** Who waits for the answers of a node's calls. */
+/** Receives the outcomes of a node's calls. */
 export interface CallListener {
   answerCaller(call: CallId, outcome: QueryOutcome): void;
   answerOperator(call: CallId, outcome: EditOutcome): void;
-  /** The process is gone; its calls are lost. */
+  /** Called when the node's process has ended; its open calls are lost. */
   handleProcessEnd(node: NodeId): void;
 }
 
-/** What a node shares with the rest of the simulation. */
+/** Components that all nodes of a simulation share. */
 export interface NodeEnvironment {
   readonly scheduler: Scheduler;
   readonly network: VirtualNetwork;
@@ -52,7 +52,7 @@
   readonly policy: Partial<QueryPolicy>;
 }
 
-/** Where a node stands. */
+/** A node's name, location, address and seed nodes. */
 export interface NodePlacement {
   readonly node: NodeId;
   readonly zone: NodeIdentity['zone'];
--- a/src/simulation/observer.ts
+++ b/src/simulation/observer.ts
@@ -1,4 +1,4 @@
-/** What happens in a simulation, as those who watch it are told: invariants, traces, reports. */
+/** Observer interface of a simulation, used by invariant checks, traces and reports. */
 import type { StoreObject } from '../catalog/store-object.js';
 import type { Effect } from '../core/effect.js';
 import type { Event } from '../core/event.js';
@@ -13,29 +13,29 @@
   readonly node: NodeId;
   readonly event: Event;
   readonly effects: readonly Effect[];
-  /** The state after the step; only to be read. */
+  /** The state after the step; observers must not modify it. */
   readonly state: CoreState;
 }
 
-/** Watches a simulation; each method is called as the thing happens. */
+/** Observes a simulation; each method is called at the virtual time of its event. */
 export interface SimulationObserver {
-  /** A node's core has taken an event. */
+  /** A node's core has handled an event. */
   stepped?(step: StepRecord): void;
-  /** A caller has got its answer. */
+  /** A caller has received its answer. */
   answered?(call: CallRecord): void;
-  /** A caller was answered once more. */
+  /** A caller was sent a further answer to a call that was already answered. */
   answeredAgain?(call: CallRecord): void;
-  /** An operator was told what became of an edit. */
+  /** An operator has received the outcome of an edit. */
   editAnswered?(edit: EditCallRecord): void;
-  /** An attempt has reached a replica, whether it runs or not. */
+  /** An attempt has reached a replica; the replica may run or refuse it. */
   attemptArrived?(arrival: ArrivalRecord): void;
-  /** A replica has said that it leaves, by a refusal or with an answer. */
+  /** A replica has announced in a refusal or an answer that it is leaving. */
   announcedLeaving?(replica: string): void;
-  /** A replica has begun to leave, or no longer leaves. */
+  /** The lifecycle of a replica has changed to or from `leaving`. */
   lifecycleChanged?(replica: string, isLeaving: boolean): void;
-  /** A replica has begun to work on an attempt. */
+  /** A replica has started to run an attempt. */
   attemptStarted?(run: RunRecord): void;
-  /** A process has ended after a planned stop, with so many attempts still open. */
+  /** A process has ended after a planned stop, with `openAttempts` attempts still open. */
   endedAsPlanned?(node: NodeId, openAttempts: number): void;
   /** The store has accepted a write. */
   objectWritten?(object: StoreObject): void;
--- a/src/simulation/reachability.ts
+++ b/src/simulation/reachability.ts
@@ -1,14 +1,14 @@
-/** Which parts of the virtual network are cut off from each other. */
+/** Tracks which parts of the virtual network are cut off from each other. */
 import { zonePairKey } from './network-conditions.js';
 import type { DisturbanceTracker } from './disturbance-tracker.js';
 
-/** A place in the network: a process and its zone. */
+/** A process and its zone. */
 export interface NetworkPlace {
   readonly name: string;
   readonly zone: string;
 }
 
-/** Cuts in force; each holds in both directions. */
+/** Network cuts in effect; each applies in both directions. */
 export class Reachability {
   private readonly cutZonePairs = new Set<string>();
   private readonly isolated = new Set<string>();
@@ -51,7 +51,7 @@
     this.isolated.clear();
   }
 
-  /** Whether anything sent between the two places is lost now. */
+  /** Whether messages between the two processes are currently lost. */
   isCut(a: NetworkPlace, b: NetworkPlace): boolean {
     if (this.isolated.size > 0 && (this.isolated.has(a.name) || this.isolated.has(b.name))) {
       return a.name !== b.name;
--- a/src/simulation/replica-record.ts
+++ b/src/simulation/replica-record.ts
@@ -1,8 +1,8 @@
-/** What replicas truly ran. */
+/** Records of the attempts that reached replicas and of those that ran. */
 import type { AttemptId, PartnerId, ReplicaId, RequestId, ShardId } from '../core/identifiers.js';
 import type { SnapshotVersion } from '../catalog/partner-index.js';
 
-/** One attempt a replica has begun to work on. */
+/** An attempt that a replica has started to run. */
 export interface RunRecord {
   readonly at: number;
   readonly replica: ReplicaId;
@@ -15,12 +15,12 @@
   readonly idempotencyKey?: string;
 }
 
-/** One attempt that reached a replica, whether it ran or not. */
+/** An attempt that reached a replica; the replica may have run or refused it. */
 export interface ArrivalRecord {
   readonly at: number;
   readonly replica: ReplicaId;
   readonly request: RequestId;
   readonly attempt: AttemptId;
-  /** The node whose connection it came over. */
+  /** The node whose connection carried the attempt. */
   readonly feeder: string;
 }
--- a/src/simulation/scenario/apply-step.ts
+++ b/src/simulation/scenario/apply-step.ts
@@ -1,4 +1,4 @@
-/** Does the steps of a scenario to a simulated tier. */
+/** Applies the steps of a scenario to a simulated tier. */
 import { match } from 'ts-pattern';
 import type { Deployment } from '../../deployments/deployment.js';
 import type {
@@ -15,13 +15,13 @@
 import type { SimulatedLoad } from './simulated-load.js';
 import { findNodes, findReplicas } from './targets.js';
 
-/** What the steps of a scenario act on. */
+/** The simulation, deployments, loads and edits that the steps of a scenario act on. */
 export interface ScenarioContext {
   readonly simulation: Simulation;
   readonly deployments: readonly Deployment[];
   readonly loads: ReadonlyMap<string, SimulatedLoad>;
   readonly edits: ScenarioEdits;
-  /** Called when a replica begins to drain. */
+  /** Called when a replica starts draining. */
   readonly onDrain: (replica: string) => void;
 }
 
@@ -65,7 +65,7 @@
   }
 };
 
-/** Replicas take the new snapshot one after the other; then the one before goes away. */
+/** Adds a snapshot, loads it into the replicas one by one, then retires the previous one. */
 const rollOut = ({ simulation, deployments }: ScenarioContext, step: RollOutStep): void => {
   const deployment = deployments.find(({ partner }) => partner === step.partner);
   if (deployment === undefined) {
@@ -87,7 +87,7 @@
   });
 };
 
-/** Does one step now. */
+/** Applies one step at the current virtual time. */
 export const applyStep = (context: ScenarioContext, scenarioStep: ScenarioStep): void => {
   const { simulation, loads, edits } = context;
   match(scenarioStep)
--- a/src/simulation/scenario/faults.ts
+++ b/src/simulation/scenario/faults.ts
@@ -1,4 +1,4 @@
-/** Every fault that the tier must stand, by name, as steps of a scenario; each ends by itself. */
+/** The faults that the tier must tolerate, by name: scenario steps that begin and end a fault. */
 import type {
   ReplicaTarget,
   Scenario,
@@ -34,7 +34,7 @@
 /** A fault's name. */
 export type FaultName = (typeof FAULT_NAMES)[number];
 
-/** When a fault begins and how long it lasts, in milliseconds of the measured part. */
+/** Start and duration of a fault, in milliseconds from the start of the measured period. */
 export interface FaultTime {
   readonly fromMs: number;
   readonly lastsMs: number;
@@ -150,7 +150,7 @@
     ),
 };
 
-/** Both partners' deployments, a short load, and an edit of each partner while the faults last. */
+/** Both partners' deployments under a short load, without faults. */
 const BASE: Omit<Scenario, 'name' | 'title' | 'faults'> = {
   partners: ['ensemble', 'tawe'],
   scale: { services: 1, replicas: 1 },
@@ -166,7 +166,7 @@
 };
 
 const FAULT_TIME: FaultTime = { fromMs: 2_000, lastsMs: 5_000 };
-/** How much later the second fault of a pair begins, in milliseconds. */
+/** Delay between the starts of consecutive faults, in milliseconds. */
 const SECOND_FAULT_MS = 1_500;
 
 const editOf = (
@@ -181,7 +181,7 @@
   editOf('tawe', 'quote', 'builder', FAULT_TIME.fromMs + 1_500),
 ];
 
-/** The scenario in which the faults named come one after the other. */
+/** Builds a scenario in which `faults` start one after the other while each partner edits a row. */
 export const buildFaultScenario = (faults: readonly FaultName[]): Scenario => ({
   ...BASE,
   name: faults.join('+'),
@@ -194,10 +194,10 @@
   ].sort((a, b) => a.atMs - b.atMs),
 });
 
-/** Each fault alone. */
+/** Returns each fault alone. */
 export const listSingleFaults = (): FaultName[][] => FAULT_NAMES.map((name) => [name]);
 
-/** Each fault with each other one. */
+/** Returns all pairs of different faults. */
 export const listFaultPairs = (): FaultName[][] =>
   FAULT_NAMES.flatMap((first, index) =>
     FAULT_NAMES.slice(index + 1).map((second) => [first, second]),
--- a/src/simulation/scenario/run-scenario.ts
+++ b/src/simulation/scenario/run-scenario.ts
@@ -1,4 +1,4 @@
-/** Runs a scenario in simulation: same deployments, load and faults as on real sockets. */
+/** Runs a scenario in simulation, with the same deployments, load and faults as on real sockets. */
 import { type Deployment, scaleDeployment } from '../../deployments/deployment.js';
 import { ENSEMBLE } from '../../deployments/ensemble.js';
 import { shareGroup } from '../../deployments/share-group.js';
@@ -18,11 +18,11 @@
 import { SimulatedLoad } from './simulated-load.js';
 import { policyOf } from './variant-policy.js';
 
-/** How long nodes run before the first call, in milliseconds. */
+/** Time that nodes run before the first call, in milliseconds. */
 const START_MS = 4_000;
-/** How long calls may take to end after the last was sent, in milliseconds. */
+/** Time for calls to end after the last call was sent, in milliseconds. */
 const DRAIN_MS = 6_000;
-/** Virtual time between two reports of progress, in milliseconds. */
+/** Interval between progress reports, in milliseconds of virtual time. */
 const PROGRESS_MS = 1_000;
 
 const DEPLOYMENTS: Readonly<Record<ScenarioPartner, Deployment>> = {
@@ -30,24 +30,24 @@
   tawe: TAWE,
 };
 
-/** What a simulated run of a scenario came to. */
+/** Result of a simulated run of a scenario. */
 export interface SimulatedScenarioResult extends ScenarioResult {
   readonly driver: 'simulation';
-  /** Breaches of the eight promises. */
+  /** Violations of the eight invariants. */
   readonly broken: readonly Violation[];
-  /** The same for the same scenario, variant, seed and program; absent when it was not asked for. */
+  /** Hash of all steps, equal for runs with equal inputs and program; absent without `trace`. */
   readonly traceHash?: string;
-  /** Events that all cores took. */
+  /** Number of events that all cores handled. */
   readonly steps: number;
 }
 
-/** How a scenario is run. */
+/** Options of a scenario run. */
 export interface RunScenarioOptions {
-  /** Hashes every step; costs about as much again as the run. */
+  /** Whether to hash every step, which takes about as long as the run itself. */
   readonly trace?: boolean;
-  /** Watches the run besides. */
+  /** An additional observer of the run. */
   readonly observer?: SimulationObserver;
-  /** Told now and then how far the virtual time is. */
+  /** Called regularly with the elapsed and the total virtual time. */
   readonly onProgress?: (doneMs: number, totalMs: number) => void;
 }
 
@@ -62,7 +62,7 @@
   };
 };
 
-/** The deployments; the group that all share belongs to the first of them. */
+/** Returns the deployments of a scenario; the first one owns the shared group, if there is one. */
 const deploymentsOf = (scenario: Scenario): Deployment[] => {
   const deployments = scenario.partners.map((partner) => sizeDeployment(scenario, partner));
   const [owner] = deployments;
@@ -143,7 +143,7 @@
   return recorder;
 };
 
-/** What watches a run: the invariants, the number of steps and, if asked for, their trace. */
+/** Observers of a run: invariant checks, step counter and optional trace. */
 interface RunWatchers {
   readonly checker: InvariantChecker;
   readonly counter: StepCounter;
@@ -172,7 +172,7 @@
   }
 };
 
-/** Runs one scenario under one variant and seed. */
+/** Runs a scenario in simulation, with one variant and seed. */
 export const runSimulatedScenario = (
   run: ScenarioRun,
   options: RunScenarioOptions = {},
--- a/src/simulation/scenario/scenario-edits.ts
+++ b/src/simulation/scenario/scenario-edits.ts
@@ -1,4 +1,4 @@
-/** Edits of a simulated scenario: sends them and measures how soon every live node holds them. */
+/** Sends the edits of a simulated scenario and measures when they are in force on live nodes. */
 import { type EditId, identifier, type PartnerId } from '../../core/identifiers.js';
 import type { EditStep } from '../../experiment/scenario.js';
 import type { EditInForce } from '../../experiment/scenario-result.js';
@@ -7,7 +7,7 @@
 import { VIRTUAL_EPOCH_MS } from '../node-environment.js';
 import type { Simulation } from '../simulation.js';
 
-/** How often it is looked whether an edit is in force, in milliseconds: the figures' resolution. */
+/** Interval of the checks whether an edit is in force, in milliseconds; limits their resolution. */
 const CHECK_INTERVAL_MS = 10;
 
 interface WatchedEdit {
@@ -16,7 +16,7 @@
   inForceAt?: number;
 }
 
-/** Whether every live node holds all changes up to `revision`. */
+/** Returns whether every live node holds all changes up to `revision`. */
 export const isInForce = (simulation: Simulation, revision: number): boolean => {
   for (const { state, processState } of simulation.nodes.values()) {
     const isLive = processState === 'running' && state?.phase === 'serving';
@@ -27,7 +27,7 @@
   return true;
 };
 
-/** Sends edits and watches them. */
+/** Sends edits and checks when they are in force. */
 export class ScenarioEdits {
   private readonly watched: WatchedEdit[] = [];
 
@@ -50,7 +50,7 @@
     this.check(watched);
   }
 
-  /** How long each edit took. */
+  /** Returns the time that each edit took to be in force; absent for an edit that is not. */
   listInForce(): EditInForce[] {
     return this.watched.map(({ partner, record, inForceAt }) => ({
       partner,
--- a/src/simulation/scenario/scenario-network.ts
+++ b/src/simulation/scenario/scenario-network.ts
@@ -1,4 +1,4 @@
-/** The network of a scenario: latencies inside and between zones and regions. */
+/** Network conditions of a scenario: latencies inside and between zones and regions. */
 import type { Deployment } from '../../deployments/deployment.js';
 import {
   HEALTHY_NETWORK,
@@ -7,7 +7,7 @@
   zonePairKey,
 } from '../network-conditions.js';
 
-/** One-way latency between the regions of two deployments, in milliseconds; an assumption. */
+/** Assumed one-way latency between the regions of two deployments, in milliseconds. */
 const BETWEEN_REGIONS_MS = 40;
 const JITTER_SHARE = 0.1;
 
@@ -21,7 +21,7 @@
 const zonePairsOf = (from: Deployment, to: Deployment): string[] =>
   from.zones.flatMap((first) => to.zones.map((second) => zonePairKey(first, second)));
 
-/** Conditions between all zones of `deployments`. */
+/** Builds the network conditions between all zones of `deployments`. */
 export const buildNetwork = (deployments: readonly Deployment[]): NetworkConditions => {
   const pairs = new Map<string, LinkConditions>();
   for (const from of deployments) {
--- a/src/simulation/scenario/simulated-load.ts
+++ b/src/simulation/scenario/simulated-load.ts
@@ -1,4 +1,4 @@
-/** Callers of a simulated scenario: seeded arrivals, sent to live nodes of the partner's zones. */
+/** Callers of a simulated scenario: seeded arrivals sent to live nodes in the partner's zones. */
 import { identifier } from '../../core/identifiers.js';
 import { createRandom, type Random } from '../../core/random.js';
 import type { Deployment } from '../../deployments/deployment.js';
@@ -10,15 +10,15 @@
 import { VIRTUAL_EPOCH_MS } from '../node-environment.js';
 import type { Simulation } from '../simulation.js';
 
-/** What a load is created from. */
+/** Options of a load. */
 export interface SimulatedLoadOptions {
   readonly simulation: Simulation;
   readonly deployment: Deployment;
   readonly load: ScenarioLoad;
   readonly seed: number;
-  /** Virtual time at which the measured part begins, in milliseconds. */
+  /** Virtual time at which the measured period begins, in milliseconds. */
   readonly measuredFrom: number;
-  /** Virtual time at which no further call is sent, in milliseconds. */
+  /** Virtual time from which no further call is sent, in milliseconds. */
   readonly endAt: number;
 }
 
@@ -40,9 +40,9 @@
   }
 };
 
-/** Sends one partner's calls. */
+/** Sends the calls of one partner. */
 export class SimulatedLoad {
-  /** Multiplies the rate of arrivals. */
+  /** Factor on the arrival rate. */
   factor = 1;
   private readonly arrivals: Arrivals;
   private readonly random: Random;
@@ -60,12 +60,12 @@
     this.random = createRandom(deriveSeed(seed, `callers ${deployment.partner}`));
   }
 
-  /** Begins to send calls. */
+  /** Starts sending calls. */
   start(): void {
     this.scheduleNext();
   }
 
-  /** The calls of the measured part, with what became of each; ask when all have had their time. */
+  /** Returns the calls of the measured period and their outcomes; call after their deadlines. */
   listEnded(): EndedCall[] {
     return this.sent
       .filter(({ call }) => call.sentAtMs >= 0)
@@ -111,7 +111,7 @@
     this.sent.push({ call, record });
   }
 
-  /** A node of the partner's zones that accepts connections; callers pass over the others. */
+  /** Picks a random running node in the partner's zones; callers skip nodes that are down. */
   private pickNode(): string | undefined {
     const zones = new Set<string>(this.options.deployment.zones.map((zone) => identifier(zone)));
     const nodes = [...this.options.simulation.nodes.values()].filter(
--- a/src/simulation/scenario/targets.ts
+++ b/src/simulation/scenario/targets.ts
@@ -1,11 +1,11 @@
-/** Finds the replicas and nodes that a scenario's step is aimed at. */
+/** Finds the replicas and nodes that a scenario step targets. */
 import type { NodeTarget, ReplicaTarget } from '../../experiment/scenario.js';
 import { selectByTarget } from '../../experiment/select-by-target.js';
 import type { SimulatedNode } from '../simulated-node.js';
 import type { SimulatedReplica } from '../simulated-replica.js';
 import type { Simulation } from '../simulation.js';
 
-/** The replicas that `target` chooses. */
+/** Returns the replicas that match `target`. */
 export const findReplicas = (simulation: Simulation, target: ReplicaTarget): SimulatedReplica[] =>
   selectByTarget(
     simulation.replicas.values(),
@@ -13,7 +13,7 @@
     target,
   );
 
-/** The nodes that `target` chooses. */
+/** Returns the nodes that match `target`. */
 export const findNodes = (simulation: Simulation, target: NodeTarget): SimulatedNode[] =>
   [...simulation.nodes.values()].filter(
     ({ name, zone }) =>
--- a/src/simulation/scenario/variant-policy.ts
+++ b/src/simulation/scenario/variant-policy.ts
@@ -1,4 +1,4 @@
-/** The query policy of each variant of a scenario. */
+/** Query policies of the variants of a scenario. */
 import type { QueryPolicy } from '../../core/query/query-policy.js';
 import type { VariantName } from '../../experiment/scenario.js';
 
@@ -15,5 +15,5 @@
   'fixed-hedge': { ...RANDOM_SCATTER, hedging: 'fixed' },
 };
 
-/** What differs from the default policy under `variant`. */
+/** Returns the fields of the query policy that `variant` changes from the default. */
 export const policyOf = (variant: VariantName): Partial<QueryPolicy> => POLICIES[variant];
--- a/src/simulation/scheduler.ts
+++ b/src/simulation/scheduler.ts
@@ -1,20 +1,20 @@
-/** Virtual time: a queue of actions, each run when the clock has moved to its time. */
+/** Virtual clock with a queue of actions ordered by time. */
 import { BinaryHeap } from '../core/binary-heap.js';
 
-/** Most actions of one moment; more means that the simulated parts keep each other busy for ever. */
+/** Maximum actions at one virtual time; more indicates an endless loop of zero-delay actions. */
 const SAME_TIME_ACTION_LIMIT = 1_000_000;
 
 /**
- * Times are rounded up to this fraction of a millisecond, a power of two: sums and differences of
- * times are then exact, and nothing runs before it is due.
+ * Times are rounded up to this fraction of a millisecond. It is a power of two, so that sums and
+ * differences of times are exact and no action runs before it is due.
  */
 const TICKS_PER_MS = 1_024;
 
-/** An action in the queue; hand it to `Scheduler.cancel` to take it back. */
+/** A queued action; `Scheduler.cancel` cancels it. */
 export interface ScheduledAction {
-  /** When it runs, in milliseconds of virtual time. */
+  /** Virtual time at which the action runs, in milliseconds. */
   readonly at: number;
-  /** Orders actions of the same time: first scheduled, first run. */
+  /** Orders actions of the same time by the order in which they were scheduled. */
   readonly sequence: number;
   run: (() => void) | undefined;
 }
@@ -24,7 +24,7 @@
 const runsBefore = (a: ScheduledAction, b: ScheduledAction): boolean =>
   a.at < b.at || (a.at === b.at && a.sequence < b.sequence);
 
-/** A clock that moves from one scheduled action to the next. */
+/** Runs scheduled actions in order of time and advances the virtual clock. */
 export class Scheduler {
   private readonly heap = new BinaryHeap<ScheduledAction>(runsBefore);
   private time = 0;
@@ -32,17 +32,17 @@
   private ran = 0;
   private ranAtCurrentTime = 0;
 
-  /** The virtual time, in milliseconds since the simulation began. */
+  /** Virtual time, in milliseconds since the simulation began. */
   get now(): number {
     return this.time;
   }
 
-  /** Actions run so far. */
+  /** Number of actions run so far. */
   get actionsRun(): number {
     return this.ran;
   }
 
-  /** Runs `run` after `delayMs`; a negative delay counts as 0. */
+  /** Schedules `run` after `delayMs` milliseconds; a negative delay counts as 0. */
   schedule(delayMs: number, run: () => void): ScheduledAction {
     const at = roundUp(this.time + Math.max(0, delayMs));
     const action: ScheduledAction = { at, sequence: this.scheduled, run };
@@ -51,12 +51,16 @@
     return action;
   }
 
-  /** Takes an action back; no matter if it has run. */
+  /** Cancels an action; has no effect if the action has already run. */
   cancel(action: ScheduledAction): void {
     action.run = undefined;
   }
 
-  /** Runs all actions up to and including the time `end`, and moves the clock there. */
+  /**
+   * Runs all actions up to and including the time `end`, and advances the clock to `end`.
+   *
+   * @throws Error if actions without delay schedule each other endlessly
+   */
   runUntil(end: number): void {
     const until = roundUp(end);
     for (;;) {
@@ -78,7 +82,7 @@
     action.run = undefined;
     this.ranAtCurrentTime = action.at > this.time ? 0 : this.ranAtCurrentTime + 1;
     if (this.ranAtCurrentTime > SAME_TIME_ACTION_LIMIT) {
-      throw new Error(`virtual time does not move on from ${this.time} ms`);
+      throw new Error(`virtual time does not advance beyond ${this.time} ms: endless actions`);
     }
     this.time = action.at;
     this.ran += 1;
--- a/src/simulation/seeds.ts
+++ b/src/simulation/seeds.ts
@@ -1,5 +1,5 @@
-/** Derives the seeds of a simulation's parts from its one seed. */
+/** Derivation of the random seeds of a simulation's components. */
 import { hash32 } from '../core/hash.js';
 
-/** A seed of its own for the part `label`, so that one part's draws do not shift another's. */
+/** Derives the seed of the component `label`, so that components draw independent numbers. */
 export const deriveSeed = (seed: number, label: string): number => hash32(label, seed >>> 0);
--- a/src/simulation/simulated-node.ts
+++ b/src/simulation/simulated-node.ts
@@ -1,6 +1,6 @@
 /**
- * One node of the tier in a simulation: the real core under a virtual clock. It can crash,
- * restart without any state, pause, wake and stop as planned.
+ * A node of a simulated tier: the real core under a virtual clock. A node can crash, restart
+ * without state, pause, resume and perform a planned stop.
  */
 import type { Event } from '../core/event.js';
 import type { CallId, NodeId } from '../core/identifiers.js';
@@ -22,21 +22,21 @@
 import { executeEffect, clockOf, type SimulatedProcess } from './simulated-process.js';
 import { type SetTimerEntry, Timers } from './timers.js';
 
-/** Most by which the monotonic clocks of two processes differ, in milliseconds. */
+/** Maximum difference between the monotonic clocks of two processes, in milliseconds. */
 const CLOCK_OFFSET_RANGE_MS = 1_000_000;
 
-/** Whether a node's process exists and runs. */
+/** State of a node's process. */
 export type ProcessState = 'down' | 'running' | 'paused';
 
 type InboxEntry =
   | { readonly type: 'event'; readonly event: UnstampedEvent }
   | { readonly type: 'timer'; readonly entry: SetTimerEntry };
 
-/** A node. */
+/** Runs the core of one node and connects it to the simulated network, store and replicas. */
 export class SimulatedNode implements NetworkEndpoint {
   processState: ProcessState = 'down';
   processNumber = 0;
-  /** When the process started, in virtual time. */
+  /** Virtual time at which the process started, in milliseconds. */
   startedAt = 0;
   private process: SimulatedProcess | undefined;
   private inbox: InboxEntry[] = [];
@@ -56,7 +56,7 @@
     return this.placement.zone;
   }
 
-  /** Where the node's peers reach it. */
+  /** The address at which peers reach the node. */
   get address(): PeerAddress {
     return this.placement.address;
   }
@@ -66,17 +66,17 @@
     return this.process !== undefined;
   }
 
-  /** The core's state; only to be read. Undefined while the process is down. */
+  /** The core's state, which callers must not modify; undefined while the process is down. */
   get state(): CoreState | undefined {
     return this.process?.state;
   }
 
-  /** Whether the process `processNumber` is still the one that runs. */
+  /** Whether the process with this number is still the current one. */
   isProcess(processNumber: number): boolean {
     return this.isUp && this.processNumber === processNumber;
   }
 
-  /** Starts a process that knows nothing, unless `prepare` fills its state before it starts. */
+  /** Starts a process with empty state; `prepare` may modify the state before the first event. */
   start(prepare?: (state: CoreState) => void): void {
     if (this.process !== undefined) {
       return;
@@ -90,7 +90,7 @@
     this.deliver({ type: 'started' });
   }
 
-  /** Kills the process: all its state is gone, and its callers lose their connections. */
+  /** Kills the process: its state is lost and its callers' connections break. */
   crash(): void {
     if (this.process !== undefined) {
       this.environment.disturbances.recordMomentary();
@@ -98,7 +98,7 @@
     }
   }
 
-  /** Stops the process from running while its clock goes on. */
+  /** Pauses the process; its clock continues to advance. */
   pause(): void {
     if (this.processState === 'running') {
       this.processState = 'paused';
@@ -106,7 +106,7 @@
     }
   }
 
-  /** Lets a paused process run again; it finds all that came in meanwhile. */
+  /** Resumes a paused process, which then handles the events that arrived during the pause. */
   wake(): void {
     if (this.processState !== 'paused') {
       return;
@@ -122,17 +122,17 @@
     }
   }
 
-  /** Asks the process to stop as planned. */
+  /** Requests a planned stop of the process. */
   requestStop(): void {
     this.deliver({ type: 'stop-requested' });
   }
 
-  /** Hands a query to the node. */
+  /** Delivers a query to the node. */
   query(call: CallId, query: QueryRequest): void {
     this.deliver({ type: 'query-arrived', call, query });
   }
 
-  /** Hands an edit to the node. */
+  /** Delivers an edit to the node. */
   edit(call: CallId, edit: EditRequest): void {
     this.deliver({ type: 'edit-requested', call, edit });
   }
@@ -149,7 +149,7 @@
     this.deliver({ type: 'link-lost', peer });
   }
 
-  /** Hands an event to the core, or keeps it while the process is paused. */
+  /** Delivers an event to the core, or queues it while the process is paused. */
   deliver(event: UnstampedEvent): void {
     if (this.processState === 'paused') {
       this.inbox.push({ type: 'event', event });
@@ -190,7 +190,7 @@
     this.environment.calls.handleProcessEnd(this.name);
   }
 
-  /** Ends the process because its core has said that its planned stop is done. */
+  /** Ends the process after its core has completed a planned stop. */
   completePlannedStop(): void {
     const { process } = this;
     if (process !== undefined) {
@@ -254,7 +254,7 @@
     }
   }
 
-  /** A process that wakes sees its timers or its messages first: either may happen. */
+  /** Empties the inbox, either timers or messages first: a real process may see either order. */
   private drainInbox(): InboxEntry[] {
     const entries = this.inbox;
     this.inbox = [];
--- a/src/simulation/simulated-process.ts
+++ b/src/simulation/simulated-process.ts
@@ -1,4 +1,4 @@
-/** One process of a simulated node, and how the effects of its core are carried out. */
+/** A process of a simulated node and the execution of its core's effects. */
 import type { Effect } from '../core/effect.js';
 import type { CoreState } from '../core/state.js';
 import type { BackendClient } from './backend-client.js';
@@ -6,20 +6,20 @@
 import type { SimulatedNode } from './simulated-node.js';
 import type { Timers } from './timers.js';
 
-/** A process from its start to its end; the node's next process is another one. */
+/** One process of a node; a restart creates a new one. */
 export interface SimulatedProcess {
   readonly node: SimulatedNode;
   readonly environment: NodeEnvironment;
   readonly state: CoreState;
   readonly timers: Timers;
   readonly backends: BackendClient;
-  /** In milliseconds of virtual time. */
+  /** Virtual time at which the process started, in milliseconds. */
   readonly startedAt: number;
-  /** What the process's monotonic clock shows at its start, in milliseconds. */
+  /** Reading of the process's monotonic clock at its start, in milliseconds. */
   readonly clockOffset: number;
 }
 
-/** The process's monotonic clock, in milliseconds. */
+/** Returns the reading of the process's monotonic clock, in milliseconds. */
 export const clockOf = ({ environment, startedAt, clockOffset }: SimulatedProcess): number =>
   environment.scheduler.now - startedAt + clockOffset;
 
@@ -49,7 +49,7 @@
   }
 };
 
-/** Carries out an effect of the process's core. */
+/** Executes an effect of the process's core. */
 export const executeEffect = (process: SimulatedProcess, effect: Effect): void => {
   const { node, environment } = process;
   const { network, store, calls } = environment;
--- a/src/simulation/simulated-replica.ts
+++ b/src/simulation/simulated-replica.ts
@@ -1,4 +1,4 @@
-/** Runs the model of a replica under virtual time, and records what it truly ran. */
+/** Runs a replica model in virtual time and records the attempts that it runs. */
 import type { ReplicaStatus } from '../catalog/partner-index.js';
 import type { AttemptId, PartnerId, ServiceName } from '../core/identifiers.js';
 import type { AttemptOutcome, LegAttempt, LegContext } from '../protocol/leg-messages.js';
@@ -13,10 +13,10 @@
 import type { ArrivalRecord, RunRecord } from './replica-record.js';
 import type { ScheduledAction, Scheduler } from './scheduler.js';
 
-/** Median service time of a replica of which nothing else is said, in milliseconds. */
+/** Median service time of a replica whose options give none, in milliseconds. */
 const DEFAULT_MEDIAN_SERVICE_MS = 5;
 
-/** What a replica is created from. */
+/** Options of a simulated replica. */
 export interface SimulatedReplicaOptions {
   readonly partner: PartnerId;
   readonly service: ServiceName;
@@ -28,19 +28,19 @@
   readonly seed: number;
   readonly onAttemptStarted?: (run: RunRecord) => void;
   readonly onAttemptArrived?: (arrival: ArrivalRecord) => void;
-  /** The replica has said that it leaves, by a refusal or with an answer. */
+  /** Called when the replica announces in a refusal or an answer that it is leaving. */
   readonly onLeavingAnnounced?: (replica: string) => void;
   readonly onLifecycleChanged?: (replica: string, isLeaving: boolean) => void;
 }
 
-/** A request as it reaches the replica. */
+/** A request that has arrived at the replica. */
 export interface ReplicaRequest {
   readonly context: LegContext;
   readonly leg: LegAttempt;
-  /** The node whose connection it came over. */
+  /** The node whose connection carried the request. */
   readonly feeder: string;
   readonly remainingMs: number;
-  /** Takes the outcome; called at most once. */
+  /** Sends the outcome back; called at most once. */
   readonly answer: (outcome: AttemptOutcome) => void;
 }
 
@@ -55,12 +55,12 @@
     ? outcome.leaving === true
     : outcome.type === 'not-run' && outcome.reason === 'leaving';
 
-/** One replica. */
+/** A replica in a simulation. */
 export class SimulatedReplica {
   readonly runs: RunRecord[] = [];
-  /** The most connections that were ever open at once, over all nodes. */
+  /** Maximum number of connections open at the same time, over all nodes. */
   peakConnections = 0;
-  /** Whether each answer comes to the node a second time. */
+  /** Whether each answer is delivered to the node twice. */
   duplicatesAnswers = false;
   private readonly model: ReplicaModel;
   private readonly open = new Map<number, ReplicaRequest>();
@@ -80,27 +80,27 @@
     });
   }
 
-  /** The faults as they stand. */
+  /** The faults currently in effect. */
   get faults(): ReplicaFaults {
     return this.model.currentFaults;
   }
 
-  /** What truly ran, as the stand-in records it. */
+  /** Records of the requests that ran, in the format of the replica stand-in. */
   get ran(): readonly RanRecord[] {
     return this.model.ran;
   }
 
-  /** Requests being worked on. */
+  /** Number of requests in progress. */
   get inFlight(): number {
     return this.model.trueLoad.inFlight;
   }
 
-  /** What opening a connection costs, in milliseconds. */
+  /** Time to open a connection, in milliseconds. */
   get connectionOpeningMs(): number {
     return this.options.connectionOpeningMs ?? CONNECTION_OPENING_MS;
   }
 
-  /** Changes some of the faults; `dead` breaks connections and loses what runs. */
+  /** Changes some of the faults; `dead` breaks connections and aborts running requests. */
   setFaults(change: ReplicaFaultChange): void {
     this.model.setFaults(this.now, change);
     if (change.lifecycle !== undefined) {
@@ -110,19 +110,19 @@
     this.advanceModel();
   }
 
-  /** Opens a connection; false when it is refused. */
+  /** Opens a connection; returns false if the replica refuses it. */
   openConnection(): boolean {
     const opened = this.model.openConnection(this.now).type === 'opened';
     this.peakConnections = Math.max(this.peakConnections, this.model.connections);
     return opened;
   }
 
-  /** Notes that a connection has been closed. */
+  /** Records that a connection has been closed. */
   closeConnection(): void {
     this.model.closeConnection();
   }
 
-  /** Takes a request that has arrived over a connection. */
+  /** Handles a request that has arrived over a connection. */
   receive(request: ReplicaRequest): void {
     this.lastTicket += 1;
     this.open.set(this.lastTicket, request);
@@ -138,7 +138,7 @@
     this.advanceModel();
   }
 
-  /** Cancels an attempt: it is answered at once and its slot is free again. */
+  /** Cancels an attempt: it is answered immediately and its slot is released. */
   cancel(attempt: AttemptId): void {
     this.model.cancel(this.now, [attempt]);
     this.advanceModel();
@@ -148,7 +148,7 @@
     return this.options.scheduler.now;
   }
 
-  /** Takes what the model has done up to now, and wakes when it has something to do again. */
+  /** Advances the model to the current time, sends its replies and schedules the next advance. */
   private advanceModel(): void {
     const replies = this.model.advance(this.now);
     this.recordNewRuns();
--- a/src/simulation/simulated-store.ts
+++ b/src/simulation/simulated-store.ts
@@ -1,4 +1,4 @@
-/** The platform's store in a simulation: objects with versions, watches, faults, machine list. */
+/** The platform's store in a simulation: versioned objects, watches, faults and machine list. */
 import type { StoreContent, StoreObject } from '../catalog/store-object.js';
 import type { ObjectName, StoreRequestId } from '../core/identifiers.js';
 import type { DisturbanceTracker } from './disturbance-tracker.js';
@@ -12,13 +12,13 @@
 
 /** One-way latency between a node and the store, in milliseconds. */
 const STORE_LATENCY_MS = 1;
-/** How long a node waits for the store's answer, in milliseconds. */
+/** Timeout of a node's request to the store, in milliseconds. */
 const STORE_REQUEST_TIMEOUT_MS = 5_000;
-/** How long a watch may be silent, bookmarks included, until the node gives it up. */
+/** Time without any message, bookmarks included, after which a watch fails, in milliseconds. */
 const WATCH_TIMEOUT_MS = 15_000;
-/** How often a watch without news gets a bookmark. */
+/** Interval between the bookmarks of a watch without changes, in milliseconds. */
 const BOOKMARK_MS = 5_000;
-/** Where the store stands in the network; cut this zone off to cut the store off. */
+/** The store's location in the network; cutting off its zone makes the store unreachable. */
 const STORE_PLACE = { name: 'platform', zone: 'platform' } as const;
 
 interface Watch {
@@ -30,7 +30,7 @@
   ended: boolean;
 }
 
-/** Requests the store has served, for the rules that bound them. */
+/** Number of requests to the store, for the checks that limit them. */
 export interface StoreLoad {
   reads: number;
   writes: number;
@@ -38,16 +38,16 @@
   machineReads: number;
 }
 
-/** The store as nodes reach it over the virtual network. */
+/** The store as nodes access it over the virtual network. */
 export class SimulatedStore {
   readonly model: StoreModel;
-  /** All writes that were accepted, oldest first; those rolled back stay in it. */
+  /** All accepted writes, oldest first, including those that were rolled back later. */
   readonly history: StoreObject[] = [];
   readonly load: StoreLoad = { reads: 0, writes: 0, watches: 0, machineReads: 0 };
-  /** Told of each accepted write. */
+  /** Called for each accepted write. */
   onStored: ((object: StoreObject) => void) | undefined;
   private readonly watches = new Map<SimulatedNode, Watch>();
-  /** The last watch each node asked for; a node is not told of the end of any before. */
+  /** The last watch that each node requested; the end of an earlier watch is not reported. */
   private readonly wanted = new Map<SimulatedNode, Watch>();
   private readonly disturbance: StoreDisturbance;
 
@@ -65,28 +65,32 @@
     }));
   }
 
-  /** The faults as they stand. */
+  /** The faults currently in effect. */
   get faults(): StoreFaults {
     return this.model.currentFaults;
   }
 
-  /** Writes an object as the platform itself does, without a check of its version. */
+  /**
+   * Writes an object on behalf of the platform, whatever its current version.
+   *
+   * @throws Error if the store does not hold the object afterwards
+   */
   put(name: string, content: StoreContent): StoreObject {
     const expected = this.model.read(name)?.version ?? 0;
     this.write(name, expected, content);
     const written = this.model.read(name);
     if (written === undefined) {
-      throw new Error(`the store refused its own write of ${name}`);
+      throw new Error(`object ${name} is missing from the store after its write`);
     }
     return written;
   }
 
-  /** Nodes that watch the store now. */
+  /** Nodes that currently watch the store. */
   get watchers(): SimulatedNode[] {
     return [...this.watches.values()].filter((watch) => !watch.ended).map((watch) => watch.node);
   }
 
-  /** Changes some of the faults; watches end at once when the store goes down. */
+  /** Changes some of the faults; watches end immediately when the store goes down. */
   setFaults(change: StoreFaultChange): void {
     this.model.setFaults(change);
     this.disturbance.handleFaultChange(change.rollBackTo !== undefined);
@@ -98,12 +102,12 @@
     }
   }
 
-  /** A machine comes, changes or goes; the list shows it later. */
+  /** Adds, changes or removes a machine; the machine list shows the change with a delay. */
   changeMachine(change: MachineChange): void {
     this.model.changeMachine(this.scheduler.now, change);
   }
 
-  /** Starts a node's watch, in place of any before. */
+  /** Starts a node's watch and replaces its previous one. */
   watch(node: SimulatedNode, after: number): void {
     this.unwatch(node);
     const watch: Watch = {
@@ -146,7 +150,7 @@
     });
   }
 
-  /** Compare-and-set for a node. */
+  /** Writes an object for a node if its version is `expectedVersion`. */
   writeObject(
     node: SimulatedNode,
     request: StoreRequestId,
--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -1,6 +1,6 @@
 /**
- * A simulated tier: nodes over the real core, replicas, the platform's store, callers and operators,
- * on one virtual clock and network. One seed gives one run, step by step the same.
+ * A simulated tier: nodes that run the real core, replicas, the platform's store, callers and
+ * operators, on one virtual clock and network. A run is determined by its seed and its inputs.
  */
 import { type CallId, identifier, type NodeId } from '../core/identifiers.js';
 import type { QueryOutcome, QueryRequest } from '../core/query/query-request.js';
@@ -24,7 +24,7 @@
 
 /** Latency between a caller and a node, one way, in milliseconds. */
 const CLIENT_LATENCY_MS = 1;
-/** The port of every simulated node. */
+/** Port of every simulated node. */
 const NODE_PORT = 7_000;
 
 /** A running simulation. */
@@ -67,32 +67,32 @@
     this.environment = this.createEnvironment();
   }
 
-  /** The virtual time, in milliseconds. */
+  /** Virtual time, in milliseconds. */
   get now(): number {
     return this.scheduler.now;
   }
 
-  /** Adds an observer; it is told of what happens from now on. */
+  /** Adds an observer of all further events. */
   observe(observer: SimulationObserver): void {
     this.observers.push(observer);
   }
 
-  /** Calls at a node that have no answer yet. */
+  /** Returns the calls at a node that have no answer yet. */
   openCallsOf(node: string): CallRecord[] {
     return [...this.openCalls.values()].filter((record) => record.node === node);
   }
 
-  /** Runs for `durationMs` of virtual time. */
+  /** Runs the simulation for `durationMs` milliseconds of virtual time. */
   runFor(durationMs: number): void {
     this.scheduler.runUntil(this.scheduler.now + durationMs);
   }
 
-  /** Runs `action` after `delayMs` of virtual time. */
+  /** Schedules `action` after `delayMs` milliseconds of virtual time. */
   after(delayMs: number, action: () => void): void {
     this.scheduler.schedule(delayMs, action);
   }
 
-  /** Adds a node; it does not run before `start`. */
+  /** Adds a node; its process does not run until `start` is called. */
   addNode(options: NodeOptions): SimulatedNode {
     const placement: NodePlacement = {
       node: identifier(options.node),
@@ -106,16 +106,20 @@
     return node;
   }
 
-  /** The node of that name. */
+  /**
+   * Returns the node of that name.
+   *
+   * @throws Error if there is none
+   */
   node(name: string): SimulatedNode {
     const node = this.nodes.get(name);
     if (node === undefined) {
-      throw new Error(`no node ${name}`);
+      throw new Error(`node ${name} does not exist`);
     }
     return node;
   }
 
-  /** Adds a replica that listens at the address of its status. */
+  /** Adds a replica that listens at the address given in its status. */
   addReplica(options: ReplicaOptions): SimulatedReplica {
     const replica = new SimulatedReplica({
       ...options,
@@ -141,21 +145,25 @@
     return replica;
   }
 
-  /** The replica of that name. */
+  /**
+   * Returns the replica of that name.
+   *
+   * @throws Error if there is none
+   */
   replica(name: string): SimulatedReplica {
     const replica = this.replicas.get(name);
     if (replica === undefined) {
-      throw new Error(`no replica ${name}`);
+      throw new Error(`replica ${name} does not exist`);
     }
     return replica;
   }
 
-  /** All that the replicas ran, in order of time. */
+  /** Returns all attempts that the replicas ran, in order of time. */
   listRuns(): RunRecord[] {
     return [...this.replicas.values()].flatMap(({ runs }) => runs).sort((a, b) => a.at - b.at);
   }
 
-  /** Sends a query to a node; the record fills as the simulation runs. */
+  /** Sends a query to a node; the returned record is updated as the simulation runs. */
   call(node: string, query: QueryRequest, clientLatencyMs = this.clientLatencyMs): CallRecord {
     const record: CallRecord = {
       call: this.nextCall(),
@@ -173,7 +181,7 @@
     return record;
   }
 
-  /** The caller goes away before its answer. */
+  /** Closes the caller's connection before its call is answered. */
   leave(record: CallRecord): void {
     if (this.openCalls.has(record.call)) {
       this.markCallLost(record, 'caller-left');
@@ -183,7 +191,7 @@
     }
   }
 
-  /** Sends an operator's edit to a node; the record fills as the simulation runs. */
+  /** Sends an operator's edit to a node; the returned record is updated as the simulation runs. */
   edit(node: string, edit: EditRequest): EditCallRecord {
     const record: EditCallRecord = {
       call: this.nextCall(),
--- a/src/simulation/small-deployments.ts
+++ b/src/simulation/small-deployments.ts
@@ -1,4 +1,4 @@
-/** Two small deployments, so that a tier of few nodes has something of everything. */
+/** Two small deployments that cover the features of the real ones with few nodes. */
 import { identifier, type PartnerId } from '../core/identifiers.js';
 import type { Deployment } from '../deployments/deployment.js';
 import { AT_MOST_ONCE, buildRow } from '../deployments/row-defaults.js';
@@ -74,5 +74,5 @@
   ],
 };
 
-/** A partner with two zones and one with one; the first has a row that may run at most once. */
+/** A partner with two zones and an at-most-once row, and a partner with one zone. */
 export const SMALL_DEPLOYMENTS: readonly Deployment[] = [SMALL_ENSEMBLE, SMALL_TAWE];
--- a/src/simulation/store-disturbance.ts
+++ b/src/simulation/store-disturbance.ts
@@ -1,23 +1,24 @@
 /**
- * Tells from when to when the store is disturbed: invariants with a time bound rest meanwhile. A store
- * that was down or slow counts as disturbed until its slow answers and the watches it had are there.
+ * Determines when the store counts as disturbed; invariants with a time bound are suspended then.
+ * After an outage or slowness, the disturbance lasts until the slow answers have arrived and as
+ * many watches are active as before.
  */
 import type { DisturbanceTracker } from './disturbance-tracker.js';
 import type { Scheduler } from './scheduler.js';
 
-/** Answers that are delayed by more disturb the nodes, in milliseconds. */
+/** Delay of the store's answers above which it counts as disturbed, in milliseconds. */
 const SLOW_STORE_MS = 200;
 
-/** What the store is like now. */
+/** Current condition of the store. */
 export interface StoreCondition {
   readonly down: boolean;
   /** Delay of its answers, in milliseconds. */
   readonly delayMs: number;
-  /** Watches that the store serves. */
+  /** Number of active watches. */
   readonly watchers: number;
 }
 
-/** Begins and ends the disturbance of one store. */
+/** Begins and ends the disturbance of a store. */
 export class StoreDisturbance {
   private expectedWatchers = 0;
   private lastSlowAnswerAt = 0;
@@ -28,7 +29,7 @@
     private readonly read: () => StoreCondition,
   ) {}
 
-  /** The faults of the store have changed. */
+  /** Handles a change of the store's faults; `rolledBack` is true if it lost writes. */
   handleFaultChange(rolledBack: boolean): void {
     if (this.isImpaired) {
       this.disturbances.begin('store');
@@ -41,14 +42,14 @@
     }
   }
 
-  /** An answer leaves the store and arrives at `at`, in milliseconds of virtual time. */
+  /** Records an answer that arrives at the virtual time `at`, in milliseconds. */
   recordAnswer(at: number): void {
     if (this.read().delayMs > SLOW_STORE_MS) {
       this.lastSlowAnswerAt = at;
     }
   }
 
-  /** Ends the disturbance if nothing of it is left, or looks again after the last slow answer. */
+  /** Ends the disturbance if it is over, or checks again when the last slow answer has arrived. */
   endIfOver(): void {
     const { now } = this.scheduler;
     if (now < this.lastSlowAnswerAt) {
--- a/src/simulation/timers.ts
+++ b/src/simulation/timers.ts
@@ -1,14 +1,14 @@
-/** Timers of one simulated process, by key. */
+/** Timers of a simulated process, by key. */
 import type { TimerKey } from '../core/timer-key.js';
 import type { ScheduledAction, Scheduler } from './scheduler.js';
 
-/** A timer that is set; `fire` checks that it still is. */
+/** A timer that has been set and has not yet fired. */
 export interface SetTimerEntry {
   readonly key: TimerKey;
   readonly action: ScheduledAction;
 }
 
-/** Holds the timers a process has set; setting one under a key again replaces it. */
+/** Holds the timers of a process; setting a timer replaces an earlier one with the same key. */
 export class Timers {
   private readonly entries = new Map<string, Map<string, SetTimerEntry>>();
 
@@ -17,7 +17,7 @@
     private readonly onExpired: (entry: SetTimerEntry) => void,
   ) {}
 
-  /** Sets a timer to run out after `delayMs`. */
+  /** Sets a timer that expires after `delayMs` milliseconds. */
   set(key: TimerKey, delayMs: number): void {
     this.cancel(key);
     const entry: SetTimerEntry = {
@@ -29,7 +29,7 @@
     this.entriesFor(key.purpose).set(key.subject, entry);
   }
 
-  /** Cancels a timer; no matter if it is not set. */
+  /** Cancels a timer; does nothing if it is not set. */
   cancel(key: TimerKey): void {
     const ofPurpose = this.entries.get(key.purpose);
     const entry = ofPurpose?.get(key.subject);
@@ -39,7 +39,7 @@
     }
   }
 
-  /** Takes a timer that has run out; false when it was cancelled or replaced in the meantime. */
+  /** Removes an expired timer; returns false if it was cancelled or replaced in the meantime. */
   removeExpired(entry: SetTimerEntry): boolean {
     const ofPurpose = this.entries.get(entry.key.purpose);
     if (ofPurpose?.get(entry.key.subject) !== entry) {
--- a/src/simulation/virtual-link.ts
+++ b/src/simulation/virtual-link.ts
@@ -1,16 +1,16 @@
-/** Links of the virtual network: in order, without loss until they break. */
+/** Links of the virtual network: ordered, and without loss until the link breaks. */
 import type { NetworkEndpoint } from './network-endpoint.js';
 
-/** An open link between two processes. */
+/** A link between two processes. */
 export interface VirtualLink {
   readonly first: NetworkEndpoint;
   readonly second: NetworkEndpoint;
   readonly firstProcess: number;
   readonly secondProcess: number;
-  /** Times before which the next message may not arrive, so that order is kept. */
+  /** Arrival times of the last messages at each end; later messages do not arrive before them. */
   lastArrivalAtFirst: number;
   lastArrivalAtSecond: number;
-  /** A broken link loses all that is sent until both ends have noticed. */
+  /** Whether the link is broken; messages are lost until both ends have detected the break. */
   broken: boolean;
 }
 
@@ -32,7 +32,7 @@
   link.first.processNumber === link.firstProcess &&
   link.second.processNumber === link.secondProcess;
 
-/** Takes the next arrival time towards `receiver`, at `earliest` or later, keeping order. */
+/** Reserves the next arrival time at `receiver`, not before `earliest` or an earlier message. */
 export const reserveArrivalTime = (
   link: VirtualLink,
   receiver: NetworkEndpoint,
--- a/src/simulation/virtual-network.ts
+++ b/src/simulation/virtual-network.ts
@@ -1,6 +1,6 @@
 /**
- * The virtual network between nodes. Datagrams may be lost, doubled and reordered; links keep their
- * order and lose nothing until they break, and then both ends that are still up are told.
+ * The virtual network between nodes. Datagrams may be lost, duplicated and reordered. Links deliver
+ * in order and without loss until they break; the break is reported to each end that is still up.
  */
 import type { Random } from '../core/random.js';
 import type { MembershipMessage } from '../protocol/membership-messages.js';
@@ -17,27 +17,27 @@
 import type { Scheduler } from './scheduler.js';
 import { areBothEndsUp, openLink, reserveArrivalTime, type VirtualLink } from './virtual-link.js';
 
-/** What the ends of a link notice of a process that was killed: the kernel closes its sockets. */
+/** Delay until peers detect a killed process, in milliseconds; its kernel closes its sockets. */
 const RESET_DETECTION_MS = 1;
 
-/** Sizes of messages on the wire, in bytes. */
+/** Returns the size of a message on the wire, in bytes. */
 export type MeasureMessage = (message: PeerMessage) => number;
 
-/** What a virtual network is made from. */
+/** Options of a virtual network. */
 export interface VirtualNetworkOptions {
   readonly scheduler: Scheduler;
   readonly random: Random;
   readonly conditions: NetworkConditions;
   readonly disturbances?: DisturbanceTracker;
-  /** Counts bytes where given; costs time. */
+  /** Measures message sizes, which slows the simulation; traffic is not counted when absent. */
   readonly measure?: MeasureMessage;
 }
 
-/** Carries messages between the endpoints that were added to it. */
+/** Carries messages between the endpoints added to it. */
 export class VirtualNetwork {
   readonly reachability: Reachability;
   conditions: NetworkConditions;
-  /** Counts bytes where given; may be changed while the simulation runs. */
+  /** Measures message sizes; may be changed while the simulation runs. */
   measure: MeasureMessage | undefined;
   private readonly endpoints = new Map<string, NetworkEndpoint>();
   private readonly links = new Map<string, Map<string, VirtualLink>>();
@@ -49,22 +49,22 @@
     this.reachability = new Reachability(options.disturbances);
   }
 
-  /** Adds a process; one that is there at the same address is replaced. */
+  /** Adds a process; replaces an earlier one at the same address. */
   add(endpoint: NetworkEndpoint): void {
     this.endpoints.set(addressKey(endpoint.address), endpoint);
   }
 
-  /** What a process has sent, by type of message. */
+  /** Returns the traffic that a process has sent, by message type. */
   trafficOf(name: string): ReadonlyMap<string, TrafficCount> {
     return this.traffic.get(name) ?? new Map<string, TrafficCount>();
   }
 
-  /** Forgets the traffic counted so far. */
+  /** Resets the traffic counts. */
   resetTraffic(): void {
     this.traffic.clear();
   }
 
-  /** Sends a datagram; it may be lost, doubled or overtaken. */
+  /** Sends a datagram, which may be lost, duplicated or reordered. */
   sendDatagram(from: NetworkEndpoint, to: PeerAddress, message: MembershipMessage): void {
     this.count(from, message);
     const receiver = this.endpoints.get(addressKey(to));
@@ -78,7 +78,7 @@
     }
   }
 
-  /** Sends a message over the link to the process at `to`, and opens the link if there is none. */
+  /** Sends a message over the link to `peer` at `to`; opens the link if there is none. */
   sendLink(from: NetworkEndpoint, to: PeerAddress, peer: string, message: LinkMessage): void {
     this.count(from, message);
     const receiver = this.endpoints.get(addressKey(to));
@@ -97,7 +97,7 @@
     this.deliverOverLink(link, from, receiver, message);
   }
 
-  /** Breaks all links of a process that has died; call it after the process went down. */
+  /** Breaks all links of a process; call it after the process has ended. */
   closeLinksOf(name: string): void {
     for (const link of [...(this.links.get(name)?.values() ?? [])]) {
       this.breakLink(link);
--- a/src/simulation/world.ts
+++ b/src/simulation/world.ts
@@ -1,23 +1,23 @@
-/** Builds the tier of a simulation from descriptions of deployments. */
+/** Builds a simulated tier from deployments. */
 import type { ReplicaStatus } from '../catalog/partner-index.js';
 import type { Deployment, ServiceGroup } from '../deployments/deployment.js';
 import { buildInitialObjects, FIRST_SNAPSHOT } from '../deployments/initial-objects.js';
 import type { Simulation } from './simulation.js';
 
-/** A whole tier: the deployments it serves and the nodes in each of their zones. */
+/** Description of a tier: the deployments it serves and its nodes. */
 export interface World {
   readonly deployments: readonly Deployment[];
   readonly nodesPerZone: number;
-  /** Nodes that every node knows at its start; the first node of each zone when absent. */
+  /** Seed nodes of every node; the first node of each zone when absent. */
   readonly seeds?: readonly string[];
-  /** Most nodes of all zones together; absent for no limit. */
+  /** Maximum number of nodes over all zones; no limit when absent. */
   readonly nodeLimit?: number;
 }
 
-/** The port of all simulated replicas; each has a host of its own. */
+/** Port of all simulated replicas; each replica has its own host. */
 const REPLICA_PORT = 9_000;
 
-/** Names a node of a zone; `index` counts from 0. */
+/** Returns the name of a zone's node; `index` counts from 0. */
 export const nodeName = (zone: string, index: number): string => `${zone}-${index + 1}`;
 
 const findGroup = (deployment: Deployment, service: string): ServiceGroup => {
@@ -25,12 +25,12 @@
     services === 1 ? name === service : service.replace(/-\d+$/, '') === name,
   );
   if (group === undefined) {
-    throw new Error(`service ${service} is in no group of ${deployment.partner}`);
+    throw new Error(`service ${service} does not belong to any group of ${deployment.partner}`);
   }
   return group;
 };
 
-/** Adds a replica; one that another partner has published before is there already. */
+/** Adds a replica unless another partner that shares it has already published it. */
 const addReplica = (
   simulation: Simulation,
   deployment: Deployment,
@@ -69,7 +69,7 @@
   }
 };
 
-/** Fills the store and adds replicas and nodes; the nodes do not run yet. */
+/** Writes the initial objects and adds replicas and nodes; does not start the nodes. */
 export const buildWorld = (simulation: Simulation, world: World): void => {
   addBackends(simulation, world.deployments);
   const zones = world.deployments.flatMap(({ region, zones: names }) =>
@@ -84,7 +84,7 @@
   }
 };
 
-/** Starts all nodes that do not run. */
+/** Starts all nodes that are not running. */
 export const startNodes = (simulation: Simulation): void => {
   for (const node of simulation.nodes.values()) {
     node.start();
--- a/test/simulation/backend-client.test.ts
+++ b/test/simulation/backend-client.test.ts
@@ -66,7 +66,7 @@
     });
   });
 
-  it('answers, and opens no more connections than allowed', () => {
+  it('completes all attempts with no more connections than allowed', () => {
     ['a', 'b', 'c', 'd'].forEach((attempt) => {
       client.send(makeAttempt(attempt));
     });
@@ -81,7 +81,7 @@
     expect(replica.runs).toHaveLength(4);
   });
 
-  it('says not-run only when no byte has left', () => {
+  it('reports not-run only when no byte has been sent', () => {
     replica.setFaults({ frozen: true });
     client.send(makeAttempt('frozen', 1));
     client.send(makeAttempt('waiting', 1));
@@ -107,7 +107,7 @@
     ]);
   });
 
-  it('frees the slot of a cancelled attempt', () => {
+  it('releases the replica slot of a cancelled attempt', () => {
     client.send(makeAttempt('cancelled'));
     client.send(makeAttempt('next'));
     scheduler.runUntil(6);
@@ -123,7 +123,7 @@
     ]);
   });
 
-  it('loses what is sent over a cut', () => {
+  it('loses attempts to a replica that is cut off', () => {
     reachability.cutZones('north', 'south');
     client.send(makeAttempt('cut'));
     scheduler.runUntil(200);
--- a/test/simulation/drain-and-restart.test.ts
+++ b/test/simulation/drain-and-restart.test.ts
@@ -4,12 +4,12 @@
 
 const SEED = 1;
 
-describe('replicas that leave while nodes are replaced or replicas frozen', () => {
+describe('replicas that leave while nodes restart or other replicas are frozen', () => {
   it.each<FaultName[]>([
     ['node-killed', 'drain'],
     ['node-stopped', 'drain'],
     ['replica-frozen', 'drain'],
-  ])('get no new work (%s, %s)', (...faults) => {
+  ])('receive no new work (%s, %s)', (...faults) => {
     const scenario = buildFaultScenario(faults);
     const result = runSimulatedScenario({ scenario, variant: 'default', seed: SEED });
     expect(result.run.kinds.reduce((sum, { calls }) => sum + calls, 0)).toBeGreaterThan(0);
--- a/test/simulation/scheduler.test.ts
+++ b/test/simulation/scheduler.test.ts
@@ -3,7 +3,7 @@
 import { Scheduler } from '../../src/simulation/scheduler.js';
 
 describe('Scheduler', () => {
-  it('runs actions in order of time, and those of one time in the order they were scheduled', () => {
+  it('runs actions in order of time, and at the same time in the order of scheduling', () => {
     const scheduler = new Scheduler();
     const random = createRandom(1);
     const expected: { at: number; index: number }[] = [];
@@ -18,7 +18,7 @@
     expect(ran).toEqual(expected.map(({ index }) => index));
   });
 
-  it('leaves out what was cancelled and what lies after the end', () => {
+  it('does not run cancelled actions or actions after the end time', () => {
     const scheduler = new Scheduler();
     const ran: string[] = [];
     const cancelled = scheduler.schedule(1, () => ran.push('cancelled'));
@@ -30,7 +30,7 @@
     expect(scheduler.now).toBe(2);
   });
 
-  it('runs what an action schedules within the time asked for', () => {
+  it('runs actions that other actions schedule before the end time', () => {
     const scheduler = new Scheduler();
     const times: number[] = [];
     const again = (): void => {
@@ -42,7 +42,7 @@
     expect(times).toEqual([0, 10, 20, 30]);
   });
 
-  it('runs nothing before it is due, whatever the rounding of differences of times', () => {
+  it('runs no action early because of rounding of time differences', () => {
     const scheduler = new Scheduler();
     const random = createRandom(2);
     for (let round = 0; round < 1_000; round += 1) {
@@ -56,7 +56,7 @@
     }
   });
 
-  it('stops when actions keep each other busy without any time passing', () => {
+  it('throws when actions schedule each other endlessly without delay', () => {
     const scheduler = new Scheduler();
     const again = (): void => {
       scheduler.schedule(0, again);
@@ -64,6 +64,6 @@
     again();
     expect(() => {
       scheduler.runUntil(1);
-    }).toThrow('virtual time does not move on');
+    }).toThrow('virtual time does not advance');
   });
 });
--- a/test/simulation/simulation.test.ts
+++ b/test/simulation/simulation.test.ts
@@ -23,7 +23,7 @@
 };
 
 describe('Simulation', () => {
-  it('gives the same trace, byte for byte, for the same seed, and another for another', () => {
+  it('produces identical traces for the same seed and different traces for different seeds', () => {
     const first = runScript(7);
     const second = runScript(7);
     expect(first.steps).toBeGreaterThan(10);
@@ -31,7 +31,7 @@
     expect(runScript(8).digest).not.toBe(first.digest);
   });
 
-  it('brings the objects of the store into force on every node', () => {
+  it('puts the objects of the store into force on every node', () => {
     const simulation = createSmallSimulation({ seed: 1 });
     simulation.runFor(3_000);
     for (const node of simulation.nodes.values()) {
@@ -40,7 +40,7 @@
     }
   });
 
-  it('keeps what comes in while a node is paused, and hands it over when it wakes', () => {
+  it('queues events while a node is paused and delivers them when it resumes', () => {
     const simulation = createSmallSimulation({ seed: 1 });
     simulation.runFor(3_000);
     const node = simulation.node('bole-1');
@@ -57,7 +57,7 @@
     expect(node.state?.configuration.revision).toBe(simulation.store.model.revision);
   });
 
-  it('restarts a node without any of its state, as a new incarnation', () => {
+  it('restarts a node with empty state as a new incarnation', () => {
     const simulation = createSmallSimulation({ seed: 1 });
     simulation.runFor(3_000);
     const node = simulation.node('bole-1');
@@ -70,7 +70,7 @@
     expect(node.state?.self.incarnation).toBeGreaterThan(before?.self.incarnation ?? Infinity);
   });
 
-  it('loses the calls of a node that dies', () => {
+  it('marks the calls of a crashed node as lost', () => {
     const simulation = createSmallSimulation({ seed: 1 });
     simulation.runFor(3_000);
     const call = simulation.call('bole-1', PAGE);
--- a/test/simulation/virtual-network.test.ts
+++ b/test/simulation/virtual-network.test.ts
@@ -74,7 +74,7 @@
     network.sendDatagram(first, second.address, { type: 'ping', sender, sequence, updates: [] });
   };
 
-  it('loses, doubles and reorders datagrams', () => {
+  it('loses, duplicates and reorders datagrams', () => {
     for (let sequence = 0; sequence < 200; sequence += 1) {
       sendDatagram(sequence);
     }
@@ -85,7 +85,7 @@
     expect(second.datagrams).not.toEqual([...second.datagrams].sort((a, b) => a - b));
   });
 
-  it('keeps order over a link, without loss', () => {
+  it('delivers messages over a link in order and without loss', () => {
     const sent = Array.from({ length: 100 }, (_, index) => index);
     sent.forEach((index) => {
       send(first, second, index);
@@ -95,7 +95,7 @@
     expect(first.lost).toEqual([]);
   });
 
-  it('tells both ends of a cut after the time-out, and loses what was sent meanwhile', () => {
+  it('reports a cut to both ends after the link timeout and loses messages sent meanwhile', () => {
     send(first, second, 1);
     scheduler.runUntil(50);
     network.reachability.cutZones('north', 'south');
@@ -111,7 +111,7 @@
     expect(second.messages).toEqual([1, 4]);
   });
 
-  it('tells the other end at once when a process dies, and not the process after it', () => {
+  it('reports the end of a process to its peer immediately, but not to its successor', () => {
     send(first, second, 1);
     scheduler.runUntil(50);
     second.isUp = false;
@@ -123,7 +123,7 @@
     expect(second.lost).toEqual([]);
   });
 
-  it('reports a link to an address where another node listens as lost', () => {
+  it('reports a lost link when another node listens at the address', () => {
     network.sendLink(first, second.address, identifier('stranger'), {
       type: 'configuration-pull',
       after: 0,
--- a/test/simulation/zone-cut.test.ts
+++ b/test/simulation/zone-cut.test.ts
@@ -5,11 +5,11 @@
 
 const CUT_MS = 10_000;
 const SETTLE_MS = 1_500;
-const WHOLE_AGAIN_MS = 5_000;
+const RECOVERY_BOUND_MS = 5_000;
 
 const SCENARIO: Scenario = {
   name: 'zone-cut-long',
-  title: 'Zone bole is cut off for longer than its nodes are suspected',
+  title: 'Zone bole is cut off for longer than the suspicion timeout',
   partners: ['ensemble'],
   scale: { services: 1, replicas: 1 },
   nodesPerZone: 2,
@@ -56,12 +56,12 @@
   return answers;
 };
 
-describe('a zone that is cut off', () => {
+describe('zone cut', () => {
   const answers = run();
   const during = answers.filter(({ sentAt }) => sentAt > SETTLE_MS && sentAt < CUT_MS - 600);
-  const later = answers.filter(({ sentAt }) => sentAt > CUT_MS + WHOLE_AGAIN_MS);
+  const later = answers.filter(({ sentAt }) => sentAt > CUT_MS + RECOVERY_BOUND_MS);
 
-  it('serves what it reaches, says so, and does not wait for the rest until the deadline', () => {
+  it('answers inside the zone with the reachable half of the shards, well before the deadline', () => {
     const inside = during.filter(({ isCutOff }) => isCutOff);
     expect(inside.length).toBeGreaterThan(30);
     expect(new Set(inside.map(({ coverage }) => coverage))).toEqual(new Set([0.5]));
@@ -69,13 +69,13 @@
     expect(early.length / inside.length).toBeGreaterThan(0.9);
   });
 
-  it('costs the others nothing once they have noticed', () => {
+  it('does not reduce coverage in other zones once they have detected the cut', () => {
     const outside = during.filter(({ isCutOff }) => !isCutOff);
     expect(outside.length).toBeGreaterThan(100);
     expect(outside.filter(({ coverage }) => coverage < 1)).toEqual([]);
   });
 
-  it('is whole again on both sides within 5 s of healing', () => {
+  it('restores full coverage on both sides within 5 s of healing', () => {
     expect(new Set(later.map(({ isCutOff }) => isCutOff))).toEqual(new Set([true, false]));
     expect(later.filter(({ coverage }) => coverage < 1)).toEqual([]);
   });
