--- a/src/cli/demo.ts
+++ b/src/cli/demo.ts
@@ -2,7 +2,7 @@
 import { parseArgs } from 'node:util';
 import { createConsola } from 'consola/basic';
 import { DEMO_QUERIES_PER_SECOND, runDemo } from '../demo/run-demo.js';
-import { DEPLOYMENT_NAMES, deploymentsNamed } from '../deployments/deployments.js';
+import { DEPLOYMENT_NAMES, findDeployments } from '../deployments/deployments.js';
 import { formatRun } from '../reports/kind-table.js';
 import type { Command } from './command.js';
 import { ExitCode } from './exit-code.js';
@@ -43,7 +43,7 @@
   const log = createConsola({ stdout: process.stderr, stderr: process.stderr }).withTag('demo');
   const interrupt = listenForInterrupt();
   const result = await runDemo({
-    deployments: deploymentsNamed(readChoice('deployment', values.deployment, DEPLOYMENT_NAMES)),
+    deployments: findDeployments(readChoice('deployment', values.deployment, DEPLOYMENT_NAMES)),
     seconds: readNumber('seconds', values.seconds, SECONDS_BOUNDS),
     seed: readNumber('seed', values.seed, SEED_BOUNDS),
     queriesPerSecond: readNumber('rate', values.rate, RATE_BOUNDS),
--- a/src/cli/load.ts
+++ b/src/cli/load.ts
@@ -2,7 +2,7 @@
 import { parseArgs } from 'node:util';
 import { createConsola } from 'consola/basic';
 import type { Deployment } from '../deployments/deployment.js';
-import { DEPLOYMENT_NAMES, deploymentsNamed } from '../deployments/deployments.js';
+import { DEPLOYMENT_NAMES, findDeployments } from '../deployments/deployments.js';
 import { placeReplicas } from '../deployments/placement.js';
 import { replicaPorts } from '../deployments/replica-ports.js';
 import { runLoad } from '../load/run-load.js';
@@ -95,7 +95,7 @@
 
 const runLoadCommand = async (args: readonly string[]): Promise<ExitCode> => {
   const { values } = parseArgs({ args: [...args], options: OPTIONS });
-  const deployments = deploymentsNamed(
+  const deployments = findDeployments(
     readChoice('deployment', values.deployment, DEPLOYMENT_NAMES),
   );
   checkRoutes(deployments, values.route ?? []);
--- a/src/cli/plan.ts
+++ b/src/cli/plan.ts
@@ -1,7 +1,7 @@
 /** `crossroad plan`: load, connections, feeders and grants for given sizes. */
 import { parseArgs } from 'node:util';
 import { DEFAULT_QUERY_POLICY } from '../core/query/query-policy.js';
-import { DEPLOYMENT_NAMES, deploymentsNamed } from '../deployments/deployments.js';
+import { DEPLOYMENT_NAMES, findDeployments } from '../deployments/deployments.js';
 import { createPlan } from '../plan/create-plan.js';
 import { FIRST_COST_SLOPES, type PlanInput } from '../plan/plan-input.js';
 import { planOfDeployments } from '../plan/plan-of-deployments.js';
@@ -94,7 +94,7 @@
   }
   return deployment === undefined
     ? readAlikeReplicas(values, replicas ?? '')
-    : planOfDeployments(deploymentsNamed(readChoice('deployment', deployment, DEPLOYMENT_NAMES)));
+    : planOfDeployments(findDeployments(readChoice('deployment', deployment, DEPLOYMENT_NAMES)));
 };
 
 const readInput = (values: Values): PlanInput => ({
--- a/src/cli/platform.ts
+++ b/src/cli/platform.ts
@@ -2,7 +2,7 @@
 import { parseArgs } from 'node:util';
 import { consola } from 'consola';
 import type { StoreObject } from '../catalog/store-object.js';
-import { DEPLOYMENT_NAMES, deploymentsNamed } from '../deployments/deployments.js';
+import { DEPLOYMENT_NAMES, findDeployments } from '../deployments/deployments.js';
 import { buildInitialObjects } from '../deployments/initial-objects.js';
 import { DEFAULT_FIRST_REPLICA_PORT, replicaPorts } from '../deployments/replica-ports.js';
 import { PlatformServer } from '../standins/platform-server.js';
@@ -55,7 +55,7 @@
   const allObjects =
     name === 'none'
       ? []
-      : buildInitialObjects(deploymentsNamed(name), (replica) => ({
+      : buildInitialObjects(findDeployments(name), (replica) => ({
           host: values['replica-host'],
           port: portOf(replica),
         }));
--- a/src/cli/replica.ts
+++ b/src/cli/replica.ts
@@ -2,7 +2,7 @@
 import { parseArgs } from 'node:util';
 import { consola } from 'consola';
 import type { Deployment } from '../deployments/deployment.js';
-import { DEPLOYMENT_NAMES, deploymentsNamed } from '../deployments/deployments.js';
+import { DEPLOYMENT_NAMES, findDeployments } from '../deployments/deployments.js';
 import { DEFAULT_FIRST_REPLICA_PORT, replicaPorts } from '../deployments/replica-ports.js';
 import { ReplicaFleet } from '../standins/replica-fleet.js';
 import type { Command } from './command.js';
@@ -50,7 +50,7 @@
   const name = readChoice('deployment', values.deployment, DEPLOYMENT_NAMES);
   const delay = readNumber('delay-ms', values['delay-ms'], DELAY_BOUNDS);
   const fleet = await ReplicaFleet.start({
-    deployments: deploymentsNamed(name).map((deployment) => keepGroup(deployment, values.group)),
+    deployments: findDeployments(name).map((deployment) => keepGroup(deployment, values.group)),
     host: values.host,
     seed: readNumber('seed', values.seed, SEED_BOUNDS),
     portOf: replicaPorts(readNumber('first-port', values['first-port'], PORT_BOUNDS)),
--- a/src/demo/local-tier.ts
+++ b/src/demo/local-tier.ts
@@ -1,4 +1,4 @@
-/** A whole tier on loopback in one process: platform, replicas and nodes. */
+/** Runs a complete tier on loopback in one process: platform, replicas and nodes. */
 import { periodOf } from '../core/keepers/find-roster.js';
 import type { QueryPolicy } from '../core/query/query-policy.js';
 import { DEMO_PEER_SECRET } from '../deployments/demo-keys.js';
@@ -9,32 +9,32 @@
 import type { HostPort, NodeSettings } from '../settings/node-settings.js';
 import { PlatformServer } from '../standins/platform-server.js';
 import { ReplicaFleet } from '../standins/replica-fleet.js';
-import type { RanRecord } from '../standins/replica-model/leg-exchange.js';
+import type { ExecutionRecord } from '../standins/replica-model/leg-exchange.js';
 
 const HOST = '127.0.0.1';
 const ANY_PORT: HostPort = { host: HOST, port: 0 };
-/** How long nodes may take until all of them serve, in milliseconds. */
-const READY_WITHIN_MS = 10_000;
+/** Time until all nodes must be ready, in milliseconds. */
+const READY_TIMEOUT_MS = 10_000;
 const READY_POLL_MS = 10;
 
-/** Where a node of the tier stands. */
+/** Name, zone and region of a node of the tier. */
 export interface NodePlace {
   readonly node: string;
   readonly zone: string;
   readonly region: string;
 }
 
-/** What a tier is started with. */
+/** Options of a local tier. */
 export interface LocalTierOptions {
   readonly deployments: readonly Deployment[];
   readonly nodes: readonly NodePlace[];
   readonly seed: number;
   readonly serviceTimeFactor?: number;
-  /** What differs from the default query policy of the nodes. */
+  /** Fields of the nodes' query policy that differ from the defaults. */
   readonly policy?: Partial<QueryPolicy>;
 }
 
-const zoneOrder = (deployments: readonly Deployment[]): NodePlace[] => {
+const listPlacesByZone = (deployments: readonly Deployment[]): NodePlace[] => {
   const longest = Math.max(...deployments.map(({ zones }) => zones.length));
   return Array.from({ length: longest }, (_, index) =>
     deployments.flatMap(({ zones, region }) => {
@@ -44,13 +44,13 @@
   ).flat();
 };
 
-/** Places for `count` nodes in different zones, taking the deployments in turn. */
+/** Returns places for `count` nodes in different zones, alternating between the deployments. */
 export const placesInZones = (deployments: readonly Deployment[], count: number): NodePlace[] =>
-  zoneOrder(deployments).slice(0, count);
+  listPlacesByZone(deployments).slice(0, count);
 
-/** Places for `perZone` nodes in each zone of the deployments. */
+/** Returns places for `perZone` nodes in each zone of the deployments. */
 export const placesPerZone = (deployments: readonly Deployment[], perZone: number): NodePlace[] =>
-  zoneOrder(deployments).flatMap((place) =>
+  listPlacesByZone(deployments).flatMap((place) =>
     Array.from({ length: perZone }, (_, index) => ({
       ...place,
       node: `${place.zone}-${index + 1}`,
@@ -58,22 +58,22 @@
   );
 
 /**
- * The round trip that a replica adds: that between zones when no node stands in its zone, so that
- * its legs come from another one; none otherwise.
+ * Returns the round trip that a replica adds, in milliseconds: the latency between zones if its
+ * zone has no node, because its legs then come from another zone; 0 otherwise.
  */
 const networkDelay =
   (options: LocalTierOptions) =>
   ({ partner, zone }: PlacedReplica): number => {
     const deployment = options.deployments.find((candidate) => candidate.partner === partner);
-    const near = options.nodes.some((place) => place.zone === zone);
-    return near || deployment === undefined ? 0 : 2 * deployment.zoneLatencyMs;
+    const hasNodeInZone = options.nodes.some((place) => place.zone === zone);
+    return hasNodeInZone || deployment === undefined ? 0 : 2 * deployment.zoneLatencyMs;
   };
 
-/** Serves, and holds a roster of keepers, without which bookings are refused as not ready. */
+/** Whether a node serves and holds a roster of keepers; without one, it refuses bookings. */
 const isReady = ({ state }: RunningNode): boolean =>
   state.phase === 'serving' && state.configuration.inForce.rosters.has(periodOf(Date.now()));
 
-/** A tier that runs. */
+/** A running tier. */
 export class LocalTier {
   private readonly running = new Map<string, RunningNode>();
 
@@ -84,7 +84,7 @@
     private readonly platformUrl: string,
   ) {}
 
-  /** Starts everything; all nodes are ready for all kinds when it resolves. */
+  /** Starts the tier; resolves when all nodes are ready for all request kinds. */
   static async start(options: LocalTierOptions): Promise<LocalTier> {
     const fleet = await ReplicaFleet.start({
       deployments: options.deployments,
@@ -109,22 +109,22 @@
     return tier;
   }
 
-  /** Places of all nodes, whether they run or not. */
+  /** Places of all nodes, running or not. */
   get places(): readonly NodePlace[] {
     return this.options.nodes;
   }
 
-  /** Nodes that run, by name. */
+  /** Running nodes, by name. */
   get nodes(): ReadonlyMap<string, RunningNode> {
     return this.running;
   }
 
-  /** Base URLs of the caller ports of the nodes that run. */
+  /** Base URLs of the caller ports of the running nodes. */
   get callerUrls(): string[] {
     return [...this.running.values()].map(({ ports }) => `http://${HOST}:${ports.caller}`);
   }
 
-  /** Base URLs of the caller ports of the nodes that run in `zones`. */
+  /** Returns the base URLs of the caller ports of the running nodes in `zones`. */
   callerUrlsIn(zones: readonly string[]): string[] {
     return this.places
       .filter(({ zone }) => zones.includes(zone))
@@ -132,7 +132,7 @@
       .map(({ ports }) => `http://${HOST}:${ports.caller}`);
   }
 
-  /** Base URLs of the operator ports of the nodes that run. */
+  /** Base URLs of the operator ports of the running nodes. */
   get operatorUrls(): string[] {
     return [...this.running.values()].map(({ ports }) => `http://${HOST}:${ports.operator}`);
   }
@@ -142,7 +142,7 @@
     return [...this.fleet.replicas.values()].map(({ port }) => `http://${HOST}:${port}`);
   }
 
-  /** Starts the node of that name, which must be one of the places. */
+  /** Starts the node of that name; rejects if the tier has no place for it. */
   async startNode(name: string): Promise<RunningNode> {
     const index = this.options.nodes.findIndex(({ node }) => node === name);
     const place = this.options.nodes[index];
@@ -163,7 +163,7 @@
     return node;
   }
 
-  /** Ends a node at once (`kill`) or as planned (`stop`). */
+  /** Ends a node immediately (`kill`) or with a planned stop (`stop`). */
   async endNode(name: string, how: 'kill' | 'stop'): Promise<void> {
     const node = this.running.get(name);
     this.running.delete(name);
@@ -171,23 +171,23 @@
     this.platform.model.changeMachine(performance.now(), { id: name, state: 'gone' });
   }
 
-  /** What truly ran at all replicas. */
-  ran(): RanRecord[] {
+  /** Returns the requests that ran at all replicas. */
+  ran(): ExecutionRecord[] {
     return [...this.fleet.replicas.values()].flatMap(({ server }) => server.model.ran);
   }
 
-  /** Stops all nodes as planned, then ends the rest. */
+  /** Performs a planned stop of all nodes, then closes the replicas and the platform. */
   async close(): Promise<void> {
     await Promise.all([...this.running.keys()].map((name) => this.endNode(name, 'stop')));
     await Promise.all([this.fleet.close(), this.platform.close()]);
   }
 
-  /** Resolves when every node that runs is ready for all kinds; rejects when one is not in time. */
+  /** Resolves when every running node is ready; rejects after `READY_TIMEOUT_MS`. */
   async waitUntilReady(): Promise<void> {
-    const giveUpAt = performance.now() + READY_WITHIN_MS;
+    const deadlineAt = performance.now() + READY_TIMEOUT_MS;
     while (![...this.running.values()].every(isReady)) {
-      if (performance.now() > giveUpAt) {
-        throw new Error(`not all nodes are ready after ${READY_WITHIN_MS} ms`);
+      if (performance.now() > deadlineAt) {
+        throw new Error(`not all nodes are ready after ${READY_TIMEOUT_MS} ms`);
       }
       await new Promise((resolve) => setTimeout(resolve, READY_POLL_MS));
     }
--- a/src/demo/run-demo.ts
+++ b/src/demo/run-demo.ts
@@ -1,23 +1,23 @@
-/** The demo: a whole tier on loopback under the load of all kinds of callers. */
+/** The demo: a complete tier on loopback under load of all request kinds. */
 import type { Deployment } from '../deployments/deployment.js';
 import { runLoad } from '../load/run-load.js';
 import type { RunResult } from '../load/run-result.js';
 import { LocalTier, placesInZones } from './local-tier.js';
 
-/** Nodes of the demo, each in another zone. */
+/** Number of nodes, each in a different zone. */
 const DEMO_NODES = 3;
-/** Queries a second of each partner. */
+/** Queries per second of each partner. */
 export const DEMO_QUERIES_PER_SECOND = 30;
-/** Calls of the first moments are checked but left out of the figures, in milliseconds. */
+/** Initial time whose calls are checked but not included in the figures, in milliseconds. */
 const SETTLE_MS = 1_000;
 
-/** What the demo runs with. */
+/** Options of the demo. */
 export interface DemoOptions {
   readonly deployments: readonly Deployment[];
   readonly seconds: number;
   readonly seed: number;
   readonly queriesPerSecond: number;
-  /** Says what is going on. */
+  /** Called with a sentence that describes the progress. */
   readonly onProgress: (sentence: string) => void;
   /** Ends the load early. */
   readonly interrupted: AbortSignal;
@@ -25,7 +25,7 @@
 
 const SECOND_MS = 1_000;
 
-/** Runs the demo to its end and sums it up; everything it started has ended by then. */
+/** Runs the demo and returns its result after the tier has been closed. */
 export const runDemo = async (options: DemoOptions): Promise<RunResult> => {
   const tier = await LocalTier.start({
     deployments: options.deployments,
@@ -34,7 +34,7 @@
   });
   try {
     const names = [...tier.nodes.keys()].join(', ');
-    options.onProgress(`Nodes ${names} serve over ${tier.fleet.replicas.size} replicas.`);
+    options.onProgress(`Nodes ${names} are ready with ${tier.fleet.replicas.size} replicas.`);
     return await runLoad({
       ...options,
       nodes: tier.callerUrls,
@@ -44,7 +44,7 @@
       source: 'demo',
     });
   } finally {
-    options.onProgress('Stopping.');
+    options.onProgress('Stopping the tier.');
     await tier.close();
   }
 };
--- a/src/deployments/demo-keys.ts
+++ b/src/deployments/demo-keys.ts
@@ -1,17 +1,17 @@
-/** Keys of the deployments. Their secrets are public: they serve demos and tests only. */
+/** Keys of the deployments for demos and tests only, because their secrets are public. */
 import { createHash } from 'node:crypto';
 import type { PartnerId } from '../core/identifiers.js';
 import type { KeyRole, PartnerKeys } from '../table/partner-keys.js';
 
-/** Secret that nodes of a demo share; never use it elsewhere. */
+/** Peer secret of the nodes of a demo; never use it in production. */
 export const DEMO_PEER_SECRET = 'demo-peer-secret-not-for-production';
 
-/** The secret of a partner's demo key, e.g. `demo-ensemble-caller`. */
+/** Returns the secret of a partner's demo key, e.g. `demo-ensemble-caller`. */
 export const demoSecret = (partner: PartnerId, role: KeyRole): string => `demo-${partner}-${role}`;
 
 const sha256 = (text: string): string => createHash('sha256').update(text).digest('hex');
 
-/** A partner's demo keys: one caller and one operator. */
+/** Returns a partner's demo keys: one caller key and one operator key. */
 export const demoKeys = (partner: PartnerId): PartnerKeys => ({
   partner,
   keys: (['caller', 'operator'] as const).map((role) => ({
--- a/src/deployments/deployment.ts
+++ b/src/deployments/deployment.ts
@@ -1,22 +1,22 @@
-/** Descriptions of whole deployments: zones, services, replicas and their sizes. */
+/** Descriptions of deployments: zones, services, replicas and their sizes. */
 import type { PartnerId, ReplicaId, ServiceName, ZoneName } from '../core/identifiers.js';
 import type { RouteRow } from '../table/route-row.js';
 
-/** Services of the same make, numbered from 1 unless there is only one. */
+/** Services with the same properties, numbered from 1 if there are several. */
 export interface ServiceGroup {
-  /** Name of the group; a group of one service gives it this name, others append `-1`, `-2`, … */
+  /** Name of the group and of its only service; several services append `-1`, `-2`, … */
   readonly name: string;
   readonly services: number;
   readonly replicasPerService: number;
-  /** Requests a replica works on at once. */
+  /** Number of requests that a replica runs concurrently. */
   readonly slots: number;
-  /** Connections a replica accepts, over all nodes together. */
+  /** Maximum number of connections to a replica, over all nodes. */
   readonly connections: number;
-  /** Shards of each service in the first snapshot. */
+  /** Number of shards of each service in the first snapshot. */
   readonly shardsPerService: number;
-  /** Median time a leg takes in a slot, in milliseconds, when the replica is healthy. */
+  /** Median time that a leg occupies a slot of a healthy replica, in milliseconds. */
   readonly medianServiceMs: number;
-  /** Zones of its replicas, if they are not those of the deployment. */
+  /** Zones of the group's replicas; the zones of the deployment when absent. */
   readonly zones?: readonly ZoneName[];
 }
 
@@ -26,25 +26,25 @@
   readonly title: string;
   readonly region: string;
   readonly zones: readonly ZoneName[];
-  /** Latency one way between zones, in milliseconds. */
+  /** One-way latency between zones, in milliseconds. */
   readonly zoneLatencyMs: number;
-  /** Latency one way between clients and nodes, in milliseconds. */
+  /** One-way latency between clients and nodes, in milliseconds. */
   readonly clientLatencyMs: number;
-  /** Cost of opening a connection to a replica, in milliseconds. */
+  /** Time to open a connection to a replica, in milliseconds. */
   readonly connectionOpeningMs: number;
   readonly groups: readonly ServiceGroup[];
   /** The rows of the partner's first sheet. */
   readonly rows: readonly RouteRow[];
-  /** How the rows are used. */
+  /** Traffic of the rows. */
   readonly workload: readonly WorkloadItem[];
 }
 
-/** Callers of one row: how much of the partner's traffic they are and how they call. */
+/** Traffic of one row: its share of the partner's queries and its number of distinct keys. */
 export interface WorkloadItem {
   readonly row: RouteRow;
-  /** Queries relative to the partner's other rows; more than 0. */
+  /** Query rate relative to the partner's other rows; greater than 0. */
   readonly share: number;
-  /** Distinct keys that callers draw from, for rows with fan-out `key`; 0 for other rows. */
+  /** Number of distinct keys in queries of a row with fan-out `key`; 0 for other rows. */
   readonly keys: number;
 }
 
@@ -56,7 +56,7 @@
   readonly replicas: number;
 }
 
-/** One replica with its place. */
+/** A replica with its partner, service and zone. */
 export interface PlacedReplica {
   readonly partner: PartnerId;
   readonly service: ServiceName;
@@ -65,7 +65,7 @@
   readonly group: ServiceGroup;
 }
 
-/** Multiplies the sizes of a deployment; counts are rounded up. */
+/** Scales the numbers of services and replicas of a deployment; results are rounded up. */
 export const scaleDeployment = (deployment: Deployment, scale: DeploymentScale): Deployment => ({
   ...deployment,
   groups: deployment.groups.map((group) => ({
--- a/src/deployments/deployments.ts
+++ b/src/deployments/deployments.ts
@@ -1,16 +1,16 @@
-/** The deployments by the name that the command line uses. */
+/** Deployments by the names used on the command line. */
 import type { Deployment } from './deployment.js';
 import { ENSEMBLE } from './ensemble.js';
 import { TAWE } from './tawe.js';
 
-/** Names that `--deployment` takes. */
+/** Valid values of `--deployment`. */
 export const DEPLOYMENT_NAMES = ['ensemble', 'tawe', 'both'] as const;
 
-/** A name that `--deployment` takes. */
+/** A valid value of `--deployment`. */
 export type DeploymentName = (typeof DEPLOYMENT_NAMES)[number];
 
-/** The deployments of a name. */
-export const deploymentsNamed = (name: DeploymentName): readonly Deployment[] => {
+/** Returns the deployments that a `--deployment` value selects. */
+export const findDeployments = (name: DeploymentName): readonly Deployment[] => {
   switch (name) {
     case 'ensemble':
       return [ENSEMBLE];
--- a/src/deployments/initial-objects.ts
+++ b/src/deployments/initial-objects.ts
@@ -1,4 +1,4 @@
-/** Builds the objects with which the platform's store starts for a set of deployments. */
+/** Builds the initial objects of the platform's store for a set of deployments. */
 import { rosterObjectName } from '../catalog/keeper-roster.js';
 import type { SnapshotLayout, SnapshotVersion } from '../catalog/partner-index.js';
 import type { StoreContent, StoreObject } from '../catalog/store-object.js';
@@ -11,30 +11,30 @@
 import { placeReplicas, servicesOf, shardsOf } from './placement.js';
 import { TAWE } from './tawe.js';
 
-/** The snapshot that every deployment starts with. */
+/** Initial snapshot version of every deployment. */
 export const FIRST_SNAPSHOT: SnapshotVersion = 1;
 
-/** Operator named in the first version of each sheet. */
+/** Operator recorded in the first version of each sheet. */
 const FIRST_OPERATOR = 'demo-operator';
 
-/** Where a replica listens. */
+/** Address at which a replica listens. */
 export interface ReplicaAddress {
   readonly host: string;
   readonly port: number;
 }
 
-/** Tells where each replica listens. */
+/** Returns the address at which a replica listens. */
 export type ReplicaAddresses = (replica: ReplicaId) => ReplicaAddress;
 
-/** The share of each partner in the first agreement. */
+/** Share of each partner in the initial agreement. */
 const FIRST_SHARE = 0.5;
 
-/** The agreement of both partners; it stands also where only one of them is deployed. */
+/** Returns the initial agreement of both partners, which applies even if only one is deployed. */
 export const firstAgreement = (): Agreement => ({
   shares: [ENSEMBLE, TAWE].map(({ partner }) => ({ partner, share: FIRST_SHARE })),
 });
 
-/** The layout of a snapshot; `addedShards` shards are added to each service's first ones. */
+/** Builds the layout of a snapshot with `addedShards` more shards per service than initially. */
 export const buildLayout = (
   deployment: Deployment,
   version: SnapshotVersion,
@@ -86,7 +86,7 @@
     },
   }));
 
-/** The name under which content is stored. */
+/** Returns the name of the store object for some content. */
 export const objectNameOf = (content: StoreContent): ObjectName => {
   switch (content.type) {
     case 'sheet':
@@ -120,8 +120,8 @@
 ];
 
 /**
- * The store's first objects for `deployments`: sheets, keys, layouts, the status of each service and
- * the agreement, each at version 1 and at revisions from 1 on.
+ * Builds the store's initial objects for `deployments`: the agreement, and each deployment's sheet,
+ * keys, layout and service statuses. All have version 1; their revisions count from 1.
  */
 export const buildInitialObjects = (
   deployments: readonly Deployment[],
--- a/src/deployments/placement.ts
+++ b/src/deployments/placement.ts
@@ -1,4 +1,4 @@
-/** Names of services, shards and replicas of a deployment, and their zones. */
+/** Names of the services, shards and replicas of a deployment, and the replicas' zones. */
 import {
   identifier,
   type ReplicaId,
@@ -8,19 +8,20 @@
 } from '../core/identifiers.js';
 import type { Deployment, PlacedReplica, ServiceGroup } from './deployment.js';
 
-const numbersUpTo = (count: number): number[] => Array.from({ length: count }, (_, index) => index);
+const indexesBelow = (count: number): number[] =>
+  Array.from({ length: count }, (_, index) => index);
 
-/** Names the services of a group. */
+/** Returns the names of the services of a group. */
 export const servicesOf = (group: ServiceGroup): ServiceName[] =>
   group.services === 1
     ? [identifier<ServiceName>(group.name)]
-    : numbersUpTo(group.services).map((index) =>
+    : indexesBelow(group.services).map((index) =>
         identifier<ServiceName>(`${group.name}-${index + 1}`),
       );
 
-/** Names the first `count` shards of a service, e.g. `booking-desk-3#0`. */
+/** Returns the names of the first `count` shards of a service, e.g. `booking-desk-3#0`. */
 export const shardsOf = (service: ServiceName, count: number): ShardId[] =>
-  numbersUpTo(count).map((index) => identifier<ShardId>(`${service}#${index}`));
+  indexesBelow(count).map((index) => identifier<ShardId>(`${service}#${index}`));
 
 const zoneAt = (deployment: Deployment, group: ServiceGroup, index: number): ZoneName => {
   const zones = group.zones ?? deployment.zones;
@@ -37,7 +38,7 @@
   service: ServiceName,
   firstZone: number,
 ): PlacedReplica[] =>
-  numbersUpTo(group.replicasPerService).map((index) => ({
+  indexesBelow(group.replicasPerService).map((index) => ({
     partner: deployment.partner,
     service,
     replica: identifier<ReplicaId>(`${service}-r${index + 1}`),
@@ -46,8 +47,8 @@
   }));
 
 /**
- * Places all replicas of a deployment. The replicas of a service lie in consecutive zones, and each
- * service starts one zone further, so that zones are filled evenly.
+ * Places all replicas of a deployment. The replicas of a service are in consecutive zones, and each
+ * service starts one zone after the previous one, so that the zones are filled evenly.
  */
 export const placeReplicas = (deployment: Deployment): PlacedReplica[] =>
   deployment.groups.flatMap((group) =>
--- a/src/deployments/row-defaults.ts
+++ b/src/deployments/row-defaults.ts
@@ -1,4 +1,4 @@
-/** Builds rows of a sheet from what differs from the usual row. */
+/** Builds rows of a sheet from their differences to the default row. */
 import {
   identifier,
   type PartnerId,
@@ -7,13 +7,13 @@
 } from '../core/identifiers.js';
 import type { RouteRow } from '../table/route-row.js';
 
-/** Share of extra load that rows of the deployments allow themselves. */
+/** Extra-load limit of the deployments' rows, as a share of their load. */
 const DEPLOYMENT_EXTRA_LOAD_LIMIT = 0.03;
 
-/** Most items of an answer that gathers from all shards. */
+/** Maximum number of items of an answer that combines all shards. */
 const DEPLOYMENT_MAX_ITEMS = 500;
 
-const USUAL_ROW = {
+const DEFAULT_ROW = {
   fanOut: 'all',
   merge: 'concatenate',
   maxItems: DEPLOYMENT_MAX_ITEMS,
@@ -25,7 +25,7 @@
   snapshotPolicy: 'covered',
 } as const;
 
-/** What must be said of every row; the rest has defaults. */
+/** Required fields of a row, and optional fields that override the defaults. */
 export interface RowDescription extends Partial<Omit<RouteRow, 'partner' | 'route' | 'kind'>> {
   readonly route: string;
   readonly kind: string;
@@ -35,14 +35,14 @@
 
 /** Builds a row of `partner`. */
 export const buildRow = (partner: PartnerId, description: RowDescription): RouteRow => ({
-  ...USUAL_ROW,
+  ...DEFAULT_ROW,
   ...description,
   partner,
   route: identifier<RouteName>(description.route),
   kind: identifier<RequestKind>(description.kind),
 });
 
-/** What a row that changes something has in common: at most one attempt that may run. */
+/** Common fields of rows that change data: at most one attempt may run. */
 export const AT_MOST_ONCE = {
   fanOut: 'key',
   maxItems: 1,
--- a/src/deployments/share-group.ts
+++ b/src/deployments/share-group.ts
@@ -1,4 +1,4 @@
-/** Lets a partner's routes use services that another partner's deployment already has. */
+/** Shares a group of services of one partner's deployment with another partner. */
 import type { RouteRow } from '../table/route-row.js';
 import type { Deployment, ServiceGroup, WorkloadItem } from './deployment.js';
 
@@ -6,33 +6,33 @@
 
 const groupNameOf = (pattern: string): string => pattern.replace(/-?\*$/, '');
 
-const usesGroups = ({ services, safeToRepeat, fanOut }: RouteRow): boolean =>
+const isRedirected = ({ services, safeToRepeat, fanOut }: RouteRow): boolean =>
   safeToRepeat && fanOut === 'all' && services.some((pattern) => pattern.endsWith(WILDCARD));
 
-const moveRow = (row: RouteRow, group: ServiceGroup): RouteRow => ({
+const redirectRow = (row: RouteRow, group: ServiceGroup): RouteRow => ({
   ...row,
   services: [`${group.name}-${WILDCARD}`],
 });
 
 /**
- * The deployment of `borrower` with the group of `owner` published as its own, at the same addresses.
- * Its rows that read many services read those of the group instead.
+ * Returns the deployment of `borrower` with the group of `owner` added, at the same addresses. Rows
+ * of `borrower` that query several services query the services of the shared group instead.
  */
 export const shareGroup = (
   owner: Deployment,
   group: ServiceGroup,
   borrower: Deployment,
 ): Deployment => {
-  const left = new Set(
-    borrower.rows.filter(usesGroups).flatMap(({ services }) => services.map(groupNameOf)),
+  const replacedGroups = new Set(
+    borrower.rows.filter(isRedirected).flatMap(({ services }) => services.map(groupNameOf)),
   );
-  const moved = (item: WorkloadItem): WorkloadItem =>
-    usesGroups(item.row) ? { ...item, row: moveRow(item.row, group) } : item;
-  const workload = borrower.workload.map(moved);
+  const redirect = (item: WorkloadItem): WorkloadItem =>
+    isRedirected(item.row) ? { ...item, row: redirectRow(item.row, group) } : item;
+  const workload = borrower.workload.map(redirect);
   return {
     ...borrower,
     groups: [
-      ...borrower.groups.filter(({ name }) => !left.has(name)),
+      ...borrower.groups.filter(({ name }) => !replacedGroups.has(name)),
       { ...group, zones: owner.zones },
     ],
     rows: workload.map(({ row }) => row),
--- a/src/deployments/tawe.ts
+++ b/src/deployments/tawe.ts
@@ -11,7 +11,7 @@
   keys,
 });
 
-/** Keys that callers of rows with fan-out `key` draw from. */
+/** Number of distinct keys in queries of rows with fan-out `key`. */
 const DISTINCT_KEYS = 500;
 
 const WORKLOAD: readonly WorkloadItem[] = [
@@ -58,7 +58,7 @@
   }),
 ];
 
-/** The deployment of partner `tawe`, with today's sizes. */
+/** The deployment of partner `tawe`, with its current sizes. */
 export const TAWE: Deployment = {
   partner: PARTNER,
   title: 'Tawe Quotes Search',
--- a/src/experiment/real/run-real-scenario.ts
+++ b/src/experiment/real/run-real-scenario.ts
@@ -2,7 +2,7 @@
 import { LocalTier, placesPerZone } from '../../demo/local-tier.js';
 import { demoSecret } from '../../deployments/demo-keys.js';
 import { type Deployment, scaleDeployment } from '../../deployments/deployment.js';
-import { deploymentsNamed } from '../../deployments/deployments.js';
+import { findDeployments } from '../../deployments/deployments.js';
 import { Arrivals } from '../../load/arrivals.js';
 import { HttpCaller } from '../../load/http-caller.js';
 import { OpenLoop } from '../../load/open-loop.js';
@@ -14,7 +14,7 @@
 
 const deploymentsOf = (scenario: Scenario): Deployment[] =>
   scenario.partners
-    .flatMap((partner) => deploymentsNamed(partner))
+    .flatMap((partner) => findDeployments(partner))
     .map((deployment) => scaleDeployment(deployment, scenario.scale));
 
 interface RunningLoad {
--- a/src/load/audit-records.ts
+++ b/src/load/audit-records.ts
@@ -1,5 +1,5 @@
 /** Compares what callers were told with what truly ran at the replicas. */
-import type { RanRecord } from '../standins/replica-model/leg-exchange.js';
+import type { ExecutionRecord } from '../standins/replica-model/leg-exchange.js';
 import type { EndedCall } from './call-outcome.js';
 import type { Violation } from './violation.js';
 
@@ -41,7 +41,7 @@
  */
 export const auditRecords = (
   calls: readonly AuditedCall[],
-  ran: readonly RanRecord[],
+  ran: readonly ExecutionRecord[],
 ): Violation[] => {
   const ranRequests = new Set(ran.map(({ request }) => request));
   const lies = calls
--- a/src/load/run-load.ts
+++ b/src/load/run-load.ts
@@ -2,7 +2,7 @@
 import { request } from 'undici';
 import { demoSecret } from '../deployments/demo-keys.js';
 import type { Deployment } from '../deployments/deployment.js';
-import type { RanRecord } from '../standins/replica-model/leg-exchange.js';
+import type { ExecutionRecord } from '../standins/replica-model/leg-exchange.js';
 import { Arrivals } from './arrivals.js';
 import { HttpCaller } from './http-caller.js';
 import { OpenLoop } from './open-loop.js';
@@ -79,13 +79,13 @@
         ];
   });
 
-const readRecords = async (replica: string): Promise<readonly RanRecord[]> => {
+const readRecords = async (replica: string): Promise<readonly ExecutionRecord[]> => {
   const { statusCode, body } = await request(`${replica}/v1/ran`);
   if (statusCode !== 200) {
     await body.dump();
     throw new Error(`${replica} shows no record: status ${statusCode}`);
   }
-  return ((await body.json()) as { ran: RanRecord[] }).ran;
+  return ((await body.json()) as { ran: ExecutionRecord[] }).ran;
 };
 
 /**
--- a/src/load/run-recorder.ts
+++ b/src/load/run-recorder.ts
@@ -1,6 +1,6 @@
 /** Records the calls of a run and sums them up per partner, route and kind. */
 import { build, type Histogram } from 'hdr-histogram-js';
-import type { RanRecord } from '../standins/replica-model/leg-exchange.js';
+import type { ExecutionRecord } from '../standins/replica-model/leg-exchange.js';
 import { type AuditedCall, auditedCallOf, auditRecords } from './audit-records.js';
 import type { EndedCall } from './call-outcome.js';
 import { checkEndedCall } from './check-answer.js';
@@ -184,7 +184,7 @@
   }
 
   /** Compares all calls taken so far with what ran at the replicas. */
-  audit(ran: readonly RanRecord[]): void {
+  audit(ran: readonly ExecutionRecord[]): void {
     this.addViolations(auditRecords(this.audited, ran));
   }
 
--- a/src/rig/main.ts
+++ b/src/rig/main.ts
@@ -6,7 +6,7 @@
 import { parseArgs } from 'node:util';
 import { createConsola } from 'consola/basic';
 import { ExitCode } from '../cli/exit-code.js';
-import { deploymentsNamed } from '../deployments/deployments.js';
+import { findDeployments } from '../deployments/deployments.js';
 import type { RigCheck } from './rig-report.js';
 import type { RigScenario } from './rig-scenario.js';
 import { RIG_SCENARIOS } from './rig-scenarios.js';
@@ -43,7 +43,7 @@
   for (const scenario of scenarios) {
     process.stdout.write(`${scenario.name}: ${scenario.summary}\n`);
     const checks = await runRigScenario(scenario, {
-      deployments: deploymentsNamed('both'),
+      deployments: findDeployments('both'),
       script: SCRIPT,
       seed,
       onProgress: (sentence) => log.debug(sentence),
--- a/src/simulation/history/replica-fault.ts
+++ b/src/simulation/history/replica-fault.ts
@@ -1,7 +1,7 @@
 /** The named faults of replicas, as fault changes of the replica model. */
 import {
   type ReplicaFaultChange,
-  SOUND_BEHAVIOUR,
+  HEALTHY_BEHAVIOUR,
 } from '../../standins/replica-model/replica-faults.js';
 import type { SimulatedReplica } from '../simulated-replica.js';
 import type { ReplicaFaultName } from './action.js';
@@ -13,7 +13,7 @@
 const LATE_FACTOR = 400;
 
 const CHANGES: Readonly<Record<ReplicaFaultName, ReplicaFaultChange>> = {
-  none: SOUND_BEHAVIOUR,
+  none: HEALTHY_BEHAVIOUR,
   slow: { slowFactor: SLOW_FACTOR },
   frozen: { frozen: true },
   dead: { dead: true },
--- a/src/simulation/simulated-replica.ts
+++ b/src/simulation/simulated-replica.ts
@@ -3,7 +3,7 @@
 import type { AttemptId, PartnerId, ServiceName } from '../core/identifiers.js';
 import type { AttemptOutcome, LegAttempt, LegContext } from '../protocol/leg-messages.js';
 import { attemptOutcomeOf } from '../standins/replica-model/attempt-outcome.js';
-import type { LegRequest, RanRecord } from '../standins/replica-model/leg-exchange.js';
+import type { LegRequest, ExecutionRecord } from '../standins/replica-model/leg-exchange.js';
 import type {
   HeldSnapshot,
   ReplicaFaultChange,
@@ -86,7 +86,7 @@
   }
 
   /** Records of the requests that ran, in the format of the replica stand-in. */
-  get ran(): readonly RanRecord[] {
+  get ran(): readonly ExecutionRecord[] {
     return this.model.ran;
   }
 
--- a/src/standins/arrival-log.ts
+++ b/src/standins/arrival-log.ts
@@ -1,27 +1,27 @@
-/** When requests for work reached a replica stand-in, whether it ran or refused them. */
+/** Arrival times of the legs that reached a replica stand-in, whether it ran or refused them. */
 
-/** Most arrivals that are kept; the oldest go first. */
-const ARRIVALS_KEPT = 50_000;
+/** Maximum number of arrivals kept; the oldest are dropped first. */
+const ARRIVAL_LIMIT = 50_000;
 
-/** The body of `GET /v1/arrivals`: times on the replica's own clock, in milliseconds. */
+/** Body of `GET /v1/arrivals`: times on the replica's clock, in milliseconds. */
 export interface ArrivalsBody {
   readonly now: number;
   readonly arrivals: readonly number[];
 }
 
-/** Keeps the times of the latest arrivals. */
+/** Keeps the times of the most recent arrivals. */
 export class ArrivalLog {
   private readonly times: number[] = [];
 
-  /** Notes a request that has arrived. */
-  note(at: number): void {
+  /** Records the arrival of a leg at the time `at`. */
+  record(at: number): void {
     this.times.push(at);
-    if (this.times.length > ARRIVALS_KEPT) {
-      this.times.splice(0, ARRIVALS_KEPT / 2);
+    if (this.times.length > ARRIVAL_LIMIT) {
+      this.times.splice(0, ARRIVAL_LIMIT / 2);
     }
   }
 
-  /** All that is kept, with the time now. */
+  /** Returns the recorded arrivals with the current time. */
   read(now: number): ArrivalsBody {
     return { now, arrivals: this.times };
   }
--- a/src/standins/http-body.ts
+++ b/src/standins/http-body.ts
@@ -1,10 +1,10 @@
-/** Reading and writing of JSON bodies over plain `node:http`. */
+/** Reads request bodies and writes JSON responses with `node:http`. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
-/** Largest body a stand-in takes, in bytes. */
+/** Maximum body size that a stand-in accepts, in bytes. */
 const BODY_LIMIT = 1_048_576;
 
-/** Reads the whole body; rejects when it is larger than `BODY_LIMIT` or the connection breaks. */
+/** Reads the whole body; rejects if it exceeds `BODY_LIMIT` or the connection breaks. */
 export const readBody = (request: IncomingMessage): Promise<string> =>
   new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
@@ -12,7 +12,7 @@
     request.on('data', (chunk: Buffer) => {
       size += chunk.length;
       if (size > BODY_LIMIT) {
-        reject(new Error('body too large'));
+        reject(new Error('request body exceeds the size limit'));
         request.destroy();
         return;
       }
@@ -22,7 +22,7 @@
     request.on('error', reject);
   });
 
-/** Writes a JSON answer. */
+/** Writes a JSON response. */
 export const writeJson = (
   response: ServerResponse,
   status: number,
--- a/src/standins/platform-server.ts
+++ b/src/standins/platform-server.ts
@@ -1,4 +1,4 @@
-/** The platform stand-in over HTTP: a `StoreModel` behind the platform's object API. */
+/** Platform stand-in over HTTP: serves a `StoreModel` through the platform's object API. */
 import type { IncomingMessage } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { createAdaptorServer, type HttpBindings, type ServerType } from '@hono/node-server';
@@ -8,13 +8,13 @@
 import type { StoreFaultChange } from './store-model/store-faults.js';
 import { StoreModel } from './store-model/store-model.js';
 
-/** How often a watch without changes sends a bookmark, in milliseconds. */
+/** Interval between the bookmarks of a watch, in milliseconds. */
 const BOOKMARK_INTERVAL_MS = 5_000;
 
-/** What the platform's server is made of. */
+/** Options of a platform server. */
 export interface PlatformServerOptions {
   readonly host: string;
-  /** 0 lets the kernel pick. */
+  /** 0 lets the kernel choose a free port. */
   readonly port: number;
   readonly objects: readonly StoreObject[];
   readonly seed: number;
@@ -27,7 +27,7 @@
 
 type PlatformContext = Context<{ Bindings: HttpBindings }>;
 
-/** One open watch. */
+/** An open watch. */
 interface Watcher {
   after: number;
   readonly send: (line: string) => void;
@@ -47,7 +47,7 @@
 
 const revisionAfter = (context: PlatformContext): number => Number(context.req.query('after') ?? 0);
 
-/** The platform on one port. */
+/** Serves the platform's API on one port. */
 export class PlatformServer {
   readonly model: StoreModel;
   private readonly server: ServerType;
@@ -60,7 +60,7 @@
     this.bookmarks = setInterval(() => this.sendBookmarks(), BOOKMARK_INTERVAL_MS);
   }
 
-  /** Opens the port; resolves to its number. */
+  /** Opens the port and resolves to its number; rejects if the port cannot be opened. */
   async listen(): Promise<number> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
@@ -69,12 +69,12 @@
     return (this.server.address() as AddressInfo).port;
   }
 
-  /** Watches that are open. */
-  get readers(): number {
+  /** Number of open watches. */
+  get watchCount(): number {
     return this.watchers.size;
   }
 
-  /** Changes faults; a store that goes down ends its watches. */
+  /** Changes some of the faults; watches end when the store goes down. */
   setFaults(change: StoreFaultChange): void {
     this.model.setFaults(change);
     if (this.model.currentFaults.down) {
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Writes an object as the platform itself does, past the faults; returns its revision. */
+  /** Writes an object on behalf of the platform, ignoring the faults; returns its revision. */
   publish(name: string, content: StoreContent): number {
     const version = this.model.read(name)?.version ?? 0;
     this.model.write(name, version, content);
--- a/src/standins/replica-fleet.ts
+++ b/src/standins/replica-fleet.ts
@@ -1,4 +1,4 @@
-/** All replicas of some deployments in one process, each on its own port. */
+/** Runs all replicas of several deployments in one process, each on its own port. */
 import type { ReplicaId } from '../core/identifiers.js';
 import type { Deployment, PlacedReplica } from '../deployments/deployment.js';
 import { FIRST_SNAPSHOT, type ReplicaAddresses } from '../deployments/initial-objects.js';
@@ -6,20 +6,20 @@
 import type { ReplicaFaultChange } from './replica-model/replica-faults.js';
 import { ReplicaServer } from './replica-server.js';
 
-/** What a fleet is started with. */
+/** Options of a fleet. */
 export interface ReplicaFleetOptions {
   readonly deployments: readonly Deployment[];
   readonly host: string;
   readonly seed: number;
-  /** The port of each replica; 0 or absent lets the kernel pick. */
+  /** Returns the port of a replica; 0 or absent lets the kernel choose a free port. */
   readonly portOf?: (replica: ReplicaId) => number;
-  /** Round trip added to the requests of a replica, in milliseconds. */
+  /** Returns the round-trip time added to the requests of a replica, in milliseconds. */
   readonly networkDelayMs: (replica: PlacedReplica) => number;
-  /** Factor on the service times of the deployments; 1 unless said otherwise. */
+  /** Factor on the service times of the deployments; 1 by default. */
   readonly serviceTimeFactor?: number;
 }
 
-/** A replica that runs. */
+/** A running replica. */
 export interface FleetReplica {
   readonly placed: PlacedReplica;
   readonly server: ReplicaServer;
@@ -29,14 +29,14 @@
 const createServer = (
   placed: PlacedReplica,
   index: number,
-  opening: number,
+  connectionOpeningMs: number,
   options: ReplicaFleetOptions,
 ): ReplicaServer =>
   new ReplicaServer({
     service: placed.service,
     slots: placed.group.slots,
     connections: placed.group.connections,
-    connectionOpeningMs: opening,
+    connectionOpeningMs,
     medianServiceMs: placed.group.medianServiceMs * (options.serviceTimeFactor ?? 1),
     snapshots: [{ version: FIRST_SNAPSHOT, shardCount: placed.group.shardsPerService }],
     seed: options.seed * 10_007 + index,
@@ -45,29 +45,29 @@
     networkDelayMs: options.networkDelayMs(placed),
   });
 
-/** Starts the replicas one after the other; notes each as soon as it listens. */
+/** Starts the replicas one by one and adds each to `replicas` as soon as it listens. */
 const listenAll = async (
   options: ReplicaFleetOptions,
   replicas: Map<ReplicaId, FleetReplica>,
 ): Promise<void> => {
   for (const deployment of options.deployments) {
     for (const placed of placeReplicas(deployment)) {
-      const opening = deployment.connectionOpeningMs;
-      const server = createServer(placed, replicas.size, opening, options);
+      const connectionOpeningMs = deployment.connectionOpeningMs;
+      const server = createServer(placed, replicas.size, connectionOpeningMs, options);
       const port = await server.listen();
       replicas.set(placed.replica, { placed, server, port });
     }
   }
 };
 
-/** The replicas of a fleet. */
+/** A set of running replicas. */
 export class ReplicaFleet {
   private constructor(
     readonly replicas: ReadonlyMap<ReplicaId, FleetReplica>,
     private readonly host: string,
   ) {}
 
-  /** Starts all replicas; they are listening when it resolves. */
+  /** Starts all replicas; resolves when all are listening and rejects if one cannot listen. */
   static async start(options: ReplicaFleetOptions): Promise<ReplicaFleet> {
     const replicas = new Map<ReplicaId, FleetReplica>();
     const fleet = new ReplicaFleet(replicas, options.host);
@@ -75,29 +75,29 @@
       await listenAll(options, replicas);
       return fleet;
     } catch (error) {
-      // Those that listen already would keep the process alive.
+      // Replicas that are already listening would keep the process alive.
       await fleet.close();
       throw error;
     }
   }
 
-  /** Where each replica listens. */
+  /** Returns the address of a replica; the port is 0 if the replica is unknown. */
   readonly addressOf: ReplicaAddresses = (replica) => ({
     host: this.host,
     port: this.replicas.get(replica)?.port ?? 0,
   });
 
-  /** Changes the faults of the replicas chosen; returns how many there were. */
+  /** Changes the faults of the replicas that match; returns their number. */
   async setFaults(
-    chosen: (placed: PlacedReplica) => boolean,
+    matches: (placed: PlacedReplica) => boolean,
     change: ReplicaFaultChange,
   ): Promise<number> {
-    const hit = [...this.replicas.values()].filter(({ placed }) => chosen(placed));
-    await Promise.all(hit.map(({ server }) => server.setFaults(change)));
-    return hit.length;
+    const matching = [...this.replicas.values()].filter(({ placed }) => matches(placed));
+    await Promise.all(matching.map(({ server }) => server.setFaults(change)));
+    return matching.length;
   }
 
-  /** Closes all ports. */
+  /** Closes the ports and connections of all replicas. */
   async close(): Promise<void> {
     await Promise.all([...this.replicas.values()].map(({ server }) => server.close()));
   }
--- a/src/standins/replica-model/answer-content.ts
+++ b/src/standins/replica-model/answer-content.ts
@@ -1,24 +1,24 @@
 /**
- * Content of the answers of a replica stand-in. Each item names its shard, its snapshot and the
- * nonce of the request, so that a caller can check what it was given.
+ * Content of the answers of a replica stand-in. Each item contains its shard, its snapshot and the
+ * nonce of the request, so that a caller can verify the answer.
  */
 import { hash32 } from '../../core/hash.js';
 import type { AnswerItem } from '../../protocol/leg-messages.js';
 import type { LegRequest } from './leg-exchange.js';
 
-/** Items a shard returns when the request allows as many. */
+/** Number of items that a shard returns, unless the request allows fewer. */
 export const ITEMS_PER_SHARD = 3;
 
-/** The identifier of the one item of an aggregated answer; each shard adds a score of 1. */
+/** Identifier of the single item of an aggregated answer; each shard adds a score of 1. */
 export const AGGREGATE_ITEM_ID = 'shards';
 
 const SCORE_RANGE = 1_000_000;
 
-/** The parameters that the stand-in understands; anything else in the payload is ignored. */
+/** Payload parameters that the stand-in supports; other parameters are ignored. */
 export interface StandinPayload {
   /** Repeated in each item. */
   readonly nonce?: string;
-  /** Asks for one item with score 1, the same for all shards, for routes that sum. */
+  /** Requests one item with score 1 and the same identifier from each shard, for `sum` routes. */
   readonly aggregate?: boolean;
 }
 
@@ -38,7 +38,7 @@
   return { id, score: hash32(`${id}/${nonce}`) % SCORE_RANGE, value };
 };
 
-/** The items with which a shard answers `leg`. */
+/** Builds the items of a shard's answer to `leg`. */
 export const buildItems = (leg: LegRequest): AnswerItem[] => {
   const payload = readPayload(leg.payload);
   const nonce = payload.nonce ?? '';
--- a/src/standins/replica-model/answer-writer.ts
+++ b/src/standins/replica-model/answer-writer.ts
@@ -1,23 +1,23 @@
-/** Writes the answers of a replica stand-in, and spoils the share of them that its faults name. */
+/** Builds the answers of a replica stand-in and corrupts the shares of them set by its faults. */
 import type { Random } from '../../core/random.js';
 import type { ReplicaLoad } from '../../protocol/leg-messages.js';
 import { buildItems } from './answer-content.js';
 import type { AnswerDamage, LegAnswer, LegRequest } from './leg-exchange.js';
 import type { ReplicaFaults } from './replica-faults.js';
 
-/** An answer, and what happens to it on its way. */
+/** An answer and its damage in transit. */
 export interface WrittenAnswer {
   readonly answer: LegAnswer;
   readonly damage: AnswerDamage;
 }
 
-/** Remembers the answer before, to give it to somebody else. */
+/** Builds answers; keeps the previous one to return it to another request as a wrong answer. */
 export class AnswerWriter {
   private lastAnswer: LegAnswer | undefined;
 
   constructor(private readonly random: Random) {}
 
-  /** Writes the answer to `leg` of a replica that reports `load`. */
+  /** Builds the answer to `leg`, with `load` as the reported load. */
   write(leg: LegRequest, faults: ReplicaFaults, load: ReplicaLoad): WrittenAnswer {
     const own: LegAnswer = {
       request: leg.request,
@@ -32,7 +32,7 @@
     return { answer, damage: this.drawDamage(faults) };
   }
 
-  /** The answer of the request before, or one of an invented request if there was none. */
+  /** Returns the previous request's answer, or that of a fictitious request if there is none. */
   private foreignAnswer(own: LegAnswer): LegAnswer {
     return this.lastAnswer ?? { ...own, request: `${own.request}-foreign`, attempt: 'foreign' };
   }
--- a/src/standins/replica-model/attempt-outcome.ts
+++ b/src/standins/replica-model/attempt-outcome.ts
@@ -1,9 +1,9 @@
-/** Translates a reply of the model into what a node would see of it. */
+/** Converts a reply of the replica model to the outcome that a node observes. */
 import { identifier, type RequestId, type ShardId } from '../../core/identifiers.js';
 import type { AttemptOutcome } from '../../protocol/leg-messages.js';
 import type { ReplicaReply } from './leg-exchange.js';
 
-/** The outcome of an attempt whose reply arrived whole, or was damaged or lost on its way. */
+/** Returns the outcome of an attempt; a damaged answer gives `bad-answer`. */
 export const attemptOutcomeOf = (reply: ReplicaReply): AttemptOutcome => {
   switch (reply.type) {
     case 'answered':
--- a/src/standins/replica-model/leg-exchange.ts
+++ b/src/standins/replica-model/leg-exchange.ts
@@ -1,8 +1,8 @@
-/** What a replica stand-in is asked and what it replies, apart from how it travels. */
+/** Requests and replies of a replica stand-in, independent of the transport. */
 import type { SnapshotVersion } from '../../catalog/partner-index.js';
 import type { AnswerItem, ReplicaLoad } from '../../protocol/leg-messages.js';
 
-/** A request for one shard, as `POST /v1/leg` carries it. */
+/** Body of `POST /v1/leg`: a request for one shard. */
 export interface LegRequest {
   readonly request: string;
   readonly attempt: string;
@@ -17,7 +17,7 @@
   readonly payload: unknown;
 }
 
-/** The body of a reply with status 200. */
+/** Body of a reply to `POST /v1/leg` with status 200. */
 export interface LegAnswer {
   readonly request: string;
   readonly attempt: string;
@@ -27,21 +27,21 @@
   readonly load: ReplicaLoad;
 }
 
-/** Why a replica refuses a request that it has not run. */
+/** Why a replica refuses a request without running it. */
 export type ReplicaRefusalReason =
   'shedding' | 'leaving' | 'deadline-passed' | 'snapshot-gone' | 'unknown-shard';
 
-/** How the body of an answer is damaged on its way. */
+/** How the body of an answer is damaged in transit. */
 export type AnswerDamage = 'none' | 'truncated' | 'oversized';
 
-/** What becomes of a request. */
+/** Reply to a request, or how the request ended without one. */
 export type ReplicaReply =
   | {
       readonly type: 'answered';
       readonly ticket: number;
       readonly answer: LegAnswer;
       readonly damage: AnswerDamage;
-      /** The replica is leaving and says so with the answer. */
+      /** Whether the answer announces that the replica is leaving. */
       readonly leaving: boolean;
     }
   | {
@@ -53,13 +53,13 @@
   | { readonly type: 'cancelled'; readonly ticket: number }
   | { readonly type: 'connection-lost'; readonly ticket: number };
 
-/** One request that truly ran: it had a slot, if only for a while. */
-export interface RanRecord {
+/** A request that ran: it occupied a slot, even if it did not finish. */
+export interface ExecutionRecord {
   readonly request: string;
   readonly attempt: string;
   readonly shard: string;
   readonly idempotencyKey?: string;
   readonly safeToRepeat: boolean;
-  /** False while it runs, and for ever if it was cancelled or lost. */
+  /** False while the request runs; stays false if it was cancelled or lost. */
   finished: boolean;
 }
--- a/src/standins/replica-model/load-reporter.ts
+++ b/src/standins/replica-model/load-reporter.ts
@@ -1,8 +1,8 @@
-/** Load reports of a replica, which lag and may mislead. */
+/** Load reports of a replica, which are delayed and may be wrong. */
 import type { ReplicaLoad } from '../../protocol/leg-messages.js';
 import type { LoadReportMode } from './replica-faults.js';
 
-/** Reports are at least this old, in milliseconds. */
+/** Minimum age of a reported load, in milliseconds. */
 export const LOAD_REPORT_LAG_MS = 250;
 
 interface LoadSample {
@@ -12,15 +12,15 @@
 
 const NO_LOAD: ReplicaLoad = { inFlight: 0, queued: 0 };
 
-/** Keeps samples of the load and reports an old one. */
+/** Samples the load and reports an older sample. */
 export class LoadReporter {
   private reported: LoadSample = { at: Number.NEGATIVE_INFINITY, load: NO_LOAD };
   private next: LoadSample = { at: Number.NEGATIVE_INFINITY, load: NO_LOAD };
 
   constructor(private readonly slots: number) {}
 
-  /** Notes the load at `at`; does nothing until the last sample is old enough. */
-  observe(at: number, load: ReplicaLoad): void {
+  /** Records the load at `at`, unless the last sample is younger than `LOAD_REPORT_LAG_MS`. */
+  recordLoad(at: number, load: ReplicaLoad): void {
     if (at - this.next.at < LOAD_REPORT_LAG_MS) {
       return;
     }
@@ -28,7 +28,7 @@
     this.next = { at, load };
   }
 
-  /** What the replica says of its load. */
+  /** Returns the load that the replica reports. */
   report(mode: LoadReportMode): ReplicaLoad {
     const { load } = this.reported;
     switch (mode) {
--- a/src/standins/replica-model/misplacement.ts
+++ b/src/standins/replica-model/misplacement.ts
@@ -1,4 +1,4 @@
-/** Whether a replica holds the shard that a request asks for. */
+/** Checks whether a replica holds the shard of a request. */
 import type { LegRequest, ReplicaRefusalReason } from './leg-exchange.js';
 import type { HeldSnapshot } from './replica-faults.js';
 
@@ -9,7 +9,7 @@
     : undefined;
 };
 
-/** Why a replica of `service` that holds `snapshots` cannot run `leg`; undefined if it can. */
+/** Returns why a replica of `service` with `snapshots` cannot run `leg`; undefined if it can. */
 export const findMisplacement = (
   service: string,
   snapshots: readonly HeldSnapshot[],
--- a/src/standins/replica-model/replica-faults.ts
+++ b/src/standins/replica-model/replica-faults.ts
@@ -1,46 +1,46 @@
-/** What can be made to go wrong at a replica stand-in. */
+/** Faults that can be injected into a replica stand-in. */
 import type { ReplicaLifecycle, SnapshotVersion } from '../../catalog/partner-index.js';
 
-/** How the replica reports its load: truly (but late), never changing, or upside down. */
+/** How the replica reports its load: correctly with a delay, always as zero, or inverted. */
 export type LoadReportMode = 'true' | 'frozen' | 'inverted';
 
-/** A snapshot that a replica holds. */
+/** A snapshot held by a replica. */
 export interface HeldSnapshot {
   readonly version: SnapshotVersion;
-  /** Shards of the replica's service in this snapshot: `service#0` up to this number. */
+  /** Number of shards of the replica's service in this snapshot, named from `service#0` on. */
   readonly shardCount: number;
 }
 
-/** Behaviour that may be changed while the replica runs. */
+/** Behaviour of a replica; may be changed while it runs. */
 export interface ReplicaFaults {
   /** Factor on the service time of slowed requests. */
   readonly slowFactor: number;
   /** Share of requests that are slowed, 0 to 1. */
   readonly slowShare: number;
-  /** Accepts connections and requests, but does and answers nothing. */
+  /** Accepts connections and requests but neither runs nor answers them. */
   readonly frozen: boolean;
-  /** Refuses connections; open ones are cut and running work is lost. */
+  /** Refuses connections; open connections break and running requests are lost. */
   readonly dead: boolean;
-  /** Refuses all new work. */
+  /** Refuses all new requests. */
   readonly shedding: boolean;
   readonly lifecycle: ReplicaLifecycle;
   readonly loadReport: LoadReportMode;
-  /** The replica is cold for this long from the time of the change, in milliseconds. */
+  /** How long the replica is cold after the change, in milliseconds. */
   readonly coldMs: number;
   readonly snapshots: readonly HeldSnapshot[];
-  /** Share of answers that are another request's, 0 to 1. */
+  /** Share of answers that belong to another request, 0 to 1. */
   readonly wrongAnswerShare: number;
-  /** Share of answers that are cut off half-way, 0 to 1. */
+  /** Share of answers that are truncated, 0 to 1. */
   readonly truncatedShare: number;
-  /** Share of answers far larger than any sound one, 0 to 1. */
+  /** Share of answers that are far larger than any valid answer, 0 to 1. */
   readonly oversizedShare: number;
 }
 
 /** A change of some of the faults. */
 export type ReplicaFaultChange = Partial<ReplicaFaults>;
 
-/** How a replica behaves without faults, apart from the snapshots it holds and a cold start. */
-export const SOUND_BEHAVIOUR: Omit<ReplicaFaults, 'snapshots' | 'coldMs'> = {
+/** Behaviour of a replica without faults, except its snapshots and cold start. */
+export const HEALTHY_BEHAVIOUR: Omit<ReplicaFaults, 'snapshots' | 'coldMs'> = {
   slowFactor: 1,
   slowShare: 1,
   frozen: false,
@@ -53,9 +53,9 @@
   oversizedShare: 0,
 };
 
-/** A replica that holds `snapshots` and behaves as it should. */
+/** Returns the behaviour of a replica without faults that holds `snapshots`. */
 export const healthyReplica = (snapshots: readonly HeldSnapshot[]): ReplicaFaults => ({
-  ...SOUND_BEHAVIOUR,
+  ...HEALTHY_BEHAVIOUR,
   coldMs: 0,
   snapshots,
 });
--- a/src/standins/replica-model/replica-model.ts
+++ b/src/standins/replica-model/replica-model.ts
@@ -1,12 +1,17 @@
 /**
- * A replica as a pure model: time is passed in, nothing happens by itself. Drivers (the HTTP
- * stand-in, the simulation) call `submit`, `cancel` and `setFaults` as requests come in, and
- * `advance` at the time that `nextAt` names, which returns the replies that are due.
+ * Model of a replica without I/O or timers; the time is passed in. Drivers (the HTTP stand-in and
+ * the simulation) call `submit`, `cancel` and `setFaults` when requests arrive. They call `advance`
+ * at the time that `nextAt` returns to obtain the replies that are due.
  */
 import { createRandom, type Random } from '../../core/random.js';
 import type { ReplicaLoad } from '../../protocol/leg-messages.js';
 import { AnswerWriter } from './answer-writer.js';
-import type { LegRequest, RanRecord, ReplicaRefusalReason, ReplicaReply } from './leg-exchange.js';
+import type {
+  LegRequest,
+  ExecutionRecord,
+  ReplicaRefusalReason,
+  ReplicaReply,
+} from './leg-exchange.js';
 import { LoadReporter } from './load-reporter.js';
 import { findMisplacement } from './misplacement.js';
 import {
@@ -17,16 +22,16 @@
 } from './replica-faults.js';
 import { type ColdStart, coldFactorAt, drawServiceTime } from './service-time.js';
 
-/** Requests that may wait for a slot, as a multiple of the slots. */
+/** Maximum number of requests that wait for a slot, per slot. */
 export const QUEUE_PER_SLOT = 4;
-/** Most requests kept in the record of what ran; the oldest go first. */
-const RAN_RECORD_LIMIT = 200_000;
-/** When a replica that sheds asks to be tried again, in milliseconds. */
+/** Maximum number of execution records kept; the oldest are dropped first. */
+const EXECUTION_RECORD_LIMIT = 200_000;
+/** Retry delay that a shedding replica returns, in milliseconds. */
 const SHED_RETRY_AFTER_MS = 20;
-/** What opening a connection costs, in milliseconds, unless said otherwise. */
+/** Default time to open a connection, in milliseconds. */
 export const CONNECTION_OPENING_MS = 1;
 
-/** What a replica is made of. */
+/** Options of a replica model. */
 export interface ReplicaModelOptions {
   readonly service: string;
   readonly slots: number;
@@ -50,25 +55,25 @@
 
 interface RunningLeg extends WaitingLeg {
   readonly finishAt: number;
-  readonly record: RanRecord;
+  readonly record: ExecutionRecord;
 }
 
-const endOfRun = (running: RunningLeg): number => Math.min(running.finishAt, running.deadlineAt);
+const endTimeOf = (running: RunningLeg): number => Math.min(running.finishAt, running.deadlineAt);
 
-/** Takes the chosen items out of `list`, the last first. */
-const takeOut = <Item>(list: Item[], isChosen: (item: Item) => boolean): Item[] => {
-  const taken: Item[] = [];
+/** Removes and returns the items of `list` that match, last item first. */
+const removeWhere = <Item>(list: Item[], isChosen: (item: Item) => boolean): Item[] => {
+  const removed: Item[] = [];
   for (let index = list.length - 1; index >= 0; index -= 1) {
     const item = list[index];
     if (item !== undefined && isChosen(item)) {
       list.splice(index, 1);
-      taken.push(item);
+      removed.push(item);
     }
   }
-  return taken;
+  return removed;
 };
 
-/** A replica of one service. All times are in milliseconds on the driver's clock. */
+/** Model of a replica of one service. All times are in milliseconds on the driver's clock. */
 export class ReplicaModel {
   private readonly random: Random;
   private readonly reporter: LoadReporter;
@@ -76,14 +81,14 @@
   private readonly queue: WaitingLeg[] = [];
   private readonly running: RunningLeg[] = [];
   private readonly due: ReplicaReply[] = [];
-  private readonly records: RanRecord[] = [];
+  private readonly records: ExecutionRecord[] = [];
   private faults: ReplicaFaults;
   private cold: ColdStart = { warmAt: 0, coldMs: 0 };
-  /** When the last request came in, refused or not. */
+  /** When the last request arrived, refused or not. */
   lastRequestAt = Number.NEGATIVE_INFINITY;
   private openConnections = 0;
-  /** Nothing happens before this time: the replica was frozen until then. */
-  private notBefore = Number.NEGATIVE_INFINITY;
+  /** The replica was frozen until this time; changes that were due earlier happen at this time. */
+  private frozenUntil = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: ReplicaModelOptions) {
     this.random = createRandom(options.seed);
@@ -92,27 +97,27 @@
     this.faults = healthyReplica(options.snapshots);
   }
 
-  /** The faults as they stand. */
+  /** The faults currently in effect. */
   get currentFaults(): ReplicaFaults {
     return this.faults;
   }
 
-  /** What truly ran, in the order in which it was started. */
-  get ran(): readonly RanRecord[] {
+  /** The requests that ran, in the order in which they started. */
+  get ran(): readonly ExecutionRecord[] {
     return this.records;
   }
 
-  /** Connections that are open. */
+  /** Number of open connections. */
   get connections(): number {
     return this.openConnections;
   }
 
-  /** The true load, at once and without any lag. */
+  /** The actual load, without delay. */
   get trueLoad(): ReplicaLoad {
     return { inFlight: this.running.length, queued: this.queue.length };
   }
 
-  /** What the replica says of its load; it lags and may mislead. */
+  /** The load that the replica reports, which is delayed and may be wrong. */
   get reportedLoad(): ReplicaLoad {
     return this.reporter.report(this.faults.loadReport);
   }
@@ -130,14 +135,14 @@
     return { type: 'opened', usableAt: at + cost };
   }
 
-  /** Notes that an open connection has been closed. */
+  /** Records that an open connection has been closed. */
   closeConnection(): void {
     this.openConnections = Math.max(0, this.openConnections - 1);
   }
 
   /**
-   * Takes a request that arrives at `at` with `remainingMs` left. Its reply comes from `advance`,
-   * under `ticket`, which the driver chooses.
+   * Handles a request that arrives at `at` with `remainingMs` until its deadline. `advance` returns
+   * its reply under `ticket`, which the driver chooses.
    */
   submit(at: number, ticket: number, leg: LegRequest, remainingMs: number): void {
     this.runUntil(at);
@@ -151,17 +156,17 @@
       this.queueUnanswered(waiting);
       return;
     }
-    const reason = this.refusalOf(leg, remainingMs);
+    const reason = this.findRefusalReason(leg, remainingMs);
     if (reason !== undefined) {
       this.refuse(ticket, reason);
       return;
     }
     this.queue.push(waiting);
     this.fillSlots(at);
-    this.observe(at);
+    this.recordLoad(at);
   }
 
-  /** Gives up the attempts named; each is replied to as cancelled. */
+  /** Cancels attempts; each is replied to as cancelled. */
   cancel(at: number, attempts: readonly string[]): void {
     this.runUntil(at);
     if (this.faults.frozen || this.faults.dead) {
@@ -178,7 +183,7 @@
     const wasFrozen = this.faults.frozen;
     this.faults = { ...this.faults, ...change };
     if (wasFrozen && !this.faults.frozen) {
-      this.notBefore = at;
+      this.frozenUntil = at;
     }
     if (change.coldMs !== undefined) {
       this.cold = { warmAt: at + change.coldMs, coldMs: change.coldMs };
@@ -188,22 +193,22 @@
     }
   }
 
-  /** When `advance` must be called next; absent when there is nothing to wait for. */
+  /** When `advance` must be called next; undefined when no change is pending. */
   nextAt(): number | undefined {
     if (this.due.length > 0) {
       return Number.NEGATIVE_INFINITY;
     }
-    const next = this.nextStep();
+    const next = this.nextChangeAt();
     return next === Number.POSITIVE_INFINITY ? undefined : next;
   }
 
-  /** Lets everything happen up to `at`, in order of time; returns the replies that are due. */
+  /** Processes all changes up to `at`, in order of time; returns the replies that are due. */
   advance(at: number): ReplicaReply[] {
     this.runUntil(at);
     return this.due.splice(0);
   }
 
-  /** A frozen replica takes requests while it has connections for them; others get no answer. */
+  /** Queues a request at a frozen replica, up to its connection limit; others get no answer. */
   private queueUnanswered(waiting: WaitingLeg): void {
     if (this.queue.length < this.options.connections) {
       this.queue.push(waiting);
@@ -211,22 +216,22 @@
   }
 
   private runUntil(at: number): void {
-    for (let next = this.nextStep(); next <= at; next = this.nextStep()) {
-      this.endRunning(next);
-      this.endWaiting(next);
+    for (let next = this.nextChangeAt(); next <= at; next = this.nextChangeAt()) {
+      this.endRunningLegs(next);
+      this.expireWaitingLegs(next);
       this.fillSlots(next);
-      this.observe(next);
+      this.recordLoad(next);
     }
   }
 
-  /** The next time at which something happens by itself. */
-  private nextStep(): number {
+  /** Returns the time of the next completion, expiry or start of a request. */
+  private nextChangeAt(): number {
     if (this.faults.frozen) {
       return Number.POSITIVE_INFINITY;
     }
     let next = Number.POSITIVE_INFINITY;
     for (const running of this.running) {
-      next = Math.min(next, endOfRun(running));
+      next = Math.min(next, endTimeOf(running));
     }
     for (const waiting of this.queue) {
       next = Math.min(next, waiting.deadlineAt);
@@ -234,11 +239,11 @@
     if (this.queue.length > 0 && this.running.length < this.options.slots) {
       next = Number.NEGATIVE_INFINITY;
     }
-    return Math.max(next, this.notBefore);
+    return Math.max(next, this.frozenUntil);
   }
 
-  private endRunning(at: number): void {
-    for (const running of takeOut(this.running, (each) => endOfRun(each) <= at)) {
+  private endRunningLegs(at: number): void {
+    for (const running of removeWhere(this.running, (each) => endTimeOf(each) <= at)) {
       if (running.deadlineAt < running.finishAt) {
         this.due.push({ type: 'cancelled', ticket: running.ticket });
       } else {
@@ -247,8 +252,8 @@
     }
   }
 
-  private endWaiting(at: number): void {
-    for (const { ticket } of takeOut(this.queue, ({ deadlineAt }) => deadlineAt <= at)) {
+  private expireWaitingLegs(at: number): void {
+    for (const { ticket } of removeWhere(this.queue, ({ deadlineAt }) => deadlineAt <= at)) {
       this.refuse(ticket, 'deadline-passed');
     }
   }
@@ -265,7 +270,7 @@
 
   private start(at: number, waiting: WaitingLeg): void {
     const { leg } = waiting;
-    const record: RanRecord = {
+    const record: ExecutionRecord = {
       request: leg.request,
       attempt: leg.attempt,
       shard: leg.shard,
@@ -273,21 +278,21 @@
       safeToRepeat: leg.safeToRepeat,
       finished: false,
     };
-    this.keepRecord(record);
+    this.addRecord(record);
     const coldFactor = coldFactorAt(this.cold, at);
-    const takes = drawServiceTime(
+    const serviceMs = drawServiceTime(
       this.random,
       this.options.medianServiceMs,
       this.faults,
       coldFactor,
     );
-    this.running.push({ ...waiting, finishAt: at + takes, record });
+    this.running.push({ ...waiting, finishAt: at + serviceMs, record });
   }
 
-  private keepRecord(record: RanRecord): void {
+  private addRecord(record: ExecutionRecord): void {
     this.records.push(record);
-    if (this.records.length > RAN_RECORD_LIMIT) {
-      this.records.splice(0, RAN_RECORD_LIMIT / 2);
+    if (this.records.length > EXECUTION_RECORD_LIMIT) {
+      this.records.splice(0, EXECUTION_RECORD_LIMIT / 2);
     }
   }
 
@@ -298,7 +303,10 @@
     this.due.push({ type: 'answered', ticket, answer, damage, leaving });
   }
 
-  private refusalOf(leg: LegRequest, remainingMs: number): ReplicaRefusalReason | undefined {
+  private findRefusalReason(
+    leg: LegRequest,
+    remainingMs: number,
+  ): ReplicaRefusalReason | undefined {
     if (this.faults.lifecycle === 'leaving') {
       return 'leaving';
     }
@@ -325,11 +333,11 @@
     isChosen: (waiting: WaitingLeg) => boolean,
     type: 'cancelled' | 'connection-lost',
   ): void {
-    const dropped = [...takeOut(this.queue, isChosen), ...takeOut(this.running, isChosen)];
+    const dropped = [...removeWhere(this.queue, isChosen), ...removeWhere(this.running, isChosen)];
     dropped.forEach(({ ticket }) => this.due.push({ type, ticket }));
   }
 
-  private observe(at: number): void {
-    this.reporter.observe(at, this.trueLoad);
+  private recordLoad(at: number): void {
+    this.reporter.recordLoad(at, this.trueLoad);
   }
 }
--- a/src/standins/replica-model/service-time.ts
+++ b/src/standins/replica-model/service-time.ts
@@ -1,37 +1,37 @@
-/** Draws service times with a heavy tail: log-normal around the replica's median. */
+/** Draws heavy-tailed service times from a log-normal distribution around the replica's median. */
 import type { Random } from '../../core/random.js';
 import type { ReplicaFaults } from './replica-faults.js';
 
-/** Spread of the logarithm: one leg in 100 takes more than 3.2 times the median. */
+/** Standard deviation of the logarithm: 1 leg in 100 takes more than 3.2 times the median. */
 const SERVICE_TIME_SIGMA = 0.5;
-/** A leg never takes longer than this many times the median, before faults. */
-const LONGEST_SERVICE_FACTOR = 20;
-/** A replica that has just started takes this many times as long; it falls evenly to 1. */
+/** Maximum service time as a multiple of the median, before faults. */
+const MAX_SERVICE_FACTOR = 20;
+/** Factor on the service times of a replica that has just started; it falls linearly to 1. */
 const COLD_FACTOR = 5;
 
 const SMALLEST_UNIFORM = 1e-12;
 
-/** A standard normal number, by the method of Box and Muller. */
+/** Draws a standard normal number with the Box-Muller transform. */
 const drawNormal = (random: Random): number => {
   const radius = Math.sqrt(-2 * Math.log(Math.max(random.next(), SMALLEST_UNIFORM)));
   return radius * Math.cos(2 * Math.PI * random.next());
 };
 
-/** How far a replica is still cold. */
+/** Cold start of a replica. */
 export interface ColdStart {
-  /** When it is warm, in milliseconds. */
+  /** When the replica is warm, in milliseconds. */
   readonly warmAt: number;
-  /** How long it takes to become warm, in milliseconds; 0 if it was never cold. */
+  /** Duration of the cold start, in milliseconds; 0 if the replica was never cold. */
   readonly coldMs: number;
 }
 
-/** Factor on service times at `at` of a replica that warms up. */
+/** Returns the factor on the service times at `at` of a replica that is warming up. */
 export const coldFactorAt = (cold: ColdStart, at: number): number => {
   const left = cold.warmAt - at;
   return left <= 0 || cold.coldMs <= 0 ? 1 : 1 + (COLD_FACTOR - 1) * (left / cold.coldMs);
 };
 
-/** Draws the time that a request takes in its slot, in milliseconds. */
+/** Draws the time that a request occupies its slot, in milliseconds. */
 export const drawServiceTime = (
   random: Random,
   medianMs: number,
@@ -39,7 +39,7 @@
   coldFactor: number,
 ): number => {
   const spread = Math.exp(SERVICE_TIME_SIGMA * drawNormal(random));
-  const usual = medianMs * Math.min(spread, LONGEST_SERVICE_FACTOR);
-  const slowed = faults.slowFactor !== 1 && random.next() < faults.slowShare;
-  return usual * coldFactor * (slowed ? faults.slowFactor : 1);
+  const baseMs = medianMs * Math.min(spread, MAX_SERVICE_FACTOR);
+  const isSlowed = faults.slowFactor !== 1 && random.next() < faults.slowShare;
+  return baseMs * coldFactor * (isSlowed ? faults.slowFactor : 1);
 };
--- a/src/standins/replica-server.ts
+++ b/src/standins/replica-server.ts
@@ -1,6 +1,6 @@
 /**
- * The replica stand-in over HTTP: a `ReplicaModel` behind the back ends' protocol. It is written on
- * plain `node:http`, since a demo runs a hundred of them in one process.
+ * Replica stand-in over HTTP: serves a `ReplicaModel` through the back-end protocol. It uses plain
+ * `node:http` because a demo runs about a hundred replicas in one process.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
@@ -10,22 +10,22 @@
 import type { HeldSnapshot, ReplicaFaultChange } from './replica-model/replica-faults.js';
 import { ReplicaModel, type ReplicaModelOptions } from './replica-model/replica-model.js';
 
-/** Size of an oversized answer, in bytes; far above what a node takes. */
+/** Size of an oversized answer, in bytes; far above the limit of a node. */
 const OVERSIZED_ANSWER_BYTES = 16 * 1_048_576;
 
 const DEADLINE_HEADER = 'x-crossroad-deadline-ms';
 const LIFECYCLE_HEADER = 'x-crossroad-lifecycle';
-/** Time that a request without the deadline header has, in milliseconds. */
-const DEADLINE_WHEN_ABSENT_MS = 30_000;
-/** Longest time that idle connections are kept, in milliseconds. */
+/** Deadline of a request without the deadline header, in milliseconds. */
+const DEFAULT_DEADLINE_MS = 30_000;
+/** Keep-alive timeout of idle connections, in milliseconds. */
 const KEEP_ALIVE_MS = 60_000;
 
-/** What a replica's server is made of. */
+/** Options of a replica server. */
 export interface ReplicaServerOptions extends ReplicaModelOptions {
   readonly host: string;
-  /** 0 lets the kernel pick. */
+  /** 0 lets the kernel choose a free port. */
   readonly port: number;
-  /** Added to each request, in milliseconds: the way to and from a node of another zone. */
+  /** Delay added to each request, in milliseconds: the round trip to a node in another zone. */
   readonly networkDelayMs: number;
 }
 
@@ -34,19 +34,19 @@
   readonly response: ServerResponse;
 }
 
-/** Faults as they come over HTTP: snapshots may be given by their version alone. */
+/** Body of `POST /v1/faults`; a snapshot may be given as its version only. */
 type FaultChangeBody = Omit<ReplicaFaultChange, 'snapshots'> & {
   readonly snapshots?: readonly (number | HeldSnapshot)[];
-  /** Takes no new connections for so long and closes each open one when it carries nothing. */
+  /** Time without new connections, in milliseconds; open connections close when they are idle. */
   readonly closePortMs?: number;
 };
 
-const remainingOf = (request: IncomingMessage): number => {
-  const remaining = Number(request.headers[DEADLINE_HEADER] ?? DEADLINE_WHEN_ABSENT_MS);
+const remainingMsOf = (request: IncomingMessage): number => {
+  const remaining = Number(request.headers[DEADLINE_HEADER] ?? DEFAULT_DEADLINE_MS);
   return Number.isFinite(remaining) ? remaining : 0;
 };
 
-/** One replica on one port. */
+/** Serves one replica on one port. */
 export class ReplicaServer {
   readonly model: ReplicaModel;
   private readonly server: Server;
@@ -57,19 +57,19 @@
   private readonly delayed = new Set<NodeJS.Timeout>();
   private reopening: NodeJS.Timeout | undefined;
   private timer: NodeJS.Timeout | undefined;
-  private tickets = 0;
+  private lastTicket = 0;
   private port: number;
 
   constructor(private readonly options: ReplicaServerOptions) {
     this.model = new ReplicaModel(options);
     this.port = options.port;
     this.server = createServer({ keepAliveTimeout: KEEP_ALIVE_MS }, (request, response) => {
-      void this.handle(request, response);
+      void this.handleRequest(request, response);
     });
-    this.server.on('connection', (socket) => this.takeConnection(socket));
+    this.server.on('connection', (socket) => this.handleConnection(socket));
   }
 
-  /** Opens the port; resolves to its number. */
+  /** Opens the port and resolves to its number; rejects if the port cannot be opened. */
   async listen(): Promise<number> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
@@ -82,11 +82,11 @@
     return this.port;
   }
 
-  /** Changes faults; a dead replica closes its port and opens the same one when it is back. */
+  /** Changes some of the faults; a dead replica closes its port and later reopens the same one. */
   async setFaults(change: ReplicaFaultChange): Promise<void> {
     const wasDead = this.model.currentFaults.dead;
     this.model.setFaults(performance.now(), change);
-    this.settle();
+    this.sendDueReplies();
     if (!wasDead && this.model.currentFaults.dead) {
       await this.closePort();
     } else if (wasDead && !this.model.currentFaults.dead) {
@@ -104,7 +104,7 @@
     await this.closePort();
   }
 
-  /** Leaves as a process does that stops: what runs is finished, nothing new can connect. */
+  /** Simulates a restart: running requests finish, and new connections are refused for `ms`. */
   private closePortFor(ms: number): void {
     this.server.close();
     for (const { response } of this.open.values()) {
@@ -125,7 +125,7 @@
     await closed;
   }
 
-  private takeConnection(socket: Socket): void {
+  private handleConnection(socket: Socket): void {
     const outcome = this.model.openConnection(performance.now());
     if (outcome.type === 'refused') {
       socket.destroy();
@@ -141,7 +141,7 @@
     });
   }
 
-  private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     try {
       const body = request.method === 'POST' ? await readBody(request) : '';
       await this.dispatch(request, response, body);
@@ -159,7 +159,7 @@
   ): Promise<void> {
     switch (`${request.method} ${request.url}`) {
       case 'POST /v1/leg':
-        this.takeLeg(request, response, JSON.parse(body) as LegRequest);
+        this.handleLeg(request, response, JSON.parse(body) as LegRequest);
         return;
       case 'POST /v1/cancel':
         this.cancel((JSON.parse(body) as { attempts: string[] }).attempts);
@@ -175,23 +175,23 @@
         writeJson(response, 200, this.arrivals.read(performance.now()));
         return;
       case 'POST /v1/faults':
-        await this.takeFaults(response, JSON.parse(body) as FaultChangeBody);
+        await this.handleFaultChange(response, JSON.parse(body) as FaultChangeBody);
         return;
       default:
         writeJson(response, 404, { problem: 'no such resource' });
     }
   }
 
-  private async takeFaults(response: ServerResponse, body: FaultChangeBody): Promise<void> {
+  private async handleFaultChange(response: ServerResponse, body: FaultChangeBody): Promise<void> {
     const { closePortMs, ...faults } = body;
     response.writeHead(204).end();
-    await this.setFaults(this.readFaults(faults));
+    await this.setFaults(this.parseFaults(faults));
     if (closePortMs !== undefined) {
       this.closePortFor(closePortMs);
     }
   }
 
-  private readFaults(body: Omit<FaultChangeBody, 'closePortMs'>): ReplicaFaultChange {
+  private parseFaults(body: Omit<FaultChangeBody, 'closePortMs'>): ReplicaFaultChange {
     const { snapshots, ...rest } = body;
     if (snapshots === undefined) {
       return rest;
@@ -205,13 +205,13 @@
     };
   }
 
-  private takeLeg(request: IncomingMessage, response: ServerResponse, leg: LegRequest): void {
-    this.tickets += 1;
-    const ticket = this.tickets;
-    this.arrivals.note(performance.now());
-    const remaining = remainingOf(request);
+  private handleLeg(request: IncomingMessage, response: ServerResponse, leg: LegRequest): void {
+    this.lastTicket += 1;
+    const ticket = this.lastTicket;
+    this.arrivals.record(performance.now());
+    const remaining = remainingMsOf(request);
     this.open.set(ticket, { attempt: leg.attempt, response });
-    response.on('close', () => this.forget(ticket));
+    response.on('close', () => this.handleResponseClosed(ticket));
     response.shouldKeepAlive &&= this.server.listening;
     const arrived = performance.now();
     const opened = this.usableAt.get(request.socket) ?? 0;
@@ -233,16 +233,16 @@
       return;
     }
     this.model.submit(performance.now(), ticket, leg, remaining);
-    this.settle();
+    this.sendDueReplies();
   }
 
   private cancel(attempts: readonly string[]): void {
     this.model.cancel(performance.now(), attempts);
-    this.settle();
+    this.sendDueReplies();
   }
 
-  /** The caller has closed its connection before the reply: its attempt is given up. */
-  private forget(ticket: number): void {
+  /** Cancels the attempt of a request whose connection the caller closed before the reply. */
+  private handleResponseClosed(ticket: number): void {
     const open = this.open.get(ticket);
     if (open !== undefined) {
       this.open.delete(ticket);
@@ -259,8 +259,8 @@
     writeJson(response, 200, load);
   }
 
-  /** Sends the replies that are due and sets the timer for the next. */
-  private settle(): void {
+  /** Sends the replies that are due and schedules the next ones. */
+  private sendDueReplies(): void {
     for (const reply of this.model.advance(performance.now())) {
       this.reply(reply);
     }
@@ -269,7 +269,7 @@
     this.timer =
       next === undefined
         ? undefined
-        : setTimeout(() => this.settle(), Math.max(0, next - performance.now()));
+        : setTimeout(() => this.sendDueReplies(), Math.max(0, next - performance.now()));
   }
 
   private reply(reply: ReplicaReply): void {
--- a/src/standins/store-model/machine-list.ts
+++ b/src/standins/store-model/machine-list.ts
@@ -1,13 +1,13 @@
-/** The platform's list of machines, which shows changes late. */
+/** The platform's list of machines, which shows changes with a delay. */
 import type { Machine } from '../../catalog/store-object.js';
 
-/** Takes a machine off the list. */
+/** Removes a machine from the list. */
 export interface MachineGone {
   readonly id: string;
   readonly state: 'gone';
 }
 
-/** A change of the list. */
+/** Adds, changes or removes a machine. */
 export type MachineChange = Machine | MachineGone;
 
 interface DatedChange {
@@ -15,31 +15,31 @@
   readonly change: MachineChange;
 }
 
-/** Machines by id, with the changes that do not show yet. */
+/** The visible machines, by id, and the changes that are not visible yet. */
 export class MachineList {
-  private readonly shown = new Map<string, Machine>();
+  private readonly visible = new Map<string, Machine>();
   private pending: DatedChange[] = [];
 
-  /** Notes a change made at `at`. */
+  /** Records a change made at `at`. */
   change(at: number, change: MachineChange): void {
     this.pending.push({ at, change });
   }
 
-  /** The list as it shows at `at` with a lag of `lagMs`. */
+  /** Returns the list that is visible at `at` with a delay of `lagMs`. */
   list(at: number, lagMs: number): Machine[] {
-    const late = this.pending.filter((dated) => dated.at + lagMs > at);
+    const hidden = this.pending.filter((dated) => dated.at + lagMs > at);
     for (const dated of this.pending.filter((dated) => dated.at + lagMs <= at)) {
       this.show(dated.change);
     }
-    this.pending = late;
-    return [...this.shown.values()];
+    this.pending = hidden;
+    return [...this.visible.values()];
   }
 
   private show(change: MachineChange): void {
     if (change.state === 'gone') {
-      this.shown.delete(change.id);
+      this.visible.delete(change.id);
     } else {
-      this.shown.set(change.id, change);
+      this.visible.set(change.id, change);
     }
   }
 }
--- a/src/standins/store-model/store-faults.ts
+++ b/src/standins/store-model/store-faults.ts
@@ -1,24 +1,24 @@
-/** What can be made to go wrong at the platform's store. */
+/** Faults that can be injected into the platform's store. */
 
-/** Behaviour that may be changed while the store runs. */
+/** Behaviour of the store; may be changed while it runs. */
 export interface StoreFaults {
   /** Connections are closed without an answer, and watches end. */
   readonly down: boolean;
-  /** Each answer waits this long, in milliseconds. */
+  /** Delay of each answer, in milliseconds. */
   readonly delayMs: number;
   /** Share of accepted writes whose answer is lost after the write took effect, 0 to 1. */
   readonly loseAnswerShare: number;
-  /** Changes of the machine list show this much later, in milliseconds. */
+  /** Delay until changes of the machine list are visible, in milliseconds. */
   readonly machineListLagMs: number;
 }
 
 /** A change of some of the faults. */
 export interface StoreFaultChange extends Partial<StoreFaults> {
-  /** The store forgets, once, all writes after this revision. */
+  /** The store loses all writes after this revision once, when the change is made. */
   readonly rollBackTo?: number;
 }
 
-/** A store that behaves as it should. */
+/** Behaviour of a store without faults. */
 export const HEALTHY_STORE: StoreFaults = {
   down: false,
   delayMs: 0,
--- a/src/standins/store-model/store-model.ts
+++ b/src/standins/store-model/store-model.ts
@@ -1,7 +1,7 @@
 /**
- * The platform's object store as a pure model: objects with versions, compare-and-set, a feed of
- * changes, and a list of machines. Time is passed in; drivers add the delays and broken connections
- * that the faults ask for, and tell their watchers after each write.
+ * Model of the platform's object store without I/O or timers: versioned objects, compare-and-set, a
+ * change feed and a machine list. The time is passed in. Drivers implement the delays and broken
+ * connections of the faults and notify their watchers after each write.
  */
 import type { Machine, StoreContent, StoreObject } from '../../catalog/store-object.js';
 import { identifier, type ObjectName } from '../../core/identifiers.js';
@@ -9,29 +9,29 @@
 import { type MachineChange, MachineList } from './machine-list.js';
 import { HEALTHY_STORE, type StoreFaultChange, type StoreFaults } from './store-faults.js';
 
-/** Changes the store keeps for watchers; older ones are gone. */
+/** Maximum number of changes kept for watchers; older changes are dropped. */
 const CHANGE_LOG_LIMIT = 20_000;
 
-/** What the store starts with. */
+/** Options of a store model. */
 export interface StoreModelOptions {
   readonly objects: readonly StoreObject[];
   readonly seed: number;
-  /** Changes kept for watchers; `CHANGE_LOG_LIMIT` unless said otherwise. */
+  /** Maximum number of changes kept for watchers; `CHANGE_LOG_LIMIT` by default. */
   readonly changeLogLimit?: number;
 }
 
-/** How a write ended. */
+/** Outcome of a write. */
 export type WriteOutcome =
   | {
       readonly type: 'written';
       readonly version: number;
       readonly revision: number;
-      /** The write took effect, and its answer must not reach the writer. */
+      /** Whether the driver must drop the answer although the write took effect. */
       readonly answerLost: boolean;
     }
   | { readonly type: 'refused'; readonly version: number };
 
-/** Changes after a revision, or that they are no longer kept. */
+/** The changes after a revision; `gone` if they are no longer kept. */
 export type ChangesOutcome =
   | {
       readonly type: 'changes';
@@ -45,15 +45,15 @@
   ...new Map(objects.map((object) => [object.name, object])).values(),
 ];
 
-/** The store of one platform. */
+/** Model of the store of one platform. */
 export class StoreModel {
   private readonly random: Random;
   private readonly machineList = new MachineList();
   private readonly changeLogLimit: number;
-  /** All writes in order of revision, those before `firstKept` reduced to the last of each object. */
+  /** Writes by revision; those up to `compactedThrough` are reduced to the last of each object. */
   private log: StoreObject[];
   private current: Map<string, StoreObject>;
-  private firstKept = 0;
+  private compactedThrough = 0;
   private lastRevision: number;
   private faults: StoreFaults = HEALTHY_STORE;
 
@@ -65,7 +65,7 @@
     this.lastRevision = this.log.at(-1)?.revision ?? 0;
   }
 
-  /** The faults as they stand. */
+  /** The faults currently in effect. */
   get currentFaults(): StoreFaults {
     return this.faults;
   }
@@ -84,19 +84,19 @@
     }
   }
 
-  /** The object of this name, if there is one. */
+  /** Returns the object of this name; undefined if there is none. */
   read(name: string): StoreObject | undefined {
     return this.current.get(name);
   }
 
-  /** All objects whose last write is after `after`, oldest write first. */
+  /** Returns all objects whose last write is after revision `after`, oldest write first. */
   readAll(after: number): StoreObject[] {
     return [...this.current.values()]
       .filter((object) => object.revision > after)
       .sort((left, right) => left.revision - right.revision);
   }
 
-  /** Compare-and-set: writes if the object stands at `expectedVersion` (0: there is none). */
+  /** Writes an object if its version is `expectedVersion`; 0 means that it does not exist. */
   write(name: string, expectedVersion: number, content: StoreContent): WriteOutcome {
     const version = this.current.get(name)?.version ?? 0;
     if (version !== expectedVersion) {
@@ -111,45 +111,45 @@
     };
     this.current.set(name, object);
     this.log.push(object);
-    this.forgetOldChanges();
+    this.compactLog();
     const answerLost =
       this.faults.loseAnswerShare > 0 && this.random.next() < this.faults.loseAnswerShare;
     return { type: 'written', version: object.version, revision: object.revision, answerLost };
   }
 
-  /** What a watch after `after` delivers next; `through` is below `after` when the store rolled back. */
+  /** Returns the changes after `after`; `through` is below `after` if the store was rolled back. */
   changesAfter(after: number): ChangesOutcome {
-    if (after < this.firstKept) {
+    if (after < this.compactedThrough) {
       return { type: 'gone' };
     }
     const objects = latestOfEach(this.log.filter((object) => object.revision > after));
     return { type: 'changes', after, through: this.lastRevision, objects };
   }
 
-  /** The machines as the list shows them at `at`. */
+  /** Returns the machines that the list shows at `at`. */
   machines(at: number): Machine[] {
     return this.machineList.list(at, this.faults.machineListLagMs);
   }
 
-  /** A machine comes, changes or goes at `at`; the list shows it later. */
+  /** Adds, changes or removes a machine at `at`; the list shows the change with a delay. */
   changeMachine(at: number, change: MachineChange): void {
     this.machineList.change(at, change);
   }
 
-  private forgetOldChanges(): void {
+  private compactLog(): void {
     if (this.log.length <= this.changeLogLimit) {
       return;
     }
-    const dropped = this.log.length - Math.floor(this.changeLogLimit / 2);
-    const old = this.log.slice(0, dropped);
-    this.firstKept = old.at(-1)?.revision ?? this.firstKept;
-    this.log = [...latestOfEach(old), ...this.log.slice(dropped)];
+    const compactedCount = this.log.length - Math.floor(this.changeLogLimit / 2);
+    const old = this.log.slice(0, compactedCount);
+    this.compactedThrough = old.at(-1)?.revision ?? this.compactedThrough;
+    this.log = [...latestOfEach(old), ...this.log.slice(compactedCount)];
   }
 
   private rollBack(revision: number): void {
     this.log = this.log.filter((object) => object.revision <= revision);
     this.current = new Map(this.log.map((object) => [object.name, object]));
     this.lastRevision = Math.min(this.lastRevision, revision);
-    this.firstKept = Math.min(this.firstKept, this.lastRevision);
+    this.compactedThrough = Math.min(this.compactedThrough, this.lastRevision);
   }
 }
--- a/test/browser/edit.browser.ts
+++ b/test/browser/edit.browser.ts
@@ -3,7 +3,7 @@
 import { afterAll, afterEach, beforeAll, beforeEach, describe, expect, it } from 'vitest';
 import { LocalTier, placesInZones } from '../../src/demo/local-tier.js';
 import { demoSecret } from '../../src/deployments/demo-keys.js';
-import { deploymentsNamed } from '../../src/deployments/deployments.js';
+import { findDeployments } from '../../src/deployments/deployments.js';
 import { ENSEMBLE, TAWE } from '../operator/operator-fixture.js';
 
 const EXECUTABLE = process.env.CHROMIUM ?? '/usr/bin/chromium';
@@ -68,7 +68,7 @@
 };
 
 beforeAll(async () => {
-  const deployments = deploymentsNamed('both');
+  const deployments = findDeployments('both');
   tier = await LocalTier.start({ deployments, nodes: placesInZones(deployments, 3), seed: 1 });
   browser = await chromium.launch({ executablePath: EXECUTABLE, args: FLAGS });
 });
--- a/test/demo/demo.test.ts
+++ b/test/demo/demo.test.ts
@@ -1,11 +1,11 @@
 import { describe, expect, it } from 'vitest';
 import { runDemo } from '../../src/demo/run-demo.js';
-import { deploymentsNamed } from '../../src/deployments/deployments.js';
+import { findDeployments } from '../../src/deployments/deployments.js';
 import { formatRun } from '../../src/reports/kind-table.js';
 
 const run = (interrupted: AbortSignal, seconds: number) =>
   runDemo({
-    deployments: deploymentsNamed('both'),
+    deployments: findDeployments('both'),
     seconds,
     seed: 1,
     queriesPerSecond: 20,
@@ -13,8 +13,8 @@
     interrupted,
   });
 
-describe('the demo', () => {
-  it('answers callers of both partners without breaking a promise', async () => {
+describe('demo', () => {
+  it('answers callers of both partners without violating an invariant', async () => {
     const result = await run(new AbortController().signal, 3);
     expect(result.violations).toEqual([]);
     expect(new Set(result.kinds.map(({ partner }) => partner))).toEqual(
@@ -26,12 +26,12 @@
     expect(formatRun(result)).toContain('violations: 0');
   });
 
-  it('ends at once when it is interrupted', async () => {
+  it('ends early when it is interrupted', async () => {
     const result = await run(AbortSignal.timeout(200), 3_600);
     expect(result.violationCount).toBe(0);
   });
 
-  it('ends at once when it is interrupted before its callers begin', async () => {
+  it('ends early when it is interrupted before the load begins', async () => {
     const result = await run(AbortSignal.abort(), 3_600);
     expect(result.violationCount).toBe(0);
   });
--- a/test/editing/editing.test.ts
+++ b/test/editing/editing.test.ts
@@ -6,7 +6,7 @@
 } from '../../src/core/editing/bounds.js';
 import { identifier } from '../../src/core/identifiers.js';
 import { step } from '../../src/core/reducer.js';
-import { deploymentsNamed } from '../../src/deployments/deployments.js';
+import { findDeployments } from '../../src/deployments/deployments.js';
 import { buildInitialObjects } from '../../src/deployments/initial-objects.js';
 import type { EditOutcome } from '../../src/table/edit.js';
 import { HISTORY_LIMIT, type Sheet } from '../../src/table/sheet.js';
@@ -111,7 +111,7 @@
 
   it('is accepted with warnings based on the services and legs that the node knows', () => {
     const address = () => ({ host: '127.0.0.1', port: 9 });
-    const objects = buildInitialObjects(deploymentsNamed('ensemble'), address);
+    const objects = buildInitialObjects(findDeployments('ensemble'), address);
     const world = new EditingWorld({ nodes: 1, seed: 1, step, objects });
     const row = { route: 'new', concurrentLimit: 3, deadlineMs: 30 };
     const edit = (id: string) => editRows([setRow({ ...row, kind: id })], { edit: id });
--- a/test/operator/http-fuzz.test.ts
+++ b/test/operator/http-fuzz.test.ts
@@ -8,7 +8,7 @@
 import { identifier, type ObjectName } from '../../src/core/identifiers.js';
 import { step } from '../../src/core/reducer.js';
 import { demoSecret } from '../../src/deployments/demo-keys.js';
-import { deploymentsNamed } from '../../src/deployments/deployments.js';
+import { findDeployments } from '../../src/deployments/deployments.js';
 import { buildInitialObjects } from '../../src/deployments/initial-objects.js';
 import { createOperatorApp } from '../../src/operator/create-operator-app.js';
 import type { OperatorProblem } from '../../src/operator/problem.js';
@@ -149,7 +149,7 @@
 /** A node of the real core before the store model, with its operator port. */
 const createServedWorld = () => {
   const address = () => ({ host: '127.0.0.1', port: 9 });
-  const objects = buildInitialObjects(deploymentsNamed('both'), address);
+  const objects = buildInitialObjects(findDeployments('both'), address);
   const world = new EditingWorld({ nodes: 1, seed: 7, step, objects });
   const fixture = createOperatorFixture();
   const core = world.nodes[0]?.core ?? fixture.state;
--- a/test/plan/create-plan.test.ts
+++ b/test/plan/create-plan.test.ts
@@ -2,7 +2,7 @@
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { runCommandLine } from '../../src/cli/run-command-line.js';
 import { connectionsOfFeeder, slotsOfFeeder } from '../../src/core/replica/feeder-share.js';
-import { deploymentsNamed } from '../../src/deployments/deployments.js';
+import { findDeployments } from '../../src/deployments/deployments.js';
 import { createPlan } from '../../src/plan/create-plan.js';
 import { FIRST_COST_SLOPES, type PlanInput } from '../../src/plan/plan-input.js';
 import { planOfDeployments } from '../../src/plan/plan-of-deployments.js';
@@ -80,7 +80,7 @@
   });
 
   it('reads the sizes of both deployments, and they fit', () => {
-    const backends = planOfDeployments(deploymentsNamed('both'));
+    const backends = planOfDeployments(findDeployments('both'));
     const plan = createPlan({ ...SMALL, ...backends, nodes: 7 });
     const shares = backends.routes.reduce((sum, { share }) => sum + share, 0);
     expect(shares).toBeCloseTo(1);
--- a/test/standins/deployments.test.ts
+++ b/test/standins/deployments.test.ts
@@ -15,14 +15,14 @@
 };
 
 describe('deployments', () => {
-  it('have the sizes of today', () => {
+  it('have the current sizes of the partners', () => {
     expect(placeReplicas(ENSEMBLE)).toHaveLength(16 + 24 + 14 + 7);
     expect(placeReplicas(TAWE)).toHaveLength(16 + 24 + 4 + 3);
     expect(countByService(ENSEMBLE).get('booking-desk-8')).toBe(2);
     expect(countByService(TAWE).get('ledger-desk')).toBe(4);
   });
 
-  it('put the replicas of a service of two into different zones', () => {
+  it('place the two replicas of a service in different zones', () => {
     for (const deployment of [ENSEMBLE, TAWE]) {
       const zones = placeReplicas(deployment)
         .filter(({ group }) => group.replicasPerService === 2)
@@ -34,7 +34,7 @@
     }
   });
 
-  it('give objects from which a configuration in force follows', () => {
+  it('provide initial objects that form a complete configuration in force', () => {
     const objects = buildInitialObjects([ENSEMBLE, TAWE], () => ({ host: '127.0.0.1', port: 1 }));
     const inForce = deriveInForce(objects);
     expect(inForce.rows.size).toBe(ENSEMBLE.rows.length + TAWE.rows.length);
@@ -47,7 +47,7 @@
     expect(new Set(objects.map(({ name }) => name)).size).toBe(objects.length);
   });
 
-  it('scale up for simulations', () => {
+  it('scale the numbers of services and replicas', () => {
     const scaled = scaleDeployment(ENSEMBLE, { services: 10, replicas: 3 });
     expect(placeReplicas(scaled)).toHaveLength(80 * 6 + 120 * 6 + 10 * 42 + 10 * 21);
   });
--- a/test/standins/servers.test.ts
+++ b/test/standins/servers.test.ts
@@ -33,14 +33,14 @@
   return { server, base: `http://${HOST}:${port}` };
 };
 
-describe('a fleet of replicas', () => {
-  it('leaves no port open when one of them is taken', async () => {
+describe('replica fleet', () => {
+  it('closes all ports when one of them is already in use', async () => {
     const placed = placeReplicas(TAWE).map(({ replica }) => replica);
-    const taken = await startReplica();
-    const [free = 0] = await findFreePorts(1);
+    const occupied = await startReplica();
+    const [freePort = 0] = await findFreePorts(1);
     const ports = new Map([
-      [placed[0], free],
-      [placed.at(-1), Number(new URL(taken.base).port)],
+      [placed[0], freePort],
+      [placed.at(-1), Number(new URL(occupied.base).port)],
     ]);
     const started = ReplicaFleet.start({
       deployments: [TAWE],
@@ -50,7 +50,7 @@
       networkDelayMs: () => 0,
     });
     await expect(started).rejects.toThrow('EADDRINUSE');
-    await expect(fetch(`http://${HOST}:${free}/`)).rejects.toThrow();
+    await expect(fetch(`http://${HOST}:${freePort}/`)).rejects.toThrow();
   });
 });
 
@@ -112,7 +112,7 @@
     expect(await ran.json()).toMatchObject({ ran: [{ attempt: 'a', finished: true }] });
   });
 
-  it('answers 499 to a cancelled leg at once and 503 while it sheds', async () => {
+  it('answers a cancelled leg immediately with 499, and legs with 503 while shedding', async () => {
     const { server, base } = await startReplica();
     await server.setFaults({ slowFactor: 100_000 });
     const pending = fetch(`${base}/v1/leg`, leg('a', 60_000));
@@ -127,7 +127,7 @@
     expect(await refused.json()).toMatchObject({ outcome: 'not-run', reason: 'shedding' });
   });
 
-  it('finishes what runs when it closes its port, takes no connection, and opens it again', async () => {
+  it('finishes running requests and refuses connections until it reopens its port', async () => {
     const { server, base } = await startReplica();
     await server.setFaults({ slowFactor: 50 });
     const pending = fetch(`${base}/v1/leg`, leg('a', 60_000));
@@ -146,7 +146,7 @@
     expect(arrivals[0]).toBeLessThan(now);
   });
 
-  it('answers 410 for a snapshot it does not hold, until it does', async () => {
+  it('answers 410 for a snapshot until it holds it', async () => {
     const { base } = await startReplica();
     await fetch(`${base}/v1/faults`, { method: 'POST', body: '{"snapshots":[2]}' });
     const gone = await fetch(`${base}/v1/leg`, leg('a'));
@@ -156,7 +156,7 @@
     expect((await fetch(`${base}/v1/leg`, leg('b'))).status).toBe(200);
   });
 
-  it('refuses connections while dead and serves on the same port afterwards', async () => {
+  it('refuses connections while dead and reopens the same port afterwards', async () => {
     const { server, base } = await startReplica();
     await server.setFaults({ dead: true });
     await expect(fetch(`${base}/v1/leg`, leg('a'))).rejects.toThrow();
@@ -164,7 +164,7 @@
     expect((await fetch(`${base}/v1/leg`, leg('b'))).status).toBe(200);
   });
 
-  it('cuts answers off when asked to', async () => {
+  it('truncates answers according to its faults', async () => {
     const { server, base } = await startReplica();
     await server.setFaults({ truncatedShare: 1 });
     await expect(
@@ -172,7 +172,7 @@
     ).rejects.toThrow();
   });
 
-  it('starts the replicas of a deployment, each with its own faults', async () => {
+  it('starts all replicas of a deployment and changes the faults of some of them', async () => {
     const fleet = await ReplicaFleet.start({
       deployments: [TAWE],
       host: HOST,
@@ -180,8 +180,10 @@
       networkDelayMs: () => 0,
     });
     closers.push(() => fleet.close());
-    const hit = await fleet.setFaults(({ service }) => service === 'ledger-desk', { dead: true });
-    expect(hit).toBe(4);
+    const changed = await fleet.setFaults(({ service }) => service === 'ledger-desk', {
+      dead: true,
+    });
+    expect(changed).toBe(4);
     const objects = buildInitialObjects([TAWE], fleet.addressOf);
     const ports = objects.flatMap(({ content }) =>
       content.type === 'status' ? content.status.replicas.map(({ port }) => port) : [],
@@ -203,7 +205,7 @@
     expect((await fetch(`${base}/v1/objects/none`)).status).toBe(404);
   });
 
-  it('feeds changes to a watch as they happen', async () => {
+  it('sends changes to a watch when they are written', async () => {
     const { base } = await startPlatform();
     const watch = await fetch(`${base}/v1/watch?after=0`);
     const lines = readLines(watch);
@@ -217,7 +219,7 @@
     await lines.return(undefined);
   });
 
-  it('loses the answer of a write that took effect', async () => {
+  it('drops the answer of a write that took effect', async () => {
     const { server, base } = await startPlatform();
     server.setFaults({ loseAnswerShare: 1 });
     await expect(put(base, 0)).rejects.toThrow();
@@ -235,7 +237,7 @@
     expect(await (await fetch(`${base}/v1/objects`)).json()).toEqual({ revision: 0, objects: [] });
   });
 
-  it('shows an older state after it rolled back', async () => {
+  it('sends a lower revision to watches after a rollback', async () => {
     const { server, base } = await startPlatform();
     await put(base, 0);
     await put(base, 1);
--- a/test/standins/share-group.test.ts
+++ b/test/standins/share-group.test.ts
@@ -13,13 +13,13 @@
     .filter(({ group }) => group.name === DESK.name)
     .map(({ service, replica, zone }) => ({ service, replica, zone }));
 
-describe('a group that two partners share', () => {
+describe('group shared by two partners', () => {
   it('has the same replicas in the same zones for both', () => {
     expect(listDesk(SHARED)).toHaveLength(16);
     expect(listDesk(SHARED)).toEqual(listDesk(ENSEMBLE));
   });
 
-  it('takes the place of what the wide rows of the borrower used, and of nothing else', () => {
+  it('replaces only the services that the multi-service rows of the borrower used', () => {
     const servicesOf = (route: string): unknown[] =>
       SHARED.rows.filter((row) => row.route === route).map(({ services }) => services);
     expect(servicesOf('quote')).toEqual([['booking-desk-*']]);
--- a/test/standins/store-model.test.ts
+++ b/test/standins/store-model.test.ts
@@ -28,7 +28,7 @@
   ({ id, host: '127.0.0.1', port: 1, zone: 'bole', state: 'live' }) as const;
 
 describe('store model', () => {
-  it('writes only on the version that stands', () => {
+  it('writes only if the expected version is the current one', () => {
     const model = createModel();
     expect(model.write('a', 1, content(0))).toEqual({ type: 'refused', version: 0 });
     expect(model.write('a', 0, content(0))).toMatchObject({ version: 1, revision: 1 });
@@ -38,7 +38,7 @@
     expect(model.read('b')).toBeUndefined();
   });
 
-  it('feeds the last state of each object changed', () => {
+  it('returns the last state of each changed object', () => {
     const model = createModel();
     model.write('a', 0, content(0));
     model.write('b', 0, content(0));
@@ -51,7 +51,7 @@
     expect(model.readAll(2).map(({ name }) => name)).toEqual(['a']);
   });
 
-  it('says so when changes are no longer kept, and still has every object', () => {
+  it('reports changes that are no longer kept as gone and still returns every object', () => {
     const model = createModel(10);
     model.write('kept', 0, content(0));
     for (let version = 0; version < 20; version += 1) {
@@ -62,7 +62,7 @@
     expect(model.readAll(0).map(({ name }) => name)).toEqual(['kept', 'a']);
   });
 
-  it('loses answers of writes that took effect', () => {
+  it('marks the answers of accepted writes as lost according to its faults', () => {
     const model = createModel();
     model.setFaults({ loseAnswerShare: 1 });
     expect(model.write('a', 0, content(0))).toMatchObject({ type: 'written', answerLost: true });
@@ -86,7 +86,7 @@
     });
   });
 
-  it('shows changes of the machine list late, in both directions', () => {
+  it('delays the appearance and removal of machines in the machine list', () => {
     const model = createModel();
     model.setFaults({ machineListLagMs: 100 });
     model.changeMachine(0, machine('m1'));
--- a/test/table/check-command.test.ts
+++ b/test/table/check-command.test.ts
@@ -3,7 +3,7 @@
 import { join } from 'node:path';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { runCommandLine } from '../../src/cli/run-command-line.js';
-import { deploymentsNamed } from '../../src/deployments/deployments.js';
+import { findDeployments } from '../../src/deployments/deployments.js';
 import { formatSheetCsv } from '../../src/table/sheet-csv.js';
 
 const example = (name: string): string =>
@@ -73,7 +73,7 @@
 
 describe('the example sheets', () => {
   it.each(['ensemble', 'tawe'] as const)('%s.csv is what the export writes', (name) => {
-    const rows = deploymentsNamed(name).flatMap((deployment) => deployment.rows);
+    const rows = findDeployments(name).flatMap((deployment) => deployment.rows);
     expect(readFileSync(example(`${name}.csv`), 'utf8')).toBe(formatSheetCsv(rows));
   });
 });
--- a/test/table/table-command.test.ts
+++ b/test/table/table-command.test.ts
@@ -9,7 +9,7 @@
 import { KEY_VARIABLE, OPERATOR_VARIABLE } from '../../src/cli/operator/operator-flags.js';
 import { step } from '../../src/core/reducer.js';
 import { demoSecret } from '../../src/deployments/demo-keys.js';
-import { deploymentsNamed } from '../../src/deployments/deployments.js';
+import { findDeployments } from '../../src/deployments/deployments.js';
 import { buildInitialObjects } from '../../src/deployments/initial-objects.js';
 import { identifier, type EditId, type NodeId, type ZoneName } from '../../src/core/identifiers.js';
 import { createNodeMetrics } from '../../src/metrics/node-metrics.js';
@@ -81,7 +81,7 @@
   startingAnswers = 0;
   folder = mkdtempSync(join(tmpdir(), 'crossroad-table-'));
   const address = () => ({ host: '127.0.0.1', port: 9 });
-  const objects = buildInitialObjects(deploymentsNamed('both'), address);
+  const objects = buildInitialObjects(findDeployments('both'), address);
   world = new EditingWorld({ nodes: 1, seed: 7, step, objects });
   output = { out: '', error: '' };
   vi.spyOn(process.stdout, 'write').mockImplementation((text) => {
