--- a/test/admission/histories.test.ts
+++ b/test/admission/histories.test.ts
@@ -7,7 +7,7 @@
 import type { GrantRequest } from '../../src/protocol/grant-messages.js';
 import type { Simulation } from '../../src/simulation/simulation.js';
 import type { StepFunction } from '../../src/simulation/node-environment.js';
-import { carryOutFault, faultAction, type FaultAction } from '../support/fault-actions.js';
+import { applyFault, faultAction, type FaultAction } from '../support/fault-actions.js';
 import {
   CONCURRENT_LIMIT,
   createLimitWorld,
@@ -69,7 +69,7 @@
     if (isLoad(action)) {
       sendLoadAction(simulation, action);
     } else {
-      carryOutFault(simulation, action, NODES, ZONES);
+      applyFault(simulation, action, NODES, ZONES);
     }
   }
   simulation.runFor(10_000);
--- a/test/configuration/configuration.test.ts
+++ b/test/configuration/configuration.test.ts
@@ -27,7 +27,8 @@
   const cluster = createCluster(seed, lossShare);
   cluster.startMany(count, ZONES);
   cluster.runUntil(
-    () => cluster.isWhole() && cluster.running().every((node) => node.state.phase === 'serving'),
+    () =>
+      cluster.isConverged() && cluster.running().every((node) => node.state.phase === 'serving'),
     10_000,
   );
   cluster.run(5_000);
@@ -189,7 +190,7 @@
     const cluster = startServing(11, 28);
     cluster.store.down = true;
     cluster.run(600_000);
-    expect(cluster.isWhole()).toBe(true);
+    expect(cluster.isConverged()).toBe(true);
     expect(cluster.running().every((node) => node.state.phase === 'serving')).toBe(true);
     cluster.store.down = false;
     cluster.storeRequests = [];
--- a/test/configuration/push-deltas.test.ts
+++ b/test/configuration/push-deltas.test.ts
@@ -31,7 +31,8 @@
       cluster.startMany(12, ['bole', 'arada']);
       cluster.runUntil(
         () =>
-          cluster.isWhole() && cluster.running().every(({ state }) => state.phase === 'serving'),
+          cluster.isConverged() &&
+          cluster.running().every(({ state }) => state.phase === 'serving'),
         10_000,
       );
       cluster.run(5_000);
--- a/test/configuration/store-hint.test.ts
+++ b/test/configuration/store-hint.test.ts
@@ -22,7 +22,8 @@
     cluster.store.write('sheet/ensemble', sheetOf('ensemble'));
     cluster.startMany(12, ZONES);
     cluster.runUntil(
-      () => cluster.isWhole() && cluster.running().every(({ state }) => state.phase === 'serving'),
+      () =>
+        cluster.isConverged() && cluster.running().every(({ state }) => state.phase === 'serving'),
       10_000,
     );
     cluster.run(3_000);
--- a/test/fuzz/actions.ts
+++ b/test/fuzz/actions.ts
@@ -1,4 +1,4 @@
-/** Arbitrary actions for stateful fuzzing. */
+/** Arbitraries of the actions for stateful fuzzing. */
 import fc from 'fast-check';
 import {
   type Action,
@@ -61,14 +61,14 @@
   fault: fc.constantFrom('none', ...REPLICA_FAULT_NAMES),
 });
 
-/** Longer than leases (2 s) and grants (8 s) run, or shorter. */
+/** Pauses shorter and longer than the terms of leases (2 s) and grants (8 s). */
 const nap: fc.Arbitrary<Action> = fc.record({
   type: fc.constant('nap'),
   node: index,
   ms: fc.constantFrom(300, 2_500, 9_000),
 });
 
-/** A fault in the moment of something else. */
+/** A fault that is triggered by an event. */
 const trap: fc.Arbitrary<Action> = fc.record({
   type: fc.constant('trap'),
   moment: fc.constantFrom(...MOMENT_NAMES),
@@ -119,7 +119,7 @@
   writes: fc.integer({ min: 1, max: 5 }),
 });
 
-/** Any action, those that callers do the most often. */
+/** Any action; actions of callers and the passing of time are the most frequent. */
 export const anyAction: fc.Arbitrary<Action> = fc.oneof(
   { arbitrary: query, weight: 6 },
   { arbitrary: book, weight: 5 },
--- a/test/fuzz/commands.ts
+++ b/test/fuzz/commands.ts
@@ -1,4 +1,4 @@
-/** Commands of the stateful fuzzer: each does one action to the real cores and checks the oracle. */
+/** Commands of the stateful fuzzer: each performs an action on real cores and checks invariants. */
 import fc from 'fast-check';
 import type { Action, History } from '../../src/simulation/history/action.js';
 import { worldOf } from '../../src/simulation/history/run-history.js';
@@ -8,17 +8,17 @@
 import type { StepFunction } from '../../src/simulation/node-environment.js';
 import { anyAction } from './actions.js';
 
-/** What the oracle knows of the processes, to leave out actions that do nothing. */
+/** Model of the processes' states, used to skip actions that would have no effect. */
 export interface ProcessModel {
   readonly states: ('running' | 'paused' | 'down')[];
-  /** The actions done so far; those left out are not among them. */
+  /** The actions performed so far, without those that were skipped. */
   readonly done: Action[];
 }
 
 class ActionCommand implements fc.Command<ProcessModel, Tier> {
   constructor(
     readonly action: Action,
-    private readonly expectPromisesKept: (tier: Tier) => void,
+    private readonly checkInvariants: (tier: Tier) => void,
   ) {}
 
   check({ states }: Readonly<ProcessModel>): boolean {
@@ -45,10 +45,10 @@
   run(model: ProcessModel, tier: Tier): void {
     model.done.push(this.action);
     tier.apply(this.action);
-    [...tier.simulation.nodes.values()].forEach((node, place) => {
-      model.states[place] = node.processState;
+    [...tier.simulation.nodes.values()].forEach((node, position) => {
+      model.states[position] = node.processState;
     });
-    this.expectPromisesKept(tier);
+    this.checkInvariants(tier);
   }
 
   toString(): string {
@@ -56,44 +56,44 @@
   }
 }
 
-/** A broken promise; its message names it. */
-export class BrokenPromise extends Error {
+/** Thrown when an invariant is violated; the message names the invariant. */
+export class InvariantViolationError extends Error {
   constructor(readonly violation: Violation) {
     super(`${violation.invariant} at ${violation.at} ms: ${violation.detail}`);
   }
 }
 
-const expectKept =
+const throwOnViolation =
   (only: PromiseName | undefined) =>
   (tier: Tier): void => {
     const violation = tier.violations.find(
       ({ invariant }) => only === undefined || invariant === only,
     );
     if (violation !== undefined) {
-      throw new BrokenPromise(violation);
+      throw new InvariantViolationError(violation);
     }
   };
 
-/** A history that broke a promise, as short as the fuzzer could make it. */
+/** A history that failed, shrunk by the fuzzer. */
 export interface Failure {
   readonly history: History;
   readonly problem: string;
-  /** Histories run until the first failure. */
+  /** Number of histories run until the first failure. */
   readonly runs: number;
 }
 
-/** What the fuzzer is told. */
+/** Options of the fuzzer. */
 export interface FuzzOptions {
   readonly seed: number;
   readonly runs: number;
   readonly maxActions?: number;
-  /** Breaks the core on purpose; called once for each history. */
+  /** Creates a faulty step function; called once for each history. */
   readonly createStep?: () => StepFunction;
-  /** Replaces the actions drawn. */
+  /** Replaces the default arbitrary of the actions. */
   readonly actions?: fc.Arbitrary<Action>;
-  /** Looks at this promise only. */
+  /** The only invariant that is checked; all invariants when absent. */
   readonly only?: PromiseName;
-  /** Takes the first failure as it is, without looking for a shorter one. */
+  /** Whether to return the first failure without shrinking it. */
   readonly endOnFailure?: boolean;
 }
 
@@ -102,8 +102,8 @@
 
 const WORLD = { world: 'small', nodesPerZone: NODES_PER_ZONE } as const;
 
-/** Runs one history; throws when a promise breaks or the tier itself fails. */
-const runOne = (
+/** Runs one history; throws if an invariant is violated or the tier itself fails. */
+const runSequence = (
   { createStep, only }: FuzzOptions,
   seed: number,
   model: ProcessModel,
@@ -114,33 +114,33 @@
   model.states.push(...[...tier.simulation.nodes.values()].map((node) => node.processState));
   fc.modelRun(() => ({ model, real: tier }), sequence);
   tier.settle();
-  expectKept(only)(tier);
+  throwOnViolation(only)(tier);
 };
 
-const historyOf = (seed: number, actions: readonly Action[], error: unknown): History => ({
+const buildHistory = (seed: number, actions: readonly Action[], error: unknown): History => ({
   format: 'crossroad-history',
   version: 1,
   seed,
   ...WORLD,
   actions: [...actions],
-  ...(error instanceof BrokenPromise && { broke: error.violation }),
+  ...(error instanceof InvariantViolationError && { broke: error.violation }),
 });
 
-/** Runs histories until a promise breaks; undefined when none did. */
+/** Runs histories until one fails; returns undefined if none does. */
 export const fuzz = (options: FuzzOptions): Failure | undefined => {
   const arbitrary = options.actions ?? anyAction;
   const commands = fc.commands(
-    [arbitrary.map((action) => new ActionCommand(action, expectKept(options.only)))],
+    [arbitrary.map((action) => new ActionCommand(action, throwOnViolation(options.only)))],
     { maxCommands: options.maxActions ?? MAX_ACTIONS, size: 'max' },
   );
-  /** The last one to fail is the shortest: fast-check goes on from failures only. */
+  /** The last history that failed is the shortest: fast-check shrinks from failures only. */
   let shortest: Pick<Failure, 'history' | 'problem'> | undefined;
   const property = fc.property(fc.nat(1_000_000), commands, (seed, sequence) => {
     const model: ProcessModel = { states: [], done: [] };
     try {
-      runOne(options, seed, model, sequence);
+      runSequence(options, seed, model, sequence);
     } catch (error) {
-      shortest = { history: historyOf(seed, model.done, error), problem: String(error) };
+      shortest = { history: buildHistory(seed, model.done, error), problem: String(error) };
       throw error;
     }
   });
--- a/test/fuzz/fuzz.test.ts
+++ b/test/fuzz/fuzz.test.ts
@@ -5,7 +5,7 @@
 const RUNS_PER_SEED = 40;
 
 describe('stateful fuzzing', () => {
-  it.each(SEEDS)('breaks none of the promises, seed %i', (seed) => {
+  it.each(SEEDS)('violates no invariant, seed %i', (seed) => {
     expect(fuzz({ seed, runs: RUNS_PER_SEED })).toBeUndefined();
   });
 });
--- a/test/fuzz/long.fuzz.ts
+++ b/test/fuzz/long.fuzz.ts
@@ -1,4 +1,4 @@
-/** The long run of `npm run fuzz`: as many histories as asked for, and a file of a failure. */
+/** Long run of `npm run fuzz`: runs `FUZZ_RUNS` histories and writes a failing one to a file. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { expect, it } from 'vitest';
 import { encodeHistory } from '../../src/replay/history-file.js';
@@ -8,14 +8,14 @@
 const runs = Number(process.env['FUZZ_RUNS'] ?? '1000');
 const directory = 'out/fuzz';
 
-it(`breaks none of the promises in ${runs} histories, seed ${seed}`, { timeout: 3_600_000 }, () => {
+it(`violates no invariant in ${runs} histories, seed ${seed}`, { timeout: 3_600_000 }, () => {
   const failure = fuzz({ seed, runs });
   if (failure !== undefined) {
     mkdirSync(directory, { recursive: true });
     const file = `${directory}/history-${seed}.json`;
     writeFileSync(file, encodeHistory(failure.history));
-    process.stderr.write(`fuzz: history ${failure.runs} broke a promise: ${failure.problem}\n`);
-    process.stderr.write(`fuzz: the shortest history is in ${file}; run it again with\n`);
+    process.stderr.write(`fuzz: history ${failure.runs} failed: ${failure.problem}\n`);
+    process.stderr.write(`fuzz: the shortest history found is in ${file}; replay it with\n`);
     process.stderr.write(`fuzz:   crossroad replay ${file}\n`);
   }
   expect(failure?.problem).toBeUndefined();
--- a/test/fuzz/mutations.test.ts
+++ b/test/fuzz/mutations.test.ts
@@ -5,30 +5,33 @@
 import { fuzz } from './commands.js';
 import { MUTATIONS } from './mutations.js';
 
-/** Histories within which each broken core must be caught. */
+/** Maximum number of histories within which each faulty core must be detected. */
 const HISTORIES = 1_000;
 const SEED = 20_261_202;
 
-describe('a broken core', () => {
-  it('is there for each promise', () => {
+describe('mutated core', () => {
+  it('exists for each invariant', () => {
     expect(new Set(MUTATIONS.map(({ promise }) => promise))).toEqual(new Set(PROMISE_NAMES));
   });
 
-  it.each(MUTATIONS)('is caught: $promise, by $name', ({ promise, createStep }) => {
-    const failure = fuzz({
-      seed: SEED,
-      runs: HISTORIES,
-      only: promise,
-      endOnFailure: true,
-      createStep,
-    });
-    expect(failure?.problem).toContain(promise);
-    const history = failure?.history as History;
-    const broken = replayHistory(history, createStep()).unsafeCoerce();
-    expect(broken).toMatchObject({ sameAgain: true });
-    expect(replayHistory(history).unsafeCoerce()).toMatchObject({
-      sameAgain: false,
-      violations: [],
-    });
-  });
+  it.each(MUTATIONS)(
+    'with $name is detected by the check of $promise',
+    ({ promise, createStep }) => {
+      const failure = fuzz({
+        seed: SEED,
+        runs: HISTORIES,
+        only: promise,
+        endOnFailure: true,
+        createStep,
+      });
+      expect(failure?.problem).toContain(promise);
+      const history = failure?.history as History;
+      const broken = replayHistory(history, createStep()).unsafeCoerce();
+      expect(broken).toMatchObject({ sameAgain: true });
+      expect(replayHistory(history).unsafeCoerce()).toMatchObject({
+        sameAgain: false,
+        violations: [],
+      });
+    },
+  );
 });
--- a/test/fuzz/mutations.ts
+++ b/test/fuzz/mutations.ts
@@ -1,6 +1,6 @@
 /**
- * Ways to break the core, one for each promise, by wrapping its step. They live with the tests: the
- * core has no switch for them.
+ * Mutations of the core that violate each invariant by wrapping the step function. They belong to
+ * the tests; the core itself has no switch for them.
  */
 import type { StoreObject } from '../../src/catalog/store-object.js';
 import { deriveInForce } from '../../src/core/configuration/derive-in-force.js';
@@ -13,11 +13,11 @@
 import type { PromiseName } from '../../src/protocol/promise-name.js';
 import type { StepFunction } from '../../src/simulation/node-environment.js';
 
-/** A broken core. */
+/** A faulty variant of the core. */
 export interface Mutation {
   readonly promise: PromiseName;
   readonly name: string;
-  /** Creates the step; each run of a history has one of its own. */
+  /** Creates the step function; each run of a history uses its own. */
   readonly createStep: () => StepFunction;
 }
 
@@ -42,17 +42,17 @@
   return event;
 };
 
-/** Feeders ask for another snapshot than the one pinned, and nobody compares the answer's. */
+/** Feeders request a snapshot other than the pinned one, and answers are not checked for it. */
 const createMixedSnapshots = (): StepFunction => {
   const pinned = new Map<string, number>();
   return (state, event) => {
-    const trusting = mapResults(event, (result) => {
+    const unverified = mapResults(event, (result) => {
       const snapshot = pinned.get(result.attempt);
       return result.outcome.type === 'answered' && snapshot !== undefined
         ? { ...result, outcome: { ...result.outcome, snapshot } }
         : result;
     });
-    return step(state, trusting).map((effect) => {
+    return step(state, unverified).map((effect) => {
       if (effect.type !== 'send-attempt') {
         return effect;
       }
@@ -64,7 +64,7 @@
   };
 };
 
-/** Missing shards are left out of the answer and counted as if they had contributed. */
+/** Missing shards are not listed in the answer and are counted as contributing. */
 const claimFullCoverage: MapEffect = (effect) => {
   if (effect.type !== 'answer-caller' || effect.outcome.type !== 'answered') {
     return [effect];
@@ -73,7 +73,7 @@
   return [{ ...effect, outcome: { ...outcome, contributed: outcome.shards, missing: [] } }];
 };
 
-/** Two calls in progress at one node get each other's answer. */
+/** Two calls in progress at one node receive each other's answers. */
 const createSwappedCalls = (): StepFunction => {
   const partners = new Map<CallId, CallId>();
   const open = new WeakMap<CoreState, CallId>();
@@ -96,17 +96,17 @@
   };
 };
 
-/** The answer of another request is taken for one's own. */
-const createTrustedAnswers = (): StepFunction => {
+/** Answers that belong to another request are accepted. */
+const createUnverifiedAnswers = (): StepFunction => {
   const requestOf = new Map<string, string>();
   return (state, event) => {
-    const trusting = mapResults(event, (result) => {
+    const unverified = mapResults(event, (result) => {
       const request = requestOf.get(result.attempt);
       return result.outcome.type === 'answered' && request !== undefined
         ? { ...result, outcome: { ...result.outcome, request: request as never } }
         : result;
     });
-    const effects = step(state, trusting);
+    const effects = step(state, unverified);
     for (const effect of effects) {
       if (effect.type === 'send-attempt') {
         requestOf.set(effect.leg.attempt, effect.context.request);
@@ -116,8 +116,8 @@
   };
 };
 
-/** What may have run is reported as not run. */
-const denyUnknown: MapEffect = (effect) => {
+/** Requests that may have run are reported as not run. */
+const reportUnknownAsNotRun: MapEffect = (effect) => {
   if (effect.type !== 'answer-caller' || effect.outcome.type !== 'unknown') {
     return [effect];
   }
@@ -125,11 +125,11 @@
   return [{ ...effect, outcome: { type: 'not-run', request, reason: 'legs-refused', cost } }];
 };
 
-/** An attempt that may run once is sent twice. */
+/** Attempts of at-most-once requests are sent twice. */
 const sendTwice: MapEffect = (effect) =>
   effect.type === 'send-attempt' && !effect.context.safeToRepeat ? [effect, effect] : [effect];
 
-/** Every claim counts as granted. */
+/** Every claim is treated as granted. */
 const createGrantedClaims = (): StepFunction => (state, event) => {
   if (event.type !== 'link-message-arrived' || event.message.type !== 'claim-reply') {
     return step(state, event);
@@ -146,7 +146,7 @@
   return { ...object, content: { type: 'status', status: { ...status, replicas } } };
 };
 
-const hideWord = (outcome: AttemptOutcome): AttemptOutcome => {
+const hideAnnouncement = (outcome: AttemptOutcome): AttemptOutcome => {
   if (outcome.type === 'answered') {
     return { ...outcome, leaving: false };
   }
@@ -155,31 +155,31 @@
     : outcome;
 };
 
-/** No sign of a leaving replica is understood. */
-const createBlindness = (): StepFunction => (state, event) => {
-  const blind = mapResults(event, ({ attempt, outcome, queuedMs, serviceMs }) => ({
+/** All announcements of leaving replicas are ignored. */
+const createIgnoredLeaving = (): StepFunction => (state, event) => {
+  const withoutSigns = mapResults(event, ({ attempt, outcome, queuedMs, serviceMs }) => ({
     attempt,
     queuedMs,
     serviceMs,
-    outcome: hideWord(outcome),
+    outcome: hideAnnouncement(outcome),
   }));
-  if (blind.type === 'store-changed') {
-    return step(state, { ...blind, objects: blind.objects.map(hideLeaving) });
+  if (withoutSigns.type === 'store-changed') {
+    return step(state, { ...withoutSigns, objects: withoutSigns.objects.map(hideLeaving) });
   }
-  if (blind.type === 'datagram-arrived' && blind.message.leaving !== undefined) {
-    return step(state, { ...blind, message: { ...blind.message, leaving: [] } });
+  if (withoutSigns.type === 'datagram-arrived' && withoutSigns.message.leaving !== undefined) {
+    return step(state, { ...withoutSigns, message: { ...withoutSigns.message, leaving: [] } });
   }
-  return step(state, blind);
+  return step(state, withoutSigns);
 };
 
-/** A planned stop ends the process at once. */
-const createHastyStop = (): StepFunction => (state, event) => {
+/** A planned stop ends the process immediately. */
+const createImmediateStop = (): StepFunction => (state, event) => {
   const effects = step(state, event);
   return event.type === 'stop-requested' ? [...effects, { type: 'end-process' }] : effects;
 };
 
-/** An object once held comes back in place of a newer one. */
-const createReverting = (): StepFunction => {
+/** The first version held of an object replaces newer ones. */
+const createRevertedObject = (): StepFunction => {
   const first = new WeakMap<CoreState, Map<string, StoreObject>>();
   return (state, event) => {
     const effects = step(state, event);
@@ -198,33 +198,45 @@
   };
 };
 
-/** News of the configuration is thrown away after the start. */
-const createDeafness = (): StepFunction => (state, event) => {
-  const isNews =
+/** Configuration updates are discarded after the start. */
+const createIgnoredUpdates = (): StepFunction => (state, event) => {
+  const isUpdate =
     event.type === 'store-changed' ||
     (event.type === 'link-message-arrived' && event.message.type.startsWith('configuration'));
-  return isNews && state.phase !== 'starting' ? [] : step(state, event);
+  return isUpdate && state.phase !== 'starting' ? [] : step(state, event);
 };
 
-/** All mutations; each promise has at least one. */
+/** All mutations; at least one for each invariant. */
 export const MUTATIONS: readonly Mutation[] = [
   { promise: 'one-snapshot', name: 'mixed snapshots', createStep: createMixedSnapshots },
-  { promise: 'true-coverage', name: 'full coverage', createStep: withEffects(claimFullCoverage) },
+  {
+    promise: 'true-coverage',
+    name: 'overstated coverage',
+    createStep: withEffects(claimFullCoverage),
+  },
   { promise: 'own-answer-only', name: 'swapped calls', createStep: createSwappedCalls },
-  { promise: 'own-answer-only', name: 'trusted answers', createStep: createTrustedAnswers },
-  { promise: 'not-run-did-not-run', name: 'denied runs', createStep: withEffects(denyUnknown) },
+  { promise: 'own-answer-only', name: 'unverified answers', createStep: createUnverifiedAnswers },
+  {
+    promise: 'not-run-did-not-run',
+    name: 'denied runs',
+    createStep: withEffects(reportUnknownAsNotRun),
+  },
   { promise: 'at-most-once', name: 'sent twice', createStep: withEffects(sendTwice) },
   { promise: 'at-most-once', name: 'granted claims', createStep: createGrantedClaims },
-  { promise: 'leaving-gets-no-new-work', name: 'blindness', createStep: createBlindness },
-  { promise: 'planned-stop-cuts-nothing', name: 'hasty stop', createStep: createHastyStop },
+  {
+    promise: 'leaving-gets-no-new-work',
+    name: 'ignored leaving',
+    createStep: createIgnoredLeaving,
+  },
+  { promise: 'planned-stop-cuts-nothing', name: 'immediate stop', createStep: createImmediateStop },
   {
     promise: 'configuration-in-force-never-reverts',
-    name: 'reverting object',
-    createStep: createReverting,
+    name: 'reverted object',
+    createStep: createRevertedObject,
   },
   {
     promise: 'configuration-in-force-never-reverts',
-    name: 'deafness',
-    createStep: createDeafness,
+    name: 'ignored updates',
+    createStep: createIgnoredUpdates,
   },
 ];
--- a/test/fuzz/regressions.test.ts
+++ b/test/fuzz/regressions.test.ts
@@ -5,9 +5,9 @@
 
 const DIRECTORY = new URL('./histories/', import.meta.url);
 
-/** Histories that once broke a promise, as short as the fuzzer could make them. */
-describe('histories found by the fuzzer', () => {
-  it.each(readdirSync(DIRECTORY))('%s breaks no promise, and runs the same again', (file) => {
+/** Histories that violated an invariant before a fault was fixed, shrunk by the fuzzer. */
+describe('regression histories of the fuzzer', () => {
+  it.each(readdirSync(DIRECTORY))('%s violates no invariant and is reproducible', (file) => {
     const text = readFileSync(new URL(file, DIRECTORY), 'utf8');
     const history = historySchema.parse(JSON.parse(text));
     const first = runHistory(history);
--- a/test/fuzz/traps.test.ts
+++ b/test/fuzz/traps.test.ts
@@ -3,8 +3,8 @@
 import { worldOf } from '../../src/simulation/history/run-history.js';
 import { Tier } from '../../src/simulation/history/tier.js';
 
-/** Brings a tier to every moment for which there are traps. */
-const EVERY_MOMENT: readonly Action[] = [
+/** Actions that cause every event for which there are traps. */
+const ACTIONS_FOR_ALL_MOMENTS: readonly Action[] = [
   { type: 'query', node: 0, row: 0, key: 0 },
   { type: 'book', node: 0, row: 0, key: 0 },
   { type: 'edit', node: 1, row: 0, deadlineMs: 500, stale: false },
@@ -15,26 +15,26 @@
 
 const createTier = (): Tier => new Tier(worldOf({ world: 'small', nodesPerZone: 1 }), { seed: 1 });
 
-describe('a trap', () => {
-  it.each(MOMENT_NAMES)('springs when a node comes to the moment %s', (moment) => {
+describe('trap', () => {
+  it.each(MOMENT_NAMES)('triggers at the event %s of a node', (moment) => {
     const tier = createTier();
     tier.apply({ type: 'trap', moment, fault: 'store-down', target: 0 });
     expect(tier.simulation.store.faults.down).toBe(false);
-    EVERY_MOMENT.forEach((action) => tier.apply(action));
+    ACTIONS_FOR_ALL_MOMENTS.forEach((action) => tier.apply(action));
     expect(tier.simulation.store.faults.down).toBe(true);
   });
 
-  it('crashes a reader in the very moment in which an edit is accepted', () => {
+  it('crashes a reader when an edit is accepted', () => {
     const tier = createTier();
     tier.apply({ type: 'trap', moment: 'edit-accepted', fault: 'crash-reader', target: 0 });
-    EVERY_MOMENT.slice(0, 4).forEach((action) => tier.apply(action));
+    ACTIONS_FOR_ALL_MOMENTS.slice(0, 4).forEach((action) => tier.apply(action));
     const down = [...tier.simulation.nodes.values()].filter(({ isUp }) => !isUp);
     expect(down).toHaveLength(1);
     tier.settle();
     expect(tier.violations).toEqual([]);
   });
 
-  it('that springs in the last action acts before all is healed', () => {
+  it('that triggers in the last action takes effect before the tier is healed', () => {
     const tier = createTier();
     tier.apply({ type: 'trap', moment: 'stop-requested', fault: 'pause', target: 0 });
     tier.apply({ type: 'stop', node: 0 });
--- a/test/membership/leaving-replicas.test.ts
+++ b/test/membership/leaving-replicas.test.ts
@@ -12,7 +12,7 @@
 const startCluster = (seed: number): VirtualCluster => {
   const cluster = new VirtualCluster({ seed, lossShare: 0.01 });
   cluster.startMany(12, ['bole', 'arada', 'kirkos', 'yeka']);
-  cluster.runUntil(() => cluster.isWhole(), 5_000);
+  cluster.runUntil(() => cluster.isConverged(), 5_000);
   cluster.run(5_000);
   return cluster;
 };
--- a/test/membership/membership.test.ts
+++ b/test/membership/membership.test.ts
@@ -7,7 +7,7 @@
 const startCluster = (seed: number, count = 12, lossShare = 0.01): VirtualCluster => {
   const cluster = new VirtualCluster({ seed, lossShare });
   cluster.startMany(count, ZONES);
-  cluster.runUntil(() => cluster.isWhole(), 5_000);
+  cluster.runUntil(() => cluster.isConverged(), 5_000);
   cluster.run(5_000);
   return cluster;
 };
@@ -22,7 +22,7 @@
   it.each(SEEDS)('joins 12 nodes through three seeds (seed %i)', (seed) => {
     const cluster = new VirtualCluster({ seed, lossShare: 0.01 });
     cluster.startMany(12, ZONES);
-    expect(cluster.runUntil(() => cluster.isWhole(), 5_000)).toBeLessThan(3_000);
+    expect(cluster.runUntil(() => cluster.isConverged(), 5_000)).toBeLessThan(3_000);
   });
 
   it.each(SEEDS)('declares a killed node dead on all nodes within 5 s (seed %i)', (seed) => {
@@ -42,7 +42,7 @@
       cluster.run(3_000);
     }
     expect(countDeclaredDead(cluster)).toBe(0);
-    expect(cluster.isWhole()).toBe(true);
+    expect(cluster.isConverged()).toBe(true);
   });
 
   it('accepts a node again after a long pause, and that node declares no other dead', () => {
@@ -52,7 +52,7 @@
     const others = cluster.running().filter((node) => node.id !== 'node-4');
     expect(others.map((node) => cluster.stateOf(node, 'node-4'))).toEqual(others.map(() => 'dead'));
     cluster.run(10_001);
-    expect(cluster.runUntil(() => cluster.isWhole(), 5_000)).toBeLessThan(2_000);
+    expect(cluster.runUntil(() => cluster.isConverged(), 5_000)).toBeLessThan(2_000);
     expect(cluster.node('node-4').state.counters.members_declared_dead).toBe(0);
     expect(cluster.node('node-4').state.counters.pauses_noticed).toBe(1);
   });
@@ -67,7 +67,7 @@
     const before = incarnation();
     cluster.pause('node-5', 1_900);
     cluster.runUntil(() => cluster.stateOf(observer, 'node-5') === 'suspect', 3_000);
-    expect(cluster.runUntil(() => cluster.isWhole(), 5_000)).toBeLessThan(3_000);
+    expect(cluster.runUntil(() => cluster.isConverged(), 5_000)).toBeLessThan(3_000);
     expect(incarnation()).toBeGreaterThan(before);
   });
 
@@ -76,7 +76,7 @@
     cluster.kill('node-6');
     cluster.run(200);
     cluster.start({ id: 'node-6', zone: 'kirkos', port: 9_006, seeds: [9_000] });
-    expect(cluster.runUntil(() => cluster.isWhole(), 5_000)).toBeLessThan(3_000);
+    expect(cluster.runUntil(() => cluster.isConverged(), 5_000)).toBeLessThan(3_000);
   });
 
   it('replaces a member by a newer process with another name at its address', () => {
@@ -84,7 +84,7 @@
     cluster.kill('node-6');
     cluster.start({ id: 'node-6b', zone: 'kirkos', port: 9_006, seeds: [9_000] });
     cluster.nodes.delete('node-6');
-    expect(cluster.runUntil(() => cluster.isWhole(), 5_000)).toBeLessThan(3_000);
+    expect(cluster.runUntil(() => cluster.isConverged(), 5_000)).toBeLessThan(3_000);
     expect(isDeadEverywhere(cluster, 'node-6')).toBe(false);
     const others = cluster.running().filter((node) => node.id !== 'node-6b');
     expect(others.every((node) => cluster.stateOf(node, 'node-6') === 'dead')).toBe(true);
@@ -96,7 +96,7 @@
     cluster.runUntil(() => isDeadEverywhere(cluster, 'node-2'), 6_000);
     const clockAheadMs = -3_600_000;
     cluster.start({ id: 'node-2', zone: 'kirkos', port: 9_002, seeds: [9_000], clockAheadMs });
-    expect(cluster.runUntil(() => cluster.isWhole(), 6_000)).toBeLessThan(3_000);
+    expect(cluster.runUntil(() => cluster.isConverged(), 6_000)).toBeLessThan(3_000);
   });
 
   it.each(SEEDS)(
@@ -112,7 +112,7 @@
       expect(cluster.stateOf(cluster.node('node-2'), 'node-0')).toBe('dead');
       expect(cluster.stateOf(cluster.node('node-0'), 'node-1')).toBe('alive');
       cluster.heal();
-      expect(cluster.runUntil(() => cluster.isWhole(), 20_000)).toBeLessThanOrEqual(5_000);
+      expect(cluster.runUntil(() => cluster.isConverged(), 20_000)).toBeLessThanOrEqual(5_000);
     },
   );
 
@@ -140,14 +140,14 @@
         seeds: isFar ? bridges : [9_000],
       });
     }
-    cluster.runUntil(() => cluster.isWhole(), 10_000);
+    cluster.runUntil(() => cluster.isConverged(), 10_000);
     cluster.kill('node-6');
     cluster.run(10_000);
     cluster.cut('bole', 'yeka');
     cluster.run(60_000);
     expect(cluster.stateOf(cluster.node('node-0'), 'node-7')).toBe('dead');
     cluster.heal();
-    expect(cluster.runUntil(() => cluster.isWhole(), 20_000)).toBeLessThanOrEqual(5_000);
+    expect(cluster.runUntil(() => cluster.isConverged(), 20_000)).toBeLessThanOrEqual(5_000);
   });
 
   it('announces a planned stop to all nodes within a second, and ends the process', () => {
@@ -182,7 +182,7 @@
       state: 'live',
     });
     cluster.start({ id: 'stray', zone: 'bole', port: 9_999, seeds: [9_777] });
-    expect(cluster.runUntil(() => cluster.isWhole(), 15_000)).toBeLessThan(10_000);
+    expect(cluster.runUntil(() => cluster.isConverged(), 15_000)).toBeLessThan(10_000);
   });
 
   it('keeps datagrams under 1,200 bytes even when many nodes start at once', () => {
--- a/test/once/histories.test.ts
+++ b/test/once/histories.test.ts
@@ -6,7 +6,7 @@
 import { step } from '../../src/core/reducer.js';
 import type { CoreState } from '../../src/core/state.js';
 import type { StepFunction } from '../../src/simulation/node-environment.js';
-import { carryOutFault, faultAction, type FaultAction } from '../support/fault-actions.js';
+import { applyFault, faultAction, type FaultAction } from '../support/fault-actions.js';
 import {
   bookingOf,
   createDuplicatingStep,
@@ -52,7 +52,7 @@
       keys.set(action.key, key);
       simulation.call(NODES[action.node] as string, bookingOf(key));
     } else {
-      carryOutFault(simulation, action, NODES, ZONES);
+      applyFault(simulation, action, NODES, ZONES);
     }
   }
   simulation.network.reachability.healAll();
--- a/test/support/desk-deployment.ts
+++ b/test/support/desk-deployment.ts
@@ -1,4 +1,4 @@
-/** A partner with one service of three replicas, and the names of six nodes in three zones for it. */
+/** A deployment with one service of three replicas, and the names of six nodes in three zones. */
 import { identifier, type PartnerId } from '../../src/core/identifiers.js';
 import type { Deployment } from '../../src/deployments/deployment.js';
 import type { RouteRow } from '../../src/table/route-row.js';
@@ -8,15 +8,15 @@
 export const NODES = ['bole-1', 'bole-2', 'arada-1', 'arada-2', 'kirkos-1', 'kirkos-2'] as const;
 export const NODES_PER_ZONE = 2;
 
-/** What tests choose of the deployment. */
+/** Options of the deployment. */
 interface DeskOptions {
   readonly title: string;
-  /** Requests that one replica runs at a time. */
+  /** Number of requests that a replica runs concurrently. */
   readonly slots: number;
   readonly rows: readonly RouteRow[];
 }
 
-/** Builds the deployment; the service is called `desk`. */
+/** Builds the deployment; its service is named `desk`. */
 export const buildDeskDeployment = ({ title, slots, rows }: DeskOptions): Deployment => ({
   partner: ENSEMBLE,
   title,
--- a/test/support/event-queue.ts
+++ b/test/support/event-queue.ts
@@ -1,4 +1,4 @@
-/** A queue of things to happen, in the order of their times and, within one time, as they came. */
+/** A priority queue of timed items; items with the same time keep their insertion order. */
 
 interface Entry<Item> {
   readonly at: number;
@@ -6,20 +6,20 @@
   readonly item: Item;
 }
 
-const comesBefore = <Item>(a: Entry<Item>, b: Entry<Item>): boolean =>
+const isBefore = <Item>(a: Entry<Item>, b: Entry<Item>): boolean =>
   a.at < b.at || (a.at === b.at && a.order < b.order);
 
-/** A binary heap over times. */
+/** Queues items by time in a binary heap. */
 export class EventQueue<Item> {
   private readonly heap: Entry<Item>[] = [];
   private order = 0;
 
-  /** The time of what comes next; infinity when there is nothing. */
+  /** Time of the next item; infinity when the queue is empty. */
   get nextAt(): number {
     return this.heap[0]?.at ?? Number.POSITIVE_INFINITY;
   }
 
-  /** Adds something that happens at `at`. */
+  /** Adds an item with the time `at`. */
   add(at: number, item: Item): void {
     const entry = { at, order: this.order, item };
     this.order += 1;
@@ -28,7 +28,7 @@
     while (place > 0) {
       const parent = (place - 1) >> 1;
       const above = this.heap[parent] as Entry<Item>;
-      if (comesBefore(above, entry)) {
+      if (isBefore(above, entry)) {
         break;
       }
       this.heap[place] = above;
@@ -37,8 +37,8 @@
     this.heap[place] = entry;
   }
 
-  /** Takes what comes next. */
-  take(): Item | undefined {
+  /** Removes and returns the next item; undefined when the queue is empty. */
+  pop(): Item | undefined {
     const first = this.heap[0];
     const last = this.heap.pop();
     if (first !== undefined && last !== undefined && this.heap.length > 0) {
@@ -56,13 +56,10 @@
         break;
       }
       const right = child + 1;
-      if (
-        right < heap.length &&
-        comesBefore(heap[right] as Entry<Item>, heap[child] as Entry<Item>)
-      ) {
+      if (right < heap.length && isBefore(heap[right] as Entry<Item>, heap[child] as Entry<Item>)) {
         child = right;
       }
-      if (comesBefore(entry, heap[child] as Entry<Item>)) {
+      if (isBefore(entry, heap[child] as Entry<Item>)) {
         break;
       }
       heap[place] = heap[child] as Entry<Item>;
--- a/test/support/fault-actions.ts
+++ b/test/support/fault-actions.ts
@@ -1,19 +1,19 @@
-/** Faults of nodes and zones as fast-check actions, and how a simulation carries them out. */
+/** Faults of nodes and zones as fast-check actions, and their application to a simulation. */
 import fc from 'fast-check';
 import type { Simulation } from '../../src/simulation/simulation.js';
 
-/** A fault or its end; `node` and `zone` are taken modulo the number there is. */
+/** A fault or its end; `node` and `zone` are taken modulo the number of nodes and zones. */
 export type FaultAction =
   | { readonly type: 'crash' | 'restart' | 'bounce' | 'pause' | 'wake'; readonly node: number }
   | { readonly type: 'cut' | 'heal'; readonly zone: number }
   | { readonly type: 'advance'; readonly ms: number };
 
-/** Long enough for a restarted node to know its peers and the configuration again. */
+/** Time for a restarted node to find its peers and obtain the configuration, in milliseconds. */
 const BOUNCE_MS = 3_000;
 
 const index = fc.nat({ max: 11 });
 
-/** Any fault; time passes between most of them. */
+/** Any fault or an advance of virtual time; two of the five alternatives are advances. */
 export const faultAction: fc.Arbitrary<FaultAction> = fc.oneof(
   fc.record({ type: fc.constantFrom('crash' as const, 'restart', 'pause', 'wake'), node: index }),
   fc.record({ type: fc.constant('bounce' as const), node: index }),
@@ -58,8 +58,8 @@
   }
 };
 
-/** Carries out one fault. */
-export const carryOutFault = (
+/** Applies one fault to a simulation. */
+export const applyFault = (
   simulation: Simulation,
   action: FaultAction,
   nodes: readonly string[],
--- a/test/support/store-contents.ts
+++ b/test/support/store-contents.ts
@@ -2,7 +2,7 @@
 import type { StoreContent } from '../../src/catalog/store-object.js';
 import { identifier, type PartnerId } from '../../src/core/identifiers.js';
 
-/** A sheet of `partner` whose history says `edits` edits were accepted. */
+/** Returns a sheet of `partner` whose history contains `edits` accepted edits. */
 export const sheetOf = (partner: string, edits = 0): StoreContent => ({
   type: 'sheet',
   sheet: {
@@ -20,7 +20,7 @@
   },
 });
 
-/** The status of a service with `replicas` replicas. */
+/** Returns the status of a service with `replicas` replicas. */
 export const statusOf = (partner: string, service: string, replicas = 2): StoreContent => ({
   type: 'status',
   status: {
--- a/test/support/virtual-cluster.ts
+++ b/test/support/virtual-cluster.ts
@@ -1,7 +1,7 @@
 /**
- * Several cores in one process over a virtual network and clock: seeded, with loss, cuts between
- * zones, kills, pauses and restarts. Each node has its own clock, so that a core that compares times
- * of two nodes shows.
+ * Runs several cores in one process on a seeded virtual network and clock, with loss, cuts between
+ * zones, crashes, pauses and restarts. Each node has its own clock, so that tests detect a core
+ * which compares the times of two nodes.
  */
 import { encode } from 'cbor-x';
 import type { Effect } from '../../src/core/effect.js';
@@ -16,11 +16,11 @@
 import { VirtualStore } from './virtual-store.js';
 
 const EPOCH_MS = 1_700_000_000_000;
-const LINK_LOST_AFTER_MS = 1_000;
+const LINK_LOSS_DELAY_MS = 1_000;
 const BOOKMARK_MS = 5_000;
 
 type WithoutTime<E> = E extends Event ? Omit<E, 'at'> : never;
-type Happening = WithoutTime<Event>;
+type UntimedEvent = WithoutTime<Event>;
 
 /** A node of the cluster. */
 export interface VirtualNode {
@@ -41,8 +41,8 @@
 
 interface Delivery {
   readonly node: VirtualNode;
-  readonly event: Happening;
-  /** For timers: fires only if it is still set for this time. */
+  readonly event: UntimedEvent;
+  /** For timers: the timer fires only if it is still set for the time `due`. */
   readonly timer?: string;
   readonly due?: number;
 }
@@ -54,25 +54,25 @@
   readonly seed: number;
   readonly lossShare?: number;
   readonly delayMs?: number;
-  /** Measures the encoded size of each message; costs time. */
+  /** Whether to measure the encoded size of each message, which slows the tests. */
   readonly measure?: boolean;
-  /** Sees each effect of each node. */
+  /** Called with each effect of each node. */
   readonly onEffect?: (node: VirtualNode, effect: Effect, now: number) => void;
 }
 
-/** Where a node is started. */
+/** Name, zone, port and seeds of a node to start. */
 export interface NodePlace {
   readonly id: string;
   readonly zone: string;
   readonly port: number;
   readonly seeds: readonly number[];
-  /** How far the machine's wall clock is ahead; 0 when absent. */
+  /** How far the machine's wall clock is ahead, in milliseconds; 0 when absent. */
   readonly clockAheadMs?: number;
 }
 
 const toAddress = (port: number): PeerAddress => ({ host: '127.0.0.1', port });
 
-/** The cluster. */
+/** A cluster of nodes on a virtual network. */
 export class VirtualCluster {
   now = 0;
   storeRequests: { readonly at: number; readonly zone: string; readonly type: string }[] = [];
@@ -87,7 +87,7 @@
     this.random = createRandom(options.seed);
   }
 
-  /** Starts a process; one at the same port before must have ended. */
+  /** Starts a process; an earlier process at the same port must have ended. */
   start(place: NodePlace): VirtualNode {
     const id = identifier<NodeId>(place.id);
     const self = {
@@ -132,31 +132,31 @@
     );
   }
 
-  /** The node of that name that was started last. */
+  /** Returns the last started node of that name; throws an error if there is none. */
   node(id: string): VirtualNode {
     const node = this.nodes.get(id);
     if (node === undefined) {
-      throw new Error(`no node ${id}`);
+      throw new Error(`node ${id} does not exist`);
     }
     return node;
   }
 
-  /** Ends a process without notice. */
+  /** Kills a process. */
   kill(id: string): void {
     this.node(id).running = false;
   }
 
-  /** Stops a process from running for a while; what arrives waits. */
+  /** Pauses a process for `forMs` milliseconds; events that arrive meanwhile are queued. */
   pause(id: string, forMs: number): void {
     this.node(id).pausedUntil = this.now + forMs;
   }
 
-  /** Asks a process to stop. */
+  /** Requests a planned stop of a process. */
   stop(id: string): void {
     this.handle(this.node(id), { type: 'stop-requested' });
   }
 
-  /** Cuts two zones off from each other; `store` names the store's side. */
+  /** Cuts two zones off from each other; the zone `store` stands for the store. */
   cut(zoneA: string, zoneB: string): void {
     this.cuts.add([zoneA, zoneB].sort().join('|'));
   }
@@ -166,8 +166,8 @@
     this.cuts.clear();
   }
 
-  /** Gives a node an event now. */
-  handle(node: VirtualNode, event: Happening): void {
+  /** Delivers an event to a node at the current time, or after its pause. */
+  handle(node: VirtualNode, event: UntimedEvent): void {
     if (!node.running) {
       return;
     }
@@ -178,48 +178,48 @@
     this.apply(node, (state, at) => step(state, { ...event, at } as Event));
   }
 
-  /** Changes a node's state now, and carries out the effects that follow. */
+  /** Applies a change to a node's state and executes the resulting effects. */
   apply(node: VirtualNode, change: (state: CoreState, at: number) => Effect[]): void {
     for (const effect of change(node.state, this.now + node.clockOffset)) {
       this.options.onEffect?.(node, effect, this.now);
-      this.carryOut(node, effect);
+      this.executeEffect(node, effect);
     }
   }
 
-  /** Runs for `forMs` of virtual time. */
+  /** Runs the cluster for `forMs` milliseconds of virtual time. */
   run(forMs: number): void {
     const until = this.now + forMs;
     while (this.queue.nextAt <= until) {
       this.now = Math.max(this.now, this.queue.nextAt);
-      this.happen(this.queue.take() as Scheduled);
+      this.dispatch(this.queue.pop() as Scheduled);
     }
     this.now = until;
   }
 
-  /** Runs until `condition` holds; returns the time it took, or fails after `limitMs`. */
+  /** Runs until `condition` holds and returns the virtual time it took; throws after `limitMs`. */
   runUntil(condition: () => boolean, limitMs: number, stepMs = 10): number {
-    const began = this.now;
+    const startedAt = this.now;
     while (!condition()) {
-      if (this.now - began > limitMs) {
-        throw new Error(`not reached within ${limitMs} ms`);
+      if (this.now - startedAt > limitMs) {
+        throw new Error(`the condition does not hold after ${limitMs} ms`);
       }
       this.run(stepMs);
     }
-    return this.now - began;
+    return this.now - startedAt;
   }
 
-  /** All processes that run. */
+  /** Returns all running processes. */
   running(): VirtualNode[] {
     return [...this.nodes.values()].filter((node) => node.running);
   }
 
-  /** What `observer` holds of `subject`. */
+  /** Returns the state of `subject` in the member table of `observer`. */
   stateOf(observer: VirtualNode, subject: string): MemberState | 'unknown' {
     return observer.state.membership.members.get(identifier<NodeId>(subject))?.state ?? 'unknown';
   }
 
-  /** True when all running nodes hold exactly the running nodes to be alive. */
-  isWhole(): boolean {
+  /** Returns whether every running node considers exactly the running nodes to be alive. */
+  isConverged(): boolean {
     const running = this.running();
     const names = new Set<string>(running.map((node) => node.id));
     return running.every((observer) => {
@@ -231,7 +231,7 @@
     });
   }
 
-  private happen(scheduled: Scheduled): void {
+  private dispatch(scheduled: Scheduled): void {
     if (typeof scheduled === 'function') {
       scheduled();
       return;
@@ -262,7 +262,7 @@
     return (this.options.delayMs ?? 1) * (0.5 + this.random.next());
   }
 
-  private carryOut(node: VirtualNode, effect: Effect): void {
+  private executeEffect(node: VirtualNode, effect: Effect): void {
     switch (effect.type) {
       case 'set-timer':
         this.setTimer(node, effect);
@@ -280,7 +280,7 @@
         node.running = false;
         break;
       default:
-        this.carryOutStore(node, effect);
+        this.executeStoreEffect(node, effect);
     }
   }
 
@@ -291,7 +291,7 @@
     this.queue.add(due, { node, event: { type: 'timer-fired', key: effect.key }, timer, due });
   }
 
-  private weigh(message: unknown): number {
+  private measureSize(message: unknown): number {
     return this.options.measure === true ? encode(message).length : 0;
   }
 
@@ -299,7 +299,7 @@
     node: VirtualNode,
     { to, message }: Extract<Effect, { type: 'send-datagram' }>,
   ): void {
-    const bytes = this.weigh(message);
+    const bytes = this.measureSize(message);
     node.datagrams += 1;
     node.bytes += bytes;
     node.largestDatagram = Math.max(node.largestDatagram, bytes);
@@ -318,12 +318,12 @@
     node: VirtualNode,
     { to, address, message }: Extract<Effect, { type: 'send-link' }>,
   ): void {
-    node.bytes += this.weigh(message);
+    node.bytes += this.measureSize(message);
     const target = this.listening.get(address.port);
     const isCut = target !== undefined && this.isCut(node.zone, target.zone);
-    const isGone = target === undefined || !target.running || target.id !== to;
-    if (isGone || isCut) {
-      const after = isCut ? LINK_LOST_AFTER_MS : this.delay();
+    const isAbsent = target === undefined || !target.running || target.id !== to;
+    if (isAbsent || isCut) {
+      const after = isCut ? LINK_LOSS_DELAY_MS : this.delay();
       this.queue.add(this.now + after, { node, event: { type: 'link-lost', peer: to } });
       return;
     }
@@ -335,7 +335,7 @@
     return !this.store.down && !this.isCut(node.zone, 'store');
   }
 
-  private carryOutStore(node: VirtualNode, effect: Effect): void {
+  private executeStoreEffect(node: VirtualNode, effect: Effect): void {
     switch (effect.type) {
       case 'watch-store':
         this.countStoreRequest(node, effect.type);
@@ -366,7 +366,7 @@
     this.storeRequests.push({ at: this.now, zone: node.zone, type });
   }
 
-  private later(action: () => void): void {
+  private scheduleStoreReply(action: () => void): void {
     this.queue.add(this.now + this.delay(), action);
   }
 
@@ -374,13 +374,13 @@
     node.watching = true;
     node.watch += 1;
     const watch = node.watch;
-    this.later(() => {
+    this.scheduleStoreReply(() => {
       this.pollWatch(node, watch, after, Number.NEGATIVE_INFINITY);
     });
   }
 
-  /** One watch: looks every few milliseconds whether there is news, and tells it. */
-  private pollWatch(node: VirtualNode, watch: number, after: number, toldAt: number): void {
+  /** Polls the store every 5 ms for a watch and sends changes or bookmarks to the node. */
+  private pollWatch(node: VirtualNode, watch: number, after: number, lastSentAt: number): void {
     if (node.watch !== watch || !node.running) {
       return;
     }
@@ -390,19 +390,19 @@
       return;
     }
     const through = this.store.revision;
-    const isNews = through !== after || this.now - toldAt >= BOOKMARK_MS;
-    if (isNews) {
+    const shouldSend = through !== after || this.now - lastSentAt >= BOOKMARK_MS;
+    if (shouldSend) {
       const objects = this.store.changesAfter(after);
       this.handle(node, { type: 'store-changed', after, through, objects });
     }
     this.queue.add(this.now + 5, () => {
-      this.pollWatch(node, watch, isNews ? through : after, isNews ? this.now : toldAt);
+      this.pollWatch(node, watch, shouldSend ? through : after, shouldSend ? this.now : lastSentAt);
     });
   }
 
   private readMachines(node: VirtualNode): void {
     const machines = [...this.store.machines];
-    this.later(() => {
+    this.scheduleStoreReply(() => {
       this.handle(
         node,
         this.isStoreReachable(node)
@@ -416,7 +416,7 @@
     node: VirtualNode,
     { request, name }: Extract<Effect, { type: 'read-object' }>,
   ): void {
-    this.later(() => {
+    this.scheduleStoreReply(() => {
       if (!this.isStoreReachable(node)) {
         this.handle(node, { type: 'object-request-failed', request, problem: 'down' });
         return;
@@ -430,7 +430,7 @@
     node: VirtualNode,
     { request, name, expectedVersion, content }: Extract<Effect, { type: 'write-object' }>,
   ): void {
-    this.later(() => {
+    this.scheduleStoreReply(() => {
       if (!this.isStoreReachable(node)) {
         this.handle(node, { type: 'object-request-failed', request, problem: 'down' });
         return;
--- a/test/table/spread-history.test.ts
+++ b/test/table/spread-history.test.ts
@@ -74,7 +74,8 @@
     }
     cluster.startMany(6, ['bole', 'arada']);
     cluster.runUntil(
-      () => cluster.isWhole() && cluster.running().every(({ state }) => state.phase === 'serving'),
+      () =>
+        cluster.isConverged() && cluster.running().every(({ state }) => state.phase === 'serving'),
       10_000,
     );
     return cluster;
