--- a/src/simulation/history/action.ts
+++ b/src/simulation/history/action.ts
@@ -79,9 +79,9 @@
   z.object({ type: z.literal('pause'), node: index }),
   z.object({ type: z.literal('wake'), node: index }),
   z.object({ type: z.literal('stop'), node: index }),
-  /** A node is paused for so long and wakes. */
+  /** A node is paused for `ms` milliseconds and then resumed. */
   z.object({ type: z.literal('nap'), node: index, ms: z.number().min(0).max(60_000) }),
-  /** The next time that a node comes to the moment, the fault happens right after its step. */
+  /** The next time that `moment` occurs at a node, the fault follows directly after that step. */
   z.object({
     type: z.literal('trap'),
     moment: z.enum(MOMENT_NAMES),
--- a/src/simulation/invariants/answer-checks.ts
+++ b/src/simulation/invariants/answer-checks.ts
@@ -38,13 +38,13 @@
   answer: Answered,
   report: ReportViolation,
 ): void => {
-  const wanted = nonceOf(call.query.payload);
+  const expectedNonce = nonceOf(call.query.payload);
   for (const item of answer.items) {
     const { nonce } = valueOf(item.value);
-    if (nonce !== wanted) {
+    if (nonce !== expectedNonce) {
       report(
         'own-answer-only',
-        `${answer.request} asked with ${String(wanted)} and got ${item.id} of ${String(nonce)}`,
+        `${answer.request} asked with ${String(expectedNonce)} and got ${item.id} of ${String(nonce)}`,
       );
     }
   }
--- a/src/simulation/invariants/leaving-checks.ts
+++ b/src/simulation/invariants/leaving-checks.ts
@@ -15,7 +15,7 @@
 /** Tracks leaving replicas and stopping nodes. */
 export class LeavingChecks {
   private readonly leaving = new Set<string>();
-  private readonly firstSignAt = new Map<string, number>();
+  private readonly firstAnnouncedAt = new Map<string, number>();
 
   constructor(
     private readonly simulation: Simulation,
@@ -28,7 +28,7 @@
       this.leaving.add(replica);
     } else {
       this.leaving.delete(replica);
-      this.firstSignAt.delete(replica);
+      this.firstAnnouncedAt.delete(replica);
     }
   }
 
@@ -36,7 +36,7 @@
   handlePublishedStatus(replicas: readonly ReplicaStatus[]): void {
     for (const { replica, lifecycle } of replicas) {
       if (lifecycle === 'leaving') {
-        this.recordFirstSign(replica);
+        this.recordFirstAnnouncement(replica);
       }
     }
   }
@@ -44,7 +44,7 @@
   /** Handles a replica's announcement that it is leaving. */
   handleAnnouncement(replica: string): void {
     if (this.leaving.has(replica)) {
-      this.recordFirstSign(replica);
+      this.recordFirstAnnouncement(replica);
     }
   }
 
@@ -53,24 +53,24 @@
     if (!this.leaving.has(arrival.replica)) {
       return;
     }
-    const firstSignAt = this.firstSignAt.get(arrival.replica);
-    const quietSince = this.simulation.disturbances.undisturbedSince;
-    if (firstSignAt === undefined || quietSince === undefined) {
+    const firstAnnouncedAt = this.firstAnnouncedAt.get(arrival.replica);
+    const undisturbedSince = this.simulation.disturbances.undisturbedSince;
+    if (firstAnnouncedAt === undefined || undisturbedSince === undefined) {
       return;
     }
     const feederStartedAt = this.simulation.nodes.get(arrival.feeder)?.startedAt ?? 0;
-    const from = Math.max(firstSignAt, quietSince, feederStartedAt);
+    const from = Math.max(firstAnnouncedAt, undisturbedSince, feederStartedAt);
     if (arrival.at - from > LEAVING_BOUND_MS) {
       this.report(
         'leaving-gets-no-new-work',
-        `${arrival.replica} has been known to leave for ${arrival.at - firstSignAt} ms and got ${arrival.attempt} from ${arrival.feeder}`,
+        `${arrival.replica} has been known to leave for ${arrival.at - firstAnnouncedAt} ms and got ${arrival.attempt} from ${arrival.feeder}`,
       );
     }
   }
 
-  private recordFirstSign(replica: string): void {
-    if (!this.firstSignAt.has(replica)) {
-      this.firstSignAt.set(replica, this.simulation.now);
+  private recordFirstAnnouncement(replica: string): void {
+    if (!this.firstAnnouncedAt.has(replica)) {
+      this.firstAnnouncedAt.set(replica, this.simulation.now);
     }
   }
 
@@ -90,13 +90,14 @@
   /** Handles an answer that a caller has received. */
   handleAnswer(call: CallRecord): void {
     const { outcome } = call;
-    const quietSince = this.simulation.disturbances.undisturbedSince;
-    const wasQuiet = quietSince !== undefined && quietSince < call.sentAt - LEAVING_BOUND_MS;
+    const undisturbedSince = this.simulation.disturbances.undisturbedSince;
+    const wasUndisturbed =
+      undisturbedSince !== undefined && undisturbedSince < call.sentAt - LEAVING_BOUND_MS;
     const lostPeer =
       (outcome?.type === 'unknown' && outcome.reason === 'peer-lost') ||
       (outcome?.type === 'answered' &&
         outcome.missing.some(({ reason }) => reason === 'peer-lost'));
-    if (wasQuiet && lostPeer) {
+    if (wasUndisturbed && lostPeer) {
       this.report(
         'planned-stop-cuts-nothing',
         `${outcome.request} lost a peer though no process crashed and no zone was cut`,
--- a/src/simulation/scenario/faults.ts
+++ b/src/simulation/scenario/faults.ts
@@ -37,7 +37,7 @@
 /** Start and duration of a fault, in milliseconds from the start of the measured period. */
 export interface FaultTime {
   readonly fromMs: number;
-  readonly lastsMs: number;
+  readonly durationMs: number;
 }
 
 const FIRST_REPLICA_OF_EACH: ReplicaTarget = { firstOfService: 1 };
@@ -51,12 +51,12 @@
 const EDIT_WEIGHT = 2;
 
 const faultWithEnd = (
-  { fromMs, lastsMs }: FaultTime,
+  { fromMs, durationMs }: FaultTime,
   begin: ScenarioStep,
   end: ScenarioStep,
 ): ScenarioFault[] => [
   { atMs: fromMs, ...begin },
-  { atMs: fromMs + lastsMs, ...end },
+  { atMs: fromMs + durationMs, ...end },
 ];
 
 const replicaFault =
@@ -79,13 +79,13 @@
 
 const rollOut =
   (addedShards: number) =>
-  ({ fromMs, lastsMs }: FaultTime): ScenarioFault[] => [
+  ({ fromMs, durationMs }: FaultTime): ScenarioFault[] => [
     {
       atMs: fromMs,
       kind: 'roll-out',
       partner: 'ensemble',
       version: NEXT_SNAPSHOT,
-      overMs: lastsMs / 2,
+      overMs: durationMs / 2,
       addedShards,
     },
   ];
@@ -131,12 +131,12 @@
       publishAfterMs: PUBLISH_DELAY_MS,
     },
   ],
-  'cold-start': ({ fromMs, lastsMs }) => [
+  'cold-start': ({ fromMs, durationMs }) => [
     {
       atMs: fromMs,
       kind: 'replica-fault',
       target: FIRST_REPLICA_OF_EACH,
-      change: { coldMs: lastsMs },
+      change: { coldMs: durationMs },
     },
   ],
   shedding: replicaFault(FIRST_REPLICA_OF_EACH, { shedding: true }, { shedding: false }),
@@ -165,7 +165,7 @@
   settleMs: 0,
 };
 
-const FAULT_TIME: FaultTime = { fromMs: 2_000, lastsMs: 5_000 };
+const FAULT_TIME: FaultTime = { fromMs: 2_000, durationMs: 5_000 };
 /** Delay between the starts of consecutive faults, in milliseconds. */
 const SECOND_FAULT_MS = 1_500;
 
--- a/src/standins/replica-model/service-time.ts
+++ b/src/standins/replica-model/service-time.ts
@@ -27,8 +27,10 @@
 
 /** Returns the factor on the service times at `at` of a replica that is warming up. */
 export const coldFactorAt = (cold: ColdStart, at: number): number => {
-  const left = cold.warmAt - at;
-  return left <= 0 || cold.coldMs <= 0 ? 1 : 1 + (COLD_FACTOR - 1) * (left / cold.coldMs);
+  const remainingMs = cold.warmAt - at;
+  return remainingMs <= 0 || cold.coldMs <= 0
+    ? 1
+    : 1 + (COLD_FACTOR - 1) * (remainingMs / cold.coldMs);
 };
 
 /** Draws the time that a request occupies its slot, in milliseconds. */
--- a/test/fuzz/mutations.ts
+++ b/test/fuzz/mutations.ts
@@ -157,19 +157,25 @@
 
 /** All announcements of leaving replicas are ignored. */
 const createIgnoredLeaving = (): StepFunction => (state, event) => {
-  const withoutSigns = mapResults(event, ({ attempt, outcome, queuedMs, serviceMs }) => ({
+  const filtered = mapResults(event, ({ attempt, outcome, queuedMs, serviceMs }) => ({
     attempt,
     queuedMs,
     serviceMs,
     outcome: hideAnnouncement(outcome),
   }));
-  if (withoutSigns.type === 'store-changed') {
-    return step(state, { ...withoutSigns, objects: withoutSigns.objects.map(hideLeaving) });
+  if (filtered.type === 'store-changed') {
+    return step(state, {
+      ...filtered,
+      objects: filtered.objects.map(hideLeaving),
+    });
   }
-  if (withoutSigns.type === 'datagram-arrived' && withoutSigns.message.leaving !== undefined) {
-    return step(state, { ...withoutSigns, message: { ...withoutSigns.message, leaving: [] } });
+  if (filtered.type === 'datagram-arrived' && filtered.message.leaving !== undefined) {
+    return step(state, {
+      ...filtered,
+      message: { ...filtered.message, leaving: [] },
+    });
   }
-  return step(state, withoutSigns);
+  return step(state, filtered);
 };
 
 /** A planned stop ends the process immediately. */
--- a/test/fuzz/traps.test.ts
+++ b/test/fuzz/traps.test.ts
@@ -34,7 +34,7 @@
     expect(tier.violations).toEqual([]);
   });
 
-  it('that triggers in the last action takes effect before the tier is healed', () => {
+  it('triggered by the last action takes effect before the tier is healed', () => {
     const tier = createTier();
     tier.apply({ type: 'trap', moment: 'stop-requested', fault: 'pause', target: 0 });
     tier.apply({ type: 'stop', node: 0 });
