--- a/src/cli/plan.ts
+++ b/src/cli/plan.ts
@@ -1,7 +1,7 @@
 /** `crossroad plan`: calculates load, connections, feeders and grants for given sizes. */
 import { parseArgs } from 'node:util';
 import { DEFAULT_QUERY_POLICY } from '../core/query/query-policy.js';
-import { DEPLOYMENT_NAMES, deploymentsNamed } from '../deployments/deployments.js';
+import { DEPLOYMENT_NAMES, findDeployments } from '../deployments/deployments.js';
 import { createPlan } from '../plan/create-plan.js';
 import { DEFAULT_PROCESSOR_COSTS, type PlanInput } from '../plan/plan-input.js';
 import { planInputOfDeployments } from '../plan/deployment-plan-input.js';
@@ -94,8 +94,7 @@
   }
   return deployment === undefined
     ? readUniformReplicas(values, replicas ?? '')
-    : planInputOfDeployments(
-        deploymentsNamed(readChoice('deployment', deployment, DEPLOYMENT_NAMES)),
+    : planInputOfDeployments(findDeployments(readChoice('deployment', deployment, DEPLOYMENT_NAMES)),
       );
 };
 
--- a/src/simulation/history/traps.ts
+++ b/src/simulation/history/traps.ts
@@ -1,16 +1,16 @@
-/** Faults that happen in a moment of something else, such as a crash right after an accepted edit. */
+/** Traps: faults that occur at a chosen event, such as a crash directly after an accepted edit. */
 import type { Effect } from '../../core/effect.js';
 import type { Event } from '../../core/event.js';
 import type { SimulationObserver, StepRecord } from '../observer.js';
 import type { Action, MomentName } from './action.js';
 
-/** A trap, as a history names it. */
+/** A trap of a history. */
 export type Trap = Extract<Action, { type: 'trap' }>;
 
-/** Brings the fault of a trap about; `node` is the one whose moment it is. */
-export type SpringTrap = (trap: Trap, node: string) => void;
+/** Applies the fault of a trap; `node` is the node where the event occurred. */
+export type TriggerTrap = (trap: Trap, node: string) => void;
 
-/** Most traps that are armed at once; further ones are left out. */
+/** Maximum number of armed traps; further traps are ignored. */
 const ARMED_LIMIT = 8;
 
 const isAccepted = (effect: Effect): boolean =>
@@ -21,7 +21,7 @@
   event.message.type === 'claim-reply' &&
   event.message.verdict === 'granted';
 
-const isMoment = (moment: MomentName, { event, effects }: StepRecord): boolean => {
+const matchesMoment = (moment: MomentName, { event, effects }: StepRecord): boolean => {
   switch (moment) {
     case 'query-arrived':
     case 'stop-requested':
@@ -41,11 +41,11 @@
   }
 };
 
-/** Watches for the moments of the traps that are armed; each springs once. */
+/** Watches for the events of the armed traps; each trap triggers once. */
 export class Traps implements SimulationObserver {
   private armed: Trap[] = [];
 
-  constructor(private readonly spring: SpringTrap) {}
+  constructor(private readonly trigger: TriggerTrap) {}
 
   /** Arms a trap. */
   arm(trap: Trap): void {
@@ -54,7 +54,7 @@
     }
   }
 
-  /** Takes all traps away. */
+  /** Removes all traps. */
   disarm(): void {
     this.armed = [];
   }
@@ -63,8 +63,8 @@
     if (this.armed.length === 0) {
       return;
     }
-    const sprung = this.armed.filter(({ moment }) => isMoment(moment, step));
-    this.armed = this.armed.filter((trap) => !sprung.includes(trap));
-    sprung.forEach((trap) => this.spring(trap, step.node));
+    const triggered = this.armed.filter(({ moment }) => matchesMoment(moment, step));
+    this.armed = this.armed.filter((trap) => !triggered.includes(trap));
+    triggered.forEach((trap) => this.trigger(trap, step.node));
   }
 }
--- a/src/simulation/invariants/answer-checks.ts
+++ b/src/simulation/invariants/answer-checks.ts
@@ -1,4 +1,4 @@
-/** Checks of answers: one snapshot, true coverage, the caller's own request and nothing else. */
+/** Checks of answers: one snapshot, correct coverage, and only items of the caller's request. */
 import type { QueryOutcome } from '../../core/query/query-request.js';
 import {
   AGGREGATE_ITEM_ID,
@@ -8,7 +8,7 @@
 import type { RunRecord } from '../replica-record.js';
 import type { ReportViolation } from './violation.js';
 
-/** An answer with results. */
+/** A query outcome with results. */
 export type Answered = Extract<QueryOutcome, { type: 'answered' }>;
 
 const valueOf = (value: unknown): Partial<StandinItemValue> =>
@@ -19,7 +19,7 @@
     ? (payload as { nonce?: string }).nonce
     : undefined;
 
-/** Every item comes from the snapshot the answer names. */
+/** Checks that every item comes from the snapshot that the answer names. */
 export const checkSnapshot = (answer: Answered, report: ReportViolation): void => {
   for (const item of answer.items) {
     const { snapshot } = valueOf(item.value);
@@ -32,19 +32,19 @@
   }
 };
 
-/** Every item belongs to the caller's own request. */
+/** Checks that every item belongs to the caller's request. */
 export const checkOwnAnswer = (
   call: CallRecord,
   answer: Answered,
   report: ReportViolation,
 ): void => {
-  const wanted = nonceOf(call.query.payload);
+  const expectedNonce = nonceOf(call.query.payload);
   for (const item of answer.items) {
     const { nonce } = valueOf(item.value);
-    if (nonce !== wanted) {
+    if (nonce !== expectedNonce) {
       report(
         'own-answer-only',
-        `${answer.request} asked with ${String(wanted)} and got ${item.id} of ${String(nonce)}`,
+        `${answer.request} asked with ${String(expectedNonce)} and got ${item.id} of ${String(nonce)}`,
       );
     }
   }
@@ -69,44 +69,44 @@
       .map(({ value }) => valueOf(value).shard ?? ''),
   );
 
-/** What the coverage of an answer is compared with. */
-export interface CoverageFacts {
-  /** Shards of the answer's snapshot that the query must reach. */
+/** What the coverage of an answer is checked against. */
+export interface CoverageContext {
+  /** Shards of the answer's snapshot that the query covers. */
   readonly layoutShards: ReadonlySet<string>;
-  /** What the replicas ran for this request. */
+  /** Attempts that replicas ran for this request. */
   readonly runs: readonly RunRecord[];
-  /** Whether every contributing shard has items in the answer. */
-  readonly isWhole: boolean;
+  /** Whether every contributing shard must have items in the answer. */
+  readonly listsAllContributors: boolean;
 }
 
-/** The coverage counts shards that truly contributed, over all shards of the snapshot. */
+/** Checks that the coverage counts the contributing shards, out of all shards of the snapshot. */
 export const checkCoverage = (
   answer: Answered,
-  facts: CoverageFacts,
+  context: CoverageContext,
   report: ReportViolation,
 ): void => {
   const missing = checkMissing(answer, report);
-  if (answer.shards !== facts.layoutShards.size) {
+  if (answer.shards !== context.layoutShards.size) {
     report(
       'true-coverage',
-      `${answer.request} names ${answer.shards} shards, the layout has ${facts.layoutShards.size}`,
+      `${answer.request} names ${answer.shards} shards, the layout has ${context.layoutShards.size}`,
     );
   }
   const ran = new Set<string>(
-    facts.runs.filter(({ snapshot }) => snapshot === answer.snapshot).map(({ shard }) => shard),
+    context.runs.filter(({ snapshot }) => snapshot === answer.snapshot).map(({ shard }) => shard),
   );
-  const unfounded = [...facts.layoutShards].filter(
-    (shard) => facts.layoutShards.size > 1 && !missing.has(shard) && !ran.has(shard),
+  const countedWithoutRun = [...context.layoutShards].filter(
+    (shard) => context.layoutShards.size > 1 && !missing.has(shard) && !ran.has(shard),
   );
   const inAnswer = listContributors(answer);
-  const denied = [...inAnswer].filter((shard) => missing.has(shard) || !ran.has(shard));
-  if (unfounded.length > 0 || denied.length > 0) {
+  const includedWithoutRun = [...inAnswer].filter((shard) => missing.has(shard) || !ran.has(shard));
+  if (countedWithoutRun.length > 0 || includedWithoutRun.length > 0) {
     report(
       'true-coverage',
-      `${answer.request}: counted without a run: ${unfounded.join(' ')}; in the answer and called missing or never run: ${denied.join(' ')}`,
+      `${answer.request}: counted without a run: ${countedWithoutRun.join(' ')}; in the answer and called missing or never run: ${includedWithoutRun.join(' ')}`,
     );
   }
-  if (facts.isWhole && inAnswer.size !== answer.contributed) {
+  if (context.listsAllContributors && inAnswer.size !== answer.contributed) {
     report(
       'true-coverage',
       `${answer.request}: ${inAnswer.size} shards in the answer, ${answer.contributed} counted`,
@@ -114,7 +114,7 @@
   }
 };
 
-/** An aggregated answer adds 1 for each shard that contributed. */
+/** Checks that the sum of an aggregated answer equals the number of contributing shards. */
 export const checkAggregate = (answer: Answered, report: ReportViolation): void => {
   const item = answer.items.find(({ id }) => id === AGGREGATE_ITEM_ID);
   if (item !== undefined && item.score !== answer.contributed) {
--- a/src/simulation/invariants/configuration-checks.ts
+++ b/src/simulation/invariants/configuration-checks.ts
@@ -1,25 +1,28 @@
-/** Checks of the configuration: what a node holds only grows, and soon is the store's newest. */
+/**
+ * Checks of the configuration: the revisions that a node holds never decrease, and every accepted
+ * write is in force on each serving node within a time bound.
+ */
 import type { StoreObject } from '../../catalog/store-object.js';
 import type { Simulation } from '../simulation.js';
 import type { StepRecord } from '../observer.js';
 import type { ReportViolation } from './violation.js';
 
-/** How soon an accepted write must be in force on every connected node, in milliseconds. */
+/** Time until an accepted write must be in force on every connected node, in milliseconds. */
 const IN_FORCE_BOUND_MS = 3_000;
 
-/** How soon after the last disturbance the tier must be whole again, in milliseconds. */
-const WHOLE_AGAIN_MS = 5_000;
+/** Time within which the tier must recover after the last disturbance, in milliseconds. */
+const RECOVERY_BOUND_MS = 5_000;
 
-interface HeldByProcess {
+interface ProcessConfiguration {
   readonly process: number;
   readonly revisions: Map<string, number>;
   revision: number;
   inForce: unknown;
 }
 
-/** Follows what each process holds. */
+/** Tracks the configuration that each process holds. */
 export class ConfigurationChecks {
-  private readonly held = new Map<string, HeldByProcess>();
+  private readonly held = new Map<string, ProcessConfiguration>();
   private readonly writes = new Map<number, StoreObject>();
   private readonly overdue = new Set<string>();
   private rolledBack = false;
@@ -29,8 +32,8 @@
     private readonly report: ReportViolation,
   ) {}
 
-  /** The store has accepted a write. */
-  noteWrite(object: StoreObject): void {
+  /** Handles a write that the store has accepted. */
+  handleWrite(object: StoreObject): void {
     if (this.writes.has(object.revision)) {
       this.rolledBack = true;
     }
@@ -41,10 +44,10 @@
     });
   }
 
-  /** A node has taken a step. */
-  noteStep({ node, state }: StepRecord): void {
+  /** Handles a step of a node. */
+  handleStep({ node, state }: StepRecord): void {
     const process = this.simulation.node(node).processNumber;
-    const held = this.heldBy(node, process);
+    const held = this.findOrCreateHeld(node, process);
     const { configuration } = state;
     if (configuration.revision < held.revision) {
       this.report(
@@ -59,12 +62,12 @@
     }
   }
 
-  private heldBy(node: string, process: number): HeldByProcess {
+  private findOrCreateHeld(node: string, process: number): ProcessConfiguration {
     const found = this.held.get(node);
     if (found?.process === process) {
       return found;
     }
-    const created: HeldByProcess = {
+    const created: ProcessConfiguration = {
       process,
       revisions: new Map(),
       revision: 0,
@@ -74,7 +77,11 @@
     return created;
   }
 
-  private checkObjects(node: string, held: HeldByProcess, objects: Iterable<StoreObject>): void {
+  private checkObjects(
+    node: string,
+    held: ProcessConfiguration,
+    objects: Iterable<StoreObject>,
+  ): void {
     for (const object of objects) {
       const before = held.revisions.get(object.name) ?? 0;
       if (object.revision < before) {
@@ -99,14 +106,14 @@
     }
   }
 
-  /** Looks at a write after the bound; looks again later if something disturbed the tier. */
+  /** Checks a write after the time bound, or later if the tier was disturbed. */
   private checkInForce(object: StoreObject, writtenAt: number): void {
-    const { quiet, now, nodes } = this.simulation;
+    const { disturbances, now, nodes } = this.simulation;
     if (this.rolledBack) {
       return;
     }
-    const since = quiet.since ?? now;
-    const from = since >= writtenAt ? since + WHOLE_AGAIN_MS : writtenAt;
+    const since = disturbances.undisturbedSince ?? now;
+    const from = since >= writtenAt ? since + RECOVERY_BOUND_MS : writtenAt;
     if (now - from < IN_FORCE_BOUND_MS) {
       this.simulation.after(IN_FORCE_BOUND_MS - (now - from), () => {
         this.checkInForce(object, writtenAt);
--- a/src/simulation/invariants/leaving-checks.ts
+++ b/src/simulation/invariants/leaving-checks.ts
@@ -1,4 +1,4 @@
-/** Checks of what leaves: replicas that drain get no new work, nodes that stop cut nothing off. */
+/** Checks of planned stops: leaving replicas get no new work, stopping nodes abort no request. */
 import type { ReplicaStatus } from '../../catalog/partner-index.js';
 import type { CallRecord } from '../call-record.js';
 import type { ArrivalRecord } from '../replica-record.js';
@@ -6,76 +6,76 @@
 import type { ReportViolation } from './violation.js';
 
 /**
- * How soon after the first sign that a replica leaves it must get no new work, in milliseconds. The
- * first sign is what the platform publishes, or the first word of the replica that says so, a refusal
- * or an answer: nobody can know earlier. A replica that is frozen says nothing.
+ * Time after the first announcement that a replica is leaving within which it must stop receiving
+ * new work, in milliseconds. The first announcement is the platform's status, or the replica's own
+ * refusal or answer; nodes cannot detect it earlier. A frozen replica announces nothing.
  */
 const LEAVING_BOUND_MS = 3_000;
 
-/** Follows replicas that leave and nodes that stop. */
+/** Tracks leaving replicas and stopping nodes. */
 export class LeavingChecks {
   private readonly leaving = new Set<string>();
-  private readonly firstSignAt = new Map<string, number>();
+  private readonly firstAnnouncedAt = new Map<string, number>();
 
   constructor(
     private readonly simulation: Simulation,
     private readonly report: ReportViolation,
   ) {}
 
-  /** A replica's lifecycle has changed. */
-  noteLifecycle(replica: string, isLeaving: boolean): void {
+  /** Handles a change of a replica's lifecycle. */
+  handleLifecycleChange(replica: string, isLeaving: boolean): void {
     if (isLeaving) {
       this.leaving.add(replica);
     } else {
       this.leaving.delete(replica);
-      this.firstSignAt.delete(replica);
+      this.firstAnnouncedAt.delete(replica);
     }
   }
 
-  /** The platform has published what it knows of a service's replicas. */
-  notePublished(replicas: readonly ReplicaStatus[]): void {
+  /** Handles the status of a service's replicas that the platform has published. */
+  handlePublishedStatus(replicas: readonly ReplicaStatus[]): void {
     for (const { replica, lifecycle } of replicas) {
       if (lifecycle === 'leaving') {
-        this.noteSign(replica);
+        this.recordFirstAnnouncement(replica);
       }
     }
   }
 
-  /** A replica has said that it leaves. */
-  noteSaid(replica: string): void {
+  /** Handles a replica's announcement that it is leaving. */
+  handleAnnouncement(replica: string): void {
     if (this.leaving.has(replica)) {
-      this.noteSign(replica);
+      this.recordFirstAnnouncement(replica);
     }
   }
 
-  /** An attempt has reached a replica. */
-  noteArrival(arrival: ArrivalRecord): void {
+  /** Handles an attempt that has reached a replica. */
+  handleArrival(arrival: ArrivalRecord): void {
     if (!this.leaving.has(arrival.replica)) {
       return;
     }
-    const firstSignAt = this.firstSignAt.get(arrival.replica);
-    const quietSince = this.simulation.quiet.since;
-    if (firstSignAt === undefined || quietSince === undefined) {
+    const firstAnnouncedAt = this.firstAnnouncedAt.get(arrival.replica);
+    const undisturbedSince = this.simulation.disturbances.undisturbedSince;
+    if (firstAnnouncedAt === undefined || undisturbedSince === undefined) {
       return;
     }
     const feederStartedAt = this.simulation.nodes.get(arrival.feeder)?.startedAt ?? 0;
-    const from = Math.max(firstSignAt, quietSince, feederStartedAt);
+    const from = Math.max(firstAnnouncedAt, undisturbedSince, feederStartedAt);
     if (arrival.at - from > LEAVING_BOUND_MS) {
       this.report(
         'leaving-gets-no-new-work',
-        `${arrival.replica} has been known to leave for ${arrival.at - firstSignAt} ms and got ${arrival.attempt} from ${arrival.feeder}`,
+        `${arrival.replica} has been known to leave for ${arrival.at - firstAnnouncedAt} ms and got ${arrival.attempt} from ${arrival.feeder}`,
       );
     }
   }
 
-  private noteSign(replica: string): void {
-    if (!this.firstSignAt.has(replica)) {
-      this.firstSignAt.set(replica, this.simulation.now);
+  private recordFirstAnnouncement(replica: string): void {
+    if (!this.firstAnnouncedAt.has(replica)) {
+      this.firstAnnouncedAt.set(replica, this.simulation.now);
     }
   }
 
-  /** A node's process has ended after a planned stop. */
-  notePlannedEnd(node: string, openAttempts: number): void {
+  /** Handles the end of a node's process after a planned stop. */
+  handlePlannedStop(node: string, openAttempts: number): void {
     if (openAttempts > 0) {
       this.report(
         'planned-stop-cuts-nothing',
@@ -87,16 +87,17 @@
     }
   }
 
-  /** A caller has got its answer. */
-  noteAnswer(call: CallRecord): void {
+  /** Handles an answer that a caller has received. */
+  handleAnswer(call: CallRecord): void {
     const { outcome } = call;
-    const quietSince = this.simulation.quiet.since;
-    const wasQuiet = quietSince !== undefined && quietSince < call.sentAt - LEAVING_BOUND_MS;
+    const undisturbedSince = this.simulation.disturbances.undisturbedSince;
+    const wasUndisturbed =
+      undisturbedSince !== undefined && undisturbedSince < call.sentAt - LEAVING_BOUND_MS;
     const lostPeer =
       (outcome?.type === 'unknown' && outcome.reason === 'peer-lost') ||
       (outcome?.type === 'answered' &&
         outcome.missing.some(({ reason }) => reason === 'peer-lost'));
-    if (wasQuiet && lostPeer) {
+    if (wasUndisturbed && lostPeer) {
       this.report(
         'planned-stop-cuts-nothing',
         `${outcome.request} lost a peer though no process crashed and no zone was cut`,
--- a/src/simulation/scenario/faults.ts
+++ b/src/simulation/scenario/faults.ts
@@ -1,4 +1,4 @@
-/** Every fault that the tier must stand, by name, as steps of a scenario; each ends by itself. */
+/** The faults that the tier must tolerate, by name: scenario steps that begin and end a fault. */
 import type {
   ReplicaTarget,
   Scenario,
@@ -34,35 +34,35 @@
 /** A fault's name. */
 export type FaultName = (typeof FAULT_NAMES)[number];
 
-/** When a fault begins and how long it lasts, in milliseconds of the measured part. */
+/** Start and duration of a fault, in milliseconds from the start of the measured period. */
 export interface FaultTime {
   readonly fromMs: number;
-  readonly lastsMs: number;
+  readonly durationMs: number;
 }
 
-const FIRST_OF_EACH: ReplicaTarget = { firstOfService: 1 };
+const FIRST_REPLICA_OF_EACH: ReplicaTarget = { firstOfService: 1 };
 const STRAGGLER_SHARE = 0.02;
 const STRAGGLER_FACTOR = 10;
 const FLOOD_FACTOR = 5;
 const SLOW_STORE_MS = 2_000;
 const LOST_ANSWER_SHARE = 0.5;
-const PUBLISH_LATE_MS = 10_000;
+const PUBLISH_DELAY_MS = 10_000;
 const NEXT_SNAPSHOT = 2;
 const EDIT_WEIGHT = 2;
 
-const fromTo = (
-  { fromMs, lastsMs }: FaultTime,
+const faultWithEnd = (
+  { fromMs, durationMs }: FaultTime,
   begin: ScenarioStep,
   end: ScenarioStep,
 ): ScenarioFault[] => [
   { atMs: fromMs, ...begin },
-  { atMs: fromMs + lastsMs, ...end },
+  { atMs: fromMs + durationMs, ...end },
 ];
 
 const replicaFault =
   (target: ReplicaTarget, begin: ReplicaFaultChange, end: ReplicaFaultChange) =>
   (time: FaultTime): ScenarioFault[] =>
-    fromTo(
+    faultWithEnd(
       time,
       { kind: 'replica-fault', target, change: begin },
       { kind: 'replica-fault', target, change: end },
@@ -71,17 +71,21 @@
 const storeFault =
   (begin: StoreFaultChange, end: StoreFaultChange) =>
   (time: FaultTime): ScenarioFault[] =>
-    fromTo(time, { kind: 'store-fault', change: begin }, { kind: 'store-fault', change: end });
+    faultWithEnd(
+      time,
+      { kind: 'store-fault', change: begin },
+      { kind: 'store-fault', change: end },
+    );
 
 const rollOut =
   (addedShards: number) =>
-  ({ fromMs, lastsMs }: FaultTime): ScenarioFault[] => [
+  ({ fromMs, durationMs }: FaultTime): ScenarioFault[] => [
     {
       atMs: fromMs,
       kind: 'roll-out',
       partner: 'ensemble',
       version: NEXT_SNAPSHOT,
-      overMs: lastsMs / 2,
+      overMs: durationMs / 2,
       addedShards,
     },
   ];
@@ -92,28 +96,29 @@
     { slowFactor: STRAGGLER_FACTOR, slowShare: STRAGGLER_SHARE },
     { slowFactor: 1, slowShare: 1 },
   ),
-  'replica-lost': replicaFault(FIRST_OF_EACH, { dead: true }, { dead: false }),
-  'replica-frozen': replicaFault(FIRST_OF_EACH, { frozen: true }, { frozen: false }),
+  'replica-lost': replicaFault(FIRST_REPLICA_OF_EACH, { dead: true }, { dead: false }),
+  'replica-frozen': replicaFault(FIRST_REPLICA_OF_EACH, { frozen: true }, { frozen: false }),
   repartition: rollOut(1),
   'roll-out': rollOut(0),
   'store-down': storeFault({ down: true }, { down: false }),
   'store-slow': storeFault({ delayMs: SLOW_STORE_MS }, { delayMs: 0 }),
   'answer-lost': storeFault({ loseAnswerShare: LOST_ANSWER_SHARE }, { loseAnswerShare: 0 }),
-  'zone-cut': (time) => fromTo(time, { kind: 'zone-cut', zones: ['bole'] }, { kind: 'zone-heal' }),
+  'zone-cut': (time) =>
+    faultWithEnd(time, { kind: 'zone-cut', zones: ['bole'] }, { kind: 'zone-heal' }),
   'node-killed': (time) =>
-    fromTo(
+    faultWithEnd(
       time,
       { kind: 'node-fault', target: { node: 'arada-1' }, action: 'kill' },
       { kind: 'node-fault', target: { node: 'arada-1' }, action: 'start' },
     ),
   'node-paused': (time) =>
-    fromTo(
+    faultWithEnd(
       time,
       { kind: 'node-fault', target: { node: 'kirkos-1' }, action: 'pause' },
       { kind: 'node-fault', target: { node: 'kirkos-1' }, action: 'resume' },
     ),
   'node-stopped': (time) =>
-    fromTo(
+    faultWithEnd(
       time,
       { kind: 'node-fault', target: { node: 'yeka-1' }, action: 'stop' },
       { kind: 'node-fault', target: { node: 'yeka-1' }, action: 'start' },
@@ -123,24 +128,29 @@
       atMs: fromMs,
       kind: 'drain',
       target: { group: 'booking-desk', firstOfService: 1 },
-      publishAfterMs: PUBLISH_LATE_MS,
+      publishAfterMs: PUBLISH_DELAY_MS,
     },
   ],
-  'cold-start': ({ fromMs, lastsMs }) => [
-    { atMs: fromMs, kind: 'replica-fault', target: FIRST_OF_EACH, change: { coldMs: lastsMs } },
+  'cold-start': ({ fromMs, durationMs }) => [
+    {
+      atMs: fromMs,
+      kind: 'replica-fault',
+      target: FIRST_REPLICA_OF_EACH,
+      change: { coldMs: durationMs },
+    },
   ],
-  shedding: replicaFault(FIRST_OF_EACH, { shedding: true }, { shedding: false }),
+  shedding: replicaFault(FIRST_REPLICA_OF_EACH, { shedding: true }, { shedding: false }),
   'load-frozen': replicaFault({}, { loadReport: 'frozen' }, { loadReport: 'true' }),
   'load-inverted': replicaFault({}, { loadReport: 'inverted' }, { loadReport: 'true' }),
   flood: (time) =>
-    fromTo(
+    faultWithEnd(
       time,
       { kind: 'load-factor', partner: 'ensemble', factor: FLOOD_FACTOR },
       { kind: 'load-factor', partner: 'ensemble', factor: 1 },
     ),
 };
 
-/** Both partners' deployments, a short load, and an edit of each partner while the faults last. */
+/** Both partners' deployments under a short load, without faults. */
 const BASE: Omit<Scenario, 'name' | 'title' | 'faults'> = {
   partners: ['ensemble', 'tawe'],
   scale: { services: 1, replicas: 1 },
@@ -155,8 +165,8 @@
   settleMs: 0,
 };
 
-const FAULT_TIME: FaultTime = { fromMs: 2_000, lastsMs: 5_000 };
-/** How much later the second fault of a pair begins, in milliseconds. */
+const FAULT_TIME: FaultTime = { fromMs: 2_000, durationMs: 5_000 };
+/** Delay between the starts of consecutive faults, in milliseconds. */
 const SECOND_FAULT_MS = 1_500;
 
 const editOf = (
@@ -171,7 +181,7 @@
   editOf('tawe', 'quote', 'builder', FAULT_TIME.fromMs + 1_500),
 ];
 
-/** The scenario in which the faults named come one after the other. */
+/** Builds a scenario in which `faults` start one after the other while each partner edits a row. */
 export const buildFaultScenario = (faults: readonly FaultName[]): Scenario => ({
   ...BASE,
   name: faults.join('+'),
@@ -184,10 +194,10 @@
   ].sort((a, b) => a.atMs - b.atMs),
 });
 
-/** Each fault alone. */
+/** Returns each fault alone. */
 export const listSingleFaults = (): FaultName[][] => FAULT_NAMES.map((name) => [name]);
 
-/** Each fault with each other one. */
+/** Returns all pairs of different faults. */
 export const listFaultPairs = (): FaultName[][] =>
   FAULT_NAMES.flatMap((first, index) =>
     FAULT_NAMES.slice(index + 1).map((second) => [first, second]),
--- a/src/simulation/scenario/scenario-edits.ts
+++ b/src/simulation/scenario/scenario-edits.ts
@@ -1,13 +1,13 @@
-/** Edits of a simulated scenario: sends them and measures how soon every live node holds them. */
+/** Sends the edits of a simulated scenario and measures when they are in force on live nodes. */
 import { type EditId, identifier, type PartnerId } from '../../core/identifiers.js';
 import type { EditStep } from '../../experiment/scenario.js';
 import type { EditInForce } from '../../experiment/scenario-result.js';
 import type { EditRequest } from '../../table/edit.js';
 import type { EditCallRecord } from '../call-record.js';
-import { VIRTUAL_EPOCH_MS } from '../node-surroundings.js';
+import { VIRTUAL_EPOCH_MS } from '../node-environment.js';
 import type { Simulation } from '../simulation.js';
 
-/** How often it is looked whether an edit is in force, in milliseconds: the figures' resolution. */
+/** Interval of the checks whether an edit is in force, in milliseconds; limits their resolution. */
 const CHECK_INTERVAL_MS = 10;
 
 interface WatchedEdit {
@@ -16,7 +16,7 @@
   inForceAt?: number;
 }
 
-/** Whether every live node holds all changes up to `revision`. */
+/** Returns whether every live node holds all changes up to `revision`. */
 export const isInForce = (simulation: Simulation, revision: number): boolean => {
   for (const { state, processState } of simulation.nodes.values()) {
     const isLive = processState === 'running' && state?.phase === 'serving';
@@ -27,7 +27,7 @@
   return true;
 };
 
-/** Sends edits and watches them. */
+/** Sends edits and checks when they are in force. */
 export class ScenarioEdits {
   private readonly watched: WatchedEdit[] = [];
 
@@ -38,7 +38,7 @@
     const node = [...this.simulation.nodes.values()].find(
       ({ processState }) => processState === 'running',
     );
-    const edit = this.makeEdit(step);
+    const edit = this.buildEdit(step);
     if (node === undefined || edit === undefined) {
       return;
     }
@@ -50,7 +50,7 @@
     this.check(watched);
   }
 
-  /** How long each edit took. */
+  /** Returns the time that each edit took to be in force; absent for an edit that is not. */
   listInForce(): EditInForce[] {
     return this.watched.map(({ partner, record, inForceAt }) => ({
       partner,
@@ -69,16 +69,16 @@
     });
   }
 
-  private makeEdit(step: EditStep): EditRequest | undefined {
+  private buildEdit(step: EditStep): EditRequest | undefined {
     const object = this.simulation.store.model.read(`sheet/${step.partner}`);
     const rows = object?.content.type === 'sheet' ? object.content.sheet.rows : [];
-    const standing = rows.find(
+    const current = rows.find(
       ({ row }) => row.route === step.route && row.kind === step.requestKind,
     );
-    if (object === undefined || standing === undefined) {
+    if (object === undefined || current === undefined) {
       return undefined;
     }
-    const row = { ...standing.row, weight: step.weight };
+    const row = { ...current.row, weight: step.weight };
     return {
       edit: identifier<EditId>(`edit-${this.watched.length + 1}`),
       partner: identifier<PartnerId>(step.partner),
@@ -88,7 +88,7 @@
       writtenAt: VIRTUAL_EPOCH_MS + Math.floor(this.simulation.now),
       action: {
         type: 'change-rows',
-        changes: [{ type: 'set', row, basedOn: standing.rowVersion }],
+        changes: [{ type: 'set', row, basedOn: current.rowVersion }],
       },
     };
   }
--- a/src/simulation/simulated-node.ts
+++ b/src/simulation/simulated-node.ts
@@ -1,6 +1,6 @@
 /**
- * One node of the tier in a simulation: the real core under a virtual clock. It can crash,
- * restart without any state, pause, wake and stop as planned.
+ * A node of a simulated tier: the real core under a virtual clock. A node can crash, restart
+ * without state, pause, resume and perform a planned stop.
  */
 import type { Event } from '../core/event.js';
 import type { CallId, NodeId } from '../core/identifiers.js';
@@ -14,36 +14,36 @@
 import type { NetworkEndpoint } from './network-endpoint.js';
 import {
   type NodePlacement,
-  type NodeSurroundings,
+  type NodeEnvironment,
   type UnstampedEvent,
   VIRTUAL_EPOCH_MS,
-} from './node-surroundings.js';
+} from './node-environment.js';
 import { deriveSeed } from './seeds.js';
-import { carryOutEffect, clockOf, type SimulatedProcess } from './simulated-process.js';
+import { executeEffect, clockOf, type SimulatedProcess } from './simulated-process.js';
 import { type SetTimerEntry, Timers } from './timers.js';
 
-/** Most by which the monotonic clocks of two processes differ, in milliseconds. */
+/** Maximum difference between the monotonic clocks of two processes, in milliseconds. */
 const CLOCK_OFFSET_RANGE_MS = 1_000_000;
 
-/** Whether a node's process exists and runs. */
+/** State of a node's process. */
 export type ProcessState = 'down' | 'running' | 'paused';
 
 type InboxEntry =
   | { readonly type: 'event'; readonly event: UnstampedEvent }
   | { readonly type: 'timer'; readonly entry: SetTimerEntry };
 
-/** A node. */
+/** Runs the core of one node and connects it to the simulated network, store and replicas. */
 export class SimulatedNode implements NetworkEndpoint {
   processState: ProcessState = 'down';
   processNumber = 0;
-  /** When the process started, in virtual time. */
+  /** Virtual time at which the process started, in milliseconds. */
   startedAt = 0;
   private process: SimulatedProcess | undefined;
   private inbox: InboxEntry[] = [];
 
   constructor(
     readonly placement: NodePlacement,
-    private readonly surroundings: NodeSurroundings,
+    private readonly environment: NodeEnvironment,
   ) {}
 
   /** The node's identifier. */
@@ -56,7 +56,7 @@
     return this.placement.zone;
   }
 
-  /** Where the node's peers reach it. */
+  /** The address at which peers reach the node. */
   get address(): PeerAddress {
     return this.placement.address;
   }
@@ -66,54 +66,54 @@
     return this.process !== undefined;
   }
 
-  /** The core's state; only to be read. Undefined while the process is down. */
+  /** The core's state, which callers must not modify; undefined while the process is down. */
   get state(): CoreState | undefined {
     return this.process?.state;
   }
 
-  /** Whether the process `processNumber` is still the one that runs. */
+  /** Whether the process with this number is still the current one. */
   isProcess(processNumber: number): boolean {
     return this.isUp && this.processNumber === processNumber;
   }
 
-  /** Starts a process that knows nothing, unless `prepare` fills its state before it starts. */
+  /** Starts a process with empty state; `prepare` may modify the state before the first event. */
   start(prepare?: (state: CoreState) => void): void {
     if (this.process !== undefined) {
       return;
     }
     this.processNumber += 1;
-    this.startedAt = this.surroundings.scheduler.now;
+    this.startedAt = this.environment.scheduler.now;
     this.process = this.createProcess();
     this.processState = 'running';
     prepare?.(this.process.state);
-    this.surroundings.network.add(this);
+    this.environment.network.add(this);
     this.deliver({ type: 'started' });
   }
 
-  /** Kills the process: all its state is gone, and its callers lose their connections. */
+  /** Kills the process: its state is lost and its callers' connections break. */
   crash(): void {
     if (this.process !== undefined) {
-      this.surroundings.quiet.disturb();
-      this.end(this.process);
+      this.environment.disturbances.recordMomentary();
+      this.terminateProcess(this.process);
     }
   }
 
-  /** Stops the process from running while its clock goes on. */
+  /** Pauses the process; its clock continues to advance. */
   pause(): void {
     if (this.processState === 'running') {
       this.processState = 'paused';
-      this.surroundings.quiet.begin(`paused ${this.name}`);
+      this.environment.disturbances.begin(`paused ${this.name}`);
     }
   }
 
-  /** Lets a paused process run again; it finds all that came in meanwhile. */
+  /** Resumes a paused process, which then handles the events that arrived during the pause. */
   wake(): void {
     if (this.processState !== 'paused') {
       return;
     }
     this.processState = 'running';
-    this.surroundings.quiet.end(`paused ${this.name}`);
-    for (const entry of this.orderInbox()) {
+    this.environment.disturbances.end(`paused ${this.name}`);
+    for (const entry of this.drainInbox()) {
       if (entry.type === 'timer') {
         this.fireTimer(entry.entry);
       } else {
@@ -122,17 +122,17 @@
     }
   }
 
-  /** Asks the process to stop as planned. */
+  /** Requests a planned stop of the process. */
   requestStop(): void {
     this.deliver({ type: 'stop-requested' });
   }
 
-  /** Hands a query to the node. */
+  /** Delivers a query to the node. */
   query(call: CallId, query: QueryRequest): void {
     this.deliver({ type: 'query-arrived', call, query });
   }
 
-  /** Hands an edit to the node. */
+  /** Delivers an edit to the node. */
   edit(call: CallId, edit: EditRequest): void {
     this.deliver({ type: 'edit-requested', call, edit });
   }
@@ -141,27 +141,27 @@
     this.deliver({ type: 'datagram-arrived', message });
   }
 
-  receiveLink(from: NodeId, message: LinkMessage): void {
+  receiveLinkMessage(from: NodeId, message: LinkMessage): void {
     this.deliver({ type: 'link-message-arrived', from, message });
   }
 
-  loseLink(peer: NodeId): void {
+  handleLinkLost(peer: NodeId): void {
     this.deliver({ type: 'link-lost', peer });
   }
 
-  /** Hands an event to the core, or keeps it while the process is paused. */
+  /** Delivers an event to the core, or queues it while the process is paused. */
   deliver(event: UnstampedEvent): void {
     if (this.processState === 'paused') {
       this.inbox.push({ type: 'event', event });
     } else if (this.process !== undefined) {
-      this.take(this.process, event);
+      this.runStep(this.process, event);
     }
   }
 
-  private take(process: SimulatedProcess, unstamped: UnstampedEvent): void {
-    const { step: takeStep, observers, scheduler } = this.surroundings;
+  private runStep(process: SimulatedProcess, unstamped: UnstampedEvent): void {
+    const { step, observers, scheduler } = this.environment;
     const event = { ...unstamped, at: clockOf(process) } as Event;
-    const effects = takeStep(process.state, event);
+    const effects = step(process.state, event);
     for (const observer of observers) {
       observer.stepped?.({
         at: scheduler.now,
@@ -173,37 +173,37 @@
     }
     for (const effect of effects) {
       if (this.process === process) {
-        carryOutEffect(process, effect);
+        executeEffect(process, effect);
       }
     }
   }
 
-  private end(process: SimulatedProcess): void {
+  private terminateProcess(process: SimulatedProcess): void {
     process.timers.cancelAll();
-    process.backends.die();
-    this.surroundings.store.unwatch(this);
+    process.backends.terminate();
+    this.environment.store.unwatch(this);
     this.process = undefined;
     this.processState = 'down';
-    this.surroundings.quiet.end(`paused ${this.name}`);
+    this.environment.disturbances.end(`paused ${this.name}`);
     this.inbox = [];
-    this.surroundings.network.closeLinksOf(this.name);
-    this.surroundings.calls.endProcess(this.name);
+    this.environment.network.closeLinksOf(this.name);
+    this.environment.calls.handleProcessEnd(this.name);
   }
 
-  /** Ends the process because its core has said that its planned stop is done. */
-  endAsPlanned(): void {
+  /** Ends the process after its core has completed a planned stop. */
+  completePlannedStop(): void {
     const { process } = this;
     if (process !== undefined) {
       const openAttempts = process.backends.openAttempts;
-      this.surroundings.observers.forEach((observer) =>
+      this.environment.observers.forEach((observer) =>
         observer.endedAsPlanned?.(this.name, openAttempts),
       );
-      this.end(process);
+      this.terminateProcess(process);
     }
   }
 
   private createProcess(): SimulatedProcess {
-    const { scheduler, seed, random, policy } = this.surroundings;
+    const { scheduler, seed, random, policy } = this.environment;
     const { node, zone, region, address, seeds } = this.placement;
     const incarnation = VIRTUAL_EPOCH_MS + Math.floor(scheduler.now);
     const state = createCoreState({
@@ -214,10 +214,10 @@
     });
     return {
       node: this,
-      surroundings: this.surroundings,
+      environment: this.environment,
       state,
       timers: new Timers(scheduler, (entry) => {
-        this.runOut(entry);
+        this.handleTimerExpiry(entry);
       }),
       backends: this.createBackends(),
       startedAt: scheduler.now,
@@ -226,7 +226,7 @@
   }
 
   private createBackends(): BackendClient {
-    const { scheduler, network, findReplica, backendLatency } = this.surroundings;
+    const { scheduler, network, findReplica, backendLatency } = this.environment;
     return new BackendClient({
       place: this,
       scheduler,
@@ -240,7 +240,7 @@
     });
   }
 
-  private runOut(entry: SetTimerEntry): void {
+  private handleTimerExpiry(entry: SetTimerEntry): void {
     if (this.processState === 'paused') {
       this.inbox.push({ type: 'timer', entry });
     } else {
@@ -249,17 +249,17 @@
   }
 
   private fireTimer(entry: SetTimerEntry): void {
-    if (this.process?.timers.take(entry) === true) {
-      this.take(this.process, { type: 'timer-fired', key: entry.key });
+    if (this.process?.timers.removeExpired(entry) === true) {
+      this.runStep(this.process, { type: 'timer-fired', key: entry.key });
     }
   }
 
-  /** A process that wakes sees its timers or its messages first: either may happen. */
-  private orderInbox(): InboxEntry[] {
+  /** Empties the inbox, either timers or messages first: a real process may see either order. */
+  private drainInbox(): InboxEntry[] {
     const entries = this.inbox;
     this.inbox = [];
     const timers = entries.filter((entry) => entry.type === 'timer');
     const events = entries.filter((entry) => entry.type === 'event');
-    return this.surroundings.random.next() < 0.5 ? [...timers, ...events] : [...events, ...timers];
+    return this.environment.random.next() < 0.5 ? [...timers, ...events] : [...events, ...timers];
   }
 }
--- a/src/simulation/simulated-store.ts
+++ b/src/simulation/simulated-store.ts
@@ -1,7 +1,7 @@
-/** The platform's store in a simulation: objects with versions, watches, faults, machine list. */
+/** The platform's store in a simulation: versioned objects, watches, faults and machine list. */
 import type { StoreContent, StoreObject } from '../catalog/store-object.js';
 import type { ObjectName, StoreRequestId } from '../core/identifiers.js';
-import type { Quiet } from './quiet.js';
+import type { DisturbanceTracker } from './disturbance-tracker.js';
 import type { Reachability } from './reachability.js';
 import type { Scheduler } from './scheduler.js';
 import type { SimulatedNode } from './simulated-node.js';
@@ -12,25 +12,25 @@
 
 /** One-way latency between a node and the store, in milliseconds. */
 const STORE_LATENCY_MS = 1;
-/** How long a node waits for the store's answer, in milliseconds. */
+/** Timeout of a node's request to the store, in milliseconds. */
 const STORE_REQUEST_TIMEOUT_MS = 5_000;
-/** How long a watch may be silent, bookmarks included, until the node gives it up. */
-const WATCH_SILENCE_MS = 15_000;
-/** How often a watch without news gets a bookmark. */
+/** Time without any message, bookmarks included, after which a watch fails, in milliseconds. */
+const WATCH_TIMEOUT_MS = 15_000;
+/** Interval between the bookmarks of a watch without changes, in milliseconds. */
 const BOOKMARK_MS = 5_000;
-/** Where the store stands in the network; cut this zone off to cut the store off. */
+/** The store's location in the network; cutting off its zone makes the store unreachable. */
 const STORE_PLACE = { name: 'platform', zone: 'platform' } as const;
 
 interface Watch {
   readonly node: SimulatedNode;
   readonly process: number;
   through: number;
-  heardAt: number;
-  begun: boolean;
+  lastMessageAt: number;
+  isActive: boolean;
   ended: boolean;
 }
 
-/** Requests the store has served, for the rules that bound them. */
+/** Number of requests to the store, for the checks that limit them. */
 export interface StoreLoad {
   reads: number;
   writes: number;
@@ -38,58 +38,62 @@
   machineReads: number;
 }
 
-/** The store as nodes reach it over the virtual network. */
+/** The store as nodes access it over the virtual network. */
 export class SimulatedStore {
   readonly model: StoreModel;
-  /** All writes that were accepted, oldest first; those rolled back stay in it. */
+  /** All accepted writes, oldest first, including those that were rolled back later. */
   readonly history: StoreObject[] = [];
   readonly load: StoreLoad = { reads: 0, writes: 0, watches: 0, machineReads: 0 };
-  /** Told of each accepted write. */
+  /** Called for each accepted write. */
   onStored: ((object: StoreObject) => void) | undefined;
   private readonly watches = new Map<SimulatedNode, Watch>();
-  /** The last watch each node asked for; a node is not told of the end of any before. */
+  /** The last watch that each node requested; the end of an earlier watch is not reported. */
   private readonly wanted = new Map<SimulatedNode, Watch>();
   private readonly disturbance: StoreDisturbance;
 
   constructor(
     private readonly scheduler: Scheduler,
     private readonly reachability: Reachability,
-    quiet: Quiet,
+    disturbances: DisturbanceTracker,
     seed: number,
   ) {
     this.model = new StoreModel({ objects: [], seed });
-    this.disturbance = new StoreDisturbance(scheduler, quiet, () => ({
+    this.disturbance = new StoreDisturbance(scheduler, disturbances, () => ({
       down: this.faults.down,
       delayMs: this.faults.delayMs,
-      watchers: this.countBegunWatches(),
+      watchers: this.countActiveWatches(),
     }));
   }
 
-  /** The faults as they stand. */
+  /** The faults currently in effect. */
   get faults(): StoreFaults {
     return this.model.currentFaults;
   }
 
-  /** Writes an object as the platform itself does, without a check of its version. */
+  /**
+   * Writes an object on behalf of the platform, whatever its current version.
+   *
+   * @throws Error if the store does not hold the object afterwards
+   */
   put(name: string, content: StoreContent): StoreObject {
     const expected = this.model.read(name)?.version ?? 0;
     this.write(name, expected, content);
     const written = this.model.read(name);
     if (written === undefined) {
-      throw new Error(`the store refused its own write of ${name}`);
+      throw new Error(`object ${name} is missing from the store after its write`);
     }
     return written;
   }
 
-  /** Nodes that watch the store now. */
+  /** Nodes that currently watch the store. */
   get watchers(): SimulatedNode[] {
     return [...this.watches.values()].filter((watch) => !watch.ended).map((watch) => watch.node);
   }
 
-  /** Changes some of the faults; watches end at once when the store goes down. */
+  /** Changes some of the faults; watches end immediately when the store goes down. */
   setFaults(change: StoreFaultChange): void {
     this.model.setFaults(change);
-    this.disturbance.noteFaults(change.rollBackTo !== undefined);
+    this.disturbance.handleFaultChange(change.rollBackTo !== undefined);
     for (const watch of [...this.watches.values()]) {
       if (this.faults.down) {
         this.endWatch(watch, STORE_LATENCY_MS, 'the watch ended');
@@ -98,30 +102,30 @@
     }
   }
 
-  /** A machine comes, changes or goes; the list shows it later. */
+  /** Adds, changes or removes a machine; the machine list shows the change with a delay. */
   changeMachine(change: MachineChange): void {
     this.model.changeMachine(this.scheduler.now, change);
   }
 
-  /** Starts a node's watch, in place of any before. */
+  /** Starts a node's watch and replaces its previous one. */
   watch(node: SimulatedNode, after: number): void {
     this.unwatch(node);
     const watch: Watch = {
       node,
       process: node.processNumber,
       through: after,
-      heardAt: this.scheduler.now,
-      begun: false,
+      lastMessageAt: this.scheduler.now,
+      isActive: false,
       ended: false,
     };
     this.watches.set(node, watch);
     this.wanted.set(node, watch);
     this.load.watches += 1;
     this.scheduler.schedule(STORE_LATENCY_MS, () => {
-      this.beginWatch(watch);
+      this.activateWatch(watch);
     });
-    this.scheduler.schedule(WATCH_SILENCE_MS, () => {
-      this.checkSilence(watch);
+    this.scheduler.schedule(WATCH_TIMEOUT_MS, () => {
+      this.checkWatchTimeout(watch);
     });
   }
 
@@ -138,7 +142,7 @@
   /** Reads one object for a node. */
   readObject(node: SimulatedNode, request: StoreRequestId, name: ObjectName): void {
     this.load.reads += 1;
-    this.serve(node, request, () => {
+    this.handleRequest(node, request, () => {
       const object = this.model.read(name);
       return () => {
         node.deliver({ type: 'object-read', request, ...(object && { object }) });
@@ -146,7 +150,7 @@
     });
   }
 
-  /** Compare-and-set for a node. */
+  /** Writes an object for a node if its version is `expectedVersion`. */
   writeObject(
     node: SimulatedNode,
     request: StoreRequestId,
@@ -155,7 +159,7 @@
     content: StoreContent,
   ): void {
     this.load.writes += 1;
-    this.serve(node, request, () => {
+    this.handleRequest(node, request, () => {
       const written = this.write(name, expectedVersion, content);
       if (written.type === 'refused') {
         const { version } = written;
@@ -187,8 +191,8 @@
     });
   }
 
-  private countBegunWatches(): number {
-    return [...this.watches.values()].filter(({ begun }) => begun).length;
+  private countActiveWatches(): number {
+    return [...this.watches.values()].filter(({ isActive }) => isActive).length;
   }
 
   private write(name: string, expectedVersion: number, content: StoreContent): WriteOutcome {
@@ -202,7 +206,7 @@
     return outcome;
   }
 
-  private serve(
+  private handleRequest(
     node: SimulatedNode,
     request: StoreRequestId,
     work: () => (() => void) | undefined,
@@ -257,7 +261,7 @@
     });
   }
 
-  private beginWatch(watch: Watch): void {
+  private activateWatch(watch: Watch): void {
     if (watch.ended) {
       return;
     }
@@ -269,7 +273,7 @@
       this.endWatch(watch, STORE_LATENCY_MS, 'connection refused');
       return;
     }
-    watch.begun = true;
+    watch.isActive = true;
     this.sendChanges(watch);
     this.disturbance.endIfOver();
     this.scheduler.schedule(BOOKMARK_MS, () => {
@@ -302,26 +306,26 @@
     const objects = this.model.readAll(after);
     watch.through = through;
     const delayMs = STORE_LATENCY_MS + this.faults.delayMs;
-    this.disturbance.noteAnswer(this.scheduler.now + delayMs);
+    this.disturbance.recordAnswer(this.scheduler.now + delayMs);
     this.scheduler.schedule(delayMs, () => {
       if (!watch.ended && watch.node.isProcess(watch.process)) {
-        watch.heardAt = this.scheduler.now;
+        watch.lastMessageAt = this.scheduler.now;
         watch.node.deliver({ type: 'store-changed', after, through, objects });
       }
     });
   }
 
-  private checkSilence(watch: Watch): void {
+  private checkWatchTimeout(watch: Watch): void {
     if (watch.ended) {
       return;
     }
-    const silentMs = this.scheduler.now - watch.heardAt;
-    if (silentMs >= WATCH_SILENCE_MS) {
+    const silentMs = this.scheduler.now - watch.lastMessageAt;
+    if (silentMs >= WATCH_TIMEOUT_MS) {
       this.endWatch(watch, 0, 'the watch is silent');
       return;
     }
-    this.scheduler.schedule(WATCH_SILENCE_MS - silentMs, () => {
-      this.checkSilence(watch);
+    this.scheduler.schedule(WATCH_TIMEOUT_MS - silentMs, () => {
+      this.checkWatchTimeout(watch);
     });
   }
 
--- a/src/simulation/store-disturbance.ts
+++ b/src/simulation/store-disturbance.ts
@@ -1,67 +1,68 @@
 /**
- * Tells from when to when the store is disturbed: invariants with a time bound rest meanwhile. A store
- * that was down or slow counts as disturbed until its slow answers and the watches it had are there.
+ * Determines when the store counts as disturbed; invariants with a time bound are suspended then.
+ * After an outage or slowness, the disturbance lasts until the slow answers have arrived and as
+ * many watches are active as before.
  */
-import type { Quiet } from './quiet.js';
+import type { DisturbanceTracker } from './disturbance-tracker.js';
 import type { Scheduler } from './scheduler.js';
 
-/** Answers that are delayed by more disturb the nodes, in milliseconds. */
+/** Delay of the store's answers above which it counts as disturbed, in milliseconds. */
 const SLOW_STORE_MS = 200;
 
-/** What the store is like now. */
+/** Current condition of the store. */
 export interface StoreCondition {
   readonly down: boolean;
   /** Delay of its answers, in milliseconds. */
   readonly delayMs: number;
-  /** Watches that the store serves. */
+  /** Number of active watches. */
   readonly watchers: number;
 }
 
-/** Begins and ends the disturbance of one store. */
+/** Begins and ends the disturbance of a store. */
 export class StoreDisturbance {
-  private watchersWanted = 0;
+  private expectedWatchers = 0;
   private lastSlowAnswerAt = 0;
 
   constructor(
     private readonly scheduler: Scheduler,
-    private readonly quiet: Quiet,
+    private readonly disturbances: DisturbanceTracker,
     private readonly read: () => StoreCondition,
   ) {}
 
-  /** The faults of the store have changed. */
-  noteFaults(rolledBack: boolean): void {
-    if (this.isAbsent) {
-      this.quiet.begin('store');
-      this.watchersWanted = Math.max(this.watchersWanted, this.read().watchers);
+  /** Handles a change of the store's faults; `rolledBack` is true if it lost writes. */
+  handleFaultChange(rolledBack: boolean): void {
+    if (this.isImpaired) {
+      this.disturbances.begin('store');
+      this.expectedWatchers = Math.max(this.expectedWatchers, this.read().watchers);
     } else {
       this.endIfOver();
     }
     if (rolledBack) {
-      this.quiet.begin('store rolled back');
+      this.disturbances.begin('store rolled back');
     }
   }
 
-  /** An answer leaves the store and arrives at `at`, in milliseconds of virtual time. */
-  noteAnswer(at: number): void {
+  /** Records an answer that arrives at the virtual time `at`, in milliseconds. */
+  recordAnswer(at: number): void {
     if (this.read().delayMs > SLOW_STORE_MS) {
       this.lastSlowAnswerAt = at;
     }
   }
 
-  /** Ends the disturbance if nothing of it is left, or looks again after the last slow answer. */
+  /** Ends the disturbance if it is over, or checks again when the last slow answer has arrived. */
   endIfOver(): void {
     const { now } = this.scheduler;
     if (now < this.lastSlowAnswerAt) {
       this.scheduler.schedule(this.lastSlowAnswerAt - now, () => {
         this.endIfOver();
       });
-    } else if (!this.isAbsent && this.read().watchers >= this.watchersWanted) {
-      this.watchersWanted = 0;
-      this.quiet.end('store');
+    } else if (!this.isImpaired && this.read().watchers >= this.expectedWatchers) {
+      this.expectedWatchers = 0;
+      this.disturbances.end('store');
     }
   }
 
-  private get isAbsent(): boolean {
+  private get isImpaired(): boolean {
     const { down, delayMs } = this.read();
     return down || delayMs > SLOW_STORE_MS;
   }
--- a/src/simulation/virtual-link.ts
+++ b/src/simulation/virtual-link.ts
@@ -1,16 +1,16 @@
-/** Links of the virtual network: in order, without loss until they break. */
+/** Links of the virtual network: ordered, and without loss until the link breaks. */
 import type { NetworkEndpoint } from './network-endpoint.js';
 
-/** An open link between two processes. */
+/** A link between two processes. */
 export interface VirtualLink {
   readonly first: NetworkEndpoint;
   readonly second: NetworkEndpoint;
   readonly firstProcess: number;
   readonly secondProcess: number;
-  /** Times before which the next message may not arrive, so that order is kept. */
-  towardsFirst: number;
-  towardsSecond: number;
-  /** A broken link loses all that is sent until both ends have noticed. */
+  /** Arrival times of the last messages at each end; later messages do not arrive before them. */
+  lastArrivalAtFirst: number;
+  lastArrivalAtSecond: number;
+  /** Whether the link is broken; messages are lost until both ends have detected the break. */
   broken: boolean;
 }
 
@@ -20,8 +20,8 @@
   second,
   firstProcess: first.processNumber,
   secondProcess: second.processNumber,
-  towardsFirst: 0,
-  towardsSecond: 0,
+  lastArrivalAtFirst: 0,
+  lastArrivalAtSecond: 0,
   broken: false,
 });
 
@@ -32,16 +32,16 @@
   link.first.processNumber === link.firstProcess &&
   link.second.processNumber === link.secondProcess;
 
-/** Takes the next arrival time towards `receiver`, at `earliest` or later, keeping order. */
-export const takeArrivalTime = (
+/** Reserves the next arrival time at `receiver`, not before `earliest` or an earlier message. */
+export const reserveArrivalTime = (
   link: VirtualLink,
   receiver: NetworkEndpoint,
   earliest: number,
 ): number => {
   if (receiver === link.first) {
-    link.towardsFirst = Math.max(link.towardsFirst, earliest);
-    return link.towardsFirst;
+    link.lastArrivalAtFirst = Math.max(link.lastArrivalAtFirst, earliest);
+    return link.lastArrivalAtFirst;
   }
-  link.towardsSecond = Math.max(link.towardsSecond, earliest);
-  return link.towardsSecond;
+  link.lastArrivalAtSecond = Math.max(link.lastArrivalAtSecond, earliest);
+  return link.lastArrivalAtSecond;
 };
--- a/src/simulation/virtual-network.ts
+++ b/src/simulation/virtual-network.ts
@@ -1,6 +1,6 @@
 /**
- * The virtual network between nodes. Datagrams may be lost, doubled and reordered; links keep their
- * order and lose nothing until they break, and then both ends that are still up are told.
+ * The virtual network between nodes. Datagrams may be lost, duplicated and reordered. Links deliver
+ * in order and without loss until they break; the break is reported to each end that is still up.
  */
 import type { Random } from '../core/random.js';
 import type { MembershipMessage } from '../protocol/membership-messages.js';
@@ -12,32 +12,32 @@
   type NetworkConditions,
 } from './network-conditions.js';
 import { addressKey, type NetworkEndpoint, type TrafficCount } from './network-endpoint.js';
-import type { Quiet } from './quiet.js';
+import type { DisturbanceTracker } from './disturbance-tracker.js';
 import { Reachability } from './reachability.js';
 import type { Scheduler } from './scheduler.js';
-import { areBothEndsUp, openLink, takeArrivalTime, type VirtualLink } from './virtual-link.js';
+import { areBothEndsUp, openLink, reserveArrivalTime, type VirtualLink } from './virtual-link.js';
 
-/** What the ends of a link notice of a process that was killed: the kernel closes its sockets. */
-const RESET_NOTICE_MS = 1;
+/** Delay until peers detect a killed process, in milliseconds; its kernel closes its sockets. */
+const RESET_DETECTION_MS = 1;
 
-/** Sizes of messages on the wire, in bytes. */
+/** Returns the size of a message on the wire, in bytes. */
 export type MeasureMessage = (message: PeerMessage) => number;
 
-/** What a virtual network is made from. */
+/** Options of a virtual network. */
 export interface VirtualNetworkOptions {
   readonly scheduler: Scheduler;
   readonly random: Random;
   readonly conditions: NetworkConditions;
-  readonly quiet?: Quiet;
-  /** Counts bytes where given; costs time. */
+  readonly disturbances?: DisturbanceTracker;
+  /** Measures message sizes, which slows the simulation; traffic is not counted when absent. */
   readonly measure?: MeasureMessage;
 }
 
-/** Carries messages between the endpoints that were added to it. */
+/** Carries messages between the endpoints added to it. */
 export class VirtualNetwork {
   readonly reachability: Reachability;
   conditions: NetworkConditions;
-  /** Counts bytes where given; may be changed while the simulation runs. */
+  /** Measures message sizes; may be changed while the simulation runs. */
   measure: MeasureMessage | undefined;
   private readonly endpoints = new Map<string, NetworkEndpoint>();
   private readonly links = new Map<string, Map<string, VirtualLink>>();
@@ -46,25 +46,25 @@
   constructor(private readonly options: VirtualNetworkOptions) {
     this.conditions = options.conditions;
     this.measure = options.measure;
-    this.reachability = new Reachability(options.quiet);
+    this.reachability = new Reachability(options.disturbances);
   }
 
-  /** Adds a process; one that is there at the same address is replaced. */
+  /** Adds a process; replaces an earlier one at the same address. */
   add(endpoint: NetworkEndpoint): void {
     this.endpoints.set(addressKey(endpoint.address), endpoint);
   }
 
-  /** What a process has sent, by type of message. */
+  /** Returns the traffic that a process has sent, by message type. */
   trafficOf(name: string): ReadonlyMap<string, TrafficCount> {
     return this.traffic.get(name) ?? new Map<string, TrafficCount>();
   }
 
-  /** Forgets the traffic counted so far. */
+  /** Resets the traffic counts. */
   resetTraffic(): void {
     this.traffic.clear();
   }
 
-  /** Sends a datagram; it may be lost, doubled or overtaken. */
+  /** Sends a datagram, which may be lost, duplicated or reordered. */
   sendDatagram(from: NetworkEndpoint, to: PeerAddress, message: MembershipMessage): void {
     this.count(from, message);
     const receiver = this.endpoints.get(addressKey(to));
@@ -73,17 +73,17 @@
     }
     const conditions = findConditions(this.conditions, from.zone, receiver.zone);
     this.deliverDatagram(from, receiver, message, conditions);
-    if (this.happens(conditions.duplicateShare)) {
+    if (this.drawChance(conditions.duplicateShare)) {
       this.deliverDatagram(from, receiver, message, conditions);
     }
   }
 
-  /** Sends a message over the link to the process at `to`, and opens the link if there is none. */
+  /** Sends a message over the link to `peer` at `to`; opens the link if there is none. */
   sendLink(from: NetworkEndpoint, to: PeerAddress, peer: string, message: LinkMessage): void {
     this.count(from, message);
     const receiver = this.endpoints.get(addressKey(to));
     if (receiver === undefined || receiver.name !== peer) {
-      this.failToConnect(from, peer);
+      this.reportConnectFailure(from, peer);
       return;
     }
     const link = this.findOrOpenLink(from, receiver);
@@ -97,7 +97,7 @@
     this.deliverOverLink(link, from, receiver, message);
   }
 
-  /** Breaks all links of a process that has died; call it after the process went down. */
+  /** Breaks all links of a process; call it after the process has ended. */
   closeLinksOf(name: string): void {
     for (const link of [...(this.links.get(name)?.values() ?? [])]) {
       this.breakLink(link);
@@ -110,7 +110,7 @@
     message: MembershipMessage,
     conditions: LinkConditions,
   ): void {
-    if (this.happens(conditions.lossShare)) {
+    if (this.drawChance(conditions.lossShare)) {
       return;
     }
     this.options.scheduler.schedule(this.drawLatency(conditions), () => {
@@ -129,7 +129,7 @@
     const { scheduler } = this.options;
     const conditions = findConditions(this.conditions, from.zone, receiver.zone);
     const earliest = scheduler.now + this.drawLatency(conditions);
-    const arrival = takeArrivalTime(link, receiver, earliest);
+    const arrival = reserveArrivalTime(link, receiver, earliest);
     scheduler.schedule(arrival - scheduler.now, () => {
       if (link.broken) {
         return;
@@ -138,7 +138,7 @@
         this.breakLink(link);
         return;
       }
-      receiver.receiveLink(from.name, message);
+      receiver.receiveLinkMessage(from.name, message);
     });
   }
 
@@ -165,26 +165,26 @@
     }
     link.broken = true;
     const isSilent = areBothEndsUp(link) || this.reachability.isCut(link.first, link.second);
-    const noticeMs = isSilent ? this.conditions.linkTimeoutMs : RESET_NOTICE_MS;
+    const noticeMs = isSilent ? this.conditions.linkTimeoutMs : RESET_DETECTION_MS;
     this.options.scheduler.schedule(noticeMs, () => {
       this.links.get(link.first.name)?.delete(link.second.name);
       this.links.get(link.second.name)?.delete(link.first.name);
-      this.noticeLoss(link.first, link.firstProcess, link.second);
-      this.noticeLoss(link.second, link.secondProcess, link.first);
+      this.reportLinkLoss(link.first, link.firstProcess, link.second);
+      this.reportLinkLoss(link.second, link.secondProcess, link.first);
     });
   }
 
-  private noticeLoss(endpoint: NetworkEndpoint, process: number, peer: NetworkEndpoint): void {
+  private reportLinkLoss(endpoint: NetworkEndpoint, process: number, peer: NetworkEndpoint): void {
     if (endpoint.isUp && endpoint.processNumber === process) {
-      endpoint.loseLink(peer.name);
+      endpoint.handleLinkLost(peer.name);
     }
   }
 
-  private failToConnect(from: NetworkEndpoint, peer: string): void {
+  private reportConnectFailure(from: NetworkEndpoint, peer: string): void {
     const process = from.processNumber;
-    this.options.scheduler.schedule(RESET_NOTICE_MS, () => {
+    this.options.scheduler.schedule(RESET_DETECTION_MS, () => {
       if (from.isUp && from.processNumber === process) {
-        from.loseLink(peer as NetworkEndpoint['name']);
+        from.handleLinkLost(peer as NetworkEndpoint['name']);
       }
     });
   }
@@ -196,7 +196,7 @@
     return conditions.latencyMs + this.options.random.next() * conditions.jitterMs;
   }
 
-  private happens(share: number): boolean {
+  private drawChance(share: number): boolean {
     return share > 0 && this.options.random.next() < share;
   }
 
--- a/test/plan/create-plan.test.ts
+++ b/test/plan/create-plan.test.ts
@@ -2,7 +2,7 @@
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { runCommandLine } from '../../src/cli/run-command-line.js';
 import { connectionsOfFeeder, slotsOfFeeder } from '../../src/core/replica/feeder-share.js';
-import { deploymentsNamed } from '../../src/deployments/deployments.js';
+import { findDeployments } from '../../src/deployments/deployments.js';
 import { createPlan } from '../../src/plan/create-plan.js';
 import { DEFAULT_PROCESSOR_COSTS, type PlanInput } from '../../src/plan/plan-input.js';
 import { planInputOfDeployments } from '../../src/plan/deployment-plan-input.js';
@@ -80,7 +80,7 @@
   });
 
   it('finds no problem with the sizes of both deployments', () => {
-    const backends = planInputOfDeployments(deploymentsNamed('both'));
+    const backends = planInputOfDeployments(findDeployments('both'));
     const plan = createPlan({ ...SMALL, ...backends, nodes: 7 });
     const shares = backends.routes.reduce((sum, { share }) => sum + share, 0);
     expect(shares).toBeCloseTo(1);
