--- a/src/cli/plan.ts
+++ b/src/cli/plan.ts
@@ -94,7 +94,8 @@
   }
   return deployment === undefined
     ? readUniformReplicas(values, replicas ?? '')
-    : planInputOfDeployments(findDeployments(readChoice('deployment', deployment, DEPLOYMENT_NAMES)),
+    : planInputOfDeployments(
+        findDeployments(readChoice('deployment', deployment, DEPLOYMENT_NAMES)),
       );
 };
 
--- a/src/standins/http-body.ts
+++ b/src/standins/http-body.ts
@@ -12,7 +12,7 @@
     request.on('data', (chunk: Buffer) => {
       size += chunk.length;
       if (size > BODY_LIMIT) {
-        reject(new Error('request body exceeds the size limit'));
+        reject(new Error('body too large'));
         request.destroy();
         return;
       }
