--- a/src/experiment/run-in-simulation.ts
+++ b/src/experiment/run-in-simulation.ts
@@ -4,7 +4,7 @@
 import { runSimulatedScenario } from '../simulation/scenario/run-scenario.js';
 import type { ScenarioRun } from './scenario.js';
 import type { ScenarioResult } from './scenario-result.js';
-import { KEPT_VIOLATIONS } from '../load/run-recorder.js';
+import { MAX_RECORDED_VIOLATIONS } from '../load/run-recorder.js';
 
 /**
  * Runs one scenario under one variant and seed. The promises that the simulation checks throughout
@@ -25,7 +25,7 @@
     run: {
       ...figures,
       violationCount: figures.violationCount + found.length,
-      violations: [...figures.violations, ...found].slice(0, KEPT_VIOLATIONS),
+      violations: [...figures.violations, ...found].slice(0, MAX_RECORDED_VIOLATIONS),
     },
   };
 };
--- a/src/load/arrivals.ts
+++ b/src/load/arrivals.ts
@@ -80,7 +80,7 @@
 }
 
 /** The payload with which a call asks the replica stand-ins. */
-export const payloadOf = (call: Call): { nonce: string; aggregate?: boolean } => ({
+export const buildPayload = (call: Call): { nonce: string; aggregate?: boolean } => ({
   nonce: call.nonce,
   ...(call.item.row.merge === 'sum' ? { aggregate: true } : {}),
 });
--- a/src/load/audit-records.ts
+++ b/src/load/audit-records.ts
@@ -44,7 +44,7 @@
   ran: readonly RanRecord[],
 ): Violation[] => {
   const ranRequests = new Set(ran.map(({ request }) => request));
-  const lies = calls
+  const falselyNotRun = calls
     .filter(({ notRun, request }) => notRun && request !== undefined && ranRequests.has(request))
     .map(({ request }) => ({
       promise: 'not-run-did-not-run' as const,
@@ -59,5 +59,5 @@
       subject: key,
       seen: `ran ${count} times`,
     }));
-  return [...lies, ...doubled];
+  return [...falselyNotRun, ...doubled];
 };
--- a/src/load/check-answer.ts
+++ b/src/load/check-answer.ts
@@ -57,8 +57,8 @@
 /** Where every contributing shard's items are in the answer, their shards can be counted. */
 const checkShards = (call: Call, answer: CallAnswer, report: Report): void => {
   const { row } = call.item;
-  const cut = row.merge !== 'concatenate' || answer.contributed * ITEMS_PER_SHARD > row.maxItems;
-  if (cut && row.fanOut === 'all') {
+  const isTruncated = row.merge !== 'concatenate' || answer.contributed * ITEMS_PER_SHARD > row.maxItems;
+  if (isTruncated && row.fanOut === 'all') {
     return;
   }
   const shards = new Set(answer.items.map(({ value }) => valueOf(value).shard));
--- a/src/load/http-caller.ts
+++ b/src/load/http-caller.ts
@@ -1,12 +1,12 @@
 /** Calls nodes over HTTP as a partner's caller does. */
 import { Pool } from 'undici';
-import { payloadOf } from './arrivals.js';
+import { buildPayload } from './arrivals.js';
 import type { Call, CallAnswer, CallOutcome, EndedCall } from './call-outcome.js';
 
 /** Connections to each node. */
 const CONNECTIONS_PER_NODE = 64;
 /** How long a caller waits past the row's deadline before it gives up, in milliseconds. */
-const PATIENCE_MS = 5_000;
+const TIMEOUT_MARGIN_MS = 5_000;
 
 /** Where callers of one partner connect. */
 export interface HttpCallerOptions {
@@ -36,7 +36,7 @@
   }
 };
 
-const problemOf = (error: unknown): string =>
+const describeError = (error: unknown): string =>
   error instanceof Error && 'code' in error ? String(error.code) : String(error);
 
 /** Reasons that a node gives when it takes no work at all. */
@@ -60,13 +60,13 @@
    * @param dueAt when the call was due on the clock of `performance.now()`; latency counts from here
    */
   async send(call: Call, dueAt: number): Promise<EndedCall> {
-    let outcome = await this.tryNode(call);
+    let outcome = await this.callNextNode(call);
     for (
-      let tried = 1;
-      tried < this.options.nodes().length && isNodeOutOfService(outcome);
-      tried += 1
+      let attempts = 1;
+      attempts < this.options.nodes().length && isNodeOutOfService(outcome);
+      attempts += 1
     ) {
-      outcome = await this.tryNode(call);
+      outcome = await this.callNextNode(call);
     }
     return { call, outcome, latencyMs: performance.now() - dueAt };
   }
@@ -76,10 +76,10 @@
     await Promise.all([...this.pools.values()].map((pool) => pool.destroy()));
   }
 
-  private tryNode(call: Call): Promise<CallOutcome> {
+  private callNextNode(call: Call): Promise<CallOutcome> {
     return this.request(call).catch((error: unknown): CallOutcome => ({
       type: 'failed',
-      problem: problemOf(error),
+      problem: describeError(error),
     }));
   }
 
@@ -98,7 +98,7 @@
 
   private async request(call: Call): Promise<CallOutcome> {
     const { row } = call.item;
-    const patience = row.deadlineMs + PATIENCE_MS;
+    const timeoutMs = row.deadlineMs + TIMEOUT_MARGIN_MS;
     const { statusCode, body } = await this.nextPool().request({
       method: 'POST',
       path: `/v1/${row.partner}/${row.route}`,
@@ -110,10 +110,10 @@
       },
       body: JSON.stringify({
         ...(call.key === undefined ? {} : { key: call.key }),
-        payload: payloadOf(call),
+        payload: buildPayload(call),
       }),
-      headersTimeout: patience,
-      bodyTimeout: patience,
+      headersTimeout: timeoutMs,
+      bodyTimeout: timeoutMs,
     });
     const parsed: unknown = await body.json();
     return statusCode === 200
--- a/src/load/open-loop.ts
+++ b/src/load/open-loop.ts
@@ -8,7 +8,7 @@
 /** Most calls in progress at once; further ones are not sent and counted as failed. */
 const MAX_CALLS_IN_PROGRESS = 5_000;
 /** What a call that could not be sent failed with. */
-const CALLER_FULL = 'the caller has too many calls in progress';
+const TOO_MANY_CALLS = 'the caller has too many calls in progress';
 
 /** What a loop runs with. */
 export interface OpenLoopOptions {
@@ -75,7 +75,7 @@
   private sendCall(call: Call, dueAt: number): void {
     const { send, onEnded } = this.options;
     if (this.inProgress.size >= MAX_CALLS_IN_PROGRESS) {
-      onEnded({ call, outcome: { type: 'failed', problem: CALLER_FULL }, latencyMs: 0 });
+      onEnded({ call, outcome: { type: 'failed', problem: TOO_MANY_CALLS }, latencyMs: 0 });
       return;
     }
     const ended = send(call, dueAt)
--- a/src/load/run-load.ts
+++ b/src/load/run-load.ts
@@ -40,7 +40,7 @@
   const total = Math.round(durationMs / SECOND_MS);
   const timer = setInterval(() => {
     const seconds = Math.round((performance.now() - startedAt) / SECOND_MS);
-    const { calls, violationsSeen } = recorder;
+    const { calls, violationsFound: violationsSeen } = recorder;
     onProgress(`${seconds} of ${total} s: ${calls} calls ended, ${violationsSeen} violations.`);
   }, PROGRESS_EVERY_MS);
   return () => clearInterval(timer);
--- a/src/load/run-recorder.ts
+++ b/src/load/run-recorder.ts
@@ -8,7 +8,7 @@
 import type { Violation } from './violation.js';
 
 /** Violations that are kept with their words; all are counted. */
-export const KEPT_VIOLATIONS = 50;
+export const MAX_RECORDED_VIOLATIONS = 50;
 
 /** Latencies are recorded in microseconds, from 1 us to 2 minutes. */
 const MICROSECONDS = 1_000;
@@ -179,7 +179,7 @@
   }
 
   /** Violations seen so far. */
-  get violationsSeen(): number {
+  get violationsFound(): number {
     return this.violationCount;
   }
 
@@ -191,7 +191,7 @@
   /** Takes violations that were found elsewhere. */
   addViolations(found: readonly Violation[]): void {
     this.violationCount += found.length;
-    this.violations.push(...found.slice(0, KEPT_VIOLATIONS - this.violations.length));
+    this.violations.push(...found.slice(0, MAX_RECORDED_VIOLATIONS - this.violations.length));
   }
 
   /** Sums up what was taken so far. */
--- a/src/simulation/scenario/simulated-load.ts
+++ b/src/simulation/scenario/simulated-load.ts
@@ -3,7 +3,7 @@
 import { createRandom, type Random } from '../../core/random.js';
 import type { Deployment } from '../../deployments/deployment.js';
 import type { ScenarioLoad } from '../../experiment/scenario.js';
-import { Arrivals, payloadOf } from '../../load/arrivals.js';
+import { Arrivals, buildPayload } from '../../load/arrivals.js';
 import type { Call, CallOutcome, EndedCall } from '../../load/call-outcome.js';
 import type { CallRecord } from '../call-record.js';
 import { deriveSeed } from '../seeds.js';
@@ -102,7 +102,7 @@
         partner: row.partner,
         route: row.route,
         kind: row.kind,
-        payload: payloadOf(call),
+        payload: buildPayload(call),
         ...(call.key !== undefined && { key: call.key }),
         ...(call.idempotencyKey !== undefined && { idempotencyKey: call.idempotencyKey }),
       },
