--- a/src/load/arrivals.ts
+++ b/src/load/arrivals.ts
@@ -5,23 +5,23 @@
 import { createIdempotencyKey } from '../protocol/idempotency-key.js';
 import type { Call } from './call-outcome.js';
 
-/** Longest gap between two arrivals, in milliseconds; keeps a rate of nearly 0 from stalling. */
+/** Longest gap between two arrivals, in milliseconds; a rate close to 0 would stall the loop otherwise. */
 const LONGEST_GAP_MS = 60_000;
 const SMALLEST_UNIFORM = 1e-12;
 
-/** What arrivals are drawn from. */
+/** Options of the arrivals. */
 export interface ArrivalsOptions {
   readonly deployment: Deployment;
-  /** Only these routes; all when absent. */
+  /** Routes to call; all routes when absent. */
   readonly routes?: readonly string[];
   readonly seed: number;
-  /** Starts each nonce, so that calls of several sources differ. */
+  /** Prefix of each nonce, so that calls of different sources differ. */
   readonly source: string;
-  /** Milliseconds since 1970, for the idempotency keys; the machine's clock when absent. */
+  /** Returns milliseconds since 1970 for the idempotency keys; `Date.now` when absent. */
   readonly wallClock?: () => number;
 }
 
-/** Draws calls one after the other. */
+/** Generates a reproducible sequence of calls. */
 export class Arrivals {
   private readonly random: Random;
   private readonly keyRandom: Random;
@@ -38,13 +38,13 @@
     this.totalShare = this.items.reduce((sum, { share }) => sum + share, 0);
   }
 
-  /** Time until the next call, in milliseconds, at `queriesPerSecond`. */
+  /** Draws the time until the next call, in milliseconds, at the rate `queriesPerSecond`. */
   nextGapMs(queriesPerSecond: number): number {
     const uniform = Math.max(this.random.next(), SMALLEST_UNIFORM);
     return Math.min((-Math.log(uniform) * 1_000) / queriesPerSecond, LONGEST_GAP_MS);
   }
 
-  /** The next call, due at `sentAtMs`. */
+  /** Draws the next call, which is due at `sentAtMs`. */
   nextCall(sentAtMs: number): Call {
     this.drawn += 1;
     const item = this.drawItem();
@@ -79,7 +79,7 @@
   }
 }
 
-/** The payload with which a call asks the replica stand-ins. */
+/** Builds the payload that the replica stand-ins expect. */
 export const buildPayload = (call: Call): { nonce: string; aggregate?: boolean } => ({
   nonce: call.nonce,
   ...(call.item.row.merge === 'sum' ? { aggregate: true } : {}),
--- a/src/load/audit-records.ts
+++ b/src/load/audit-records.ts
@@ -1,16 +1,16 @@
-/** Compares what callers were told with what truly ran at the replicas. */
+/** Compares the outcomes that callers received with what ran at the replicas. */
 import type { RanRecord } from '../standins/replica-model/leg-exchange.js';
 import type { EndedCall } from './call-outcome.js';
 import type { Violation } from './violation.js';
 
-/** What the auditor keeps of calls; answers and items are left out. */
+/** The parts of a call that the audit needs; answers and items are left out. */
 export interface AuditedCall {
   readonly idempotencyKey?: string;
   readonly request?: string;
   readonly notRun: boolean;
 }
 
-/** Reduces an ended call to what the audit needs. */
+/** Extracts the parts that the audit needs from an ended call. */
 export const auditedCallOf = (ended: EndedCall): AuditedCall => {
   const { outcome, call } = ended;
   const request = outcome.type === 'failed' ? undefined : outcome.request;
@@ -36,8 +36,8 @@
 };
 
 /**
- * Finds requests that ran although their caller was told they had not, and requests not safe to
- * repeat that ran more than once under one idempotency key.
+ * Finds requests that ran although their caller received `not-run`, and requests not safe to repeat
+ * that ran more than once under one idempotency key.
  */
 export const auditRecords = (
   calls: readonly AuditedCall[],
@@ -49,7 +49,7 @@
     .map(({ request }) => ({
       promise: 'not-run-did-not-run' as const,
       subject: request ?? '',
-      seen: 'answered not-run, and it stands in the record of a replica',
+      seen: 'answered not-run, but a replica recorded that it ran',
     }));
   const runs = countBy(ran, (record) => (record.safeToRepeat ? undefined : record.idempotencyKey));
   const doubled = [...runs]
--- a/src/load/call-outcome.ts
+++ b/src/load/call-outcome.ts
@@ -1,16 +1,16 @@
-/** What a caller gets for one request, and how it is checked and recorded. */
+/** Calls and their outcomes, as the load generator checks and records them. */
 import type { SnapshotVersion } from '../catalog/partner-index.js';
 import type { QueryCost } from '../core/query/query-request.js';
 import type { WorkloadItem } from '../deployments/deployment.js';
 import type { AnswerItem } from '../protocol/leg-messages.js';
 
-/** A shard that an answer says is missing. */
+/** A shard that an answer lists as missing. */
 export interface MissingInAnswer {
   readonly shard: string;
   readonly reason: string;
 }
 
-/** A whole or partial answer, as the caller reads it. */
+/** A whole or partial answer, as the caller receives it. */
 export interface CallAnswer {
   readonly type: 'answered';
   readonly request: string;
@@ -23,23 +23,23 @@
   readonly cost: QueryCost;
 }
 
-/** What becomes of a call. */
+/** The outcome of a call. */
 export type CallOutcome =
   | CallAnswer
   | { readonly type: 'not-run'; readonly request?: string; readonly reason: string }
   | { readonly type: 'unknown'; readonly request?: string; readonly reason: string }
-  /** The connection broke or the node said nothing in time. */
+  /** The connection failed, the call timed out, or the response had no outcome. */
   | { readonly type: 'failed'; readonly problem: string };
 
-/** One call with all that is needed to check its outcome. */
+/** One call with everything needed to check its outcome. */
 export interface Call {
   readonly item: WorkloadItem;
-  /** Repeated by each item of the answer; unique over all calls of a run. */
+  /** Returned in each item of the answer; unique within a run. */
   readonly nonce: string;
-  /** Places the query, for rows with fan-out `key`. */
+  /** Selects the shard, for rows with fan-out `key`. */
   readonly key?: string;
   readonly idempotencyKey?: string;
-  /** When it was due to be sent, in milliseconds since the start of the measured part. */
+  /** When the call was due, in milliseconds since the start of the measured part. */
   readonly sentAtMs: number;
 }
 
@@ -47,6 +47,6 @@
 export interface EndedCall {
   readonly call: Call;
   readonly outcome: CallOutcome;
-  /** From when it was due until its outcome, in milliseconds. */
+  /** Time from when the call was due until its outcome, in milliseconds. */
   readonly latencyMs: number;
 }
--- a/src/load/check-answer.ts
+++ b/src/load/check-answer.ts
@@ -1,8 +1,8 @@
 /**
- * Checks an answer as a caller would, from the answer alone: it is this call's own, from one
- * snapshot, whole where it says so, and its coverage is that of the shards truly in it.
+ * Checks an answer from its content alone, as a caller can: all items belong to this call and to one
+ * snapshot, and the reported coverage matches the shards whose items are in the answer.
  *
- * It relies on the items of the replica stand-in, which name their shard, snapshot and nonce.
+ * The checks rely on the items of the replica stand-ins, which name their shard, snapshot and nonce.
  */
 import {
   AGGREGATE_ITEM_ID,
@@ -39,42 +39,58 @@
   for (const item of answer.items) {
     const value = valueOf(item.value);
     if (value.nonce !== call.nonce) {
-      report('own-answer-only', `an item of nonce ${value.nonce} in the answer to ${call.nonce}`);
+      report(
+        'own-answer-only',
+        `the answer to nonce ${call.nonce} contains an item of nonce ${value.nonce}`,
+      );
     }
     if (value.snapshot !== answer.snapshot) {
-      report('one-snapshot', `an item of ${value.snapshot} in an answer of ${answer.snapshot}`);
+      report(
+        'one-snapshot',
+        `an answer of snapshot ${answer.snapshot} contains an item of ${value.snapshot}`,
+      );
     }
     if (value.shard !== undefined && missing.has(value.shard)) {
-      report('true-coverage', `shard ${value.shard} is listed as missing and has items`);
+      report('true-coverage', `shard ${value.shard} is listed as missing but has items`);
     }
     if (seen.has(item.id)) {
-      report('own-answer-only', `item ${item.id} stands twice`);
+      report('own-answer-only', `the answer contains item ${item.id} twice`);
     }
     seen.add(item.id);
   }
 };
 
-/** Where every contributing shard's items are in the answer, their shards can be counted. */
+/**
+ * Compares the shards of the items with the number that contributed. Skips answers of several shards
+ * whose merge or item limit may have removed all items of a shard.
+ */
 const checkShards = (call: Call, answer: CallAnswer, report: Report): void => {
   const { row } = call.item;
-  const isTruncated = row.merge !== 'concatenate' || answer.contributed * ITEMS_PER_SHARD > row.maxItems;
+  const isTruncated =
+    row.merge !== 'concatenate' || answer.contributed * ITEMS_PER_SHARD > row.maxItems;
   if (isTruncated && row.fanOut === 'all') {
     return;
   }
   const shards = new Set(answer.items.map(({ value }) => valueOf(value).shard));
   if (shards.size !== answer.contributed) {
-    report('true-coverage', `items of ${shards.size} shards where ${answer.contributed} are said`);
+    report(
+      'true-coverage',
+      `items of ${shards.size} shards, but ${answer.contributed} reported as contributed`,
+    );
   }
 };
 
 const checkAggregate = (answer: CallAnswer, report: Report): void => {
   const total = answer.items.find(({ id }) => id === AGGREGATE_ITEM_ID)?.score ?? 0;
   if (total !== answer.contributed) {
-    report('true-coverage', `sum over ${total} shards where ${answer.contributed} are said`);
+    report(
+      'true-coverage',
+      `sum over ${total} shards, but ${answer.contributed} reported as contributed`,
+    );
   }
 };
 
-/** Checks the answer to `call`; returns each broken promise once for each place it is seen. */
+/** Checks the answer to `call`; returns one violation for each place that breaks a promise. */
 export const checkAnswer = (call: Call, answer: CallAnswer): Violation[] => {
   const violations: Violation[] = [];
   const report: Report = (promise, seen) => {
@@ -90,6 +106,6 @@
   return violations;
 };
 
-/** Checks what a call ended with; only answers can be checked from themselves. */
+/** Checks an ended call; outcomes other than answers have no content to check. */
 export const checkEndedCall = (ended: EndedCall): Violation[] =>
   ended.outcome.type === 'answered' ? checkAnswer(ended.call, ended.outcome) : [];
--- a/src/load/http-caller.ts
+++ b/src/load/http-caller.ts
@@ -1,18 +1,18 @@
-/** Calls nodes over HTTP as a partner's caller does. */
+/** Sends calls to nodes over HTTP, as a partner's caller does. */
 import { Pool } from 'undici';
 import { buildPayload } from './arrivals.js';
 import type { Call, CallAnswer, CallOutcome, EndedCall } from './call-outcome.js';
 
-/** Connections to each node. */
+/** Maximum number of connections to each node. */
 const CONNECTIONS_PER_NODE = 64;
-/** How long a caller waits past the row's deadline before it gives up, in milliseconds. */
+/** Added to the row's deadline to get the timeout of a call, in milliseconds. */
 const TIMEOUT_MARGIN_MS = 5_000;
 
-/** Where callers of one partner connect. */
+/** Options of a caller. */
 export interface HttpCallerOptions {
-  /** Base URLs of the caller ports of the nodes to call now; calls go to them in turn. */
+  /** Returns the base URLs of the caller ports of the current nodes; calls go to them in turn. */
   readonly nodes: () => readonly string[];
-  /** Secret of a caller's key. */
+  /** Secret of the caller's key. */
   readonly secret: string;
 }
 
@@ -39,15 +39,15 @@
 const describeError = (error: unknown): string =>
   error instanceof Error && 'code' in error ? String(error.code) : String(error);
 
-/** Reasons that a node gives when it takes no work at all. */
+/** Reasons of a node that accepts no work at all. */
 const OUT_OF_SERVICE_REASONS: ReadonlySet<string> = new Set(['stopping', 'not-ready']);
 
-/** Whether nothing of the call can have run because its node takes no work: another may be asked. */
+/** Whether the node accepted no work, so that the call cannot have run and another node may be called. */
 const isNodeOutOfService = (outcome: CallOutcome): boolean =>
   (outcome.type === 'failed' && outcome.problem === 'ECONNREFUSED') ||
   (outcome.type === 'not-run' && OUT_OF_SERVICE_REASONS.has(outcome.reason));
 
-/** Callers of one partner; they go on to the next node where one is stopping or gone. */
+/** Sends the calls of one partner; moves on to the next node when one is stopping or down. */
 export class HttpCaller {
   private readonly pools = new Map<string, Pool>();
   private sent = 0;
@@ -55,9 +55,9 @@
   constructor(private readonly options: HttpCallerOptions) {}
 
   /**
-   * Sends `call` to the next node.
+   * Sends `call` to the next node, and to further ones while nodes are out of service.
    *
-   * @param dueAt when the call was due on the clock of `performance.now()`; latency counts from here
+   * @param dueAt when the call was due, in milliseconds of `performance.now()`; latency counts from here
    */
   async send(call: Call, dueAt: number): Promise<EndedCall> {
     let outcome = await this.callNextNode(call);
@@ -71,7 +71,7 @@
     return { call, outcome, latencyMs: performance.now() - dueAt };
   }
 
-  /** Closes all connections at once. */
+  /** Closes all connections immediately; calls in progress fail. */
   async close(): Promise<void> {
     await Promise.all([...this.pools.values()].map((pool) => pool.destroy()));
   }
--- a/src/load/open-loop.ts
+++ b/src/load/open-loop.ts
@@ -1,30 +1,31 @@
 /**
- * An open loop of calls: they are sent when they are due, whether or not earlier ones have ended, so
- * that a slow tier is not spared. The loop is bounded in time and in calls that wait.
+ * An open-loop load generator: calls are sent when they are due, whether or not earlier ones have
+ * ended, so that a slow tier does not reduce its own load. The run time and the number of calls in
+ * progress are bounded.
  */
 import type { Arrivals } from './arrivals.js';
 import type { Call, EndedCall } from './call-outcome.js';
 
-/** Most calls in progress at once; further ones are not sent and counted as failed. */
+/** Maximum number of calls in progress; further calls are not sent and count as failed. */
 const MAX_CALLS_IN_PROGRESS = 5_000;
-/** What a call that could not be sent failed with. */
+/** Problem reported for a call that was not sent. */
 const TOO_MANY_CALLS = 'the caller has too many calls in progress';
 
-/** What a loop runs with. */
+/** Options of a loop. */
 export interface OpenLoopOptions {
   readonly arrivals: Arrivals;
-  /** Arrivals a second, as they stand now; asked before each arrival. */
+  /** Returns the current arrival rate per second; called before each arrival. */
   readonly queriesPerSecond: () => number;
-  /** Start of the measured part on the clock of `performance.now()`. */
+  /** Start of the measured part, in milliseconds of `performance.now()`. */
   readonly startAt: number;
-  /** Calls begin this long before the measured part, in milliseconds; none when absent. */
+  /** How long before the measured part calls begin, in milliseconds; 0 when absent. */
   readonly leadMs?: number;
   readonly durationMs: number;
   readonly send: (call: Call, dueAt: number) => Promise<EndedCall>;
   readonly onEnded: (ended: EndedCall) => void;
 }
 
-/** One loop over the calls of a partner. */
+/** Sends the calls of one partner. */
 export class OpenLoop {
   private readonly inProgress = new Set<Promise<void>>();
   private timer: NodeJS.Timeout | undefined;
@@ -39,7 +40,7 @@
     });
   }
 
-  /** Runs to the end of its time, or until `stop`; resolves when all calls have ended. */
+  /** Runs until its duration has passed or `stop` is called; resolves when all calls have ended. */
   async run(): Promise<void> {
     this.nextAt += this.options.arrivals.nextGapMs(this.options.queriesPerSecond());
     this.schedule();
@@ -47,7 +48,7 @@
     await Promise.all(this.inProgress);
   }
 
-  /** Sends no more calls. */
+  /** Stops sending calls; calls in progress continue. */
   stop(): void {
     clearTimeout(this.timer);
     this.finish();
--- a/src/load/run-load.ts
+++ b/src/load/run-load.ts
@@ -1,4 +1,4 @@
-/** Runs the load of some deployments against nodes that are there already. */
+/** Runs the load of deployments against nodes that are already running. */
 import { request } from 'undici';
 import { demoSecret } from '../deployments/demo-keys.js';
 import type { Deployment } from '../deployments/deployment.js';
@@ -9,19 +9,19 @@
 import { RunRecorder } from './run-recorder.js';
 import type { RunResult } from './run-result.js';
 
-/** What a load runs with. */
+/** Options of a load. */
 export interface LoadOptions {
   readonly deployments: readonly Deployment[];
-  /** Base URLs of caller ports. */
+  /** Base URLs of the caller ports of the nodes. */
   readonly nodes: readonly string[];
-  /** Base URLs of the replicas whose records are compared; none for no comparison. */
+  /** Base URLs of the replicas whose records are audited; empty for no audit. */
   readonly replicas: readonly string[];
   readonly routes?: readonly string[];
   readonly queriesPerSecond: number;
   readonly durationMs: number;
   readonly settleMs: number;
   readonly seed: number;
-  /** Starts each nonce and idempotency key; must differ between loads against the same tier. */
+  /** Prefix of each nonce and seed of the idempotency keys; must differ between loads against one tier. */
   readonly source: string;
   readonly onProgress: (sentence: string) => void;
   readonly interrupted: AbortSignal;
@@ -30,7 +30,7 @@
 const PROGRESS_EVERY_MS = 2_000;
 const SECOND_MS = 1_000;
 
-/** Says every now and then how far a run is; returns what ends it. */
+/** Reports the progress of a run periodically; returns a function that stops the reports. */
 const reportProgress = (
   recorder: RunRecorder,
   durationMs: number,
@@ -40,8 +40,8 @@
   const total = Math.round(durationMs / SECOND_MS);
   const timer = setInterval(() => {
     const seconds = Math.round((performance.now() - startedAt) / SECOND_MS);
-    const { calls, violationsFound: violationsSeen } = recorder;
-    onProgress(`${seconds} of ${total} s: ${calls} calls ended, ${violationsSeen} violations.`);
+    const { calls, violationsFound } = recorder;
+    onProgress(`${seconds} of ${total} s: ${calls} calls ended, ${violationsFound} violations.`);
   }, PROGRESS_EVERY_MS);
   return () => clearInterval(timer);
 };
@@ -83,15 +83,15 @@
   const { statusCode, body } = await request(`${replica}/v1/ran`);
   if (statusCode !== 200) {
     await body.dump();
-    throw new Error(`${replica} shows no record: status ${statusCode}`);
+    throw new Error(`cannot read the record of replica ${replica}: status ${statusCode}`);
   }
   return ((await body.json()) as { ran: RanRecord[] }).ran;
 };
 
 /**
- * Runs the load and sums it up.
+ * Runs the load and returns its metrics and violations.
  *
- * @throws when the record of a replica cannot be read
+ * @throws Error when the record of a replica cannot be read
  */
 export const runLoad = async (options: LoadOptions): Promise<RunResult> => {
   const recorder = new RunRecorder(options.settleMs);
--- a/src/load/run-recorder.ts
+++ b/src/load/run-recorder.ts
@@ -1,4 +1,4 @@
-/** Records the calls of a run and sums them up per partner, route and kind. */
+/** Records the calls of a run and aggregates them per partner, route and kind. */
 import { build, type Histogram } from 'hdr-histogram-js';
 import type { RanRecord } from '../standins/replica-model/leg-exchange.js';
 import { type AuditedCall, auditedCallOf, auditRecords } from './audit-records.js';
@@ -7,14 +7,14 @@
 import type { KindResult, LatencyPoint, RunResult } from './run-result.js';
 import type { Violation } from './violation.js';
 
-/** Violations that are kept with their words; all are counted. */
+/** Maximum number of violations recorded in detail; all of them are counted. */
 export const MAX_RECORDED_VIOLATIONS = 50;
 
-/** Latencies are recorded in microseconds, from 1 us to 2 minutes. */
+/** Latencies are recorded in microseconds, from 1 microsecond to 2 minutes. */
 const MICROSECONDS = 1_000;
 const HIGHEST_LATENCY_US = 120_000_000;
 const SIGNIFICANT_DIGITS = 3;
-/** Points of the latency distribution that a result keeps. */
+/** Percentiles of the latency distribution in a result. */
 const DISTRIBUTION_PERCENTILES = [
   1, 5, 10, 20, 30, 40, 50, 60, 70, 80, 85, 90, 92.5, 95, 97, 98, 99, 99.5, 99.9, 100,
 ] as const;
@@ -149,17 +149,20 @@
   distribution: distributionOf(record),
 });
 
-/** Takes ended calls as they come. */
+/** Checks and records ended calls. */
 export class RunRecorder {
   private readonly records = new Map<string, KindRecord>();
   private readonly audited: AuditedCall[] = [];
   private readonly violations: Violation[] = [];
   private violationCount = 0;
 
-  /** `settleMs`: calls due before this time are checked and audited, but not summed up. */
+  /**
+   * @param settleMs calls due earlier than this many milliseconds after the start of the measured
+   * part are checked and audited, but left out of the metrics
+   */
   constructor(private readonly settleMs = 0) {}
 
-  /** Takes one ended call. */
+  /** Records and checks one ended call. */
   record(ended: EndedCall): void {
     this.audited.push(auditedCallOf(ended));
     this.addViolations(checkEndedCall(ended));
@@ -173,28 +176,28 @@
     addCall(record, ended);
   }
 
-  /** Calls taken so far, settled or not. */
+  /** Number of calls recorded so far, including those before `settleMs`. */
   get calls(): number {
     return this.audited.length;
   }
 
-  /** Violations seen so far. */
+  /** Number of violations found so far. */
   get violationsFound(): number {
     return this.violationCount;
   }
 
-  /** Compares all calls taken so far with what ran at the replicas. */
+  /** Compares all calls recorded so far with the replicas' records. */
   audit(ran: readonly RanRecord[]): void {
     this.addViolations(auditRecords(this.audited, ran));
   }
 
-  /** Takes violations that were found elsewhere. */
+  /** Adds violations that another check found. */
   addViolations(found: readonly Violation[]): void {
     this.violationCount += found.length;
     this.violations.push(...found.slice(0, MAX_RECORDED_VIOLATIONS - this.violations.length));
   }
 
-  /** Sums up what was taken so far. */
+  /** Returns the metrics and violations of the calls recorded so far. */
   result(): RunResult {
     const kinds = [...this.records.values()].map(summarize);
     const byName = (left: KindResult, right: KindResult): number =>
--- a/src/load/run-result.ts
+++ b/src/load/run-result.ts
@@ -1,4 +1,4 @@
-/** What a run of calls came to. */
+/** The result types of a load run. */
 import type { Violation } from './violation.js';
 
 /** One point of a latency distribution. */
@@ -7,7 +7,7 @@
   readonly latencyMs: number;
 }
 
-/** Figures of one kind of request; latencies and coverage are over answered calls. */
+/** Metrics of one kind of request; latencies and coverage cover answered calls only. */
 export interface KindResult {
   readonly partner: string;
   readonly route: string;
@@ -22,30 +22,33 @@
   readonly coverageWorst: number;
   /** Share of answers with coverage 1. */
   readonly wholeShare: number;
-  /** Shards that contributed to answers: the useful work. */
+  /** Number of shards that contributed to answers, summed over all answers. */
   readonly contributed: number;
-  /** Legs needed, and attempts sent for them. */
+  /** Legs that the answers needed. */
   readonly needed: number;
+  /** Attempts sent for those legs, hedges and retries included. */
   readonly sent: number;
   /** `sent / needed - 1`. */
   readonly extraLoad: number;
   readonly hedges: number;
   readonly retries: number;
-  /** Calls refused as not run, of unknown outcome, and without any answer. */
+  /** Calls with outcome `not-run`. */
   readonly notRun: number;
+  /** Calls with outcome `unknown`. */
   readonly unknown: number;
+  /** Calls with outcome `failed`. */
   readonly failed: number;
-  /** How often shards were missing, by reason. */
+  /** Number of missing shards, by reason. */
   readonly missing: Readonly<Record<string, number>>;
-  /** How often each reason of the three was given. */
+  /** Number of calls with outcome `not-run`, `unknown` or `failed`, by reason. */
   readonly reasons: Readonly<Record<string, number>>;
   readonly distribution: readonly LatencyPoint[];
 }
 
-/** Figures of a whole run. */
+/** Metrics of a whole run. */
 export interface RunResult {
   readonly kinds: readonly KindResult[];
   readonly violationCount: number;
-  /** The first of them, at most `KEPT_VIOLATIONS`. */
+  /** The first violations, at most `MAX_RECORDED_VIOLATIONS`. */
   readonly violations: readonly Violation[];
 }
--- a/src/load/violation.ts
+++ b/src/load/violation.ts
@@ -1,11 +1,11 @@
-/** Broken promises, as callers, an audit of the replicas' records or a simulation see them. */
+/** Broken promises, found by callers, by an audit of the replicas' records or by a simulation. */
 import type { PromiseName } from '../protocol/promise-name.js';
 
 /** One broken promise. */
 export interface Violation {
   readonly promise: PromiseName;
-  /** The request or idempotency key it is about. */
+  /** The request or idempotency key concerned, or the time at which a simulation found it. */
   readonly subject: string;
-  /** What was seen, as a short sentence. */
+  /** Description of what was observed. */
   readonly seen: string;
 }
--- a/test/load/load-command.test.ts
+++ b/test/load/load-command.test.ts
@@ -6,14 +6,14 @@
 import { runLoad } from '../../src/load/run-load.js';
 
 describe('crossroad load', () => {
-  it('reports wrong usage', async () => {
+  it('exits with the usage code on invalid arguments', async () => {
     expect(await loadCommand.run([])).toBe(ExitCode.usage);
     expect(await loadCommand.run(['--node', 'nowhere'])).toBe(ExitCode.usage);
     expect(await loadCommand.run(['--node', '127.0.0.1:1', '--route', 'no'])).toBe(ExitCode.usage);
     expect(await loadCommand.run(['--node', '127.0.0.1:1', '--rate', '-1'])).toBe(ExitCode.usage);
   });
 
-  it('sees that a replica gives answers of other requests, and none of them to a caller', async () => {
+  it('finds no violation for callers when a replica returns answers of other requests', async () => {
     const tier = await LocalTier.start({
       deployments: [TAWE],
       nodes: placesInZones([TAWE], 2),
--- a/test/load/recorder.test.ts
+++ b/test/load/recorder.test.ts
@@ -42,25 +42,25 @@
   ...new Set(checkAnswer(call, answer(change)).map(({ promise }) => promise)),
 ];
 
-describe('the check of answers', () => {
-  it('finds nothing wrong with a sound answer', () => {
+describe('checkAnswer', () => {
+  it('reports no violation for a correct answer', () => {
     expect(checkAnswer(ROSTER, answer())).toEqual([]);
   });
 
-  it('finds items of another request and items given twice', () => {
+  it('reports items of another request and duplicate items', () => {
     expect(promisesBroken(ROSTER, { items: [item('a', { nonce: 'n2' })] })).toEqual([
       'own-answer-only',
     ]);
     expect(promisesBroken(ROSTER, { items: [item('a'), item('a')] })).toEqual(['own-answer-only']);
   });
 
-  it('finds items of another snapshot', () => {
+  it('reports items of another snapshot', () => {
     expect(promisesBroken(ROSTER, { items: [item('a', { snapshot: 2 })] })).toEqual([
       'one-snapshot',
     ]);
   });
 
-  it('finds coverage that is not true', () => {
+  it('reports incorrect coverage', () => {
     const wrong: Partial<CallAnswer>[] = [
       { coverage: 1 },
       { coverage: 1, contributed: 2 },
@@ -73,14 +73,14 @@
     }
   });
 
-  it('adds up the shards of a sum', () => {
+  it('compares a sum with the number of contributing shards', () => {
     const total = (score: number) => [{ ...item('a'), id: AGGREGATE_ITEM_ID, score }];
     expect(promisesBroken(PAYROLL, { items: total(1) })).toEqual([]);
     expect(promisesBroken(PAYROLL, { items: total(2) })).toEqual(['true-coverage']);
   });
 });
 
-describe('the audit of records', () => {
+describe('auditRecords', () => {
   const ran = (request: string, idempotencyKey?: string) => ({
     request,
     attempt: `${request}-1`,
@@ -90,7 +90,7 @@
     ...(idempotencyKey === undefined ? {} : { idempotencyKey }),
   });
 
-  it('finds requests that ran although they were said not to', () => {
+  it('finds requests that ran although they were answered not-run', () => {
     const calls = [
       { request: 'r1', notRun: true },
       { request: 'r2', notRun: true },
@@ -107,14 +107,14 @@
   });
 });
 
-describe('the recorder', () => {
+describe('RunRecorder', () => {
   const ended = (sentAtMs: number, latencyMs: number): EndedCall => ({
     call: { ...ROSTER, sentAtMs },
     outcome: answer(),
     latencyMs,
   });
 
-  it('sums up each kind, leaving out calls before the run has settled', () => {
+  it('aggregates each kind, leaving out calls before settleMs', () => {
     const recorder = new RunRecorder(100);
     recorder.record(ended(0, 900));
     recorder.record(ended(100, 10));
@@ -139,7 +139,7 @@
     expect(recorder.calls).toBe(4);
   });
 
-  it('counts violations also of calls before the run has settled', () => {
+  it('counts violations of calls before settleMs too', () => {
     const recorder = new RunRecorder(100);
     recorder.record({ ...ended(0, 1), outcome: answer({ coverage: 1 }) });
     expect(recorder.result()).toMatchObject({
@@ -149,8 +149,8 @@
   });
 });
 
-describe('arrivals', () => {
-  it('repeat themselves under a seed and come at the rate asked for', () => {
+describe('Arrivals', () => {
+  it('repeats the same calls for the same seed, at the requested rate', () => {
     const draw = (seed: number) => {
       const arrivals = new Arrivals({
         deployment: ENSEMBLE,
