--- a/src/cli/experiment.ts
+++ b/src/cli/experiment.ts
@@ -12,7 +12,7 @@
   writeExperimentFile,
 } from '../experiment/experiment-file.js';
 import { readScenarios, SCENARIO_FOLDER } from '../experiment/read-scenario.js';
-import { stepsNotForReal } from '../experiment/real/real-stage.js';
+import { listSimulationOnlySteps } from '../experiment/real/real-step-runner.js';
 import { runRealScenario } from '../experiment/real/run-real-scenario.js';
 import { runExperiment, type ScenarioRunner } from '../experiment/run-experiment.js';
 import { runInSimulation } from '../experiment/run-in-simulation.js';
@@ -91,7 +91,7 @@
         return ExitCode.done;
       }
       scenarios.forEach((scenario) => {
-        const only = stepsNotForReal(scenario).length > 0 ? ' (simulation only)' : '';
+        const only = listSimulationOnlySteps(scenario).length > 0 ? ' (simulation only)' : '';
         printLine(`${scenario.name.padEnd(NAME_WIDTH)} ${scenario.title}${only}`);
       });
       return ExitCode.done;
@@ -113,7 +113,7 @@
     if (scenario === undefined) {
       throw new UsageError(`there is no scenario "${name}"; see crossroad experiment list`);
     }
-    const steps = stepsNotForReal(scenario);
+    const steps = listSimulationOnlySteps(scenario);
     if (values.real && steps.length > 0) {
       throw new UsageError(`scenario ${name} needs the simulation: ${steps.join(', ')}`);
     }
--- a/src/experiment/compare-results.ts
+++ b/src/experiment/compare-results.ts
@@ -24,9 +24,11 @@
   before: readonly ScenarioResult[],
   after: readonly ScenarioResult[],
 ): KindComparison[] => {
-  const known = new Map(summarizeKinds(before).map((summary) => [nameOf(summary), summary]));
+  const summariesBefore = new Map(
+    summarizeKinds(before).map((summary) => [nameOf(summary), summary]),
+  );
   return summarizeKinds(after).flatMap((summary) => {
-    const old = known.get(nameOf(summary));
+    const old = summariesBefore.get(nameOf(summary));
     return old === undefined
       ? []
       : [
--- a/src/experiment/real/edit-in-force.ts
+++ b/src/experiment/real/measure-edit.ts
@@ -8,7 +8,7 @@
 
 const POLL_MS = 5;
 /** How long an edit may take until it counts as not in force everywhere, in milliseconds. */
-const GIVE_UP_MS = 10_000;
+const PROPAGATION_TIMEOUT_MS = 10_000;
 
 const wait = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
@@ -20,11 +20,11 @@
   if (content?.content.type !== 'sheet') {
     return undefined;
   }
-  const standing = content.content.sheet.rows.find(
+  const currentRow = content.content.sheet.rows.find(
     ({ row }) => row.route === step.route && row.kind === step.requestKind,
   );
   return (
-    standing && {
+    currentRow && {
       edit,
       reason: 'a step of a scenario',
       seenVersion: content.version,
@@ -33,8 +33,8 @@
         changes: [
           {
             type: 'set',
-            row: { ...standing.row, weight: step.weight },
-            basedOn: standing.rowVersion,
+            row: { ...currentRow.row, weight: step.weight },
+            basedOn: currentRow.rowVersion,
           },
         ],
       },
@@ -43,7 +43,7 @@
 };
 
 /** Sends the edit to one of the nodes that run; resolves when it is in force or given up. */
-export const measureEdit = async (
+export const measureEditPropagation = async (
   tier: LocalTier,
   deployment: Deployment,
   step: EditStep,
@@ -64,7 +64,7 @@
     body: JSON.stringify(body),
   });
   const outcome = (await answer.body.json()) as { revision?: number };
-  while (outcome.revision !== undefined && performance.now() < sentAt + GIVE_UP_MS) {
+  while (outcome.revision !== undefined && performance.now() < sentAt + PROPAGATION_TIMEOUT_MS) {
     if (isInForce(tier, outcome.revision)) {
       return { partner: step.partner, inForceMs: performance.now() - sentAt };
     }
--- a/src/experiment/real/real-stage.ts
+++ b/src/experiment/real/real-step-runner.ts
@@ -14,22 +14,22 @@
   ScenarioStep,
 } from '../scenario.js';
 import type { DrainLag, EditInForce } from '../scenario-result.js';
-import { measureEdit } from './edit-in-force.js';
+import { measureEditPropagation } from './measure-edit.js';
 import { selectByTarget } from '../select-by-target.js';
 import { publishedSnapshots, publishSnapshots, publishStatus } from './publish.js';
 
 /** Steps that one process on loopback cannot do. */
-const SIMULATION_ONLY: readonly string[] = ['zone-cut', 'zone-heal'];
+const SIMULATION_ONLY_STEPS: readonly string[] = ['zone-cut', 'zone-heal'];
 const SIMULATION_ONLY_ACTIONS: readonly string[] = ['pause', 'resume'];
 
 /** Names the steps of a scenario that need the simulation; empty when it can run for real. */
-export const stepsNotForReal = ({ faults, sharedGroup }: Scenario): string[] => [
+export const listSimulationOnlySteps = ({ faults, sharedGroup }: Scenario): string[] => [
   ...(sharedGroup === undefined ? [] : ['sharedGroup']),
   ...faults.flatMap((fault) => {
     if (fault.kind === 'node-fault') {
       return SIMULATION_ONLY_ACTIONS.includes(fault.action) ? [fault.action] : [];
     }
-    return SIMULATION_ONLY.includes(fault.kind) ? [fault.kind] : [];
+    return SIMULATION_ONLY_STEPS.includes(fault.kind) ? [fault.kind] : [];
   }),
 ];
 
@@ -39,10 +39,10 @@
 }
 
 /** A tier with the scripted changes that are made to it. */
-export class RealStage {
+export class RealStepRunner {
   /** Factor on the arrivals of each partner. */
   readonly loadFactors = new Map<string, number>();
-  private readonly drained: DrainedReplica[] = [];
+  private readonly drainedReplicas: DrainedReplica[] = [];
   private readonly timers = new Set<NodeJS.Timeout>();
   private readonly pending = new Set<Promise<unknown>>();
   private readonly edits: Promise<EditInForce>[] = [];
@@ -75,7 +75,7 @@
       .with({ kind: 'edit' }, (edit) => {
         const deployment = this.deploymentOf(edit.partner);
         const name = `scenario-edit-${this.edits.length + 1}`;
-        this.edits.push(measureEdit(this.tier, deployment, edit, name));
+        this.edits.push(measureEditPropagation(this.tier, deployment, edit, name));
       })
       .with({ kind: 'zone-cut' }, { kind: 'zone-heal' }, ({ kind }) => {
         throw new Error(`${kind} needs the simulation`);
@@ -84,7 +84,7 @@
   }
 
   /** Makes no further changes; resolves when those under way are done. */
-  async settle(): Promise<void> {
+  async cancelAndWait(): Promise<void> {
     for (const timer of this.timers) {
       clearTimeout(timer);
     }
@@ -92,13 +92,13 @@
   }
 
   /** How soon each edit was in force. */
-  listEdits(): Promise<EditInForce[]> {
+  waitForEdits(): Promise<EditInForce[]> {
     return Promise.all(this.edits);
   }
 
   /** How long each drained replica still got work. */
-  listDrains(): DrainLag[] {
-    return this.drained.map(({ replica, from }) => ({
+  listDrainLags(): DrainLag[] {
+    return this.drainedReplicas.map(({ replica, from }) => ({
       replica: replica.placed.replica,
       lastWorkMs: Math.max(0, replica.server.model.lastRequestAt - from),
     }));
@@ -116,21 +116,21 @@
     return deployment;
   }
 
-  private keep(work: Promise<unknown>): void {
+  private track(work: Promise<unknown>): void {
     const kept = work.finally(() => this.pending.delete(kept));
     this.pending.add(kept);
   }
 
   private changeReplicas({ target, change }: ReplicaFaultStep): void {
     for (const { server } of this.select(target)) {
-      this.keep(server.setFaults(change));
+      this.track(server.setFaults(change));
     }
   }
 
   private drain({ target, publishAfterMs }: DrainStep): void {
     for (const replica of this.select(target)) {
-      this.keep(replica.server.setFaults({ lifecycle: 'leaving' }));
-      this.drained.push({ replica, from: performance.now() });
+      this.track(replica.server.setFaults({ lifecycle: 'leaving' }));
+      this.drainedReplicas.push({ replica, from: performance.now() });
       this.after(publishAfterMs, () => publishStatus(this.tier, replica));
     }
   }
@@ -142,9 +142,9 @@
       .map(({ node }) => node);
     for (const name of names) {
       if (action === 'start') {
-        this.keep(this.tier.startNode(name));
+        this.track(this.tier.startNode(name));
       } else if (action === 'kill' || action === 'stop') {
-        this.keep(this.tier.endNode(name, action));
+        this.track(this.tier.endNode(name, action));
       } else {
         throw new Error(`${action} needs the simulation`);
       }
@@ -165,7 +165,7 @@
     });
     this.after(2 * step.overMs, () => {
       publishSnapshots(this.tier, deployment, [next]);
-      replicas.forEach((replica) => this.retire(replica, step));
+      replicas.forEach((replica) => this.dropOldSnapshots(replica, step));
     });
   }
 
@@ -173,14 +173,14 @@
     const { snapshots } = replica.server.model.currentFaults;
     const shardCount = replica.placed.group.shardsPerService + step.addedShards;
     const loaded = [...snapshots, { version: step.version, shardCount }];
-    this.keep(replica.server.setFaults({ snapshots: loaded }));
+    this.track(replica.server.setFaults({ snapshots: loaded }));
     publishStatus(this.tier, replica);
   }
 
-  private retire(replica: FleetReplica, step: RollOutStep): void {
+  private dropOldSnapshots(replica: FleetReplica, step: RollOutStep): void {
     const { snapshots } = replica.server.model.currentFaults;
     const kept = snapshots.filter(({ version }) => version === step.version);
-    this.keep(replica.server.setFaults({ snapshots: kept }));
+    this.track(replica.server.setFaults({ snapshots: kept }));
     publishStatus(this.tier, replica);
   }
 }
--- a/src/experiment/real/run-real-scenario.ts
+++ b/src/experiment/real/run-real-scenario.ts
@@ -10,7 +10,7 @@
 import { policyOf } from '../../simulation/scenario/variant-policy.js';
 import type { Scenario, ScenarioLoad, ScenarioRun } from '../scenario.js';
 import type { ScenarioResult } from '../scenario-result.js';
-import { RealStage } from './real-stage.js';
+import { RealStepRunner } from './real-step-runner.js';
 
 const deploymentsOf = (scenario: Scenario): Deployment[] =>
   scenario.partners
@@ -26,7 +26,7 @@
   run: ScenarioRun,
   load: ScenarioLoad,
   tier: LocalTier,
-  stage: RealStage,
+  stepRunner: RealStepRunner,
   recorder: RunRecorder,
   deployments: readonly Deployment[],
 ): RunningLoad[] =>
@@ -41,7 +41,7 @@
       const { partner, routes, queriesPerSecond } = load;
       const loop = new OpenLoop({
         arrivals: new Arrivals({ deployment, seed, source: partner, ...(routes && { routes }) }),
-        queriesPerSecond: () => queriesPerSecond * (stage.loadFactors.get(partner) ?? 1),
+        queriesPerSecond: () => queriesPerSecond * (stepRunner.loadFactors.get(partner) ?? 1),
         startAt: performance.now() + scenario.warmUpMs,
         leadMs: scenario.warmUpMs,
         durationMs: scenario.durationMs,
@@ -58,20 +58,20 @@
 ): Promise<Omit<ScenarioResult, 'tookMs'>> => {
   const { scenario, variant, seed } = run;
   const recorder = new RunRecorder(scenario.settleMs);
-  const stage = new RealStage(tier, deployments);
+  const stepRunner = new RealStepRunner(tier, deployments);
   for (const fault of scenario.faults) {
-    stage.after(scenario.warmUpMs + fault.atMs, () => stage.apply(fault));
+    stepRunner.after(scenario.warmUpMs + fault.atMs, () => stepRunner.apply(fault));
   }
   let ranBefore = 0;
-  stage.after(scenario.warmUpMs, () => {
+  stepRunner.after(scenario.warmUpMs, () => {
     ranBefore = tier.ran().length;
   });
   const loads = scenario.load.flatMap((load) =>
-    startLoad(run, load, tier, stage, recorder, deployments),
+    startLoad(run, load, tier, stepRunner, recorder, deployments),
   );
   await Promise.all(loads.map(({ loop }) => loop.run()));
-  const edits = await stage.listEdits();
-  await stage.settle();
+  const edits = await stepRunner.waitForEdits();
+  await stepRunner.cancelAndWait();
   await Promise.all(loads.map(({ caller }) => caller.close()));
   const ran = tier.ran();
   recorder.audit(ran);
@@ -82,7 +82,7 @@
     driver: 'real',
     run: recorder.result(),
     edits,
-    drains: stage.listDrains(),
+    drains: stepRunner.listDrainLags(),
     attemptsRan: ran.length - ranBefore,
   };
 };
--- a/src/experiment/scenario-schema.ts
+++ b/src/experiment/scenario-schema.ts
@@ -3,9 +3,9 @@
 import { NODE_ACTIONS, SCENARIO_PARTNERS } from './scenario.js';
 
 /** Longest measured part, in milliseconds. */
-const LONGEST_RUN_MS = 600_000;
+const MAX_RUN_MS = 600_000;
 
-const time = z.number().min(0).max(LONGEST_RUN_MS);
+const time = z.number().min(0).max(MAX_RUN_MS);
 const share = z.number().min(0).max(1);
 const text = z.string().min(1).max(100);
 const partner = z.enum(SCENARIO_PARTNERS);
@@ -90,7 +90,7 @@
   }),
 ]);
 
-const inOrderOfTime = (faults: readonly { readonly atMs: number }[]): boolean =>
+const isOrderedByTime = (faults: readonly { readonly atMs: number }[]): boolean =>
   faults.every(({ atMs: at }, index) => at >= (faults[index - 1]?.atMs ?? 0));
 
 /** A scenario file. */
@@ -120,7 +120,7 @@
         }),
       )
       .min(1),
-    faults: z.array(fault).refine(inOrderOfTime, 'must be in order of time').default([]),
+    faults: z.array(fault).refine(isOrderedByTime, 'must be in order of time').default([]),
   })
   .refine(({ load, partners }) => load.every((item) => partners.includes(item.partner)), {
     path: ['load'],
--- a/src/experiment/select-by-target.ts
+++ b/src/experiment/select-by-target.ts
@@ -12,7 +12,7 @@
 const isInGroup = (service: string, group: string): boolean =>
   service === group || service.replace(/-\d+$/, '') === group;
 
-const matches = (place: ReplicaPlace, target: ReplicaTarget): boolean =>
+const matchesTarget = (place: ReplicaPlace, target: ReplicaTarget): boolean =>
   (target.partner === undefined || target.partner === place.partner) &&
   (target.group === undefined || isInGroup(place.service, target.group)) &&
   (target.service === undefined || target.service === place.service) &&
@@ -29,7 +29,7 @@
   return [...replicas].filter((replica) => {
     const place = placeOf(replica);
     const count = counts.get(place.service) ?? 0;
-    if (!matches(place, target) || count >= (target.firstOfService ?? Infinity)) {
+    if (!matchesTarget(place, target) || count >= (target.firstOfService ?? Infinity)) {
       return false;
     }
     counts.set(place.service, count + 1);
--- a/src/experiment/summary.ts
+++ b/src/experiment/summary.ts
@@ -59,7 +59,7 @@
 
 const summarizeGroup = ({ result, kinds }: KindGroup): KindSummary => {
   const median = (pick: (kind: KindResult) => number): number => medianOf(kinds.map(pick));
-  const most = (pick: (kind: KindResult) => number): number => Math.max(...kinds.map(pick));
+  const maximum = (pick: (kind: KindResult) => number): number => Math.max(...kinds.map(pick));
   const sum = (pick: (kind: KindResult) => number): number =>
     kinds.reduce((total, kind) => total + pick(kind), 0);
   const [first] = kinds;
@@ -78,10 +78,10 @@
     coverageMean: median(({ coverageMean }) => coverageMean),
     wholeShare: median(({ wholeShare }) => wholeShare),
     extraLoad: median(({ extraLoad }) => extraLoad),
-    worstP99Ms: most(({ p99Ms }) => p99Ms),
-    worstMs: most(({ maxMs }) => maxMs),
+    worstP99Ms: maximum(({ p99Ms }) => p99Ms),
+    worstMs: maximum(({ maxMs }) => maxMs),
     worstCoverage: Math.min(...kinds.map(({ coverageWorst }) => coverageWorst)),
-    worstExtraLoad: most(({ extraLoad }) => extraLoad),
+    worstExtraLoad: maximum(({ extraLoad }) => extraLoad),
     notRun: sum(({ notRun }) => notRun),
     unknown: sum(({ unknown }) => unknown),
     failed: sum(({ failed }) => failed),
--- a/test/reports/experiment.test.ts
+++ b/test/reports/experiment.test.ts
@@ -2,7 +2,7 @@
 import { compareResults } from '../../src/experiment/compare-results.js';
 import { EXPERIMENT_FORMAT } from '../../src/experiment/experiment-file.js';
 import { parseScenario, readScenarios } from '../../src/experiment/read-scenario.js';
-import { stepsNotForReal } from '../../src/experiment/real/real-stage.js';
+import { listSimulationOnlySteps } from '../../src/experiment/real/real-step-runner.js';
 import { listRuns } from '../../src/experiment/run-experiment.js';
 import type { ScenarioResult } from '../../src/experiment/scenario-result.js';
 import { summarizeKinds } from '../../src/experiment/summary.js';
@@ -64,7 +64,12 @@
     expect(scenarios.length).toBeGreaterThan(20);
     expect(new Set(scenarios.map(({ name }) => name)).size).toBe(scenarios.length);
     const paused = scenarios.find(({ name }) => name === 'node-paused');
-    expect(paused && stepsNotForReal(paused)).toEqual(['pause', 'pause', 'resume', 'resume']);
+    expect(paused && listSimulationOnlySteps(paused)).toEqual([
+      'pause',
+      'pause',
+      'resume',
+      'resume',
+    ]);
   });
 
   it('name every wrong field with its line', () => {
