--- a/src/experiment/compare-results.ts
+++ b/src/experiment/compare-results.ts
@@ -1,15 +1,15 @@
-/** Compares the same kinds of two sets of results, as ratios of medians over seeds. */
+/** Compares two sets of results kind by kind, by their medians over seeds. */
 import type { ScenarioResult } from './scenario-result.js';
 import { type KindSummary, summarizeKinds } from './summary.js';
 
-/** One kind under one variant, in both sets. */
+/** The comparison of one kind under one variant. */
 export interface KindComparison {
   readonly before: KindSummary;
   readonly after: KindSummary;
-  /** after / before; 1 where both are 0. */
+  /** `after / before`; 1 if both are equal, also if both are 0. */
   readonly p50Ratio: number;
   readonly p99Ratio: number;
-  /** after - before. */
+  /** `after - before`. */
   readonly coverageChange: number;
   readonly extraLoadChange: number;
 }
@@ -19,7 +19,7 @@
 const nameOf = (summary: KindSummary): string =>
   [summary.scenario, summary.variant, summary.partner, summary.route, summary.kind].join('/');
 
-/** Compares what stands in both sets; what stands in one alone is left out. */
+/** Compares the kinds that are in both sets and leaves out the others. */
 export const compareResults = (
   before: readonly ScenarioResult[],
   after: readonly ScenarioResult[],
--- a/src/experiment/experiment-file.ts
+++ b/src/experiment/experiment-file.ts
@@ -1,24 +1,24 @@
-/** The file that holds the results of an experiment. */
+/** Reads and writes the result file of an experiment. */
 import { readFile, writeFile } from 'node:fs/promises';
 import { type Either, Left, Right } from 'purify-ts';
 import type { Finding } from '../table/finding.js';
 import type { ScenarioResult } from './scenario-result.js';
 
-/** The form of the file; raised when older readers could not read it. */
+/** Version of the file format; increased by changes that older readers cannot read. */
 export const EXPERIMENT_FORMAT = 1;
 
-/** The results of one invocation. */
+/** The content of the file: the results of one invocation. */
 export interface ExperimentFile {
   readonly format: typeof EXPERIMENT_FORMAT;
-  /** The command line that made it, without the program. */
+  /** The command line of the invocation, without the program name. */
   readonly command: string;
-  /** When it began, as ISO 8601. */
+  /** When the experiment began, as ISO 8601. */
   readonly startedAt: string;
   readonly nodeVersion: string;
   readonly results: readonly ScenarioResult[];
 }
 
-/** Writes the file. */
+/** Writes a result file as JSON. */
 export const writeExperimentFile = (path: string, file: ExperimentFile): Promise<void> =>
   writeFile(path, `${JSON.stringify(file)}\n`);
 
@@ -30,7 +30,7 @@
   'results' in value &&
   Array.isArray(value.results);
 
-/** Reads a file that `writeExperimentFile` wrote. */
+/** Reads a file that `writeExperimentFile` wrote; Left if it cannot be read or has another format. */
 export const readExperimentFile = async (
   path: string,
 ): Promise<Either<Finding[], ExperimentFile>> => {
@@ -38,7 +38,9 @@
     const value: unknown = JSON.parse(await readFile(path, 'utf8'));
     return isExperimentFile(value)
       ? Right(value)
-      : Left([{ severity: 'error', place: path, problem: 'holds no results of an experiment' }]);
+      : Left([
+          { severity: 'error', place: path, problem: 'is not a result file of an experiment' },
+        ]);
   } catch (error) {
     return Left([{ severity: 'error', place: path, problem: String(error) }]);
   }
--- a/src/experiment/read-scenario.ts
+++ b/src/experiment/read-scenario.ts
@@ -1,4 +1,4 @@
-/** Reads scenario files; all findings of a file come together, each with its line. */
+/** Reads scenario files and reports all findings of a file together, each with its line. */
 import { readdir, readFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import { type Either, Left, Right } from 'purify-ts';
@@ -7,7 +7,7 @@
 import type { Scenario } from './scenario.js';
 import { SCENARIO_SCHEMA } from './scenario-schema.js';
 
-/** The folder of scenario files, relative to the package. */
+/** The folder of the scenario files, relative to the package root. */
 export const SCENARIO_FOLDER = 'scenarios';
 const EXTENSION = '.yaml';
 
@@ -26,10 +26,10 @@
   return `${fileName} ${path.map(String).join('.')}`.trim();
 };
 
-/** Optional fields that are absent in the file are absent in the scenario too. */
+/** Removes fields that are `undefined`, so that optional fields absent from the file are absent here too. */
 const withoutUndefined = (value: unknown): unknown => JSON.parse(JSON.stringify(value)) as unknown;
 
-/** Parses the text of a scenario file. */
+/** Parses the text of a scenario file; `fileName` is used in findings. */
 export const parseScenario = (fileName: string, text: string): Either<Finding[], Scenario> => {
   const lines = new LineCounter();
   const document = parseDocument(text, { lineCounter: lines });
@@ -55,7 +55,7 @@
   return Right(withoutUndefined(parsed.data) as Scenario);
 };
 
-/** Reads one file. */
+/** Reads one scenario file. */
 const readScenarioFile = async (path: string): Promise<Either<Finding[], Scenario>> => {
   try {
     return parseScenario(path, await readFile(path, 'utf8'));
@@ -64,7 +64,7 @@
   }
 };
 
-/** Reads all scenario files of a folder, by name. */
+/** Reads all scenario files of a folder, sorted by name. */
 export const readScenarios = async (folder: string): Promise<Either<Finding[], Scenario[]>> => {
   const names = (await readdir(folder)).filter((name) => name.endsWith(EXTENSION)).sort();
   const read = await Promise.all(names.map((name) => readScenarioFile(join(folder, name))));
--- a/src/experiment/real/measure-edit.ts
+++ b/src/experiment/real/measure-edit.ts
@@ -1,4 +1,4 @@
-/** Sends an operator's edit to a node and measures how soon every node holds it. */
+/** Sends an operator's edit to a node and measures the time until it is in force at every node. */
 import { request } from 'undici';
 import type { LocalTier } from '../../demo/local-tier.js';
 import { demoSecret } from '../../deployments/demo-keys.js';
@@ -7,7 +7,7 @@
 import type { EditInForce } from '../scenario-result.js';
 
 const POLL_MS = 5;
-/** How long an edit may take until it counts as not in force everywhere, in milliseconds. */
+/** Time after which an edit counts as not in force at all nodes, in milliseconds. */
 const PROPAGATION_TIMEOUT_MS = 10_000;
 
 const wait = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
@@ -42,7 +42,7 @@
   );
 };
 
-/** Sends the edit to one of the nodes that run; resolves when it is in force or given up. */
+/** Sends the edit to a running node; resolves when it is in force at all nodes or has timed out. */
 export const measureEditPropagation = async (
   tier: LocalTier,
   deployment: Deployment,
--- a/src/experiment/real/publish.ts
+++ b/src/experiment/real/publish.ts
@@ -1,10 +1,10 @@
-/** What the platform publishes about replicas while a scenario runs on real sockets. */
+/** Publishes changes of replicas and layouts at the platform while a scenario runs on real sockets. */
 import type { SnapshotLayout } from '../../catalog/partner-index.js';
 import type { LocalTier } from '../../demo/local-tier.js';
 import type { Deployment } from '../../deployments/deployment.js';
 import type { FleetReplica } from '../../standins/replica-fleet.js';
 
-/** Publishes a replica's lifecycle and snapshots as they are now. */
+/** Publishes the current lifecycle and snapshots of a replica. */
 export const publishStatus = ({ platform }: LocalTier, { placed, server }: FleetReplica): void => {
   const name = `status/${placed.partner}/${placed.service}`;
   const content = platform.model.read(name)?.content;
@@ -20,7 +20,7 @@
   platform.publish(name, { type: 'status', status: { ...content.status, replicas } });
 };
 
-/** The snapshots that the platform publishes for a partner, oldest first. */
+/** Returns the snapshots that the platform publishes for a partner, oldest first. */
 export const publishedSnapshots = (
   { platform }: LocalTier,
   { partner }: Deployment,
--- a/src/experiment/real/real-step-runner.ts
+++ b/src/experiment/real/real-step-runner.ts
@@ -1,4 +1,4 @@
-/** Does the steps of a scenario to a tier on real sockets. */
+/** Applies the steps of a scenario to a tier on real sockets. */
 import { match } from 'ts-pattern';
 import type { LocalTier } from '../../demo/local-tier.js';
 import type { Deployment } from '../../deployments/deployment.js';
@@ -18,11 +18,11 @@
 import { selectByTarget } from '../select-by-target.js';
 import { publishedSnapshots, publishSnapshots, publishStatus } from './publish.js';
 
-/** Steps that one process on loopback cannot do. */
+/** Steps that need network partitions, which one process on loopback cannot create. */
 const SIMULATION_ONLY_STEPS: readonly string[] = ['zone-cut', 'zone-heal'];
 const SIMULATION_ONLY_ACTIONS: readonly string[] = ['pause', 'resume'];
 
-/** Names the steps of a scenario that need the simulation; empty when it can run for real. */
+/** Lists the parts of a scenario that need the simulation; empty if it can run on real sockets. */
 export const listSimulationOnlySteps = ({ faults, sharedGroup }: Scenario): string[] => [
   ...(sharedGroup === undefined ? [] : ['sharedGroup']),
   ...faults.flatMap((fault) => {
@@ -38,9 +38,9 @@
   readonly from: number;
 }
 
-/** A tier with the scripted changes that are made to it. */
+/** Applies steps to one tier and records what experiments measure about them. */
 export class RealStepRunner {
-  /** Factor on the arrivals of each partner. */
+  /** Factor on the arrival rate of each partner; 1 when absent. */
   readonly loadFactors = new Map<string, number>();
   private readonly drainedReplicas: DrainedReplica[] = [];
   private readonly timers = new Set<NodeJS.Timeout>();
@@ -52,7 +52,7 @@
     private readonly deployments: readonly Deployment[],
   ) {}
 
-  /** Does `action` after `delayMs`, unless the stage is cleared before. */
+  /** Runs `action` after `delayMs` milliseconds, unless `cancelAndWait` is called before. */
   after(delayMs: number, action: () => void): void {
     const timer = setTimeout(() => {
       this.timers.delete(timer);
@@ -61,7 +61,11 @@
     this.timers.add(timer);
   }
 
-  /** Does one step now. */
+  /**
+   * Applies one step now.
+   *
+   * @throws Error if the step needs the simulation or names a partner that is not deployed
+   */
   apply(step: ScenarioStep): void {
     match(step)
       .with({ kind: 'replica-fault' }, (fault) => this.changeReplicas(fault))
@@ -83,7 +87,7 @@
       .exhaustive();
   }
 
-  /** Makes no further changes; resolves when those under way are done. */
+  /** Cancels all scheduled actions; resolves when the changes in progress have ended. */
   async cancelAndWait(): Promise<void> {
     for (const timer of this.timers) {
       clearTimeout(timer);
@@ -91,12 +95,12 @@
     await Promise.all(this.pending);
   }
 
-  /** How soon each edit was in force. */
+  /** Waits for all edits; resolves to the time that each took until it was in force. */
   waitForEdits(): Promise<EditInForce[]> {
     return Promise.all(this.edits);
   }
 
-  /** How long each drained replica still got work. */
+  /** Returns how long each drained replica still received work. */
   listDrainLags(): DrainLag[] {
     return this.drainedReplicas.map(({ replica, from }) => ({
       replica: replica.placed.replica,
@@ -151,7 +155,7 @@
     }
   }
 
-  /** Replicas take the next snapshot one after the other; then the one before goes away. */
+  /** Makes replicas load the next snapshot one after the other; then drops the previous ones. */
   private rollOut(step: RollOutStep): void {
     const deployment = this.deploymentOf(step.partner);
     const replicas = this.select({ partner: step.partner });
--- a/src/experiment/real/run-real-scenario.ts
+++ b/src/experiment/real/run-real-scenario.ts
@@ -1,4 +1,4 @@
-/** Runs a scenario on real sockets: platform, replicas, nodes and callers in one process. */
+/** Runs a scenario on real sockets, with the platform, replicas, nodes and callers in one process. */
 import { LocalTier, placesPerZone } from '../../demo/local-tier.js';
 import { demoSecret } from '../../deployments/demo-keys.js';
 import { type Deployment, scaleDeployment } from '../../deployments/deployment.js';
@@ -87,7 +87,7 @@
   };
 };
 
-/** Runs one scenario under one variant and seed; everything it started has ended by then. */
+/** Runs one scenario under one variant and seed; resolves after all parts of the tier have stopped. */
 export const runRealScenario = async (run: ScenarioRun): Promise<ScenarioResult> => {
   const startedAt = performance.now();
   const deployments = deploymentsOf(run.scenario);
--- a/src/experiment/run-experiment.ts
+++ b/src/experiment/run-experiment.ts
@@ -5,19 +5,19 @@
 /** Runs one scenario under one variant and seed. */
 export type ScenarioRunner = (run: ScenarioRun) => Promise<ScenarioResult>;
 
-/** What an experiment runs. */
+/** Options of an experiment. */
 export interface ExperimentOptions {
   readonly scenarios: readonly Scenario[];
   readonly variants: readonly VariantName[];
   readonly seeds: readonly number[];
   readonly runner: ScenarioRunner;
-  /** Told after each run. */
+  /** Called after each run. */
   readonly onResult: (result: ScenarioResult, done: number, total: number) => void;
-  /** Ends the experiment after the run under way. */
+  /** Ends the experiment after the current run. */
   readonly interrupted: AbortSignal;
 }
 
-/** All runs of an experiment; the variants of one scenario and seed follow each other. */
+/** Lists all runs of an experiment; the variants of one scenario and seed are consecutive. */
 export const listRuns = ({
   scenarios,
   variants,
@@ -27,7 +27,7 @@
     seeds.flatMap((seed) => variants.map((variant) => ({ scenario, variant, seed }))),
   );
 
-/** Does all runs; returns the results of those that were done. */
+/** Executes all runs; returns the results of the completed ones. */
 export const runExperiment = async (options: ExperimentOptions): Promise<ScenarioResult[]> => {
   const runs = listRuns(options);
   const results: ScenarioResult[] = [];
--- a/src/experiment/run-in-simulation.ts
+++ b/src/experiment/run-in-simulation.ts
@@ -7,11 +7,11 @@
 import { MAX_RECORDED_VIOLATIONS } from '../load/run-recorder.js';
 
 /**
- * Runs one scenario under one variant and seed. The promises that the simulation checks throughout
- * count as violations besides those that callers see.
+ * Runs one scenario under one variant and seed. Broken invariants of the simulation are added to the
+ * violations that callers observe.
  */
 export const runInSimulation = async (run: ScenarioRun): Promise<ScenarioResult> => {
-  // A simulated run holds the thread; signals are taken between runs.
+  // A simulated run blocks the event loop, so signals are handled between runs.
   await setImmediate();
   const { broken, ...result } = runSimulatedScenario(run);
   const found = broken.map(({ invariant, at, detail }): Violation => ({
--- a/src/experiment/scenario-result.ts
+++ b/src/experiment/scenario-result.ts
@@ -1,25 +1,25 @@
-/** What one run of a scenario came to, on real sockets or in simulation. */
+/** The result of one run of a scenario, on real sockets or in simulation. */
 import type { RunResult } from '../load/run-result.js';
 import type { VariantName } from './scenario.js';
 
-/** How a scenario was run. */
+/** Whether a scenario ran on real sockets or in simulation. */
 export type ScenarioDriver = 'real' | 'simulation';
 
-/** How long an edit took until every live node held it. */
+/** How long an edit took until it was in force at every live node. */
 export interface EditInForce {
   readonly partner: string;
-  /** From the operator's request to the last node, in milliseconds; absent if not all had it. */
+  /** Time from the operator's request until the last node has it, in milliseconds; absent on timeout. */
   readonly inForceMs?: number;
 }
 
-/** How long a draining replica still got new work, as the replicas' records show. */
+/** How long a draining replica still received new work, according to its own record. */
 export interface DrainLag {
   readonly replica: string;
-  /** From its drain to the last request that reached it, in milliseconds; 0 if none did. */
+  /** Time from the drain to the last request that arrived, in milliseconds; 0 if none arrived. */
   readonly lastWorkMs: number;
 }
 
-/** One result. */
+/** The result of one run. */
 export interface ScenarioResult {
   readonly scenario: string;
   readonly variant: VariantName;
@@ -28,8 +28,8 @@
   readonly run: RunResult;
   readonly edits: readonly EditInForce[];
   readonly drains: readonly DrainLag[];
-  /** Attempts that the replicas ran, over the whole measured part. */
+  /** Attempts that the replicas ran during the measured part. */
   readonly attemptsRan: number;
-  /** Time that the run took in this process, in milliseconds. */
+  /** Wall-clock duration of the run, in milliseconds. */
   readonly tookMs: number;
 }
--- a/src/experiment/scenario-schema.ts
+++ b/src/experiment/scenario-schema.ts
@@ -1,8 +1,8 @@
-/** The schema of scenario files: what is written, with defaults for what is left out. */
+/** The schema of scenario files, with defaults for optional fields. */
 import { z } from 'zod';
 import { NODE_ACTIONS, SCENARIO_PARTNERS } from './scenario.js';
 
-/** Longest measured part, in milliseconds. */
+/** Maximum duration of the measured part and of other times in a scenario, in milliseconds. */
 const MAX_RUN_MS = 600_000;
 
 const time = z.number().min(0).max(MAX_RUN_MS);
@@ -120,7 +120,7 @@
         }),
       )
       .min(1),
-    faults: z.array(fault).refine(isOrderedByTime, 'must be in order of time').default([]),
+    faults: z.array(fault).refine(isOrderedByTime, 'must be ordered by atMs').default([]),
   })
   .refine(({ load, partners }) => load.every((item) => partners.includes(item.partner)), {
     path: ['load'],
--- a/src/experiment/scenario.ts
+++ b/src/experiment/scenario.ts
@@ -1,6 +1,6 @@
 /**
- * A scenario: which deployments run at which size, under which load, and what goes wrong when. The
- * same scenario runs on real sockets and in simulation; all times are in milliseconds.
+ * A scenario: the deployments with their scale, the load, and the faults with their times. The same
+ * scenario runs on real sockets and in simulation; all times are in milliseconds.
  */
 import type { SnapshotVersion } from '../catalog/partner-index.js';
 import type { DeploymentScale } from '../deployments/deployment.js';
@@ -13,7 +13,7 @@
 /** A partner whose deployment a scenario may run. */
 export type ScenarioPartner = (typeof SCENARIO_PARTNERS)[number];
 
-/** Chooses replicas; each field that is present narrows the choice. */
+/** Selects replicas; a replica must match every field that is present. */
 export interface ReplicaTarget {
   readonly partner?: ScenarioPartner;
   /** Name of a group of services, e.g. `booking-desk`. */
@@ -21,23 +21,24 @@
   readonly service?: string;
   readonly replica?: string;
   readonly zone?: string;
-  /** Only the first so many replicas of each service. */
+  /** Limits the selection to this many replicas of each service, in their order. */
   readonly firstOfService?: number;
 }
 
-/** Chooses nodes, by name or by zone. */
+/** Selects nodes by name or by zone. */
 export interface NodeTarget {
-  /** Names are `{zone}-{number}`, numbered from 1 within their zone. */
+  /** Name of the node: `{zone}-{number}`, numbered from 1 within its zone. */
   readonly node?: string;
   readonly zone?: string;
 }
 
-/** What happens to a node. */
+/** Actions on a node; see `NodeAction`. */
 export const NODE_ACTIONS = ['kill', 'stop', 'start', 'pause', 'resume'] as const;
 
 /**
- * `kill` ends it at once, `stop` as SIGTERM does, `start` brings a killed or stopped one back with
- * empty memory, `pause` halts its process and `resume` lets it go on.
+ * An action on a node: `kill` terminates it immediately, `stop` shuts it down as SIGTERM does, `start`
+ * restarts a killed or stopped node with empty memory, `pause` suspends its process and `resume`
+ * continues it.
  */
 export type NodeAction = (typeof NODE_ACTIONS)[number];
 
@@ -48,10 +49,11 @@
   readonly change: ReplicaFaultChange;
 }
 
-/** Drains replicas: they refuse new work, and the platform publishes it this much later. */
+/** Drains replicas: they refuse new work immediately. */
 export interface DrainStep {
   readonly kind: 'drain';
   readonly target: ReplicaTarget;
+  /** Delay until the platform publishes that the replicas are leaving. */
   readonly publishAfterMs: number;
 }
 
@@ -61,27 +63,27 @@
   readonly change: StoreFaultChange;
 }
 
-/** Something happens to nodes. */
+/** Applies an action to nodes. */
 export interface NodeFaultStep {
   readonly kind: 'node-fault';
   readonly target: NodeTarget;
   readonly action: NodeAction;
 }
 
-/** Cuts the nodes of some zones off from those of all others. */
+/** Partitions the network between the nodes of some zones and those of all other zones. */
 export interface ZoneCutStep {
   readonly kind: 'zone-cut';
   readonly zones: readonly string[];
 }
 
-/** Ends all zone cuts. */
+/** Heals all network partitions between zones. */
 export interface ZoneHealStep {
   readonly kind: 'zone-heal';
 }
 
 /**
- * Rolls out the next snapshot: the layout is published, replicas take it one after the other during
- * `overMs`, and the one before is dropped at the end in the same order and time.
+ * Rolls out the next snapshot: the layout is published, the replicas load the snapshot one after the
+ * other during `overMs`, and the previous snapshot is dropped afterwards.
  */
 export interface RollOutStep {
   readonly kind: 'roll-out';
@@ -92,14 +94,14 @@
   readonly addedShards: number;
 }
 
-/** Multiplies the arrivals of a partner from now on; 1 is the scenario's own rate. */
+/** Sets a factor on a partner's arrival rate from now on; 1 is the scenario's own rate. */
 export interface LoadFactorStep {
   readonly kind: 'load-factor';
   readonly partner: ScenarioPartner;
   readonly factor: number;
 }
 
-/** An operator changes the weight of a row; the time until it is in force everywhere is measured. */
+/** An operator changes the weight of a row; the time until it is in force at all nodes is measured. */
 export interface EditStep {
   readonly kind: 'edit';
   readonly partner: ScenarioPartner;
@@ -108,7 +110,7 @@
   readonly weight: number;
 }
 
-/** Everything that a scenario may do to its deployment. */
+/** All steps of a scenario. */
 export type ScenarioStep =
   | ReplicaFaultStep
   | DrainStep
@@ -120,48 +122,48 @@
   | LoadFactorStep
   | EditStep;
 
-/** A step with its time after the start of the measured part. */
+/** A step and when it runs, relative to the start of the measured part. */
 export type ScenarioFault = { readonly atMs: number } & ScenarioStep;
 
 /** The load of one partner. */
 export interface ScenarioLoad {
   readonly partner: ScenarioPartner;
-  /** Mean of the Poisson arrivals, over all routes and kinds together. */
+  /** Mean rate of the Poisson arrivals, over all routes and kinds together. */
   readonly queriesPerSecond: number;
-  /** Only these routes; all of the partner's when absent. */
+  /** Routes to call; all routes of the partner when absent. */
   readonly routes?: readonly string[];
 }
 
 /** One scenario. */
 export interface Scenario {
   readonly name: string;
-  /** One line on what it shows. */
+  /** One line on what the scenario shows. */
   readonly title: string;
   readonly partners: readonly ScenarioPartner[];
   readonly scale: DeploymentScale;
-  /** Group of the first partner's services that the other partners' wide rows use too. */
+  /** Group of the first partner's services that rows of the other partners with fan-out `all` use too. */
   readonly sharedGroup?: string;
   /** Nodes in each zone of the partners' deployments. */
   readonly nodesPerZone: number;
   /** Factor on the service times of the replicas. */
   readonly serviceTimeFactor: number;
-  /** Load before the measured part, in which nothing is recorded. */
+  /** Duration of the load before the measured part. */
   readonly warmUpMs: number;
-  /** The measured part. */
+  /** Duration of the measured part. */
   readonly durationMs: number;
   readonly load: readonly ScenarioLoad[];
-  /** In order of time. */
+  /** Ordered by `atMs`. */
   readonly faults: readonly ScenarioFault[];
-  /** Ends the recorded part's first moments from some figures: queries sent before are left out. */
+  /** Queries due earlier than this in the measured part are left out of the metrics. */
   readonly settleMs: number;
 }
 
-/** Ways to run a scenario side by side. */
+/** Query policies that experiments compare; see `VariantName`. */
 export const VARIANT_NAMES = ['default', 'random', 'fixed-hedge'] as const;
 
 /**
- * `default` is the tier as it is; `random` scatters to a random replica without hedges;
- * `fixed-hedge` hedges after a fixed delay without a budget.
+ * A query policy: `default` is the policy of the tier, `random` sends each leg to a random replica
+ * without hedges, `fixed-hedge` hedges after a fixed delay without a budget.
  */
 export type VariantName = (typeof VARIANT_NAMES)[number];
 
--- a/src/experiment/select-by-target.ts
+++ b/src/experiment/select-by-target.ts
@@ -1,7 +1,7 @@
-/** Finds the replicas that a step of a scenario is aimed at, whatever runs them. */
+/** Selects the replicas that a step of a scenario targets, on real sockets or in simulation. */
 import type { ReplicaTarget } from './scenario.js';
 
-/** What a target looks at. */
+/** The properties of a replica that a target matches. */
 export interface ReplicaPlace {
   readonly partner: string;
   readonly service: string;
@@ -19,7 +19,7 @@
   (target.replica === undefined || target.replica === place.replica) &&
   (target.zone === undefined || target.zone === place.zone);
 
-/** The replicas that `target` chooses, in their order. */
+/** Returns the replicas that match `target`, in their original order. */
 export const selectByTarget = <Replica>(
   replicas: Iterable<Replica>,
   placeOf: (replica: Replica) => ReplicaPlace,
--- a/src/experiment/summary.ts
+++ b/src/experiment/summary.ts
@@ -1,9 +1,9 @@
-/** Sums results up over seeds: medians, and the worst of all. */
+/** Summarizes results over seeds: medians and worst values. */
 import type { KindResult } from '../load/run-result.js';
 import type { VariantName } from './scenario.js';
 import type { ScenarioDriver, ScenarioResult } from './scenario-result.js';
 
-/** Figures of a kind of request of one variant, over all seeds. */
+/** Metrics of one kind of request under one variant, over all seeds. */
 export interface KindSummary {
   readonly scenario: string;
   readonly variant: VariantName;
@@ -12,7 +12,7 @@
   readonly route: string;
   readonly kind: string;
   readonly seeds: number;
-  /** Calls over all seeds. */
+  /** Total over all seeds. */
   readonly calls: number;
   /** Medians over seeds. */
   readonly p50Ms: number;
@@ -26,13 +26,13 @@
   readonly worstMs: number;
   readonly worstCoverage: number;
   readonly worstExtraLoad: number;
-  /** Over all seeds. */
+  /** Totals over all seeds. */
   readonly notRun: number;
   readonly unknown: number;
   readonly failed: number;
 }
 
-/** The median; the lower of the two middle values of an even number. */
+/** Returns the median: the lower middle value of an even number of values, 0 for none. */
 export const medianOf = (values: readonly number[]): number => {
   const sorted = [...values].sort((left, right) => left - right);
   return sorted[Math.floor((sorted.length - 1) / 2)] ?? 0;
@@ -88,7 +88,7 @@
   };
 };
 
-/** Sums up each kind of each scenario and variant; variants of a kind stand side by side. */
+/** Summarizes each kind of each scenario and variant; the variants of a kind are adjacent. */
 export const summarizeKinds = (results: readonly ScenarioResult[]): KindSummary[] => {
   const nameOf = ({ scenario, partner, route, kind }: KindSummary): string =>
     [scenario, partner, route, kind].join('/');
