--- a/src/replay/event-record.ts
+++ b/src/replay/event-record.ts
@@ -1,6 +1,6 @@
 /**
- * The format of recorded events: frames of four bytes of length (big-endian) and that many bytes of
- * CBOR. The first frame is the header, each later one an event with a digest of its effects.
+ * The format of recorded events: frames with a length of four bytes (big-endian) and that many bytes
+ * of CBOR. The first frame is the header; each later frame holds an event and a digest of its effects.
  */
 import { createHash } from 'node:crypto';
 import { type Either, Left, Right } from 'purify-ts';
@@ -14,13 +14,13 @@
 /** Version of the format. */
 const RECORD_FORMAT = 1;
 
-/** The first frame: what the core was created from. */
+/** The first frame: the options that the core was created with. */
 export interface RecordHeader {
   readonly format: number;
   readonly options: CoreOptions;
 }
 
-/** One event and what came of it. */
+/** One event and the digest of its effects. */
 export interface RecordEntry {
   readonly event: Event;
   /** See `digestEffects`. */
@@ -31,23 +31,23 @@
 export interface EventRecord {
   readonly options: CoreOptions;
   readonly entries: readonly RecordEntry[];
-  /** Bytes after the last whole frame: the process ended while it wrote. */
+  /** Number of bytes after the last complete frame; above 0 if the process ended during a write. */
   readonly cutBytes: number;
 }
 
-/** SHA-256 over the effects as CBOR; equal for effects that are equal byte for byte. */
+/** Returns the SHA-256 digest of the CBOR encoding of `effects`, in base64. */
 export const digestEffects = (effects: readonly Effect[]): string =>
   createHash('sha256').update(encodeCbor(effects)).digest('base64');
 
-/** The header as a frame. */
+/** Encodes the header as a frame. */
 export const encodeHeader = (options: CoreOptions): Buffer =>
   frameBytes(encodeCbor({ format: RECORD_FORMAT, options } satisfies RecordHeader));
 
-/** An entry as a frame. */
+/** Encodes an entry as a frame. */
 export const encodeEntry = (event: Event, effects: readonly Effect[]): Buffer =>
   frameBytes(encodeCbor({ event, digest: digestEffects(effects) } satisfies RecordEntry));
 
-const cutFrames = (bytes: Buffer): { bodies: Buffer[]; cutBytes: number } => {
+const splitFrames = (bytes: Buffer): { bodies: Buffer[]; cutBytes: number } => {
   const bodies: Buffer[] = [];
   let start = 0;
   while (bytes.length - start >= FRAME_HEADER_BYTES) {
@@ -71,15 +71,15 @@
   isText(value['event']['type']) &&
   isFiniteNumber(value['event']['at']);
 
-/** Reads a record; a last frame that is not whole is left out. */
+/** Decodes a record and skips an incomplete last frame; Left describes a malformed record. */
 export const decodeRecord = (bytes: Buffer): Either<string, EventRecord> => {
-  const { bodies, cutBytes } = cutFrames(bytes);
+  const { bodies, cutBytes } = splitFrames(bytes);
   const [first, ...rest] = bodies.map((body) => decodeCbor(body).orDefault(undefined));
   if (!isHeader(first)) {
-    return Left(`the file is no record of format ${RECORD_FORMAT}`);
+    return Left(`the file is not an event record of format ${RECORD_FORMAT}`);
   }
-  const wrong = rest.findIndex((entry) => !isEntry(entry));
-  return wrong === -1
+  const malformedIndex = rest.findIndex((entry) => !isEntry(entry));
+  return malformedIndex === -1
     ? Right({ options: first.options, entries: rest.filter(isEntry), cutBytes })
-    : Left(`entry ${wrong + 1} of the record is malformed`);
+    : Left(`entry ${malformedIndex + 1} of the record is malformed`);
 };
--- a/src/replay/replay-record.ts
+++ b/src/replay/replay-record.ts
@@ -1,26 +1,27 @@
-/** Runs recorded events through the core again and compares the effects. */
+/** Replays recorded events through the core and compares the effects. */
 import { step } from '../core/reducer.js';
 import { createCoreState } from '../core/state.js';
 import { digestEffects, type EventRecord } from './event-record.js';
 
-/** The first event whose effects were not the same again. */
+/** The first event whose effects differ from the recorded ones. */
 export interface ReplayDifference {
-  /** Counted from 1. */
+  /** Position of the event in the record, counted from 1. */
   readonly entry: number;
   readonly eventType: string;
   readonly at: number;
+  /** The effects of the replay; the record holds only a digest. */
   readonly effects: readonly { readonly type: string }[];
 }
 
-/** What a replay came to. */
+/** The result of a replay. */
 export interface ReplayResult {
   readonly events: number;
   readonly cutBytes: number;
-  /** Absent when all effects were the same, byte for byte. */
+  /** Absent when all effects are identical byte for byte. */
   readonly difference?: ReplayDifference;
 }
 
-/** Replays a record up to its end, or to the first difference. */
+/** Replays a record to its end or to the first difference. */
 export const replayRecord = (record: EventRecord): ReplayResult => {
   const state = createCoreState(record.options);
   const { cutBytes, entries } = record;
--- a/test/replay/replay-history.test.ts
+++ b/test/replay/replay-history.test.ts
@@ -19,7 +19,7 @@
     ...(mutation && { createStep: mutation.createStep }),
   });
   if (failure === undefined) {
-    throw new Error('the broken core was not caught');
+    throw new Error('the fuzzer found no violation in the broken core');
   }
   return failure;
 };
@@ -48,8 +48,8 @@
   await rm(folder, { recursive: true });
 });
 
-describe('a history of the fuzzer', () => {
-  it('breaks the same promise of a broken core again, and none of the sound one', async () => {
+describe('a history file of the fuzzer', () => {
+  it('reproduces the violation with the broken core and finds none with the correct core', async () => {
     const { history, problem } = failure;
     expect(history.broke?.invariant).toBe('at-most-once');
     await writeFile(file, encodeHistory(history));
@@ -63,14 +63,14 @@
     expect(printed).toContain('was not found again');
   });
 
-  it('is the same after a way through a file', () => {
+  it('is unchanged after encoding and decoding', () => {
     const { history } = failure;
     const read = decodeHistory(Buffer.from(encodeHistory(history)));
     expect(read.unsafeCoerce()).toEqual(history);
   });
 
   it.each(['{', '{}', '{"format":"crossroad-history","version":2}'])(
-    'that is malformed is refused: %s',
+    'is rejected when it is malformed: %s',
     async (text) => {
       vi.spyOn(process.stderr, 'write').mockReturnValue(true);
       await writeFile(file, text);
--- a/test/replay/replay.test.ts
+++ b/test/replay/replay.test.ts
@@ -28,7 +28,7 @@
   await rm(folder, { recursive: true });
 });
 
-/** Records a node that answers some queries, of which one meets a failing replica. */
+/** Records the events of a node that answers three queries, one of them with a failing replica. */
 const recordNode = async (): Promise<Buffer> => {
   const replica = await startFakeReplica();
   const platform = await startFakePlatform(storeContents([replica.port]));
@@ -55,8 +55,8 @@
   seed: 1,
 } as never;
 
-describe('a record of events', () => {
-  it('gives the same effects again, byte for byte', async () => {
+describe('an event record', () => {
+  it('replays to identical effects, byte for byte', async () => {
     const record = decodeRecord(await recordNode()).unsafeCoerce();
     const result = replayRecord(record);
     expect(result.difference).toBeUndefined();
@@ -67,7 +67,7 @@
     expect(await replayCommand.run([file])).toBe(0);
   });
 
-  it('that was changed is caught at the event concerned', async () => {
+  it('shows a difference when an event or the options were changed', async () => {
     const record = decodeRecord(await recordNode()).unsafeCoerce();
     const changed = record.entries.findIndex(({ event }) => event.type === 'query-arrived');
     const entries = record.entries.filter((_, index) => index !== changed);
@@ -76,7 +76,7 @@
     expect(replayRecord({ ...record, options }).difference).toBeDefined();
   });
 
-  it('whose end was cut off is replayed up to there', () => {
+  it('is decoded up to an incomplete last frame', () => {
     const entry = encodeEntry({ type: 'started', at: 0 }, []);
     const bytes = Buffer.concat([encodeHeader(OPTIONS), entry, entry.subarray(0, 9)]);
     expect(decodeRecord(bytes).unsafeCoerce()).toMatchObject({ cutBytes: 9, entries: [{}] });
@@ -84,17 +84,17 @@
 
   it.each([
     ['nothing', Buffer.alloc(0)],
-    ['text', Buffer.from('hello, I am no record at all')],
+    ['text', Buffer.from('plain text, not an event record')],
     ['an entry in place of the header', encodeEntry({ type: 'started', at: 0 }, [])],
     [
       'a header in place of an entry',
       Buffer.concat([encodeHeader(OPTIONS), encodeHeader(OPTIONS)]),
     ],
-  ])('that is %s is refused', (_name, bytes) => {
+  ])('is rejected when it is %s', (_name, bytes) => {
     expect(decodeRecord(bytes).isLeft()).toBe(true);
   });
 
-  it('ends at its bound, and says so once', async () => {
+  it('stops at its size limit and logs that once', async () => {
     const { lines, log } = createMemoryLog();
     const recorder = new EventRecorder(file, OPTIONS, log, 1_000);
     for (let index = 0; index < 100; index += 1) {
@@ -105,7 +105,7 @@
     expect(lines).toHaveLength(1);
   });
 
-  it('that cannot be written costs the node nothing', async () => {
+  it('logs at most one line and does not throw when the file cannot be written', async () => {
     const { lines, log } = createMemoryLog();
     const recorder = new EventRecorder(join(folder, 'no/such/folder'), OPTIONS, log);
     await recorder.close();
