--- a/src/rig/child-process.ts
+++ b/src/rig/child-process.ts
@@ -40,8 +40,8 @@
       stdio: ['ignore', 'pipe', 'pipe'],
       env: { ...process.env, ...environment },
     });
-    this.child.stdout?.on('data', (chunk: Buffer) => this.keep(chunk));
-    this.child.stderr?.on('data', (chunk: Buffer) => this.keep(chunk));
+    this.child.stdout?.on('data', (chunk: Buffer) => this.appendOutput(chunk));
+    this.child.stderr?.on('data', (chunk: Buffer) => this.appendOutput(chunk));
     this.exited = once(this.child, 'close').then(([code, signal]) => ({ code, signal }));
   }
 
@@ -70,7 +70,7 @@
     return this.exited;
   }
 
-  private keep(chunk: Buffer): void {
+  private appendOutput(chunk: Buffer): void {
     const { outputLimit = OUTPUT_LIMIT, onOutput } = this.options;
     const text = chunk.toString('utf8');
     this.kept = (this.kept + text).slice(-outputLimit);
--- a/src/rig/closed-port-watch.ts
+++ b/src/rig/closed-port-watch.ts
@@ -5,7 +5,7 @@
 
 const HOST = '127.0.0.1';
 const RETRY_MS = 20;
-const RETRIES = 50;
+const MAX_ATTEMPTS = 50;
 
 const tryToListen = async (server: Server, port: number): Promise<boolean> => {
   server.listen(port, HOST);
@@ -20,9 +20,9 @@
 /** Takes each connection, notes when, and ends it at once without reading. */
 export class ClosedPortWatch {
   /** When connections were tried, on the clock of `performance.now()`. */
-  readonly triedAt: number[] = [];
+  readonly connectedAt: number[] = [];
   private readonly server = createServer((socket) => {
-    this.triedAt.push(performance.now());
+    this.connectedAt.push(performance.now());
     socket.on('error', () => socket.destroy());
     socket.resetAndDestroy();
   });
@@ -33,7 +33,7 @@
    * @throws when the port stays taken
    */
   async begin(port: number): Promise<void> {
-    for (let tries = 0; tries < RETRIES; tries += 1) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       if (await tryToListen(this.server, port)) {
         return;
       }
--- a/src/rig/edit-race.ts
+++ b/src/rig/edit-race.ts
@@ -10,7 +10,7 @@
 import { pause } from './pause.js';
 
 /** How long an edit of unknown outcome is sent again, in milliseconds. */
-const RESEND_FOR_MS = 30_000;
+const RESEND_TIMEOUT_MS = 30_000;
 const BETWEEN_EDITS_MS = 50;
 const WEIGHTS = [1, 2, 3, 4, 5, 6, 7, 8] as const;
 
@@ -28,9 +28,9 @@
   readonly target: OperatorTarget;
 }
 
-const createEdit = (sheet: SheetBody, turn: number, operator: number): EditBody | undefined => {
-  const held = sheet.rows[turn % sheet.rows.length];
-  if (held === undefined) {
+const buildEdit = (sheet: SheetBody, turn: number, operator: number): EditBody | undefined => {
+  const currentRow = sheet.rows[turn % sheet.rows.length];
+  if (currentRow === undefined) {
     return undefined;
   }
   const weight = WEIGHTS[(turn + operator) % WEIGHTS.length] ?? 1;
@@ -40,7 +40,9 @@
     seenVersion: sheet.version,
     action: {
       type: 'change-rows',
-      changes: [{ type: 'set', row: { ...held.row, weight }, basedOn: held.rowVersion }],
+      changes: [
+        { type: 'set', row: { ...currentRow.row, weight }, basedOn: currentRow.rowVersion },
+      ],
     },
   };
 };
@@ -53,8 +55,8 @@
     ?.sheets.find(({ partner }) => partner === racer.deployment.partner);
 };
 
-const outcomeOf = async (racer: Racer, body: EditBody): Promise<RacedEdit['outcome']> => {
-  const answer = await postEdit(racer.target, body, RESEND_FOR_MS);
+const sendEdit = async (racer: Racer, body: EditBody): Promise<RacedEdit['outcome']> => {
+  const answer = await postEdit(racer.target, body, RESEND_TIMEOUT_MS);
   return answer.caseOf<RacedEdit['outcome']>({
     Left: ({ passing }) => (passing ? 'unknown' : 'not-accepted'),
     Right: ({ type }) =>
@@ -65,9 +67,9 @@
 const race = async (racer: Racer, edits: number, raced: RacedEdit[]): Promise<void> => {
   for (let turn = 0; turn < edits; turn += 1) {
     const sheet = await readSheet(racer);
-    const body = sheet && createEdit(sheet, turn, racer.operator);
+    const body = sheet && buildEdit(sheet, turn, racer.operator);
     if (body !== undefined) {
-      const outcome = await outcomeOf(racer, body);
+      const outcome = await sendEdit(racer, body);
       raced.push({ partner: racer.deployment.partner, edit: body.edit, outcome });
     }
     await pause(BETWEEN_EDITS_MS);
@@ -99,7 +101,7 @@
 };
 
 /** Edits whose standing in the history contradicts their outcome, as sentences. */
-export const findMisplacedEdits = async (
+export const findInconsistentEdits = async (
   raced: readonly RacedEdit[],
   deployment: Deployment,
   url: string,
@@ -115,7 +117,7 @@
     .flatMap(({ edit, outcome }) => {
       const times = history.filter((record) => record.edit === edit).length;
       const wanted = outcome === 'accepted' ? times === 1 : times === 0;
-      const isRight = outcome === 'unknown' ? times <= 1 : wanted;
-      return isRight ? [] : [`edit ${edit} was ${outcome} and stands ${times} times`];
+      const isConsistent = outcome === 'unknown' ? times <= 1 : wanted;
+      return isConsistent ? [] : [`edit ${edit} was ${outcome} and stands ${times} times`];
     });
 };
--- a/src/rig/leave-scenarios.ts
+++ b/src/rig/leave-scenarios.ts
@@ -13,7 +13,7 @@
 
 const SECOND_MS = 1_000;
 /** The load runs for so long before the replica leaves. */
-const BEFORE_MS = 3 * SECOND_MS;
+const WAIT_BEFORE_LEAVE_MS = 3 * SECOND_MS;
 /** How late the platform's lists show that the replica leaves. */
 const LAG_MS = 10 * SECOND_MS;
 /** How long arrivals are watched after the lists have caught up. */
@@ -22,7 +22,7 @@
 const NO_WORK_AFTER_MS = 2 * SECOND_MS;
 /** For so long a replica's port is closed; it is open again before its records are read. */
 const PORT_CLOSED_MS = LAG_MS + 2 * SECOND_MS;
-const LOAD_SECONDS = (BEFORE_MS + LAG_MS + AFTER_LAG_MS + SECOND_MS) / SECOND_MS;
+const LOAD_SECONDS = (WAIT_BEFORE_LEAVE_MS + LAG_MS + AFTER_LAG_MS + SECOND_MS) / SECOND_MS;
 const GROUP = 'booking-desk';
 
 const findReplica = (tier: ProcessTier): RigReplica => {
@@ -81,7 +81,7 @@
 const leaveByStatus = async (tier: ProcessTier): Promise<RigCheck[]> => {
   const replica = findReplica(tier);
   await tier.setPlatformFaults({ machineListLagMs: LAG_MS });
-  await pause(BEFORE_MS);
+  await pause(WAIT_BEFORE_LEAVE_MS);
   const { now } = await readArrivals(replica);
   await publishLeaving(tier, replica);
   await pause(LAG_MS + AFTER_LAG_MS);
@@ -91,7 +91,7 @@
 const leaveByRefusal = async (tier: ProcessTier): Promise<RigCheck[]> => {
   const replica = findReplica(tier);
   await tier.setPlatformFaults({ machineListLagMs: LAG_MS });
-  await pause(BEFORE_MS);
+  await pause(WAIT_BEFORE_LEAVE_MS);
   const { now } = await readArrivals(replica);
   await tier.setReplicaFaults(replica.url, { lifecycle: 'leaving' });
   await pause(LAG_MS);
@@ -116,7 +116,7 @@
 const leaveByClosedPort = async (tier: ProcessTier): Promise<RigCheck[]> => {
   const replica = findReplica(tier);
   await tier.setPlatformFaults({ machineListLagMs: LAG_MS });
-  await pause(BEFORE_MS);
+  await pause(WAIT_BEFORE_LEAVE_MS);
   const { now } = await readArrivals(replica);
   const leftAt = performance.now();
   await tier.setReplicaFaults(replica.url, { closePortMs: PORT_CLOSED_MS });
@@ -128,13 +128,13 @@
   await watch.end();
   await pause(AFTER_LAG_MS - SECOND_MS);
   const arrivals = checkArrivals(await readArrivals(replica), now);
-  return [...arrivals, checkConnections(watch.triedAt, leftAt)];
+  return [...arrivals, checkConnections(watch.connectedAt, leftAt)];
 };
 
 const scenario = (name: string, summary: string, run: RigScenario['run']): RigScenario => ({
   name,
   summary,
-  unbrokenService: true,
+  requiresAllAnswered: true,
   seconds: LOAD_SECONDS,
   run,
 });
--- a/src/rig/duty-scenario.ts
+++ b/src/rig/pause-holder-scenario.ts
@@ -24,16 +24,16 @@
 /** About half of what the load asks of the row. */
 const PER_SECOND_LIMIT = 4;
 /** Grants must have been given before the holder is paused. */
-const BEFORE_MS = 3 * SECOND_MS;
-const PAUSED_MS = GRANT_MS + LEASE_MS;
+const WAIT_BEFORE_PAUSE_MS = 3 * SECOND_MS;
+const PAUSE_MS = GRANT_MS + LEASE_MS;
 const SERVES_WITHIN_MS = 20 * SECOND_MS;
 /** How soon after it woke a node has in force what the others have. */
-const UP_TO_DATE_WITHIN_MS = 3 * SECOND_MS;
+const CURRENT_WITHIN_MS = 3 * SECOND_MS;
 const LOAD_SECONDS = 20;
 /** A row that is limited must not be starved either: it gets at least this share of its limit. */
-const LEAST_SHARE = 0.5;
+const MIN_SHARE = 0.5;
 
-const limitedRow = (): RouteRow => {
+const findLimitedRow = (): RouteRow => {
   const row = ENSEMBLE.rows.find(({ route }) => route === ROUTE);
   if (row === undefined) {
     throw new Error(`there is no route ${ROUTE}`);
@@ -50,26 +50,29 @@
   };
   const table = (await getTable(target)).toMaybe().extract();
   const sheet = table?.sheets.find(({ partner }) => partner === ENSEMBLE.partner);
-  const held = sheet?.rows.find(({ row }) => row.route === ROUTE);
-  if (sheet === undefined || held === undefined) {
+  const currentRow = sheet?.rows.find(({ row }) => row.route === ROUTE);
+  if (sheet === undefined || currentRow === undefined) {
     throw new Error(`the table shows no route ${ROUTE}`);
   }
-  const row = { ...held.row, perSecondLimit: PER_SECOND_LIMIT };
+  const row = { ...currentRow.row, perSecondLimit: PER_SECOND_LIMIT };
   const answer = await postEdit(target, {
     edit: identifier<EditId>(randomUUID()),
     reason: 'limit the row before the load',
     seenVersion: sheet.version,
-    action: { type: 'change-rows', changes: [{ type: 'set', row, basedOn: held.rowVersion }] },
+    action: {
+      type: 'change-rows',
+      changes: [{ type: 'set', row, basedOn: currentRow.rowVersion }],
+    },
   });
   if (answer.toMaybe().extract()?.type !== 'accepted') {
     throw new Error('the limit was not accepted');
   }
-  await pause(BEFORE_MS);
+  await pause(WAIT_BEFORE_PAUSE_MS);
 };
 
 /** The first node by rendezvous: the holder of the row's limit while all nodes live. */
 const findHolder = (tier: ProcessTier): RigNode => {
-  const subject = `limit|${rowNameOf(limitedRow())}`;
+  const subject = `limit|${rowNameOf(findLimitedRow())}`;
   const weightOf = ({ name }: RigNode): number => hash32(`${name}|${subject}`);
   const [holder] = [...tier.nodes].sort((one, other) => weightOf(other) - weightOf(one));
   if (holder === undefined) {
@@ -78,30 +81,30 @@
   return holder;
 };
 
-const revisionOf = async (tier: ProcessTier, node: RigNode): Promise<number> =>
+const readRevision = async (tier: ProcessTier, node: RigNode): Promise<number> =>
   (await tier.readStatus(node))?.revision ?? 0;
 
 /** The highest revision in force at the other nodes now. */
-const readOthers = async (tier: ProcessTier, woken: RigNode): Promise<number> => {
-  const others = tier.nodes.filter((node) => node !== woken);
-  return Math.max(...(await Promise.all(others.map((node) => revisionOf(tier, node)))));
+const readHighestRevision = async (tier: ProcessTier, paused: RigNode): Promise<number> => {
+  const others = tier.nodes.filter((node) => node !== paused);
+  return Math.max(...(await Promise.all(others.map((node) => readRevision(tier, node)))));
 };
 
 const pauseHolder = async (tier: ProcessTier): Promise<RigCheck[]> => {
-  await pause(BEFORE_MS);
+  await pause(WAIT_BEFORE_PAUSE_MS);
   const node = findHolder(tier);
   node.process.signal('SIGSTOP');
-  await pause(PAUSED_MS);
-  const wanted = await readOthers(tier, node);
-  const wokenAt = performance.now();
+  await pause(PAUSE_MS);
+  const wanted = await readHighestRevision(tier, node);
+  const resumedAt = performance.now();
   node.process.signal('SIGCONT');
-  const isUpToDate = async (): Promise<boolean> => (await revisionOf(tier, node)) >= wanted;
-  const upToDate = await waitUntil(isUpToDate, UP_TO_DATE_WITHIN_MS, POLL_MS);
-  const tookMs = Math.round(performance.now() - wokenAt);
+  const isUpToDate = async (): Promise<boolean> => (await readRevision(tier, node)) >= wanted;
+  const upToDate = await waitUntil(isUpToDate, CURRENT_WITHIN_MS, POLL_MS);
+  const tookMs = Math.round(performance.now() - resumedAt);
   const serves = await tier.waitUntilServing(node, SERVES_WITHIN_MS);
   return [
     {
-      statement: `the node has in force what the others have within ${UP_TO_DATE_WITHIN_MS} ms after it woke`,
+      statement: `the node has in force what the others have within ${CURRENT_WITHIN_MS} ms after it woke`,
       holds: upToDate,
       seen: `${node.name}, revision ${wanted} after ${tookMs} ms`,
     },
@@ -113,24 +116,24 @@
 const checkLimit = (tier: ProcessTier, load: RunResult): RigCheck[] => {
   const row = load.kinds.find(({ route }) => route === ROUTE);
   const allowed = PER_SECOND_LIMIT * LOAD_SECONDS + tier.nodes.length;
-  const least = PER_SECOND_LIMIT * LOAD_SECONDS * LEAST_SHARE;
+  const minimum = PER_SECOND_LIMIT * LOAD_SECONDS * MIN_SHARE;
   const passed = row === undefined ? 0 : row.answered + row.unknown + row.failed;
   return [
     {
       statement: `${PER_SECOND_LIMIT} queries a second of the limited row pass over all nodes, not more`,
-      holds: row !== undefined && row.answered <= allowed && row.answered >= least,
+      holds: row !== undefined && row.answered <= allowed && row.answered >= minimum,
       seen: `${row?.answered} answered of ${row?.calls} in ${LOAD_SECONDS} s, at most ${allowed} allowed; with those of unknown end ${passed}`,
     },
   ];
 };
 
 /** The scenario. */
-export const DUTY_SCENARIO: RigScenario = {
+export const PAUSE_HOLDER_SCENARIO: RigScenario = {
   name: 'pause-holder',
-  summary: `a node that holds a limit, feeds and reads is paused for ${PAUSED_MS / SECOND_MS} s and wakes`,
-  unbrokenService: false,
+  summary: `a node that holds a limit, feeds and reads is paused for ${PAUSE_MS / SECOND_MS} s and wakes`,
+  requiresAllAnswered: false,
   seconds: LOAD_SECONDS,
   prepare: limitRow,
   run: pauseHolder,
-  judge: checkLimit,
+  checkLoad: checkLimit,
 };
--- a/src/rig/process-tier.ts
+++ b/src/rig/process-tier.ts
@@ -166,7 +166,7 @@
       await this.addNode(zone, region, ports.splice(0, PORTS_PER_NODE));
     }
     for (const node of this.nodes) {
-      await this.requireServing(node);
+      await this.assertServing(node);
     }
     await pause(KEEPERS_READY_AFTER_MS);
   }
@@ -210,16 +210,16 @@
     return new RigProcess(place.name, this.options.script, args, environment);
   }
 
-  private async requireServing(node: RigNode): Promise<void> {
+  private async assertServing(node: RigNode): Promise<void> {
     if (!(await this.waitUntilServing(node, READY_WITHIN_MS))) {
       throw new Error(`${node.name} does not serve; it wrote:\n${node.process.output}`);
     }
   }
 
-  private async waitForAnswer(url: string, what: string): Promise<void> {
+  private async waitForAnswer(url: string, subject: string): Promise<void> {
     const answers = async (): Promise<boolean> => (await this.readJson(url)) !== undefined;
     if (!(await waitUntil(answers, READY_WITHIN_MS, READY_POLL_MS))) {
-      throw new Error(`${what} does not answer`);
+      throw new Error(`${subject} does not answer`);
     }
   }
 
--- a/src/rig/rig-report.ts
+++ b/src/rig/rig-report.ts
@@ -17,7 +17,7 @@
   readonly regressions: readonly RevisionRegression[];
   readonly revisionReadings: number;
   readonly edits: readonly RacedEdit[];
-  readonly misplacedEdits: readonly string[];
+  readonly inconsistentEdits: readonly string[];
   /** Checks made by the scenario's own steps. */
   readonly stepChecks: readonly RigCheck[];
 }
@@ -38,18 +38,18 @@
 
 const checkPromises = ({ load }: RigObservation): RigCheck[] => {
   const first = load.violations[0];
-  const words = first === undefined ? '' : `; first: ${first.promise} ${first.seen}`;
+  const detail = first === undefined ? '' : `; first: ${first.promise} ${first.seen}`;
   return [
     {
       statement: 'no promise broken that a caller or the replicas’ records can show',
       holds: load.violationCount === 0 && sum(load, 'calls') > 0,
-      seen: `${load.violationCount} violations in ${sum(load, 'calls')} calls${words}`,
+      seen: `${load.violationCount} violations in ${sum(load, 'calls')} calls${detail}`,
     },
   ];
 };
 
 const checkConfiguration = (observation: RigObservation): RigCheck[] => {
-  const { edits, misplacedEdits, regressions, revisionReadings } = observation;
+  const { edits, inconsistentEdits: misplacedEdits, regressions, revisionReadings } = observation;
   const accepted = edits.filter(({ outcome }) => outcome === 'accepted').length;
   const unknown = edits.filter(({ outcome }) => outcome === 'unknown').length;
   return [
@@ -66,7 +66,7 @@
   ];
 };
 
-const checkNothingCutOff = ({ load }: RigObservation): RigCheck => ({
+const checkAllAnswered = ({ load }: RigObservation): RigCheck => ({
   statement: 'no query failed, was refused or ended unknown',
   holds: sum(load, 'answered') === sum(load, 'calls'),
   seen: `${sum(load, 'answered')} of ${sum(load, 'calls')} answered; ${describeReasons(load) || 'nothing else'}`,
@@ -75,10 +75,10 @@
 /** The checks of a scenario: the promises always, unbroken service where the scenario asks for it. */
 export const checkObservation = (
   observation: RigObservation,
-  unbrokenService: boolean,
+  requiresAllAnswered: boolean,
 ): RigCheck[] => [
   ...checkPromises(observation),
   ...checkConfiguration(observation),
-  ...(unbrokenService ? [checkNothingCutOff(observation)] : []),
+  ...(requiresAllAnswered ? [checkAllAnswered(observation)] : []),
   ...observation.stepChecks,
 ];
--- a/src/rig/rig-scenario.ts
+++ b/src/rig/rig-scenario.ts
@@ -9,7 +9,7 @@
   /** What happens, in one line. */
   readonly summary: string;
   /** Whether every query must be answered. */
-  readonly unbrokenService: boolean;
+  readonly requiresAllAnswered: boolean;
   /** How long the load runs, in seconds. */
   readonly seconds: number;
   /** Sets the tier up before the load begins. */
@@ -17,5 +17,5 @@
   /** Brings the failure about; resolves to what it has checked itself. */
   run(tier: ProcessTier): Promise<RigCheck[]>;
   /** Checks what came of the load. */
-  judge?(tier: ProcessTier, load: RunResult): RigCheck[];
+  checkLoad?(tier: ProcessTier, load: RunResult): RigCheck[];
 }
--- a/src/rig/rig-scenarios.ts
+++ b/src/rig/rig-scenarios.ts
@@ -1,5 +1,5 @@
 /** Scenarios of the rig: what is done to real processes while the load and the edits run. */
-import { DUTY_SCENARIO } from './duty-scenario.js';
+import { PAUSE_HOLDER_SCENARIO } from './pause-holder-scenario.js';
 import { LEAVE_SCENARIOS } from './leave-scenarios.js';
 import { pause, waitUntil } from './pause.js';
 import type { ProcessTier, RigNode } from './process-tier.js';
@@ -16,7 +16,7 @@
 /** Delay of the answers that are not lost, in milliseconds: chosen, some five times a usual answer. */
 const LOSSY_STORE_DELAY_MS = 20;
 /** Within this time a killed node is known dead everywhere, in milliseconds. */
-const KNOWN_DEAD_WITHIN_MS = 5_000;
+const DETECT_DEATH_WITHIN_MS = 5_000;
 /** Within this time a node ends after a planned stop, in milliseconds. */
 const STOP_WITHIN_MS = 15_000;
 
@@ -48,21 +48,25 @@
   const node = nodeAt(tier, 1);
   const killedAt = performance.now();
   node.process.signal('SIGKILL');
-  const known = await waitUntil(() => isKnownDead(tier, node), 2 * KNOWN_DEAD_WITHIN_MS, POLL_MS);
-  const knownAfterMs = Math.round(performance.now() - killedAt);
+  const detected = await waitUntil(
+    () => isKnownDead(tier, node),
+    2 * DETECT_DEATH_WITHIN_MS,
+    POLL_MS,
+  );
+  const detectedAfterMs = Math.round(performance.now() - killedAt);
   tier.restartNode(node);
   const serves = await tier.waitUntilServing(node, RESTART_WITHIN_MS);
   return [
     {
-      statement: `a killed node is known dead everywhere within ${KNOWN_DEAD_WITHIN_MS} ms`,
-      holds: known && knownAfterMs <= KNOWN_DEAD_WITHIN_MS,
-      seen: known ? `${knownAfterMs} ms` : `not within ${knownAfterMs} ms`,
+      statement: `a killed node is known dead everywhere within ${DETECT_DEATH_WITHIN_MS} ms`,
+      holds: detected && detectedAfterMs <= DETECT_DEATH_WITHIN_MS,
+      seen: detected ? `${detectedAfterMs} ms` : `not within ${detectedAfterMs} ms`,
     },
     { statement: 'its successor at the same address serves', holds: serves, seen: String(serves) },
   ];
 };
 
-const freezeNode = async (tier: ProcessTier): Promise<RigCheck[]> => {
+const pauseNode = async (tier: ProcessTier): Promise<RigCheck[]> => {
   await pause(2 * SECOND_MS);
   const node = nodeAt(tier, 2);
   node.process.signal('SIGSTOP');
@@ -74,7 +78,7 @@
   ];
 };
 
-const stopOne = async (tier: ProcessTier, node: RigNode): Promise<RigCheck> => {
+const stopAndRestart = async (tier: ProcessTier, node: RigNode): Promise<RigCheck> => {
   node.process.signal('SIGTERM');
   const ended = await waitUntil(async () => !node.process.runs, STOP_WITHIN_MS, POLL_MS);
   const code = ended ? (await node.process.waitForExit()).code : null;
@@ -91,7 +95,7 @@
   const checks: RigCheck[] = [];
   for (const node of tier.nodes) {
     await pause(ROLL_PAUSE_MS);
-    checks.push(await stopOne(tier, node));
+    checks.push(await stopAndRestart(tier, node));
   }
   return checks;
 };
@@ -104,7 +108,7 @@
   return [];
 };
 
-const freezeStore = async (tier: ProcessTier): Promise<RigCheck[]> => {
+const pausePlatform = async (tier: ProcessTier): Promise<RigCheck[]> => {
   await pause(2 * SECOND_MS);
   tier.platform.signal('SIGSTOP');
   await pause(8 * SECOND_MS);
@@ -156,66 +160,66 @@
   {
     name: 'healthy',
     summary: 'nothing fails',
-    unbrokenService: true,
+    requiresAllAnswered: true,
     seconds: 8,
     run: nothing,
   },
   {
     name: 'kill-node',
     summary: 'a node is killed, then replaced at the same address',
-    unbrokenService: false,
+    requiresAllAnswered: false,
     seconds: 14,
     run: killNode,
   },
   {
     name: 'freeze-node',
     summary: 'a node is paused for 4 s and wakes',
-    unbrokenService: false,
+    requiresAllAnswered: false,
     seconds: 14,
-    run: freezeNode,
+    run: pauseNode,
   },
   {
     name: 'stop-each-node',
     summary: 'each node in turn is stopped as planned and replaced',
-    unbrokenService: true,
+    requiresAllAnswered: true,
     seconds: 50,
     run: stopEachNode,
   },
   {
     name: 'store-down',
     summary: 'the store is down for 8 s',
-    unbrokenService: true,
+    requiresAllAnswered: true,
     seconds: 14,
     run: storeDown,
   },
   {
     name: 'freeze-store',
     summary: 'the store is paused for 8 s',
-    unbrokenService: true,
+    requiresAllAnswered: true,
     seconds: 14,
-    run: freezeStore,
+    run: pausePlatform,
   },
   {
     name: 'lose-answers',
     summary: 'the store loses 1 answer in 10 after the write took effect',
-    unbrokenService: true,
+    requiresAllAnswered: true,
     seconds: 12,
     run: loseAnswers,
   },
   {
     name: 'freeze-replica',
     summary: 'a replica accepts requests and answers none for 5 s',
-    unbrokenService: false,
+    requiresAllAnswered: false,
     seconds: 10,
     run: freezeReplica,
   },
   {
     name: 'kill-node-store-down',
     summary: 'a node is killed and replaced while the store is down',
-    unbrokenService: false,
+    requiresAllAnswered: false,
     seconds: 12,
     run: killNodeWhileStoreIsDown,
   },
   ...LEAVE_SCENARIOS,
-  DUTY_SCENARIO,
+  PAUSE_HOLDER_SCENARIO,
 ];
--- a/src/rig/run-scenario.ts
+++ b/src/rig/run-scenario.ts
@@ -1,7 +1,7 @@
 /** Runs one scenario of the rig from the start of its processes to their end. */
 import type { Deployment } from '../deployments/deployment.js';
 import { runLoad } from '../load/run-load.js';
-import { findMisplacedEdits, raceEdits } from './edit-race.js';
+import { findInconsistentEdits, raceEdits } from './edit-race.js';
 import { ProcessTier } from './process-tier.js';
 import { RevisionWatch } from './revision-watch.js';
 import { checkObservation, type RigCheck, type RigObservation } from './rig-report.js';
@@ -54,14 +54,14 @@
   ]);
   await watch.stop();
   const url = operatorUrls[0] ?? '';
-  const misplaced = await Promise.all(
-    deployments.map((deployment) => findMisplacedEdits(edits, deployment, url)),
+  const inconsistent = await Promise.all(
+    deployments.map((deployment) => findInconsistentEdits(edits, deployment, url)),
   );
   return {
     load,
     edits,
-    stepChecks: [...stepChecks, ...(scenario.judge?.(tier, load) ?? [])],
-    misplacedEdits: misplaced.flat(),
+    stepChecks: [...stepChecks, ...(scenario.checkLoad?.(tier, load) ?? [])],
+    inconsistentEdits: inconsistent.flat(),
     regressions: watch.regressions,
     revisionReadings: watch.readings,
   };
@@ -75,7 +75,7 @@
   const tier = await ProcessTier.start(options);
   try {
     const observation = await observe(tier, scenario, options);
-    return checkObservation(observation, scenario.unbrokenService);
+    return checkObservation(observation, scenario.requiresAllAnswered);
   } finally {
     await tier.close();
   }
