--- a/src/rig/child-process.ts
+++ b/src/rig/child-process.ts
@@ -1,8 +1,8 @@
-/** One process started by a launch script (the rig, the scale run): signalled and waited for by its id. */
+/** A child process of a launch script (the rig, the scale run), signalled and awaited by its process id. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { once } from 'node:events';
 
-/** Most characters of a process's output that are kept, the last ones. */
+/** Default limit of the output kept per process, in characters; the end of the output is kept. */
 const OUTPUT_LIMIT = 16_384;
 
 /** How a process ended. */
@@ -11,13 +11,13 @@
   readonly signal: NodeJS.Signals | null;
 }
 
-/** What differs from process to process. */
+/** Optional settings of a process. */
 export interface RigProcessOptions {
-  /** Flags of Node itself, before the script. */
+  /** Command-line flags of Node.js, placed before the script. */
   readonly runtimeFlags?: readonly string[];
-  /** Most characters of output that are kept. */
+  /** Maximum number of characters of output that are kept; 16,384 when absent. */
   readonly outputLimit?: number;
-  /** Is given all that the process writes. */
+  /** Called with each chunk of output. */
   readonly onOutput?: (text: string) => void;
 }
 
@@ -45,27 +45,27 @@
     this.exited = once(this.child, 'close').then(([code, signal]) => ({ code, signal }));
   }
 
-  /** The process's id; undefined when it could not be started. */
+  /** The process id; undefined if the process could not be started. */
   get pid(): number | undefined {
     return this.child.pid;
   }
 
-  /** The last lines the process wrote. */
+  /** The end of the output of the process. */
   get output(): string {
     return this.kept;
   }
 
-  /** Whether the process has not ended yet. */
+  /** Whether the process is still running. */
   get runs(): boolean {
     return this.child.exitCode === null && this.child.signalCode === null;
   }
 
-  /** Sends a signal to this process only. */
+  /** Sends a signal to this process, not to its process group. */
   signal(signal: NodeJS.Signals): void {
     this.child.kill(signal);
   }
 
-  /** Resolves when the process has ended and all it wrote has been read. */
+  /** Resolves when the process has ended and all its output has been read. */
   waitForExit(): Promise<ExitStatus> {
     return this.exited;
   }
--- a/src/rig/closed-port-watch.ts
+++ b/src/rig/closed-port-watch.ts
@@ -1,4 +1,4 @@
-/** Listens at the port of a replica that is gone, and notes who tries to connect. */
+/** Listens on the port that a replica has closed and records connection attempts. */
 import { once } from 'node:events';
 import { createServer, type Server } from 'node:net';
 import { pause } from './pause.js';
@@ -17,9 +17,9 @@
   }
 };
 
-/** Takes each connection, notes when, and ends it at once without reading. */
+/** Records the time of each connection and resets it without reading. */
 export class ClosedPortWatch {
-  /** When connections were tried, on the clock of `performance.now()`. */
+  /** Times of connection attempts, in milliseconds of `performance.now()`. */
   readonly connectedAt: number[] = [];
   private readonly server = createServer((socket) => {
     this.connectedAt.push(performance.now());
@@ -28,9 +28,9 @@
   });
 
   /**
-   * Begins to listen as soon as the replica has closed the port.
+   * Starts to listen as soon as the replica has closed the port.
    *
-   * @throws when the port stays taken
+   * @throws Error when the port stays in use
    */
   async begin(port: number): Promise<void> {
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
@@ -39,10 +39,10 @@
       }
       await pause(RETRY_MS);
     }
-    throw new Error(`port ${port} is not closed`);
+    throw new Error(`port ${port} is still in use`);
   }
 
-  /** Gives the port back. */
+  /** Closes the port. */
   async end(): Promise<void> {
     this.server.close();
     await once(this.server, 'close');
--- a/src/rig/edit-race.ts
+++ b/src/rig/edit-race.ts
@@ -1,4 +1,4 @@
-/** Operators of all partners who edit the same rows at once, each through another node. */
+/** Runs operators of all partners that edit the same rows concurrently through different nodes. */
 import { randomUUID } from 'node:crypto';
 import { getHistory, getTable, postEdit } from '../cli/operator/operator-client.js';
 import type { OperatorTarget } from '../cli/operator/operator-client.js';
@@ -9,19 +9,19 @@
 import type { SheetBody } from '../operator-protocol/table-body.js';
 import { pause } from './pause.js';
 
-/** How long an edit of unknown outcome is sent again, in milliseconds. */
+/** How long an edit with an unknown outcome is resent, in milliseconds. */
 const RESEND_TIMEOUT_MS = 30_000;
 const BETWEEN_EDITS_MS = 50;
 const WEIGHTS = [1, 2, 3, 4, 5, 6, 7, 8] as const;
 
-/** An edit that was answered for good. */
+/** An edit with its final outcome. */
 export interface RacedEdit {
   readonly partner: string;
   readonly edit: string;
   readonly outcome: 'accepted' | 'not-accepted' | 'unknown';
 }
 
-/** One operator of the race. */
+/** One operator that takes part in the race. */
 interface Racer {
   readonly deployment: Deployment;
   readonly operator: number;
@@ -76,16 +76,16 @@
   }
 };
 
-/** What a race is run with. */
+/** Options of a race. */
 export interface EditRaceOptions {
   readonly deployments: readonly Deployment[];
-  /** Base URLs of operator ports; operators take them in turn. */
+  /** Base URLs of operator ports, assigned to the operators in turn. */
   readonly operatorUrls: readonly string[];
   readonly operatorsPerPartner: number;
   readonly editsPerOperator: number;
 }
 
-/** Runs the race; resolves to every edit with its outcome. */
+/** Runs the race; resolves to all edits with their outcomes. */
 export const raceEdits = async (options: EditRaceOptions): Promise<RacedEdit[]> => {
   const raced: RacedEdit[] = [];
   const racers = options.deployments.flatMap((deployment, place) =>
@@ -100,7 +100,10 @@
   return raced;
 };
 
-/** Edits whose standing in the history contradicts their outcome, as sentences. */
+/**
+ * Describes each edit whose number of entries in the history contradicts its outcome: accepted edits must
+ * have one, rejected edits none, edits of unknown outcome at most one.
+ */
 export const findInconsistentEdits = async (
   raced: readonly RacedEdit[],
   deployment: Deployment,
@@ -110,7 +113,7 @@
   const answer = await getHistory({ url, secret }, deployment.partner);
   const history = answer.toMaybe().extract()?.history;
   if (history === undefined) {
-    return [`the history of ${deployment.partner} cannot be read`];
+    return [`cannot read the history of ${deployment.partner}`];
   }
   return raced
     .filter(({ partner }) => partner === deployment.partner)
@@ -118,6 +121,8 @@
       const times = history.filter((record) => record.edit === edit).length;
       const wanted = outcome === 'accepted' ? times === 1 : times === 0;
       const isConsistent = outcome === 'unknown' ? times <= 1 : wanted;
-      return isConsistent ? [] : [`edit ${edit} was ${outcome} and stands ${times} times`];
+      return isConsistent
+        ? []
+        : [`edit ${edit} has outcome ${outcome} and ${times} history entries`];
     });
 };
--- a/src/rig/free-ports.ts
+++ b/src/rig/free-ports.ts
@@ -1,4 +1,4 @@
-/** Ports that the kernel says are free, for processes that must know each other's beforehand. */
+/** Finds free ports for processes that must know each other's ports before they start. */
 import { createServer, type Server } from 'node:net';
 import { once } from 'node:events';
 
@@ -21,7 +21,7 @@
   await once(server, 'close');
 };
 
-/** Finds `count` free TCP ports; another program could still take one before it is used. */
+/** Finds `count` free TCP ports; another program may bind one of them before it is used. */
 export const findFreePorts = async (count: number): Promise<number[]> => {
   const servers = await Promise.all(Array.from({ length: count }, openServer));
   const ports = servers.map(portOf);
--- a/src/rig/leave-scenarios.ts
+++ b/src/rig/leave-scenarios.ts
@@ -1,6 +1,7 @@
 /**
- * Scenarios in which a replica leaves while the platform's lists lag, one for each sign by which it
- * can be known. They are judged by the replica's own record of what arrived.
+ * Scenarios in which a replica leaves while the platform's lists lag, one for each way in which nodes
+ * detect it: the published status, refused requests and a closed port. The replica's own record of
+ * arrivals is checked.
  */
 import { request } from 'undici';
 import type { StoreObject } from '../catalog/store-object.js';
@@ -12,15 +13,15 @@
 import type { RigScenario } from './rig-scenario.js';
 
 const SECOND_MS = 1_000;
-/** The load runs for so long before the replica leaves. */
+/** How long the load runs before the replica leaves. */
 const WAIT_BEFORE_LEAVE_MS = 3 * SECOND_MS;
-/** How late the platform's lists show that the replica leaves. */
+/** Delay until the platform's lists show that the replica is leaving. */
 const LAG_MS = 10 * SECOND_MS;
-/** How long arrivals are watched after the lists have caught up. */
+/** How long arrivals are recorded after the lists are up to date. */
 const AFTER_LAG_MS = 3 * SECOND_MS;
-/** How soon after the first sign a replica gets no new work. */
+/** Time after the first sign from which a leaving replica must receive no new work. */
 const NO_WORK_AFTER_MS = 2 * SECOND_MS;
-/** For so long a replica's port is closed; it is open again before its records are read. */
+/** How long the replica's port is closed; it reopens before the arrivals are read. */
 const PORT_CLOSED_MS = LAG_MS + 2 * SECOND_MS;
 const LOAD_SECONDS = (WAIT_BEFORE_LEAVE_MS + LAG_MS + AFTER_LAG_MS + SECOND_MS) / SECOND_MS;
 const GROUP = 'booking-desk';
@@ -38,14 +39,14 @@
   return (await body.json()) as ArrivalsBody;
 };
 
-/** The platform publishes that the replica leaves. */
+/** Publishes at the platform that the replica is leaving. */
 const publishLeaving = async (tier: ProcessTier, { placed }: RigReplica): Promise<void> => {
   const name = encodeURIComponent(`status/${placed.partner}/${placed.service}`);
   const url = `${tier.platformUrl}/v1/objects/${name}`;
   const { body } = await request(url);
   const { content, version } = (await body.json()) as StoreObject;
   if (content.type !== 'status') {
-    throw new Error(`${url} is no status`);
+    throw new Error(`${url} is not a status object`);
   }
   const replicas = content.status.replicas.map((each) =>
     each.replica === placed.replica ? { ...each, lifecycle: 'leaving' as const } : each,
@@ -64,7 +65,7 @@
   }
 };
 
-/** What has arrived since the replica began to leave at `leftAt` of its own clock. */
+/** Checks the arrivals after the replica began to leave at `leftAt`, on the replica's own clock. */
 const checkArrivals = ({ arrivals }: ArrivalsBody, leftAt: number): RigCheck[] => {
   const before = arrivals.filter((at) => at < leftAt).length;
   const after = arrivals.filter((at) => at >= leftAt).map((at) => Math.round(at - leftAt));
@@ -100,16 +101,17 @@
   return checkArrivals(await readArrivals(replica), now);
 };
 
-/** Connections tried while the port was closed, counted from `leftAt` of the rig's clock. */
-const checkConnections = (triedAt: readonly number[], leftAt: number): RigCheck => {
-  const times = triedAt.map((at) => Math.round(at - leftAt));
+/** Checks the connection attempts while the port was closed, relative to `leftAt` on the rig's clock. */
+const checkConnections = (connectedAt: readonly number[], leftAt: number): RigCheck => {
+  const times = connectedAt.map((at) => Math.round(at - leftAt));
   const atOnce = times.filter((ms) => ms <= NO_WORK_AFTER_MS).length;
   const listed = times.filter((ms) => ms > LAG_MS + NO_WORK_AFTER_MS / 2).length;
   const between = times.length - atOnce - listed;
   return {
-    statement: 'no connection is tried once the platform has published that the replica leaves',
+    statement:
+      'no node attempts a connection after the platform has published that the replica is leaving',
     holds: listed === 0,
-    seen: `${atOnce} tries within ${NO_WORK_AFTER_MS} ms, ${between} until it was published, ${listed} later`,
+    seen: `${atOnce} attempts within ${NO_WORK_AFTER_MS} ms, ${between} until the publication, ${listed} later`,
   };
 };
 
@@ -139,21 +141,21 @@
   run,
 });
 
-/** A replica leaves, known by each of the three signs. */
+/** One scenario for each of the three ways in which nodes detect a leaving replica. */
 export const LEAVE_SCENARIOS: readonly RigScenario[] = [
   scenario(
     'leave-by-status',
-    'a replica is published to leave, and goes on to take work',
+    'the platform publishes that a replica is leaving; the replica still accepts work',
     leaveByStatus,
   ),
   scenario(
     'leave-by-refusal',
-    'a replica refuses new work 10 s before the platform publishes that it leaves',
+    'a replica refuses new work 10 s before the platform publishes that it is leaving',
     leaveByRefusal,
   ),
   scenario(
     'leave-by-closed-port',
-    'a replica takes no connections 10 s before the platform publishes that it leaves',
+    'a replica closes its port 10 s before the platform publishes that it is leaving',
     leaveByClosedPort,
   ),
 ];
--- a/src/rig/main.ts
+++ b/src/rig/main.ts
@@ -1,6 +1,6 @@
 /**
- * The rig: runs scenarios of failure on separate processes and checks the promises from outside.
- * Like the scale run, it starts processes, as a launch script does; a node, replica or platform starts none.
+ * The rig: runs failure scenarios on separate processes and checks the promises from outside. Like the
+ * scale run, it is a launch script and starts processes; nodes, replicas and the platform start none.
  */
 import { fileURLToPath } from 'node:url';
 import { parseArgs } from 'node:util';
@@ -17,10 +17,10 @@
 const HELP = `Usage: npm run rig -- [--scenario <name> …] [--seed <n>] [--list]
 
 Starts a platform, the replicas and one node in each zone as separate processes on
-loopback, brings failures about while callers query and operators edit, and checks
-the promises from outside. Without --scenario it runs all of them.
+loopback, injects failures while callers query and operators edit, and checks the
+promises from outside. Without --scenario it runs all scenarios.
 
-Exit codes: 0 every check holds, 1 one does not, 2 usage.`;
+Exit codes: 0 all checks hold, 1 a check does not hold, 2 invalid usage.`;
 
 const log = createConsola({ level: 3 }).withTag('rig');
 
@@ -75,7 +75,9 @@
   const scenarios = chooseScenarios(values.scenario);
   const seed = Number(values.seed);
   if (scenarios === undefined || !Number.isInteger(seed)) {
-    process.stderr.write('rig: --scenario must be one of --list, --seed an integer\n');
+    process.stderr.write(
+      'rig: --scenario must name a scenario of --list, --seed must be an integer\n',
+    );
     return ExitCode.usage;
   }
   return runAll(scenarios, seed);
--- a/src/rig/pause-holder-scenario.ts
+++ b/src/rig/pause-holder-scenario.ts
@@ -1,7 +1,7 @@
 /**
- * A node with duties is paused for longer than its lease and its grants run, and wakes. With one node
- * in each zone it feeds all replicas of its zone and reads the store for it; which node holds the
- * limit of a row follows from the names of the nodes.
+ * A node that holds the limit of a row is paused for longer than its lease and its grants last, and
+ * resumes. With one node in each zone, the node is also the feeder of all replicas of its zone and its
+ * reader of the store. The names of the nodes determine which one holds the limit.
  */
 import { randomUUID } from 'node:crypto';
 import { getTable, postEdit } from '../cli/operator/operator-client.js';
@@ -21,27 +21,27 @@
 const SECOND_MS = 1_000;
 const POLL_MS = 50;
 const ROUTE = 'season-roster';
-/** About half of what the load asks of the row. */
+/** About half of the load's query rate for the row. */
 const PER_SECOND_LIMIT = 4;
-/** Grants must have been given before the holder is paused. */
+/** Time for the holder to issue grants before it is paused. */
 const WAIT_BEFORE_PAUSE_MS = 3 * SECOND_MS;
 const PAUSE_MS = GRANT_MS + LEASE_MS;
 const SERVES_WITHIN_MS = 20 * SECOND_MS;
-/** How soon after it woke a node has in force what the others have. */
+/** Time within which a resumed node has the configuration of the others in force. */
 const CURRENT_WITHIN_MS = 3 * SECOND_MS;
 const LOAD_SECONDS = 20;
-/** A row that is limited must not be starved either: it gets at least this share of its limit. */
+/** Minimum share of its limit that the row gets, so that a limit that starves the row fails the check. */
 const MIN_SHARE = 0.5;
 
 const findLimitedRow = (): RouteRow => {
   const row = ENSEMBLE.rows.find(({ route }) => route === ROUTE);
   if (row === undefined) {
-    throw new Error(`there is no route ${ROUTE}`);
+    throw new Error(`the deployment has no route ${ROUTE}`);
   }
   return row;
 };
 
-/** Limits the row before the load begins. */
+/** Sets the limit of the row before the load begins. */
 const limitRow = async (tier: ProcessTier): Promise<void> => {
   const node = tier.nodes[0];
   const target = {
@@ -52,7 +52,7 @@
   const sheet = table?.sheets.find(({ partner }) => partner === ENSEMBLE.partner);
   const currentRow = sheet?.rows.find(({ row }) => row.route === ROUTE);
   if (sheet === undefined || currentRow === undefined) {
-    throw new Error(`the table shows no route ${ROUTE}`);
+    throw new Error(`the table has no route ${ROUTE}`);
   }
   const row = { ...currentRow.row, perSecondLimit: PER_SECOND_LIMIT };
   const answer = await postEdit(target, {
@@ -65,12 +65,12 @@
     },
   });
   if (answer.toMaybe().extract()?.type !== 'accepted') {
-    throw new Error('the limit was not accepted');
+    throw new Error('the edit that sets the limit was not accepted');
   }
   await pause(WAIT_BEFORE_PAUSE_MS);
 };
 
-/** The first node by rendezvous: the holder of the row's limit while all nodes live. */
+/** Returns the first node by rendezvous hashing: the holder of the row's limit while all nodes are live. */
 const findHolder = (tier: ProcessTier): RigNode => {
   const subject = `limit|${rowNameOf(findLimitedRow())}`;
   const weightOf = ({ name }: RigNode): number => hash32(`${name}|${subject}`);
@@ -84,7 +84,7 @@
 const readRevision = async (tier: ProcessTier, node: RigNode): Promise<number> =>
   (await tier.readStatus(node))?.revision ?? 0;
 
-/** The highest revision in force at the other nodes now. */
+/** Reads the highest revision in force at the nodes other than `paused`. */
 const readHighestRevision = async (tier: ProcessTier, paused: RigNode): Promise<number> => {
   const others = tier.nodes.filter((node) => node !== paused);
   return Math.max(...(await Promise.all(others.map((node) => readRevision(tier, node)))));
@@ -104,15 +104,15 @@
   const serves = await tier.waitUntilServing(node, SERVES_WITHIN_MS);
   return [
     {
-      statement: `the node has in force what the others have within ${CURRENT_WITHIN_MS} ms after it woke`,
+      statement: `the node has the configuration of the others in force within ${CURRENT_WITHIN_MS} ms after it resumed`,
       holds: upToDate,
       seen: `${node.name}, revision ${wanted} after ${tookMs} ms`,
     },
-    { statement: 'the node serves again after it woke', holds: serves, seen: String(serves) },
+    { statement: 'the node serves again after it resumed', holds: serves, seen: String(serves) },
   ];
 };
 
-/** The limit is one of all nodes together, so that a burst of one query a node may come on top. */
+/** Checks the limit over all nodes together; each node may let one further query pass as a burst. */
 const checkLimit = (tier: ProcessTier, load: RunResult): RigCheck[] => {
   const row = load.kinds.find(({ route }) => route === ROUTE);
   const allowed = PER_SECOND_LIMIT * LOAD_SECONDS + tier.nodes.length;
@@ -120,9 +120,9 @@
   const passed = row === undefined ? 0 : row.answered + row.unknown + row.failed;
   return [
     {
-      statement: `${PER_SECOND_LIMIT} queries a second of the limited row pass over all nodes, not more`,
+      statement: `all nodes together pass ${PER_SECOND_LIMIT} queries per second of the limited row and no more`,
       holds: row !== undefined && row.answered <= allowed && row.answered >= minimum,
-      seen: `${row?.answered} answered of ${row?.calls} in ${LOAD_SECONDS} s, at most ${allowed} allowed; with those of unknown end ${passed}`,
+      seen: `${row?.answered} answered of ${row?.calls} in ${LOAD_SECONDS} s, at most ${allowed} allowed; ${passed} including unknown and failed ones`,
     },
   ];
 };
@@ -130,7 +130,7 @@
 /** The scenario. */
 export const PAUSE_HOLDER_SCENARIO: RigScenario = {
   name: 'pause-holder',
-  summary: `a node that holds a limit, feeds and reads is paused for ${PAUSE_MS / SECOND_MS} s and wakes`,
+  summary: `a node that is limit holder, feeder and reader is paused for ${PAUSE_MS / SECOND_MS} s and resumes`,
   requiresAllAnswered: false,
   seconds: LOAD_SECONDS,
   prepare: limitRow,
--- a/src/rig/pause.ts
+++ b/src/rig/pause.ts
@@ -1,7 +1,7 @@
-/** Waiting in the rig. */
+/** Functions that wait for a time or a condition. */
 import { setTimeout as pause } from 'node:timers/promises';
 
-/** Polls `condition` until it holds; resolves to whether it did before `withinMs` had passed. */
+/** Polls `condition` every `pollMs` milliseconds; resolves to whether it held within `withinMs`. */
 export const waitUntil = async (
   condition: () => Promise<boolean>,
   withinMs: number,
--- a/src/rig/process-tier.ts
+++ b/src/rig/process-tier.ts
@@ -1,4 +1,4 @@
-/** A tier of separate processes on loopback: the platform, the replicas of each partner, nodes. */
+/** A tier of separate processes on loopback: the platform, the replicas of each partner and the nodes. */
 import { request } from 'undici';
 import { DEMO_PEER_SECRET, demoSecret } from '../deployments/demo-keys.js';
 import type { Deployment, PlacedReplica } from '../deployments/deployment.js';
@@ -13,10 +13,12 @@
 const READY_WITHIN_MS = 20_000;
 const READY_POLL_MS = 50;
 const REQUEST_TIMEOUT_MS = 2_000;
-/** Ports of replicas lie below those that the kernel picks. */
+/** Replica ports start below the kernel's range of ephemeral ports, so that both do not collide. */
 const FIRST_REPLICA_PORT = 21_000;
 const PORTS_PER_NODE = 3;
-/** A new tier grants no claims before its first roster stands and its keepers vouch for new keys. */
+/**
+ * A new tier grants no claims until its first keeper roster is written and its keepers grant new keys.
+ */
 const KEEPERS_READY_AFTER_MS = 5_000;
 
 /** A node of the tier with its ports. */
@@ -37,7 +39,7 @@
   readonly url: string;
 }
 
-/** What a tier is started from. */
+/** Options of a tier. */
 export interface ProcessTierOptions {
   readonly deployments: readonly Deployment[];
   /** Path of the built `crossroad` entry point. */
@@ -45,7 +47,7 @@
   readonly seed: number;
 }
 
-/** A tier of separate processes that runs. */
+/** A running tier of separate processes. */
 export class ProcessTier {
   readonly nodes: RigNode[] = [];
   private readonly replicaProcesses: RigProcess[] = [];
@@ -57,7 +59,7 @@
   /**
    * Starts all processes, one node for each zone of the deployments.
    *
-   * @throws when a process does not serve in time; all that were started have ended by then
+   * @throws Error when a process does not serve in time, after all started processes have ended
    */
   static async start(options: ProcessTierOptions): Promise<ProcessTier> {
     const tier = new ProcessTier(options);
@@ -107,38 +109,38 @@
     return `http://${HOST}:${node.operatorPort}`;
   }
 
-  /** What a node says of the tier; undefined when it does not answer. */
+  /** Reads the status of the tier from a node; undefined when the node does not answer. */
   async readStatus(node: RigNode): Promise<StatusBody | undefined> {
     return this.readJson<StatusBody>(`${this.operatorUrl(node)}/v1/status`);
   }
 
-  /** What is in force where, as a node knows it; undefined when it does not answer. */
+  /** Reads the revisions in force at all nodes, as one node knows them; undefined when it does not answer. */
   async readRevisions(node: RigNode): Promise<RevisionsBody | undefined> {
     return this.readJson<RevisionsBody>(`${this.operatorUrl(node)}/v1/revisions`);
   }
 
-  /** Switches faults of the platform. */
+  /** Sets faults of the platform. */
   async setPlatformFaults(faults: Readonly<Record<string, unknown>>): Promise<void> {
     await this.post(`${this.platformUrl}/v1/faults`, faults);
   }
 
-  /** Switches faults of one replica. */
+  /** Sets faults of one replica. */
   async setReplicaFaults(url: string, faults: Readonly<Record<string, unknown>>): Promise<void> {
     await this.post(`${url}/v1/faults`, faults);
   }
 
-  /** Starts the process of a node again, at the same addresses. */
+  /** Starts a new process for a node, at the same addresses. */
   restartNode(node: RigNode): void {
     node.process = this.startNodeProcess(node);
   }
 
-  /** Resolves to whether the node says within `withinMs` that it serves. */
+  /** Resolves to whether the node reports within `withinMs` milliseconds that it serves. */
   async waitUntilServing(node: RigNode, withinMs: number): Promise<boolean> {
     const serves = async (): Promise<boolean> => (await this.readStatus(node))?.phase === 'serving';
     return waitUntil(serves, withinMs, READY_POLL_MS);
   }
 
-  /** Ends all processes. */
+  /** Kills all processes and waits until they have ended. */
   async close(): Promise<void> {
     const nodes = this.nodes.map(({ process }) => process);
     const others = [...this.replicaProcesses, ...(this.platformProcess ? [this.platform] : [])];
@@ -212,7 +214,7 @@
 
   private async assertServing(node: RigNode): Promise<void> {
     if (!(await this.waitUntilServing(node, READY_WITHIN_MS))) {
-      throw new Error(`${node.name} does not serve; it wrote:\n${node.process.output}`);
+      throw new Error(`node ${node.name} does not serve; its output:\n${node.process.output}`);
     }
   }
 
--- a/src/rig/revision-watch.ts
+++ b/src/rig/revision-watch.ts
@@ -1,32 +1,32 @@
-/** Polls the revision in force at every node and notes each time one went back. */
+/** Polls the revision in force at every node and records each decrease. */
 import type { ProcessTier, RigNode } from './process-tier.js';
 import { pause } from './pause.js';
 
 const POLL_MS = 100;
 
-/** A revision that went back at a node that serves. */
+/** A decrease of the revision in force at a serving node. */
 export interface RevisionRegression {
   readonly node: string;
   readonly before: number;
   readonly after: number;
 }
 
-/** Watches a tier until it is stopped. */
+/** Watches the nodes of a tier until `stop` is called. */
 export class RevisionWatch {
-  /** Regressions seen; a node counts anew after a restart only for what it has served itself. */
+  /** Decreases found; only readings of a serving node count, and its highest revision outlasts restarts. */
   readonly regressions: RevisionRegression[] = [];
-  /** Readings taken; a watch without any has shown nothing. */
+  /** Number of status readings of serving nodes; a watch without readings proves nothing. */
   readings = 0;
   private readonly highest = new Map<string, number>();
   private stopped = false;
   private readonly done: Promise<void>;
 
-  /** Starts to watch. */
+  /** Starts the watch. */
   constructor(private readonly tier: ProcessTier) {
     this.done = this.poll();
   }
 
-  /** Ends the watch. */
+  /** Stops the watch; resolves when the last poll has ended. */
   async stop(): Promise<void> {
     this.stopped = true;
     await this.done;
--- a/src/rig/rig-report.ts
+++ b/src/rig/rig-report.ts
@@ -1,24 +1,24 @@
-/** What a scenario of the rig has shown. */
+/** Checks what was observed during a scenario of the rig. */
 import type { RunResult } from '../load/run-result.js';
 import type { RacedEdit } from './edit-race.js';
 import type { RevisionRegression } from './revision-watch.js';
 
-/** One statement that was checked. */
+/** A checked statement and its result. */
 export interface RigCheck {
   readonly statement: string;
   readonly holds: boolean;
-  /** What was seen, as a short phrase. */
+  /** Short description of what was observed. */
   readonly seen: string;
 }
 
-/** Everything seen while a scenario ran. */
+/** Everything observed while a scenario ran. */
 export interface RigObservation {
   readonly load: RunResult;
   readonly regressions: readonly RevisionRegression[];
   readonly revisionReadings: number;
   readonly edits: readonly RacedEdit[];
   readonly inconsistentEdits: readonly string[];
-  /** Checks made by the scenario's own steps. */
+  /** Results of the scenario's own checks. */
   readonly stepChecks: readonly RigCheck[];
 }
 
@@ -41,7 +41,7 @@
   const detail = first === undefined ? '' : `; first: ${first.promise} ${first.seen}`;
   return [
     {
-      statement: 'no promise broken that a caller or the replicas’ records can show',
+      statement: 'callers and the replicas’ records show no broken promise',
       holds: load.violationCount === 0 && sum(load, 'calls') > 0,
       seen: `${load.violationCount} violations in ${sum(load, 'calls')} calls${detail}`,
     },
@@ -49,30 +49,30 @@
 };
 
 const checkConfiguration = (observation: RigObservation): RigCheck[] => {
-  const { edits, inconsistentEdits: misplacedEdits, regressions, revisionReadings } = observation;
+  const { edits, inconsistentEdits, regressions, revisionReadings } = observation;
   const accepted = edits.filter(({ outcome }) => outcome === 'accepted').length;
   const unknown = edits.filter(({ outcome }) => outcome === 'unknown').length;
   return [
     {
-      statement: 'the revision in force never goes back at a node',
+      statement: 'the revision in force never decreases at a node',
       holds: regressions.length === 0 && revisionReadings > 0,
       seen: `${regressions.length} regressions in ${revisionReadings} readings`,
     },
     {
-      statement: 'each accepted edit stands exactly once in the history, each refused one nowhere',
-      holds: misplacedEdits.length === 0 && accepted > 0,
-      seen: `${accepted} of ${edits.length} accepted, ${unknown} unknown, ${misplacedEdits.length} misplaced${misplacedEdits[0] === undefined ? '' : `; ${misplacedEdits[0]}`}`,
+      statement: 'each accepted edit is in the history exactly once, each refused edit is not',
+      holds: inconsistentEdits.length === 0 && accepted > 0,
+      seen: `${accepted} of ${edits.length} accepted, ${unknown} unknown, ${inconsistentEdits.length} inconsistent${inconsistentEdits[0] === undefined ? '' : `; ${inconsistentEdits[0]}`}`,
     },
   ];
 };
 
 const checkAllAnswered = ({ load }: RigObservation): RigCheck => ({
-  statement: 'no query failed, was refused or ended unknown',
+  statement: 'all queries are answered: none failed, was refused or has an unknown outcome',
   holds: sum(load, 'answered') === sum(load, 'calls'),
   seen: `${sum(load, 'answered')} of ${sum(load, 'calls')} answered; ${describeReasons(load) || 'nothing else'}`,
 });
 
-/** The checks of a scenario: the promises always, unbroken service where the scenario asks for it. */
+/** Checks the promises, and that all queries are answered if `requiresAllAnswered`. */
 export const checkObservation = (
   observation: RigObservation,
   requiresAllAnswered: boolean,
--- a/src/rig/rig-scenario.ts
+++ b/src/rig/rig-scenario.ts
@@ -1,4 +1,4 @@
-/** What a scenario of the rig is made of. */
+/** The parts of a rig scenario. */
 import type { RunResult } from '../load/run-result.js';
 import type { ProcessTier } from './process-tier.js';
 import type { RigCheck } from './rig-report.js';
@@ -6,7 +6,7 @@
 /** One scenario. */
 export interface RigScenario {
   readonly name: string;
-  /** What happens, in one line. */
+  /** One line on what happens. */
   readonly summary: string;
   /** Whether every query must be answered. */
   readonly requiresAllAnswered: boolean;
@@ -14,8 +14,8 @@
   readonly seconds: number;
   /** Sets the tier up before the load begins. */
   prepare?(tier: ProcessTier): Promise<void>;
-  /** Brings the failure about; resolves to what it has checked itself. */
+  /** Injects the failure while the load runs; resolves to the scenario's own checks. */
   run(tier: ProcessTier): Promise<RigCheck[]>;
-  /** Checks what came of the load. */
+  /** Checks the results of the load. */
   checkLoad?(tier: ProcessTier, load: RunResult): RigCheck[];
 }
--- a/src/rig/rig-scenarios.ts
+++ b/src/rig/rig-scenarios.ts
@@ -1,4 +1,4 @@
-/** Scenarios of the rig: what is done to real processes while the load and the edits run. */
+/** The rig scenarios, which inject failures into real processes while the load and the edits run. */
 import { PAUSE_HOLDER_SCENARIO } from './pause-holder-scenario.js';
 import { LEAVE_SCENARIOS } from './leave-scenarios.js';
 import { pause, waitUntil } from './pause.js';
@@ -10,19 +10,19 @@
 const RESTART_WITHIN_MS = 20_000;
 const SECOND_MS = 1_000;
 
-/** Share of the store's answers that are lost, 0 to 1: chosen so that retries follow one another in 10 s. */
+/** Share of the store's answers that are lost, 0 to 1; high enough for consecutive retries within 10 s. */
 const LOST_ANSWER_SHARE = 0.1;
 
-/** Delay of the answers that are not lost, in milliseconds: chosen, some five times a usual answer. */
+/** Delay of the answers that are not lost, in milliseconds; about five times the usual response time. */
 const LOSSY_STORE_DELAY_MS = 20;
-/** Within this time a killed node is known dead everywhere, in milliseconds. */
+/** Time within which all other nodes must consider a killed node dead, in milliseconds. */
 const DETECT_DEATH_WITHIN_MS = 5_000;
-/** Within this time a node ends after a planned stop, in milliseconds. */
+/** Time within which a node must exit after a planned stop, in milliseconds. */
 const STOP_WITHIN_MS = 15_000;
 
 /**
- * Wait between two planned stops, in milliseconds: as docs/operations/roll-a-node.md asks for, so that
- * the keepers of claims are out of service one at a time.
+ * Wait between two planned stops, in milliseconds. docs/operations/roll-a-node.md requires it, so that
+ * only one keeper of claims is out of service at a time.
  */
 const ROLL_PAUSE_MS = 4_000;
 
@@ -58,11 +58,15 @@
   const serves = await tier.waitUntilServing(node, RESTART_WITHIN_MS);
   return [
     {
-      statement: `a killed node is known dead everywhere within ${DETECT_DEATH_WITHIN_MS} ms`,
+      statement: `all other nodes consider a killed node dead within ${DETECT_DEATH_WITHIN_MS} ms`,
       holds: detected && detectedAfterMs <= DETECT_DEATH_WITHIN_MS,
       seen: detected ? `${detectedAfterMs} ms` : `not within ${detectedAfterMs} ms`,
     },
-    { statement: 'its successor at the same address serves', holds: serves, seen: String(serves) },
+    {
+      statement: 'the new process at the same address serves',
+      holds: serves,
+      seen: String(serves),
+    },
   ];
 };
 
@@ -74,7 +78,7 @@
   node.process.signal('SIGCONT');
   const serves = await tier.waitUntilServing(node, RESTART_WITHIN_MS);
   return [
-    { statement: 'the node serves again after it woke', holds: serves, seen: String(serves) },
+    { statement: 'the node serves again after it resumed', holds: serves, seen: String(serves) },
   ];
 };
 
@@ -85,9 +89,9 @@
   tier.restartNode(node);
   const serves = await tier.waitUntilServing(node, RESTART_WITHIN_MS);
   return {
-    statement: `${node.name} stops with exit code 0 and its successor serves`,
+    statement: `${node.name} stops with exit code 0 and its new process serves`,
     holds: code === 0 && serves,
-    seen: `exit code ${code}, successor serves: ${serves}`,
+    seen: `exit code ${code}, new process serves: ${serves}`,
   };
 };
 
@@ -146,7 +150,7 @@
   await tier.setPlatformFaults({ down: false });
   return [
     {
-      statement: 'a restarted node learns the configuration from its peers while the store is down',
+      statement: 'a restarted node gets the configuration from its peers while the store is down',
       holds: serves,
       seen: String(serves),
     },
@@ -155,7 +159,7 @@
 
 const nothing = async (): Promise<RigCheck[]> => [];
 
-/** All scenarios, in the order in which they run. */
+/** All scenarios, in execution order. */
 export const RIG_SCENARIOS: readonly RigScenario[] = [
   {
     name: 'healthy',
@@ -166,21 +170,21 @@
   },
   {
     name: 'kill-node',
-    summary: 'a node is killed, then replaced at the same address',
+    summary: 'a node is killed and restarted at the same address',
     requiresAllAnswered: false,
     seconds: 14,
     run: killNode,
   },
   {
     name: 'freeze-node',
-    summary: 'a node is paused for 4 s and wakes',
+    summary: 'a node is paused for 4 s and resumes',
     requiresAllAnswered: false,
     seconds: 14,
     run: pauseNode,
   },
   {
     name: 'stop-each-node',
-    summary: 'each node in turn is stopped as planned and replaced',
+    summary: 'each node in turn is stopped as planned and restarted',
     requiresAllAnswered: true,
     seconds: 50,
     run: stopEachNode,
@@ -215,7 +219,7 @@
   },
   {
     name: 'kill-node-store-down',
-    summary: 'a node is killed and replaced while the store is down',
+    summary: 'a node is killed and restarted while the store is down',
     requiresAllAnswered: false,
     seconds: 12,
     run: killNodeWhileStoreIsDown,
--- a/src/rig/run-scenario.ts
+++ b/src/rig/run-scenario.ts
@@ -1,4 +1,4 @@
-/** Runs one scenario of the rig from the start of its processes to their end. */
+/** Runs one rig scenario: starts its processes, runs it, checks the observations and ends the processes. */
 import type { Deployment } from '../deployments/deployment.js';
 import { runLoad } from '../load/run-load.js';
 import { findInconsistentEdits, raceEdits } from './edit-race.js';
@@ -11,10 +11,10 @@
 const QUERIES_PER_SECOND = 30;
 const SETTLE_MS = 0;
 const OPERATORS_PER_PARTNER = 2;
-/** Edits of each operator for each second of the load. */
+/** Number of edits of each operator per second of the load. */
 const EDITS_PER_SECOND = 2;
 
-/** What a scenario is run with. */
+/** Options of a scenario run. */
 export interface RigOptions {
   readonly deployments: readonly Deployment[];
   readonly script: string;
@@ -67,7 +67,7 @@
   };
 };
 
-/** Runs `scenario` on a tier of its own; everything it started has ended when it resolves. */
+/** Runs `scenario` on its own tier; resolves to its checks after all processes have ended. */
 export const runRigScenario = async (
   scenario: RigScenario,
   options: RigOptions,
--- a/test/rig/launch-scripts.test.ts
+++ b/test/rig/launch-scripts.test.ts
@@ -11,14 +11,14 @@
     .sort();
 
 describe('processes', () => {
-  it('are started in one place of the launch scripts, and by the bench, which talks to them', () => {
+  it('are started in one module of the launch scripts and by the benchmark, which exchanges messages with them', () => {
     expect(sourcesThat(/node:child_process|node:cluster/)).toEqual([
       'bench/leg-cost/bench-process.ts',
       'rig/child-process.ts',
     ]);
   });
 
-  it('are started by no subcommand: only launch scripts import what starts them', () => {
+  it('are started by no subcommand: only launch scripts and the benchmark import those modules', () => {
     const importers = sourcesThat(/from '[./]+(?:rig|bench)\//);
     expect(importers.filter((file) => !/^(?:rig|bench)\//.test(file))).toEqual([]);
   });
