--- a/src/bench/leg-cost/bench-messages.ts
+++ b/src/bench/leg-cost/bench-messages.ts
@@ -37,22 +37,22 @@
 };
 
 /** Answers the benchmark. */
-export const reply = (message: BenchReply): void => {
+export const sendReply = (message: BenchReply): void => {
   process.send?.(message);
 };
 
 /** Takes the benchmark's commands until it ends this process. */
-export const serveBenchmark = (work: (command: WorkCommand) => void): void => {
+export const handleCommands = (handleWork: (command: WorkCommand) => void): void => {
   process.on('message', (command: BenchCommand) => {
     switch (command.type) {
       case 'read-processor-time':
-        reply({ type: 'processor-time', microseconds: readProcessorTime() });
+        sendReply({ type: 'processor-time', microseconds: readProcessorTime() });
         break;
       case 'end':
         process.exit(0);
         break;
       default:
-        work(command);
+        handleWork(command);
     }
   });
 };
--- a/src/bench/leg-cost/bench-process.ts
+++ b/src/bench/leg-cost/bench-process.ts
@@ -32,7 +32,7 @@
   }
 
   /** Sends a command; resolves with its answer. */
-  ask(command: BenchCommand): Promise<BenchReply> {
+  request(command: BenchCommand): Promise<BenchReply> {
     return new Promise((settle, reject) => {
       const timer = setTimeout(
         () => reject(new Error(`no answer to ${command.type}`)),
@@ -48,13 +48,13 @@
 
   /** Starts what the command names; resolves with the ports it opened. */
   async start(command: BenchCommand): Promise<readonly number[]> {
-    const answer = await this.ask(command);
+    const answer = await this.request(command);
     return answer.type === 'ready' ? answer.ports : [];
   }
 
   /** Processor time used so far, in microseconds. */
   async readProcessorTime(): Promise<number> {
-    const answer = await this.ask({ type: 'read-processor-time' });
+    const answer = await this.request({ type: 'read-processor-time' });
     return answer.type === 'processor-time' ? answer.microseconds : Number.NaN;
   }
 
--- a/src/bench/leg-cost/node-process.ts
+++ b/src/bench/leg-cost/node-process.ts
@@ -1,7 +1,7 @@
 /** The node that is measured, in a process of its own. */
 import { startNode } from '../../runtime/start-node.js';
 import { BENCH } from './bench-leg.js';
-import { reply, serveBenchmark } from './bench-messages.js';
+import { sendReply, handleCommands } from './bench-messages.js';
 
 const LOOPBACK = { host: '127.0.0.1', port: 0 };
 
@@ -19,15 +19,15 @@
     logLevel: 'warn',
     seed: 1,
   });
-  const waiting = setInterval(() => {
+  const readinessPoll = setInterval(() => {
     if (node.state.phase === 'serving') {
-      clearInterval(waiting);
-      reply({ type: 'ready', ports: [node.ports.caller] });
+      clearInterval(readinessPoll);
+      sendReply({ type: 'ready', ports: [node.ports.caller] });
     }
   }, 10);
 };
 
-serveBenchmark((command) => {
+handleCommands((command) => {
   if (command.type === 'start-node') {
     void start(command.platform);
   }
--- a/src/bench/leg-cost/pool-process.ts
+++ b/src/bench/leg-cost/pool-process.ts
@@ -1,7 +1,7 @@
 /** The bare undici pools that the node is compared with: one for each replica. */
 import { type Dispatcher, Pool } from 'undici';
 import { formatBenchRequest, shardName } from './bench-leg.js';
-import { type PoolApi, reply, serveBenchmark } from './bench-messages.js';
+import { type PoolApi, sendReply, handleCommands } from './bench-messages.js';
 
 /** Connections to one replica; as many as a node has in the benchmark. */
 const CONNECTIONS = 16;
@@ -56,16 +56,16 @@
   for (let index = 0; index < fanOuts; index += 1) {
     await runFanOut();
   }
-  reply({ type: 'ran' });
+  sendReply({ type: 'ran' });
 };
 
-serveBenchmark((command) => {
+handleCommands((command) => {
   if (command.type === 'start-pool') {
     ({ shards, api } = command);
     pools = command.ports.map(
       (port) => new Pool(`http://127.0.0.1:${port}`, { connections: CONNECTIONS }),
     );
-    reply({ type: 'ready', ports: [] });
+    sendReply({ type: 'ready', ports: [] });
   } else if (command.type === 'run') {
     void run(command.fanOuts);
   }
--- a/src/bench/leg-cost/replica-process.ts
+++ b/src/bench/leg-cost/replica-process.ts
@@ -2,9 +2,9 @@
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { formatBenchAnswer } from './bench-leg.js';
-import { reply, serveBenchmark } from './bench-messages.js';
+import { sendReply, handleCommands } from './bench-messages.js';
 
-const answer = (request: IncomingMessage, response: ServerResponse): void => {
+const handleRequest = (request: IncomingMessage, response: ServerResponse): void => {
   const chunks: Buffer[] = [];
   request.on('data', (chunk: Buffer) => chunks.push(chunk));
   request.on('end', () => {
@@ -23,14 +23,14 @@
 };
 
 const listen = async (): Promise<number> => {
-  const server = createServer({ keepAliveTimeout: 60_000 }, answer);
+  const server = createServer({ keepAliveTimeout: 60_000 }, handleRequest);
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   return (server.address() as AddressInfo).port;
 };
 
-serveBenchmark((command) => {
+handleCommands((command) => {
   if (command.type === 'start-replicas') {
     const ports = Array.from({ length: command.count }, listen);
-    void Promise.all(ports).then((bound) => reply({ type: 'ready', ports: bound }));
+    void Promise.all(ports).then((bound) => sendReply({ type: 'ready', ports: bound }));
   }
 });
--- a/src/bench/leg-cost/run.ts
+++ b/src/bench/leg-cost/run.ts
@@ -33,7 +33,7 @@
 }
 
 /** Something whose processor time is measured while it runs fan-outs. */
-interface Contestant {
+interface Subject {
   readonly name: string;
   readonly process: BenchProcess;
   run(fanOuts: number): Promise<void>;
@@ -69,7 +69,7 @@
   return sorted.length % 2 === 1 ? upper : (upper + (sorted[middle - 1] ?? Number.NaN)) / 2;
 };
 
-const askOnce = async (pool: Pool, shards: number): Promise<void> => {
+const sendQuery = async (pool: Pool, shards: number): Promise<void> => {
   const { statusCode, body } = await pool.request({
     path: `/v1/${BENCH.partner}/${BENCH.route}`,
     method: 'POST',
@@ -86,72 +86,72 @@
   }
 };
 
-const startNodeContestant = async (
+const startNodeSubject = async (
   name: string,
   options: BenchOptions,
   platform: string,
   start: BenchProcessOptions,
-): Promise<Contestant> => {
+): Promise<Subject> => {
   const process = new BenchProcess('node-process', start);
   const [port = 0] = await process.start({ type: 'start-node', platform });
   const pool = new Pool(`http://127.0.0.1:${port}`, { connections: options.parallel });
-  const runLane = async (queries: number): Promise<void> => {
+  const runWorker = async (queries: number): Promise<void> => {
     for (let index = 0; index < queries; index += 1) {
-      await askOnce(pool, options.shards);
+      await sendQuery(pool, options.shards);
     }
   };
   return {
     name,
     process,
     run: async (fanOuts) => {
-      const perLane = Math.ceil(fanOuts / options.parallel);
-      await Promise.all(Array.from({ length: options.parallel }, () => runLane(perLane)));
+      const perWorker = Math.ceil(fanOuts / options.parallel);
+      await Promise.all(Array.from({ length: options.parallel }, () => runWorker(perWorker)));
     },
   };
 };
 
-const startPoolContestant = async (
+const startPoolSubject = async (
   options: BenchOptions,
   ports: readonly number[],
   api: PoolApi,
-): Promise<Contestant> => {
+): Promise<Subject> => {
   const process = new BenchProcess('pool-process');
   await process.start({ type: 'start-pool', ports, shards: options.shards, api });
   return {
     name: `bare pool, ${api}`,
     process,
     run: async (fanOuts) => {
-      await process.ask({ type: 'run', fanOuts });
+      await process.request({ type: 'run', fanOuts });
     },
   };
 };
 
-const startNodes = async (options: BenchOptions, platform: string): Promise<Contestant[]> => {
+const startNodes = async (options: BenchOptions, platform: string): Promise<Subject[]> => {
   const execArgv = options.profile ? ['--cpu-prof', '--cpu-prof-dir=out/profiles'] : [];
-  const node = await startNodeContestant('node', options, platform, { execArgv });
+  const node = await startNodeSubject('node', options, platform, { execArgv });
   if (options.compare === undefined) {
     return [node];
   }
   const build = { build: options.compare };
-  return [node, await startNodeContestant('node of --compare', options, platform, build)];
+  return [node, await startNodeSubject('node of --compare', options, platform, build)];
 };
 
 /** Runs one round of one contestant; returns microseconds a leg. */
-const runRound = async (contestant: Contestant, options: BenchOptions): Promise<number> => {
+const runRound = async (subject: Subject, options: BenchOptions): Promise<number> => {
   const fanOuts = Math.ceil(options.legs / options.shards);
-  const before = await contestant.process.readProcessorTime();
-  await contestant.run(fanOuts);
-  const after = await contestant.process.readProcessorTime();
+  const before = await subject.process.readProcessorTime();
+  await subject.run(fanOuts);
+  const after = await subject.process.readProcessorTime();
   return (after - before) / (fanOuts * options.shards);
 };
 
-const report = (
+const printReport = (
   options: BenchOptions,
-  contestants: readonly Contestant[],
+  subjects: readonly Subject[],
   rounds: readonly (readonly number[])[],
 ): void => {
   const [node = []] = rounds;
-  const lines = contestants.map(({ name }, index) => {
+  const lines = subjects.map(({ name }, index) => {
     const own = rounds[index] ?? [];
     const ratios = node.map((value, round) => value / (own[round] ?? Number.NaN));
     return { name, microsecondsPerLeg: median(own), nodeRatio: median(ratios), rounds: own };
@@ -179,23 +179,23 @@
     seed: 1,
   });
   const platformPort = await platform.listen();
-  const contestants = [
+  const subjects = [
     ...(await startNodes(options, `http://127.0.0.1:${platformPort}`)),
-    ...(await Promise.all(POOL_APIS.map((api) => startPoolContestant(options, ports, api)))),
+    ...(await Promise.all(POOL_APIS.map((api) => startPoolSubject(options, ports, api)))),
   ];
-  const rounds: number[][] = contestants.map(() => []);
+  const rounds: number[][] = subjects.map(() => []);
   for (let round = 0; round < WARM_UP_ROUNDS + options.rounds; round += 1) {
-    for (const [index, contestant] of contestants.entries()) {
-      const cost = await runRound(contestant, options);
+    for (const [index, subject] of subjects.entries()) {
+      const cost = await runRound(subject, options);
       if (round >= WARM_UP_ROUNDS) {
         rounds[index]?.push(cost);
       }
     }
   }
-  await Promise.all(contestants.map((contestant) => contestant.process.end()));
+  await Promise.all(subjects.map((contestant) => contestant.process.end()));
   await replicas.end();
   await platform.close();
-  report(options, contestants, rounds);
+  printReport(options, subjects, rounds);
 };
 
 await runBench(readOptions());
--- a/test/bench/compare-policies.ts
+++ b/test/bench/compare-policies.ts
@@ -19,7 +19,7 @@
 const UTILISATION = Number(process.env['UTILISATION'] ?? 0.4);
 
 /** About 4 ms, with a tail of its own. */
-const plainService = (random: Random): number => 2.5 - 1.5 * Math.log(1 - random.next());
+const drawServiceTime = (random: Random): number => 2.5 - 1.5 * Math.log(1 - random.next());
 
 interface Scenario {
   readonly options?: TierOptions;
@@ -30,13 +30,13 @@
   healthy: {},
   straggler: {
     options: {
-      serviceMs: (random) => plainService(random) * (random.next() < 0.01 ? 10 : 1),
+      serviceMs: (random) => drawServiceTime(random) * (random.next() < 0.01 ? 10 : 1),
     },
   },
   slowReplica: {
     begin: (tier) => {
       (tier.replicas[0] as { serviceMs: unknown }).serviceMs = (random: Random) =>
-        8 * plainService(random);
+        8 * drawServiceTime(random);
     },
   },
   dead: {
@@ -52,9 +52,9 @@
   allSlow: {
     begin: (tier) => {
       tier.after(1_000, () =>
-        tier.replicas.forEach((r) => (r.serviceMs = (random) => 2 * plainService(random))),
+        tier.replicas.forEach((r) => (r.serviceMs = (random) => 2 * drawServiceTime(random))),
       );
-      tier.after(3_500, () => tier.replicas.forEach((r) => (r.serviceMs = plainService)));
+      tier.after(3_500, () => tier.replicas.forEach((r) => (r.serviceMs = drawServiceTime)));
     },
   },
   aloneHalf: {},
@@ -62,15 +62,15 @@
     begin: (tier) => {
       const perMs = (5 * (tier.replicas.length * SLOTS)) / 5.1 / (SERVICES * SHARDS_PER_SERVICE);
       const end = tier.now + RUN_MS;
-      const ask = (): void => {
+      const sendFlood = (): void => {
         const ids = tier.nodeIds;
         tier.ask(ids[tier.random.nextBelow(ids.length)] as NodeId, { partner: TAWE });
         const gap = -Math.log(1 - tier.random.next()) / perMs;
         if (tier.now + gap < end) {
-          tier.after(gap, ask);
+          tier.after(gap, sendFlood);
         }
       };
-      ask();
+      sendFlood();
     },
   },
   killedFeeder: {
@@ -117,7 +117,7 @@
     services: SERVICES,
     shardsPerService: SHARDS_PER_SERVICE,
     slots: SLOTS,
-    serviceMs: plainService,
+    serviceMs: drawServiceTime,
     rows: [makeRow({ deadlineMs: 1_000 }), makeRow({ partner: TAWE, deadlineMs: 1_000 })],
     seed,
     shares: [
@@ -128,28 +128,28 @@
     policy,
   });
   const capacity = (tier.replicas.length * SLOTS) / 4;
-  const gapMs = (SERVICES * SHARDS_PER_SERVICE) / (capacity * UTILISATION);
+  const meanGapMs = (SERVICES * SHARDS_PER_SERVICE) / (capacity * UTILISATION);
   const warmUntil = tier.now + 1_000;
   const begin = warmUntil;
   tier.at(begin, () => scenario.begin?.(tier, tier.random));
   const end = begin + RUN_MS;
-  const ask = (): void => {
+  const sendQuery = (): void => {
     const ids = tier.nodeIds.filter((id) => tier.isUp(id));
     tier.ask(ids[tier.random.nextBelow(ids.length)] as NodeId);
-    const gap = -Math.log(1 - tier.random.next()) * gapMs;
+    const gap = -Math.log(1 - tier.random.next()) * meanGapMs;
     if (tier.now + gap < end) {
-      tier.after(gap, ask);
+      tier.after(gap, sendQuery);
     }
   };
-  ask();
+  sendQuery();
   tier.runUntil(end + 2_000);
   const all = [...tier.answers.entries()].filter(([, a]) => a.askedAt >= begin);
   const answers = all.filter(([call]) => !tier.isOf(call, TAWE)).map(([, a]) => a);
   const done = all.filter(
     ([, a]) => a.outcome.type === 'answered' && a.outcome.contributed === a.outcome.shards,
   );
-  const doneLegs = done.length * SERVICES * SHARDS_PER_SERVICE;
-  const goodput = doneLegs / (((tier.replicas.length * SLOTS) / 5.1) * RUN_MS);
+  const wholeLegs = done.length * SERVICES * SHARDS_PER_SERVICE;
+  const goodput = wholeLegs / (((tier.replicas.length * SLOTS) / 5.1) * RUN_MS);
   const settled = answers.filter((a) => a.askedAt >= begin + 2_000);
   const whole = settled.filter(
     ({ outcome }) => outcome.type === 'answered' && outcome.contributed === outcome.shards,
--- a/test/bench/core-leg-cost.ts
+++ b/test/bench/core-leg-cost.ts
@@ -18,7 +18,12 @@
 type Pending = readonly [NodeId, Event];
 
 /** Carries effects out at once, with answers of three items; all in `queue`, in order. */
-const carryOut = (from: NodeId, effects: readonly Effect[], queue: Pending[], at: number): void => {
+const applyEffects = (
+  from: NodeId,
+  effects: readonly Effect[],
+  queue: Pending[],
+  at: number,
+): void => {
   const sent: SendAttempt[] = [];
   for (const effect of effects) {
     if (effect.type === 'send-attempt') {
@@ -58,7 +63,7 @@
       const begin = process.hrtime.bigint();
       const effects = step(tier.state(to), event);
       spent += process.hrtime.bigint() - begin;
-      carryOut(to, effects, queue, at);
+      applyEffects(to, effects, queue, at);
     }
   }
   return Number(spent) / 1_000 / (QUERIES * LEGS);
