--- a/src/bench/leg-cost/bench-leg.ts
+++ b/src/bench/leg-cost/bench-leg.ts
@@ -1,6 +1,6 @@
-/** The one request and the one answer that all sides of the benchmark send. */
+/** The request and the answer that all processes of the benchmark use. */
 
-/** The partner, route, kind and caller's secret of the benchmark. */
+/** The partner, route, kind and secrets of the benchmark. */
 export const BENCH = {
   partner: 'bench',
   route: 'roster',
@@ -9,13 +9,13 @@
   peerSecret: 'peer-secret-of-the-benchmark',
 } as const;
 
-/** Items in the answer of one shard. */
+/** Number of items in the answer of one shard. */
 const ITEMS_PER_SHARD = 3;
 
-/** Name of a shard. */
+/** Returns the name of the shard with this index. */
 export const shardName = (index: number): string => `roster-${index}`;
 
-/** The body of a leg's request, as a node sends it. */
+/** Formats the request body of a leg, as a node sends it. */
 export const formatBenchRequest = (request: string, attempt: string, shard: string): string =>
   JSON.stringify({
     attempt,
@@ -30,7 +30,7 @@
     payload: { season: 'spring', hall: 'arada' },
   });
 
-/** The answer of a shard. */
+/** Formats the answer body of a leg. */
 export const formatBenchAnswer = (leg: {
   request: string;
   attempt: string;
--- a/src/bench/leg-cost/bench-messages.ts
+++ b/src/bench/leg-cost/bench-messages.ts
@@ -1,6 +1,6 @@
-/** Messages between the benchmark and the processes it measures. */
+/** Messages between the benchmark and its child processes. */
 
-/** What the benchmark tells a process. */
+/** Commands that the benchmark sends to a process. */
 export type BenchCommand =
   | {
       readonly type: 'start-node';
@@ -13,35 +13,35 @@
       readonly api: PoolApi;
     }
   | { readonly type: 'start-replicas'; readonly count: number }
-  /** Runs this many fan-outs; for a pool process. */
+  /** Runs this number of fan-outs; for a pool process. */
   | { readonly type: 'run'; readonly fanOuts: number }
   | { readonly type: 'read-processor-time' }
   | { readonly type: 'end' };
 
-/** Which of undici's interfaces the bare pool uses. */
+/** The undici method with which a bare pool sends requests. */
 export type PoolApi = 'request' | 'dispatch';
 
-/** What a process answers. */
+/** Replies that a process sends to the benchmark. */
 export type BenchReply =
   | { readonly type: 'ready'; readonly ports: readonly number[] }
   | { readonly type: 'ran' }
   | { readonly type: 'processor-time'; readonly microseconds: number };
 
-/** Commands that differ from one measured process to the other; all answer the remaining ones alike. */
+/** Commands that are specific to a process; all processes handle the other commands in the same way. */
 export type WorkCommand = Exclude<BenchCommand, { type: 'read-processor-time' | 'end' }>;
 
-/** The processor time this process has used, user and system, in microseconds. */
+/** Returns the user and system processor time of this process, in microseconds. */
 const readProcessorTime = (): number => {
   const { user, system } = process.cpuUsage();
   return user + system;
 };
 
-/** Answers the benchmark. */
+/** Sends a reply to the benchmark. */
 export const sendReply = (message: BenchReply): void => {
   process.send?.(message);
 };
 
-/** Takes the benchmark's commands until it ends this process. */
+/** Handles the benchmark's commands until it ends this process; passes specific ones to `handleWork`. */
 export const handleCommands = (handleWork: (command: WorkCommand) => void): void => {
   process.on('message', (command: BenchCommand) => {
     switch (command.type) {
--- a/src/bench/leg-cost/bench-process.ts
+++ b/src/bench/leg-cost/bench-process.ts
@@ -4,16 +4,16 @@
 import { fileURLToPath } from 'node:url';
 import type { BenchCommand, BenchReply } from './bench-messages.js';
 
-/** Longest wait for an answer, in milliseconds. */
+/** Timeout of a command, in milliseconds. */
 const REPLY_TIMEOUT_MS = 60_000;
 
-/** The modules that run as processes. */
+/** Names of the modules that run as child processes. */
 export type BenchRole = 'node-process' | 'pool-process' | 'replica-process';
 
-/** How a process is started. */
+/** Options of a child process. */
 export interface BenchProcessOptions {
   readonly execArgv?: readonly string[];
-  /** A build of another commit, to take the role's module from. */
+  /** Build output of another commit whose module is run; this build when absent. */
   readonly build?: string;
 }
 
@@ -22,7 +22,7 @@
     ? fileURLToPath(new URL(`./${role}.js`, import.meta.url))
     : resolve(build, 'bench/leg-cost', `${role}.js`);
 
-/** Sends commands and waits for the answers. */
+/** Sends commands to a child process and waits for its replies. */
 export class BenchProcess {
   private readonly child: ChildProcess;
 
@@ -31,11 +31,15 @@
     this.child = fork(path, [], { execArgv: [...(options.execArgv ?? [])] });
   }
 
-  /** Sends a command; resolves with its answer. */
+  /**
+   * Sends a command and resolves with its reply.
+   *
+   * @throws Error when no reply arrives within `REPLY_TIMEOUT_MS`
+   */
   request(command: BenchCommand): Promise<BenchReply> {
     return new Promise((settle, reject) => {
       const timer = setTimeout(
-        () => reject(new Error(`no answer to ${command.type}`)),
+        () => reject(new Error(`the process did not reply to ${command.type} in time`)),
         REPLY_TIMEOUT_MS,
       );
       this.child.once('message', (message) => {
@@ -46,19 +50,19 @@
     });
   }
 
-  /** Starts what the command names; resolves with the ports it opened. */
+  /** Sends a start command; resolves with the ports that the process has opened. */
   async start(command: BenchCommand): Promise<readonly number[]> {
     const answer = await this.request(command);
     return answer.type === 'ready' ? answer.ports : [];
   }
 
-  /** Processor time used so far, in microseconds. */
+  /** Reads the processor time that the process has used, in microseconds. */
   async readProcessorTime(): Promise<number> {
     const answer = await this.request({ type: 'read-processor-time' });
     return answer.type === 'processor-time' ? answer.microseconds : Number.NaN;
   }
 
-  /** Ends the process. */
+  /** Ends the process; resolves when it has exited. */
   end(): Promise<void> {
     return new Promise((settle) => {
       this.child.once('exit', () => settle());
--- a/src/bench/leg-cost/bench-store.ts
+++ b/src/bench/leg-cost/bench-store.ts
@@ -1,4 +1,4 @@
-/** The store of the benchmark: one partner, one row, one service with room for every leg. */
+/** The store objects of the benchmark: one partner, one row and services with capacity for all legs. */
 import { hashSecret } from '../../auth/hash-secret.js';
 import type { StoreContent, StoreObject } from '../../catalog/store-object.js';
 import { identifier, type PartnerId } from '../../core/identifiers.js';
@@ -6,7 +6,7 @@
 import type { RouteRow } from '../../table/route-row.js';
 import { BENCH, shardName } from './bench-leg.js';
 
-/** Slots and connections of a replica; more than the benchmark ever fills. */
+/** Slots and connections of a replica; the benchmark never uses all of them. */
 const SLOTS = 16;
 const CONNECTIONS = 64;
 
@@ -89,7 +89,7 @@
   ...ports.map(statusOf),
 ];
 
-/** The objects for replicas at `ports`. */
+/** Returns the store objects for replicas at `ports` and this number of shards. */
 export const benchObjects = (ports: readonly number[], shards: number): StoreObject[] =>
   contents(ports, shards).map((content, index) => ({
     name: objectNameOf(content),
--- a/src/bench/leg-cost/node-process.ts
+++ b/src/bench/leg-cost/node-process.ts
@@ -1,4 +1,4 @@
-/** The node that is measured, in a process of its own. */
+/** Runs the measured node in its own process. */
 import { startNode } from '../../runtime/start-node.js';
 import { BENCH } from './bench-leg.js';
 import { sendReply, handleCommands } from './bench-messages.js';
--- a/src/bench/leg-cost/pool-process.ts
+++ b/src/bench/leg-cost/pool-process.ts
@@ -1,9 +1,9 @@
-/** The bare undici pools that the node is compared with: one for each replica. */
+/** The bare undici pools that the node is compared with, one per replica. */
 import { type Dispatcher, Pool } from 'undici';
 import { formatBenchRequest, shardName } from './bench-leg.js';
 import { type PoolApi, sendReply, handleCommands } from './bench-messages.js';
 
-/** Connections to one replica; as many as a node has in the benchmark. */
+/** Connections to one replica, the same number as a node has in the benchmark. */
 const CONNECTIONS = 16;
 
 const HEADERS = ['content-type', 'application/json', 'x-crossroad-deadline-ms', '5000'];
--- a/src/bench/leg-cost/replica-process.ts
+++ b/src/bench/leg-cost/replica-process.ts
@@ -1,4 +1,4 @@
-/** Replicas that answer at once: one process, one port for each. */
+/** Replicas that answer immediately, in one process with one port per replica. */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { formatBenchAnswer } from './bench-leg.js';
--- a/src/bench/leg-cost/run.ts
+++ b/src/bench/leg-cost/run.ts
@@ -1,7 +1,7 @@
 /**
- * The processor time that a leg costs in a node, against the same requests sent by a bare undici
- * pool. Both sides run in processes of their own, in turns, against the same replicas; a leg of the
- * node bears its share of the caller's request, of planning and of merging.
+ * Measures the processor time of a leg in a node and compares it with the same requests sent by bare
+ * undici pools. Each subject runs in its own process, in turns, against the same replicas. The cost of a
+ * node's leg includes its share of the caller's request, of planning and of merging.
  *
  *     npm run bench -- [--shards 32] [--rounds 7] [--legs 25600] [--parallel 1] [--profile] [--json]
  *                  [--compare <dist of another commit>]
@@ -14,10 +14,10 @@
 import { BenchProcess, type BenchProcessOptions } from './bench-process.js';
 import { benchObjects } from './bench-store.js';
 
-/** Replicas that the shards are spread over. */
+/** Number of replicas over which the shards are distributed. */
 const REPLICAS = 8;
 
-/** Rounds that are run and not counted. */
+/** Number of first rounds that are not counted. */
 const WARM_UP_ROUNDS = 2;
 
 const POOL_APIS: readonly PoolApi[] = ['request', 'dispatch'];
@@ -32,7 +32,7 @@
   readonly json: boolean;
 }
 
-/** Something whose processor time is measured while it runs fan-outs. */
+/** A process whose processor time is measured while it runs fan-outs. */
 interface Subject {
   readonly name: string;
   readonly process: BenchProcess;
@@ -136,7 +136,7 @@
   return [node, await startNodeSubject('node of --compare', options, platform, build)];
 };
 
-/** Runs one round of one contestant; returns microseconds a leg. */
+/** Runs one round of one subject; returns its processor time per leg, in microseconds. */
 const runRound = async (subject: Subject, options: BenchOptions): Promise<number> => {
   const fanOuts = Math.ceil(options.legs / options.shards);
   const before = await subject.process.readProcessorTime();
@@ -192,7 +192,7 @@
       }
     }
   }
-  await Promise.all(subjects.map((contestant) => contestant.process.end()));
+  await Promise.all(subjects.map((subject) => subject.process.end()));
   await replicas.end();
   await platform.close();
   printReport(options, subjects, rounds);
--- a/test/bench/compare-policies.ts
+++ b/test/bench/compare-policies.ts
@@ -18,7 +18,7 @@
 const RUN_MS = Number(process.env['RUN_MS'] ?? 3_000);
 const UTILISATION = Number(process.env['UTILISATION'] ?? 0.4);
 
-/** About 4 ms, with a tail of its own. */
+/** Draws a service time in milliseconds: 2.5 plus an exponential tail with mean 1.5, about 4 in total. */
 const drawServiceTime = (random: Random): number => 2.5 - 1.5 * Math.log(1 - random.next());
 
 interface Scenario {
@@ -62,15 +62,15 @@
     begin: (tier) => {
       const perMs = (5 * (tier.replicas.length * SLOTS)) / 5.1 / (SERVICES * SHARDS_PER_SERVICE);
       const end = tier.now + RUN_MS;
-      const sendFlood = (): void => {
+      const sendFloodQuery = (): void => {
         const ids = tier.nodeIds;
         tier.ask(ids[tier.random.nextBelow(ids.length)] as NodeId, { partner: TAWE });
         const gap = -Math.log(1 - tier.random.next()) / perMs;
         if (tier.now + gap < end) {
-          tier.after(gap, sendFlood);
+          tier.after(gap, sendFloodQuery);
         }
       };
-      sendFlood();
+      sendFloodQuery();
     },
   },
   killedFeeder: {
@@ -96,12 +96,12 @@
   p50: number;
   p99: number;
   p999: number;
-  /** Share of queries with coverage 1, after the first 2 s of the fault. */
+  /** Share of queries with coverage 1, without the first 2 s after the fault. */
   whole: number;
   extra: number;
-  /** Queries answered not-run. */
+  /** Number of queries answered not-run. */
   refused: number;
-  /** Legs of whole answers of both partners, as a share of what the slots can do. */
+  /** Legs of whole answers of both partners, as a share of the capacity of all slots. */
   goodput: number;
   lost: number;
 }
--- a/test/bench/core-leg-cost.ts
+++ b/test/bench/core-leg-cost.ts
@@ -1,6 +1,6 @@
 /**
- * Processor time of the core for each leg: coordinator and feeder together, without drivers, codec
- * or sockets. Not a test: build with `npx tsc -p tsconfig.json --noEmit false --outDir out/bench`
+ * Measures the processor time of the core per leg, for coordinator and feeder together, without
+ * drivers, codec or sockets. Not a test: build with `npx tsc -p tsconfig.json --noEmit false --outDir out/bench`
  * and run `node out/bench/test/bench/core-leg-cost.js`.
  */
 import type { Effect, SendAttempt } from '../../src/core/effect.js';
@@ -17,7 +17,7 @@
 
 type Pending = readonly [NodeId, Event];
 
-/** Carries effects out at once, with answers of three items; all in `queue`, in order. */
+/** Appends the events that follow from `effects` to `queue`; each attempt is answered with three items. */
 const applyEffects = (
   from: NodeId,
   effects: readonly Effect[],
