--- a/src/experiment/scenario.ts
+++ b/src/experiment/scenario.ts
@@ -83,7 +83,7 @@
 
 /**
  * Rolls out the next snapshot: the layout is published, the replicas load the snapshot one after the
- * other during `overMs`, and the previous snapshot is dropped afterwards.
+ * other during `overMs`, and all of them drop the previous snapshot at twice that time.
  */
 export interface RollOutStep {
   readonly kind: 'roll-out';
--- a/src/load/run-result.ts
+++ b/src/load/run-result.ts
@@ -45,7 +45,7 @@
   readonly distribution: readonly LatencyPoint[];
 }
 
-/** Metrics of a whole run. */
+/** Metrics and violations of a run. */
 export interface RunResult {
   readonly kinds: readonly KindResult[];
   readonly violationCount: number;
--- a/src/replay/event-record.ts
+++ b/src/replay/event-record.ts
@@ -27,7 +27,7 @@
   readonly digest: string;
 }
 
-/** A whole record. */
+/** A decoded record. */
 export interface EventRecord {
   readonly options: CoreOptions;
   readonly entries: readonly RecordEntry[];
