--- a/src/experiment/select-by-target.ts
+++ b/src/experiment/select-by-target.ts
@@ -1,7 +1,7 @@
-/** Finds the replicas that a step of a scenario is aimed at, whatever runs them. */
+/** Selects the replicas that a step of a scenario targets, on real sockets or in simulation. */
 import type { ReplicaTarget } from './scenario.js';
 
-/** What a target looks at. */
+/** The properties of a replica that a target matches. */
 export interface ReplicaPlace {
   readonly partner: string;
   readonly service: string;
@@ -12,14 +12,14 @@
 const isInGroup = (service: string, group: string): boolean =>
   service === group || service.replace(/-\d+$/, '') === group;
 
-const matches = (place: ReplicaPlace, target: ReplicaTarget): boolean =>
+const matchesTarget = (place: ReplicaPlace, target: ReplicaTarget): boolean =>
   (target.partner === undefined || target.partner === place.partner) &&
   (target.group === undefined || isInGroup(place.service, target.group)) &&
   (target.service === undefined || target.service === place.service) &&
   (target.replica === undefined || target.replica === place.replica) &&
   (target.zone === undefined || target.zone === place.zone);
 
-/** The replicas that `target` chooses, in their order. */
+/** Returns the replicas that match `target`, in their original order. */
 export const selectByTarget = <Replica>(
   replicas: Iterable<Replica>,
   placeOf: (replica: Replica) => ReplicaPlace,
@@ -29,7 +29,7 @@
   return [...replicas].filter((replica) => {
     const place = placeOf(replica);
     const count = counts.get(place.service) ?? 0;
-    if (!matches(place, target) || count >= (target.firstOfService ?? Infinity)) {
+    if (!matchesTarget(place, target) || count >= (target.firstOfService ?? Infinity)) {
       return false;
     }
     counts.set(place.service, count + 1);
--- a/src/experiment/summary.ts
+++ b/src/experiment/summary.ts
@@ -1,9 +1,9 @@
-/** Sums results up over seeds: medians, and the worst of all. */
+/** Summarizes results over seeds: medians and worst values. */
 import type { KindResult } from '../load/run-result.js';
 import type { VariantName } from './scenario.js';
 import type { ScenarioDriver, ScenarioResult } from './scenario-result.js';
 
-/** Figures of a kind of request of one variant, over all seeds. */
+/** Metrics of one kind of request under one variant, over all seeds. */
 export interface KindSummary {
   readonly scenario: string;
   readonly variant: VariantName;
@@ -12,7 +12,7 @@
   readonly route: string;
   readonly kind: string;
   readonly seeds: number;
-  /** Calls over all seeds. */
+  /** Total over all seeds. */
   readonly calls: number;
   /** Medians over seeds. */
   readonly p50Ms: number;
@@ -26,13 +26,13 @@
   readonly worstMs: number;
   readonly worstCoverage: number;
   readonly worstExtraLoad: number;
-  /** Over all seeds. */
+  /** Totals over all seeds. */
   readonly notRun: number;
   readonly unknown: number;
   readonly failed: number;
 }
 
-/** The median; the lower of the two middle values of an even number. */
+/** Returns the median: the lower middle value of an even number of values, 0 for none. */
 export const medianOf = (values: readonly number[]): number => {
   const sorted = [...values].sort((left, right) => left - right);
   return sorted[Math.floor((sorted.length - 1) / 2)] ?? 0;
@@ -59,7 +59,7 @@
 
 const summarizeGroup = ({ result, kinds }: KindGroup): KindSummary => {
   const median = (pick: (kind: KindResult) => number): number => medianOf(kinds.map(pick));
-  const most = (pick: (kind: KindResult) => number): number => Math.max(...kinds.map(pick));
+  const maximum = (pick: (kind: KindResult) => number): number => Math.max(...kinds.map(pick));
   const sum = (pick: (kind: KindResult) => number): number =>
     kinds.reduce((total, kind) => total + pick(kind), 0);
   const [first] = kinds;
@@ -78,17 +78,17 @@
     coverageMean: median(({ coverageMean }) => coverageMean),
     wholeShare: median(({ wholeShare }) => wholeShare),
     extraLoad: median(({ extraLoad }) => extraLoad),
-    worstP99Ms: most(({ p99Ms }) => p99Ms),
-    worstMs: most(({ maxMs }) => maxMs),
+    worstP99Ms: maximum(({ p99Ms }) => p99Ms),
+    worstMs: maximum(({ maxMs }) => maxMs),
     worstCoverage: Math.min(...kinds.map(({ coverageWorst }) => coverageWorst)),
-    worstExtraLoad: most(({ extraLoad }) => extraLoad),
+    worstExtraLoad: maximum(({ extraLoad }) => extraLoad),
     notRun: sum(({ notRun }) => notRun),
     unknown: sum(({ unknown }) => unknown),
     failed: sum(({ failed }) => failed),
   };
 };
 
-/** Sums up each kind of each scenario and variant; variants of a kind stand side by side. */
+/** Summarizes each kind of each scenario and variant; the variants of a kind are adjacent. */
 export const summarizeKinds = (results: readonly ScenarioResult[]): KindSummary[] => {
   const nameOf = ({ scenario, partner, route, kind }: KindSummary): string =>
     [scenario, partner, route, kind].join('/');
--- a/src/rig/closed-port-watch.ts
+++ b/src/rig/closed-port-watch.ts
@@ -1,11 +1,11 @@
-/** Listens at the port of a replica that is gone, and notes who tries to connect. */
+/** Listens on the port that a replica has closed and records connection attempts. */
 import { once } from 'node:events';
 import { createServer, type Server } from 'node:net';
 import { pause } from './pause.js';
 
 const HOST = '127.0.0.1';
 const RETRY_MS = 20;
-const RETRIES = 50;
+const MAX_ATTEMPTS = 50;
 
 const tryToListen = async (server: Server, port: number): Promise<boolean> => {
   server.listen(port, HOST);
@@ -17,32 +17,32 @@
   }
 };
 
-/** Takes each connection, notes when, and ends it at once without reading. */
+/** Records the time of each connection and resets it without reading. */
 export class ClosedPortWatch {
-  /** When connections were tried, on the clock of `performance.now()`. */
-  readonly triedAt: number[] = [];
+  /** Times of connection attempts, in milliseconds of `performance.now()`. */
+  readonly connectedAt: number[] = [];
   private readonly server = createServer((socket) => {
-    this.triedAt.push(performance.now());
+    this.connectedAt.push(performance.now());
     socket.on('error', () => socket.destroy());
     socket.resetAndDestroy();
   });
 
   /**
-   * Begins to listen as soon as the replica has closed the port.
+   * Starts to listen as soon as the replica has closed the port.
    *
-   * @throws when the port stays taken
+   * @throws Error when the port stays in use
    */
   async begin(port: number): Promise<void> {
-    for (let tries = 0; tries < RETRIES; tries += 1) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       if (await tryToListen(this.server, port)) {
         return;
       }
       await pause(RETRY_MS);
     }
-    throw new Error(`port ${port} is not closed`);
+    throw new Error(`port ${port} is still in use`);
   }
 
-  /** Gives the port back. */
+  /** Closes the port. */
   async end(): Promise<void> {
     this.server.close();
     await once(this.server, 'close');
--- a/src/rig/edit-race.ts
+++ b/src/rig/edit-race.ts
@@ -1,4 +1,4 @@
-/** Operators of all partners who edit the same rows at once, each through another node. */
+/** Runs operators of all partners that edit the same rows concurrently through different nodes. */
 import { randomUUID } from 'node:crypto';
 import { getHistory, getTable, postEdit } from '../cli/operator/operator-client.js';
 import type { OperatorTarget } from '../cli/operator/operator-client.js';
@@ -9,28 +9,28 @@
 import type { SheetBody } from '../operator-protocol/table-body.js';
 import { pause } from './pause.js';
 
-/** How long an edit of unknown outcome is sent again, in milliseconds. */
-const RESEND_FOR_MS = 30_000;
+/** How long an edit with an unknown outcome is resent, in milliseconds. */
+const RESEND_TIMEOUT_MS = 30_000;
 const BETWEEN_EDITS_MS = 50;
 const WEIGHTS = [1, 2, 3, 4, 5, 6, 7, 8] as const;
 
-/** An edit that was answered for good. */
+/** An edit with its final outcome. */
 export interface RacedEdit {
   readonly partner: string;
   readonly edit: string;
   readonly outcome: 'accepted' | 'not-accepted' | 'unknown';
 }
 
-/** One operator of the race. */
+/** One operator that takes part in the race. */
 interface Racer {
   readonly deployment: Deployment;
   readonly operator: number;
   readonly target: OperatorTarget;
 }
 
-const createEdit = (sheet: SheetBody, turn: number, operator: number): EditBody | undefined => {
-  const held = sheet.rows[turn % sheet.rows.length];
-  if (held === undefined) {
+const buildEdit = (sheet: SheetBody, turn: number, operator: number): EditBody | undefined => {
+  const currentRow = sheet.rows[turn % sheet.rows.length];
+  if (currentRow === undefined) {
     return undefined;
   }
   const weight = WEIGHTS[(turn + operator) % WEIGHTS.length] ?? 1;
@@ -40,7 +40,9 @@
     seenVersion: sheet.version,
     action: {
       type: 'change-rows',
-      changes: [{ type: 'set', row: { ...held.row, weight }, basedOn: held.rowVersion }],
+      changes: [
+        { type: 'set', row: { ...currentRow.row, weight }, basedOn: currentRow.rowVersion },
+      ],
     },
   };
 };
@@ -53,8 +55,8 @@
     ?.sheets.find(({ partner }) => partner === racer.deployment.partner);
 };
 
-const outcomeOf = async (racer: Racer, body: EditBody): Promise<RacedEdit['outcome']> => {
-  const answer = await postEdit(racer.target, body, RESEND_FOR_MS);
+const sendEdit = async (racer: Racer, body: EditBody): Promise<RacedEdit['outcome']> => {
+  const answer = await postEdit(racer.target, body, RESEND_TIMEOUT_MS);
   return answer.caseOf<RacedEdit['outcome']>({
     Left: ({ isRetryable: passing }) => (passing ? 'unknown' : 'not-accepted'),
     Right: ({ type }) =>
@@ -65,25 +67,25 @@
 const race = async (racer: Racer, edits: number, raced: RacedEdit[]): Promise<void> => {
   for (let turn = 0; turn < edits; turn += 1) {
     const sheet = await readSheet(racer);
-    const body = sheet && createEdit(sheet, turn, racer.operator);
+    const body = sheet && buildEdit(sheet, turn, racer.operator);
     if (body !== undefined) {
-      const outcome = await outcomeOf(racer, body);
+      const outcome = await sendEdit(racer, body);
       raced.push({ partner: racer.deployment.partner, edit: body.edit, outcome });
     }
     await pause(BETWEEN_EDITS_MS);
   }
 };
 
-/** What a race is run with. */
+/** Options of a race. */
 export interface EditRaceOptions {
   readonly deployments: readonly Deployment[];
-  /** Base URLs of operator ports; operators take them in turn. */
+  /** Base URLs of operator ports, assigned to the operators in turn. */
   readonly operatorUrls: readonly string[];
   readonly operatorsPerPartner: number;
   readonly editsPerOperator: number;
 }
 
-/** Runs the race; resolves to every edit with its outcome. */
+/** Runs the race; resolves to all edits with their outcomes. */
 export const raceEdits = async (options: EditRaceOptions): Promise<RacedEdit[]> => {
   const raced: RacedEdit[] = [];
   const racers = options.deployments.flatMap((deployment, place) =>
@@ -98,8 +100,11 @@
   return raced;
 };
 
-/** Edits whose standing in the history contradicts their outcome, as sentences. */
-export const findMisplacedEdits = async (
+/**
+ * Describes each edit whose number of entries in the history contradicts its outcome: accepted edits must
+ * have one, rejected edits none, edits of unknown outcome at most one.
+ */
+export const findInconsistentEdits = async (
   raced: readonly RacedEdit[],
   deployment: Deployment,
   url: string,
@@ -108,14 +113,16 @@
   const answer = await getHistory({ url, secret }, deployment.partner);
   const history = answer.toMaybe().extract()?.history;
   if (history === undefined) {
-    return [`the history of ${deployment.partner} cannot be read`];
+    return [`cannot read the history of ${deployment.partner}`];
   }
   return raced
     .filter(({ partner }) => partner === deployment.partner)
     .flatMap(({ edit, outcome }) => {
       const times = history.filter((record) => record.edit === edit).length;
       const wanted = outcome === 'accepted' ? times === 1 : times === 0;
-      const isRight = outcome === 'unknown' ? times <= 1 : wanted;
-      return isRight ? [] : [`edit ${edit} was ${outcome} and stands ${times} times`];
+      const isConsistent = outcome === 'unknown' ? times <= 1 : wanted;
+      return isConsistent
+        ? []
+        : [`edit ${edit} has outcome ${outcome} and ${times} history entries`];
     });
 };
--- a/src/rig/rig-scenarios.ts
+++ b/src/rig/rig-scenarios.ts
@@ -1,5 +1,5 @@
-/** Scenarios of the rig: what is done to real processes while the load and the edits run. */
-import { DUTY_SCENARIO } from './duty-scenario.js';
+/** The rig scenarios, which inject failures into real processes while the load and the edits run. */
+import { PAUSE_HOLDER_SCENARIO } from './pause-holder-scenario.js';
 import { LEAVE_SCENARIOS } from './leave-scenarios.js';
 import { pause, waitUntil } from './pause.js';
 import type { ProcessTier, RigNode } from './process-tier.js';
@@ -10,19 +10,19 @@
 const RESTART_WITHIN_MS = 20_000;
 const SECOND_MS = 1_000;
 
-/** Share of the store's answers that are lost, 0 to 1: chosen so that retries follow one another in 10 s. */
+/** Share of the store's answers that are lost, 0 to 1; high enough for consecutive retries within 10 s. */
 const LOST_ANSWER_SHARE = 0.1;
 
-/** Delay of the answers that are not lost, in milliseconds: chosen, some five times a usual answer. */
+/** Delay of the answers that are not lost, in milliseconds; about five times the usual response time. */
 const LOSSY_STORE_DELAY_MS = 20;
-/** Within this time a killed node is known dead everywhere, in milliseconds. */
-const KNOWN_DEAD_WITHIN_MS = 5_000;
-/** Within this time a node ends after a planned stop, in milliseconds. */
+/** Time within which all other nodes must consider a killed node dead, in milliseconds. */
+const DETECT_DEATH_WITHIN_MS = 5_000;
+/** Time within which a node must exit after a planned stop, in milliseconds. */
 const STOP_WITHIN_MS = 15_000;
 
 /**
- * Wait between two planned stops, in milliseconds: as docs/operations/roll-a-node.md asks for, so that
- * the keepers of claims are out of service one at a time.
+ * Wait between two planned stops, in milliseconds. docs/operations/roll-a-node.md requires it, so that
+ * only one keeper of claims is out of service at a time.
  */
 const ROLL_PAUSE_MS = 4_000;
 
@@ -48,21 +48,29 @@
   const node = nodeAt(tier, 1);
   const killedAt = performance.now();
   node.process.signal('SIGKILL');
-  const known = await waitUntil(() => isKnownDead(tier, node), 2 * KNOWN_DEAD_WITHIN_MS, POLL_MS);
-  const knownAfterMs = Math.round(performance.now() - killedAt);
+  const detected = await waitUntil(
+    () => isKnownDead(tier, node),
+    2 * DETECT_DEATH_WITHIN_MS,
+    POLL_MS,
+  );
+  const detectedAfterMs = Math.round(performance.now() - killedAt);
   tier.restartNode(node);
   const serves = await tier.waitUntilServing(node, RESTART_WITHIN_MS);
   return [
     {
-      statement: `a killed node is known dead everywhere within ${KNOWN_DEAD_WITHIN_MS} ms`,
-      holds: known && knownAfterMs <= KNOWN_DEAD_WITHIN_MS,
-      seen: known ? `${knownAfterMs} ms` : `not within ${knownAfterMs} ms`,
+      statement: `all other nodes consider a killed node dead within ${DETECT_DEATH_WITHIN_MS} ms`,
+      holds: detected && detectedAfterMs <= DETECT_DEATH_WITHIN_MS,
+      seen: detected ? `${detectedAfterMs} ms` : `not within ${detectedAfterMs} ms`,
+    },
+    {
+      statement: 'the new process at the same address serves',
+      holds: serves,
+      seen: String(serves),
     },
-    { statement: 'its successor at the same address serves', holds: serves, seen: String(serves) },
   ];
 };
 
-const freezeNode = async (tier: ProcessTier): Promise<RigCheck[]> => {
+const pauseNode = async (tier: ProcessTier): Promise<RigCheck[]> => {
   await pause(2 * SECOND_MS);
   const node = nodeAt(tier, 2);
   node.process.signal('SIGSTOP');
@@ -70,20 +78,20 @@
   node.process.signal('SIGCONT');
   const serves = await tier.waitUntilServing(node, RESTART_WITHIN_MS);
   return [
-    { statement: 'the node serves again after it woke', holds: serves, seen: String(serves) },
+    { statement: 'the node serves again after it resumed', holds: serves, seen: String(serves) },
   ];
 };
 
-const stopOne = async (tier: ProcessTier, node: RigNode): Promise<RigCheck> => {
+const stopAndRestart = async (tier: ProcessTier, node: RigNode): Promise<RigCheck> => {
   node.process.signal('SIGTERM');
   const ended = await waitUntil(async () => !node.process.runs, STOP_WITHIN_MS, POLL_MS);
   const code = ended ? (await node.process.waitForExit()).code : null;
   tier.restartNode(node);
   const serves = await tier.waitUntilServing(node, RESTART_WITHIN_MS);
   return {
-    statement: `${node.name} stops with exit code 0 and its successor serves`,
+    statement: `${node.name} stops with exit code 0 and its new process serves`,
     holds: code === 0 && serves,
-    seen: `exit code ${code}, successor serves: ${serves}`,
+    seen: `exit code ${code}, new process serves: ${serves}`,
   };
 };
 
@@ -91,7 +99,7 @@
   const checks: RigCheck[] = [];
   for (const node of tier.nodes) {
     await pause(ROLL_PAUSE_MS);
-    checks.push(await stopOne(tier, node));
+    checks.push(await stopAndRestart(tier, node));
   }
   return checks;
 };
@@ -104,7 +112,7 @@
   return [];
 };
 
-const freezeStore = async (tier: ProcessTier): Promise<RigCheck[]> => {
+const pausePlatform = async (tier: ProcessTier): Promise<RigCheck[]> => {
   await pause(2 * SECOND_MS);
   tier.platform.signal('SIGSTOP');
   await pause(8 * SECOND_MS);
@@ -142,7 +150,7 @@
   await tier.setPlatformFaults({ down: false });
   return [
     {
-      statement: 'a restarted node learns the configuration from its peers while the store is down',
+      statement: 'a restarted node gets the configuration from its peers while the store is down',
       holds: serves,
       seen: String(serves),
     },
@@ -151,71 +159,71 @@
 
 const nothing = async (): Promise<RigCheck[]> => [];
 
-/** All scenarios, in the order in which they run. */
+/** All scenarios, in execution order. */
 export const RIG_SCENARIOS: readonly RigScenario[] = [
   {
     name: 'healthy',
     summary: 'nothing fails',
-    unbrokenService: true,
+    requiresAllAnswered: true,
     seconds: 8,
     run: nothing,
   },
   {
     name: 'kill-node',
-    summary: 'a node is killed, then replaced at the same address',
-    unbrokenService: false,
+    summary: 'a node is killed and restarted at the same address',
+    requiresAllAnswered: false,
     seconds: 14,
     run: killNode,
   },
   {
     name: 'freeze-node',
-    summary: 'a node is paused for 4 s and wakes',
-    unbrokenService: false,
+    summary: 'a node is paused for 4 s and resumes',
+    requiresAllAnswered: false,
     seconds: 14,
-    run: freezeNode,
+    run: pauseNode,
   },
   {
     name: 'stop-each-node',
-    summary: 'each node in turn is stopped as planned and replaced',
-    unbrokenService: true,
+    summary: 'each node in turn is stopped as planned and restarted',
+    requiresAllAnswered: true,
     seconds: 50,
     run: stopEachNode,
   },
   {
     name: 'store-down',
     summary: 'the store is down for 8 s',
-    unbrokenService: true,
+    requiresAllAnswered: true,
     seconds: 14,
     run: storeDown,
   },
   {
     name: 'freeze-store',
     summary: 'the store is paused for 8 s',
-    unbrokenService: true,
+    requiresAllAnswered: true,
     seconds: 14,
-    run: freezeStore,
+    run: pausePlatform,
   },
   {
     name: 'lose-answers',
     summary: 'the store loses 1 answer in 10 after the write took effect',
-    unbrokenService: true,
+    requiresAllAnswered: true,
     seconds: 12,
     run: loseAnswers,
   },
   {
     name: 'freeze-replica',
     summary: 'a replica accepts requests and answers none for 5 s',
-    unbrokenService: false,
+    requiresAllAnswered: false,
     seconds: 10,
     run: freezeReplica,
   },
   {
     name: 'kill-node-store-down',
-    summary: 'a node is killed and replaced while the store is down',
-    unbrokenService: false,
+    summary: 'a node is killed and restarted while the store is down',
+    requiresAllAnswered: false,
     seconds: 12,
     run: killNodeWhileStoreIsDown,
   },
   ...LEAVE_SCENARIOS,
-  DUTY_SCENARIO,
+  PAUSE_HOLDER_SCENARIO,
 ];
--- a/src/rig/run-scenario.ts
+++ b/src/rig/run-scenario.ts
@@ -1,7 +1,7 @@
-/** Runs one scenario of the rig from the start of its processes to their end. */
+/** Runs one rig scenario: starts its processes, runs it, checks the observations and ends the processes. */
 import type { Deployment } from '../deployments/deployment.js';
 import { runLoad } from '../load/run-load.js';
-import { findMisplacedEdits, raceEdits } from './edit-race.js';
+import { findInconsistentEdits, raceEdits } from './edit-race.js';
 import { ProcessTier } from './process-tier.js';
 import { RevisionWatch } from './revision-watch.js';
 import { checkObservation, type RigCheck, type RigObservation } from './rig-report.js';
@@ -11,10 +11,10 @@
 const QUERIES_PER_SECOND = 30;
 const SETTLE_MS = 0;
 const OPERATORS_PER_PARTNER = 2;
-/** Edits of each operator for each second of the load. */
+/** Number of edits of each operator per second of the load. */
 const EDITS_PER_SECOND = 2;
 
-/** What a scenario is run with. */
+/** Options of a scenario run. */
 export interface RigOptions {
   readonly deployments: readonly Deployment[];
   readonly script: string;
@@ -54,20 +54,20 @@
   ]);
   await watch.stop();
   const url = operatorUrls[0] ?? '';
-  const misplaced = await Promise.all(
-    deployments.map((deployment) => findMisplacedEdits(edits, deployment, url)),
+  const inconsistent = await Promise.all(
+    deployments.map((deployment) => findInconsistentEdits(edits, deployment, url)),
   );
   return {
     load,
     edits,
-    stepChecks: [...stepChecks, ...(scenario.judge?.(tier, load) ?? [])],
-    misplacedEdits: misplaced.flat(),
+    stepChecks: [...stepChecks, ...(scenario.checkLoad?.(tier, load) ?? [])],
+    inconsistentEdits: inconsistent.flat(),
     regressions: watch.regressions,
     revisionReadings: watch.readings,
   };
 };
 
-/** Runs `scenario` on a tier of its own; everything it started has ended when it resolves. */
+/** Runs `scenario` on its own tier; resolves to its checks after all processes have ended. */
 export const runRigScenario = async (
   scenario: RigScenario,
   options: RigOptions,
@@ -75,7 +75,7 @@
   const tier = await ProcessTier.start(options);
   try {
     const observation = await observe(tier, scenario, options);
-    return checkObservation(observation, scenario.unbrokenService);
+    return checkObservation(observation, scenario.requiresAllAnswered);
   } finally {
     await tier.close();
   }
