--- a/src/load/audit-records.ts
+++ b/src/load/audit-records.ts
@@ -49,7 +49,7 @@
     .map(({ request }) => ({
       promise: 'not-run-did-not-run' as const,
       subject: request ?? '',
-      seen: 'answered not-run, but a replica recorded that it ran',
+      seen: 'answered not-run, and it stands in the record of a replica',
     }));
   const runs = countBy(ran, (record) => (record.safeToRepeat ? undefined : record.idempotencyKey));
   const doubled = [...runs]
--- a/src/load/check-answer.ts
+++ b/src/load/check-answer.ts
@@ -41,20 +41,20 @@
     if (value.nonce !== call.nonce) {
       report(
         'own-answer-only',
-        `the answer to nonce ${call.nonce} contains an item of nonce ${value.nonce}`,
+        `an item of nonce ${call.nonce} in the answer to ${value.nonce}`,
       );
     }
     if (value.snapshot !== answer.snapshot) {
       report(
         'one-snapshot',
-        `an answer of snapshot ${answer.snapshot} contains an item of ${value.snapshot}`,
+        `an item of ${answer.snapshot} in an answer of ${value.snapshot}`,
       );
     }
     if (value.shard !== undefined && missing.has(value.shard)) {
-      report('true-coverage', `shard ${value.shard} is listed as missing but has items`);
+      report('true-coverage', `shard ${value.shard} is listed as missing and has items`);
     }
     if (seen.has(item.id)) {
-      report('own-answer-only', `the answer contains item ${item.id} twice`);
+      report('own-answer-only', `item ${item.id} stands twice`);
     }
     seen.add(item.id);
   }
@@ -75,7 +75,7 @@
   if (shards.size !== answer.contributed) {
     report(
       'true-coverage',
-      `items of ${shards.size} shards, but ${answer.contributed} reported as contributed`,
+      `items of ${shards.size} shards where ${answer.contributed} are said`,
     );
   }
 };
@@ -85,7 +85,7 @@
   if (total !== answer.contributed) {
     report(
       'true-coverage',
-      `sum over ${total} shards, but ${answer.contributed} reported as contributed`,
+      `sum over ${total} shards where ${answer.contributed} are said`,
     );
   }
 };
