--- a/src/load/check-answer.ts
+++ b/src/load/check-answer.ts
@@ -39,16 +39,10 @@
   for (const item of answer.items) {
     const value = valueOf(item.value);
     if (value.nonce !== call.nonce) {
-      report(
-        'own-answer-only',
-        `an item of nonce ${call.nonce} in the answer to ${value.nonce}`,
-      );
+      report('own-answer-only', `an item of nonce ${call.nonce} in the answer to ${value.nonce}`);
     }
     if (value.snapshot !== answer.snapshot) {
-      report(
-        'one-snapshot',
-        `an item of ${answer.snapshot} in an answer of ${value.snapshot}`,
-      );
+      report('one-snapshot', `an item of ${answer.snapshot} in an answer of ${value.snapshot}`);
     }
     if (value.shard !== undefined && missing.has(value.shard)) {
       report('true-coverage', `shard ${value.shard} is listed as missing and has items`);
@@ -73,20 +67,14 @@
   }
   const shards = new Set(answer.items.map(({ value }) => valueOf(value).shard));
   if (shards.size !== answer.contributed) {
-    report(
-      'true-coverage',
-      `items of ${shards.size} shards where ${answer.contributed} are said`,
-    );
+    report('true-coverage', `items of ${shards.size} shards where ${answer.contributed} are said`);
   }
 };
 
 const checkAggregate = (answer: CallAnswer, report: Report): void => {
   const total = answer.items.find(({ id }) => id === AGGREGATE_ITEM_ID)?.score ?? 0;
   if (total !== answer.contributed) {
-    report(
-      'true-coverage',
-      `sum over ${total} shards where ${answer.contributed} are said`,
-    );
+    report('true-coverage', `sum over ${total} shards where ${answer.contributed} are said`);
   }
 };
 
