--- a/bench/edit-cost.mjs
+++ b/bench/edit-cost.mjs
@@ -94,9 +94,9 @@
   );
   const delta = time('reader: tell apart', () => build.diffSheet(heldByReader, object));
   const shared = time('reader: share rows', () =>
-    build.shareRows === undefined ? object : build.applySheetDelta(heldByReader, delta),
+    build.shareUnchangedRows === undefined ? object : build.applySheetDelta(heldByReader, delta),
   );
-  time('reader: take into force', () => build.amendInForce(inForceAtReader, heldByReader, shared));
+  time('reader: take into force', () => build.updateInForce(inForceAtReader, heldByReader, shared));
   const push = time('reader: encode the push', () => encode({ deltas: [delta] }));
 
   const taken = time('node: read the push', () => {
@@ -107,7 +107,7 @@
     return received;
   });
   const expanded = time('node: make the sheet', () => build.applySheetDelta(heldByNode, taken));
-  time('node: take into force', () => build.amendInForce(inForceAtNode, heldByNode, expanded));
+  time('node: take into force', () => build.updateInForce(inForceAtNode, heldByNode, expanded));
   return { push: push.length, line: line.length };
 };
 
