--- a/soak/checker/check-run.ts
+++ b/soak/checker/check-run.ts
@@ -4,7 +4,7 @@
 import { checkConfiguration } from './configuration.js';
 import { checkDrainedReplicas } from './drained-replicas.js';
 import { type CheckedRun, Evidence } from './evidence.js';
-import { checkLethalRequests } from './lethal-requests.js';
+import { checkLethalRequests } from './poison-requests.js';
 import { checkPlannedStops } from './planned-stops.js';
 import { checkOwnEnds, checkRecovery } from './recovery.js';
 import { checkAtMostOnce, checkRefusedNeverRan, checkUnchangedRequests } from './request-checks.js';
--- a/soak/world/soak-world.ts
+++ b/soak/world/soak-world.ts
@@ -9,7 +9,7 @@
 import { findPortRow } from './ports.js';
 import { ReplicaFleet } from './replica-fleet.js';
 import { LoopbackLink } from './loopback-link.js';
-import { StoreCopies } from './store-copies.js';
+import { StoreCopies } from './store-backups.js';
 import { REGION, ZONES, zoneOf } from './topology.js';
 
 const HOST = '127.0.0.1';
--- a/test/soak/checker.test.ts
+++ b/test/soak/checker.test.ts
@@ -1,7 +1,7 @@
 /** The checker of the soak: each promise is broken once in observations that are made up. */
 import { beforeEach, describe, expect, it } from 'vitest';
 import { digestOf } from '../../soak/world/answer-body.js';
-import { FAULTS_ENDED_AT, MadeUpRun } from './made-up-run.js';
+import { FAULTS_ENDED_AT, MadeUpRun } from './synthetic-run.js';
 
 let run: MadeUpRun;
 
--- a/test/soak/entry-soak.test.ts
+++ b/test/soak/entry-soak.test.ts
@@ -1,6 +1,6 @@
 /** A run of the soak in which replicas start again under their identifiers, and other writers spoil their entries. */
 import { it } from 'vitest';
-import { playHeldRun, RUN_TIMEOUT_MS } from './held-run.js';
+import { playHeldRun, RUN_TIMEOUT_MS } from './run-without-violations.js';
 
 /** Its store does not return from copies, so that entries are judged. */
 const SEED = 3_001;
--- a/test/soak/lethal-soak.test.ts
+++ b/test/soak/poison-soak.test.ts
@@ -1,6 +1,6 @@
 /** A run of the soak in which requests come that end the replicas that run them. */
 import { it } from 'vitest';
-import { playHeldRun, RUN_TIMEOUT_MS } from './held-run.js';
+import { playHeldRun, RUN_TIMEOUT_MS } from './run-without-violations.js';
 
 /** Its requests come often enough for calm times after they are known. */
 const SEED = 1_000;
--- a/test/soak/returning-soak.test.ts
+++ b/test/soak/restore-soak.test.ts
@@ -1,6 +1,6 @@
 /** A run of the soak in which the store returns from copies, beside the other faults. */
 import { expect, it } from 'vitest';
-import { playHeldRun, RUN_TIMEOUT_MS } from './held-run.js';
+import { playHeldRun, RUN_TIMEOUT_MS } from './run-without-violations.js';
 
 const SEED = 2_000;
 const DURATION_MS = 50_000;
--- a/test/soak/soak.test.ts
+++ b/test/soak/soak.test.ts
@@ -1,7 +1,7 @@
 /** A run of the soak with faults of most kinds. */
 import { it } from 'vitest';
 import { type Promised, PROMISES } from '../../soak/checker/violation.js';
-import { playHeldRun, RUN_TIMEOUT_MS } from './held-run.js';
+import { playHeldRun, RUN_TIMEOUT_MS } from './run-without-violations.js';
 
 /** A seed with cases of nearly every promise. */
 const SEED = 186;
