--- a/soak/checker/callers-gone.ts
+++ b/soak/checker/callers-gone.ts
@@ -4,26 +4,26 @@
 import type { Violation } from './violation.js';
 
 /** Time within which work for a caller who has left must end, in milliseconds. */
-export const END_WITHIN_MS = 500;
+export const MAX_WORK_AFTER_MS = 500;
 
 /** Requests that may arrive later than that in a run. */
-const LATE_ARRIVALS_ALLOWED = 3;
+const MAX_LATE_ARRIVALS = 3;
 
 /** Share of the requests with work for longer than that which may still be worked on. */
-const STILL_AT_WORK_ALLOWED = 0.25;
+const MAX_STILL_RUNNING_SHARE = 0.25;
 
-interface Departed {
+interface AbandonedRequest {
   readonly request: CallerRequest;
   readonly dueAt: number;
 }
 
-const departedInTouch = (evidence: Evidence): readonly Departed[] =>
+const findAbandoned = (evidence: Evidence): readonly AbandonedRequest[] =>
   evidence.observations.requests
     .filter(({ outcome }) => outcome.type === 'left')
-    .map((request) => ({ request, dueAt: request.endedAt + END_WITHIN_MS }))
-    .filter(({ request, dueAt }) => evidence.isRequestInTouch(request, request.sentAt, dueAt));
+    .map((request) => ({ request, dueAt: request.endedAt + MAX_WORK_AFTER_MS }))
+    .filter(({ request, dueAt }) => evidence.isRequestInContact(request, request.sentAt, dueAt));
 
-const report = ({ request, dueAt }: Departed, text: string): Violation => ({
+const createViolation = ({ request, dueAt }: AbandonedRequest, text: string): Violation => ({
   promise: 'callers-gone',
   at: dueAt,
   gateway: request.gateway,
@@ -33,37 +33,40 @@
 
 const checkLateArrivals = (
   evidence: Evidence,
-  departed: readonly Departed[],
+  departed: readonly AbandonedRequest[],
 ): readonly Violation[] => {
   const late = departed.filter(({ request, dueAt }) =>
     evidence.arrivalsOf(request.id).some(({ at }) => at > dueAt),
   );
-  return late.length <= LATE_ARRIVALS_ALLOWED
+  return late.length <= MAX_LATE_ARRIVALS
     ? []
-    : late.map((each) => report(each, 'reached a replica long after its caller had left'));
+    : late.map((each) => createViolation(each, 'reached a replica long after its caller had left'));
 };
 
-const checkWork = (evidence: Evidence, departed: readonly Departed[]): readonly Violation[] => {
-  const lasts = ({ at, workMs }: Arrival, dueAt: number): boolean =>
+const checkWork = (
+  evidence: Evidence,
+  departed: readonly AbandonedRequest[],
+): readonly Violation[] => {
+  const runsPast = ({ at, workMs }: Arrival, dueAt: number): boolean =>
     at <= dueAt && at + workMs > dueAt;
   const long = departed.filter(({ request, dueAt }) =>
-    evidence.runsOf(request.id).some((run) => lasts(run, dueAt)),
+    evidence.runsOf(request.id).some((run) => runsPast(run, dueAt)),
   );
-  const working = long.filter(({ request, dueAt }) =>
+  const stillRunning = long.filter(({ request, dueAt }) =>
     evidence
       .runsOf(request.id)
-      .some((run) => lasts(run, dueAt) && (run.endedAt ?? Number.POSITIVE_INFINITY) > dueAt),
+      .some((run) => runsPast(run, dueAt) && (run.endedAt ?? Number.POSITIVE_INFINITY) > dueAt),
   );
-  return working.length <= STILL_AT_WORK_ALLOWED * long.length
+  return stillRunning.length <= MAX_STILL_RUNNING_SHARE * long.length
     ? []
-    : working.map((each) =>
-        report(each, `is one of ${working.length} of ${long.length} still worked on`),
+    : stillRunning.map((each) =>
+        createViolation(each, `is one of ${stillRunning.length} of ${long.length} still worked on`),
       );
 };
 
 /** Finds work for callers who have left. */
-export const checkCallersGone = (evidence: Evidence): readonly Violation[] => {
-  const departed = departedInTouch(evidence);
-  evidence.noteJudged('callers-gone', departed.length);
+export const checkAbandonedRequests = (evidence: Evidence): readonly Violation[] => {
+  const departed = findAbandoned(evidence);
+  evidence.recordCases('callers-gone', departed.length);
   return [...checkLateArrivals(evidence, departed), ...checkWork(evidence, departed)];
 };
--- a/soak/checker/check-run.ts
+++ b/soak/checker/check-run.ts
@@ -1,15 +1,15 @@
 /** Judges a run by what was seen from outside; nothing of the gateway's own code is used. */
 import type { Observations } from '../model/observations.js';
-import { checkCallersGone } from './callers-gone.js';
+import { checkAbandonedRequests } from './callers-gone.js';
 import { checkConfiguration } from './configuration.js';
 import { checkDrainedReplicas } from './drained-replicas.js';
 import { type CheckedRun, Evidence } from './evidence.js';
-import { checkLethalRequests } from './poison-requests.js';
+import { checkPoisonRequests } from './poison-requests.js';
 import { checkPlannedStops } from './planned-stops.js';
-import { checkOwnEnds, checkRecovery } from './recovery.js';
+import { checkUnexpectedExits, checkRecovery } from './recovery.js';
 import { checkAtMostOnce, checkRefusedNeverRan, checkUnchangedRequests } from './request-checks.js';
 import { checkRetryBudget } from './retry-budget.js';
-import type { Promised, Violation } from './violation.js';
+import type { PromiseName, Violation } from './violation.js';
 import { checkWholeAnswers } from './whole-answers.js';
 
 const CHECKS: readonly ((evidence: Evidence) => readonly Violation[])[] = [
@@ -21,10 +21,10 @@
   checkConfiguration,
   checkPlannedStops,
   checkRetryBudget,
-  checkCallersGone,
-  checkLethalRequests,
+  checkAbandonedRequests,
+  checkPoisonRequests,
   checkRecovery,
-  checkOwnEnds,
+  checkUnexpectedExits,
 ];
 
 /** What the checker says of a run. */
@@ -32,7 +32,7 @@
   /** In the order of time. */
   readonly violations: readonly Violation[];
   /** How many cases of each promise were judged. */
-  readonly judged: ReadonlyMap<Promised, number>;
+  readonly caseCounts: ReadonlyMap<PromiseName, number>;
 }
 
 /** Judges a run. */
@@ -41,6 +41,6 @@
   const violations = CHECKS.flatMap((check) => check(evidence));
   return {
     violations: violations.sort((left, right) => left.at - right.at),
-    judged: evidence.judged,
+    caseCounts: evidence.caseCounts,
   };
 };
--- a/soak/checker/configuration.ts
+++ b/soak/checker/configuration.ts
@@ -1,21 +1,24 @@
 /** A version is in force within its time at all gateways in touch, and none goes back within one life. */
-import { type CallerRequest, UNKNOWN_LIFE, type Version } from '../model/observations.js';
+import { type CallerRequest, UNKNOWN_INCARNATION, type Version } from '../model/observations.js';
 import { type Evidence, findRoute } from './evidence.js';
 import type { Violation } from './violation.js';
 
 const NOT_FOUND = 404;
 
 /** Something that only some versions allow. */
-interface Sign {
+interface VersionEvidence {
   readonly request: CallerRequest;
   readonly at: number;
   readonly what: string;
   readonly fits: (version: Version) => boolean;
 }
 
-const signsOf = (evidence: Evidence, request: CallerRequest): readonly Sign[] => {
+const collectVersionEvidence = (
+  evidence: Evidence,
+  request: CallerRequest,
+): readonly VersionEvidence[] => {
   const { id, path, outcome, endedAt } = request;
-  const runs = evidence.runsOf(id).map(({ at, service }): Sign => ({
+  const runs = evidence.runsOf(id).map(({ at, service }): VersionEvidence => ({
     request,
     at,
     what: `${path} ran on ${service}`,
@@ -28,7 +31,7 @@
   return [{ request, at: endedAt, what: `${path} was answered 404`, fits }];
 };
 
-const report = ({ request, at, what }: Sign, problem: string): Violation => ({
+const createViolation = ({ request, at, what }: VersionEvidence, problem: string): Violation => ({
   promise: 'configuration',
   at,
   gateway: request.gateway,
@@ -36,7 +39,7 @@
   text: `${what}, ${problem}`,
 });
 
-const nameOf = (evidence: Evidence, index: number): string => {
+const describeVersion = (evidence: Evidence, index: number): string => {
   const version = evidence.observations.versions[index];
   return version === undefined
     ? 'no version'
@@ -44,62 +47,90 @@
 };
 
 /** What no version that was ever written allows, or only one that should be out of force. */
-const checkSign = (evidence: Evidence, sign: Sign): readonly Violation[] => {
-  const { request, at, fits } = sign;
+const checkVersionEvidence = (
+  evidence: Evidence,
+  evidenceItem: VersionEvidence,
+): readonly Violation[] => {
+  const { request, at, fits } = evidenceItem;
   const newest = evidence.newestAt(at);
   if (evidence.versionsWhere(0, newest, fits).length === 0) {
-    return [report(sign, 'which no version allows')];
+    return [createViolation(evidenceItem, 'which no version allows')];
   }
   const oldest = evidence.oldestAt(request.sentAt);
-  if (oldest === 0 || !evidence.isRequestInTouch(request, request.sentAt, at)) {
+  if (oldest === 0 || !evidence.isRequestInContact(request, request.sentAt, at)) {
     return [];
   }
-  evidence.noteJudged('configuration', 1);
+  evidence.recordCases('configuration', 1);
   return evidence.versionsWhere(oldest, newest, fits).length === 0
-    ? [report(sign, `though ${nameOf(evidence, oldest)} has been due since`)]
+    ? [
+        createViolation(
+          evidenceItem,
+          `though ${describeVersion(evidence, oldest)} has been due since`,
+        ),
+      ]
     : [];
 };
 
 /** The newest version that a process has shown to have, and when it had. */
-interface Shown {
+interface ShownVersion {
   index: number;
   at: number;
 }
 
 /** Signs in the order of time, those of one process of a gateway. */
-const checkLife = (evidence: Evidence, signs: readonly Sign[]): readonly Violation[] => {
+const checkProcess = (
+  evidence: Evidence,
+  observed: readonly VersionEvidence[],
+): readonly Violation[] => {
   const { rollbackSlackMs } = evidence.run.bounds;
-  const history: Shown[] = [];
-  return signs.flatMap((sign) => {
-    const fitting = evidence.versionsWhere(0, evidence.newestAt(sign.at), sign.fits);
-    const before = history.findLast(({ at }) => at + rollbackSlackMs < sign.request.sentAt);
+  const history: ShownVersion[] = [];
+  return observed.flatMap((evidenceItem) => {
+    const fitting = evidence.versionsWhere(
+      0,
+      evidence.newestAt(evidenceItem.at),
+      evidenceItem.fits,
+    );
+    const before = history.findLast(({ at }) => at + rollbackSlackMs < evidenceItem.request.sentAt);
     const newest = fitting.at(-1) ?? -1;
-    const isBack = before !== undefined && fitting.length > 0 && newest < before.index;
+    const isRollback = before !== undefined && fitting.length > 0 && newest < before.index;
     const oldest = fitting[0] ?? -1;
     if (oldest > (history.at(-1)?.index ?? -1)) {
-      history.push({ index: oldest, at: sign.at });
+      history.push({ index: oldest, at: evidenceItem.at });
     }
-    return isBack
-      ? [report(sign, `after ${nameOf(evidence, before.index)} was in force in the same process`)]
+    return isRollback
+      ? [
+          createViolation(
+            evidenceItem,
+            `after ${describeVersion(evidence, before.index)} was in force in the same process`,
+          ),
+        ]
       : [];
   });
 };
 
-const checkRegress = (evidence: Evidence, signs: readonly Sign[]): readonly Violation[] => {
-  const lives = new Map<string, Sign[]>();
-  for (const sign of [...signs].sort((left, right) => left.at - right.at)) {
-    const { gateway, life } = sign.request;
-    const name = `${gateway}/${life}`;
-    if (life !== UNKNOWN_LIFE) {
-      lives.set(name, lives.get(name) ?? []);
-      lives.get(name)?.push(sign);
+const checkRollbacks = (
+  evidence: Evidence,
+  observed: readonly VersionEvidence[],
+): readonly Violation[] => {
+  const byProcess = new Map<string, VersionEvidence[]>();
+  for (const evidenceItem of [...observed].sort((left, right) => left.at - right.at)) {
+    const { gateway, incarnation } = evidenceItem.request;
+    const name = `${gateway}/${incarnation}`;
+    if (incarnation !== UNKNOWN_INCARNATION) {
+      byProcess.set(name, byProcess.get(name) ?? []);
+      byProcess.get(name)?.push(evidenceItem);
     }
   }
-  return [...lives.values()].flatMap((each) => checkLife(evidence, each));
+  return [...byProcess.values()].flatMap((each) => checkProcess(evidence, each));
 };
 
 /** Finds what only versions allow that are not in force any more, or not yet. */
 export const checkConfiguration = (evidence: Evidence): readonly Violation[] => {
-  const signs = evidence.observations.requests.flatMap((request) => signsOf(evidence, request));
-  return [...signs.flatMap((sign) => checkSign(evidence, sign)), ...checkRegress(evidence, signs)];
+  const observed = evidence.observations.requests.flatMap((request) =>
+    collectVersionEvidence(evidence, request),
+  );
+  return [
+    ...observed.flatMap((evidenceItem) => checkVersionEvidence(evidence, evidenceItem)),
+    ...checkRollbacks(evidence, observed),
+  ];
 };
--- a/soak/checker/evidence.ts
+++ b/soak/checker/evidence.ts
@@ -8,7 +8,7 @@
   VersionRoute,
 } from '../model/observations.js';
 import type { SoakBounds } from '../model/plan.js';
-import type { Promised } from './violation.js';
+import type { PromiseName } from './violation.js';
 
 /** What a check needs to know of a run besides the observations. */
 export interface CheckedRun {
@@ -31,7 +31,7 @@
 export class Evidence {
   readonly requests: ReadonlyMap<string, CallerRequest>;
   /** How many cases a check has judged; one that judged none has shown nothing. */
-  readonly judged = new Map<Promised, number>();
+  readonly caseCounts = new Map<PromiseName, number>();
   private readonly arrivals = new Map<string, Arrival[]>();
 
   constructor(
@@ -50,8 +50,8 @@
   }
 
   /** Notes that so many cases of a promise were judged. */
-  noteJudged(promise: Promised, cases: number): void {
-    this.judged.set(promise, (this.judged.get(promise) ?? 0) + cases);
+  recordCases(promise: PromiseName, cases: number): void {
+    this.caseCounts.set(promise, (this.caseCounts.get(promise) ?? 0) + cases);
   }
 
   /** Where a request arrived, in order of time. */
@@ -65,7 +65,11 @@
   }
 
   /** Whether nothing unplanned or planned happened to what `concerns` selects, in a span of time. */
-  isCalm(concerns: (scope: Scope, planned: boolean) => boolean, from: number, to: number): boolean {
+  isUndisturbed(
+    concerns: (scope: Scope, planned: boolean) => boolean,
+    from: number,
+    to: number,
+  ): boolean {
     return !this.observations.disturbances.some(
       (each) =>
         each.from <= to &&
@@ -75,10 +79,10 @@
   }
 
   /** Whether neither the store nor any of the gateways had a fault from `contactMs` before `from` to `to`. */
-  isInTouch(gateways: readonly number[], from: number, to: number): boolean {
+  isInContact(gateways: readonly number[], from: number, to: number): boolean {
     const concerns = (scope: Scope): boolean =>
       scope.type === 'store' || gateways.some((gateway) => isGateway(scope, gateway));
-    return this.isCalm(concerns, from - this.run.bounds.contactMs, to);
+    return this.isUndisturbed(concerns, from - this.run.bounds.contactMs, to);
   }
 
   /** Gateways that may have had a hand in a request. */
@@ -90,18 +94,18 @@
   }
 
   /** Whether the gateways that may have had a hand in a request were in touch. */
-  isRequestInTouch(request: CallerRequest, from: number, to: number): boolean {
-    return this.isInTouch(this.gatewaysOf(request), from, to);
+  isRequestInContact(request: CallerRequest, from: number, to: number): boolean {
+    return this.isInContact(this.gatewaysOf(request), from, to);
   }
 
   /** Whether the path is one of a gather, in any version. */
   isGather({ path }: CallerRequest): boolean {
-    return this.everyRouteOf(path).some(({ gather }) => gather !== undefined);
+    return this.routesForPath(path).some(({ gather }) => gather !== undefined);
   }
 
   /** Whether the request may run more than once; so says every version that knows its path. */
   isRepeatable({ path }: CallerRequest): boolean {
-    return this.everyRouteOf(path).every(({ repeatable }) => repeatable);
+    return this.routesForPath(path).every(({ repeatable }) => repeatable);
   }
 
   /** Index of the newest version that the store had at `at`; -1 for none. */
@@ -125,7 +129,7 @@
     );
   }
 
-  private everyRouteOf(path: string): readonly VersionRoute[] {
+  private routesForPath(path: string): readonly VersionRoute[] {
     return this.observations.versions.flatMap((version) => findRoute(version, path) ?? []);
   }
 }
--- a/soak/checker/planned-stops.ts
+++ b/soak/checker/planned-stops.ts
@@ -4,10 +4,10 @@
 import type { Violation } from './violation.js';
 
 /** Time after the request to stop from which the process must not be ready any more, in milliseconds. */
-const READY_UNTIL_MS = 4_000;
+const MAX_READY_MS = 4_000;
 
 /** Whether only planned work happened to a gateway, from `contactMs` before `from` to `to`. */
-const isOnlyPlanned = (
+const hadOnlyPlannedWork = (
   evidence: Evidence,
   gateways: readonly number[],
   from: number,
@@ -15,17 +15,17 @@
 ) => {
   const concerns = (scope: Scope, planned: boolean): boolean =>
     !planned && scope.type === 'gateway' && gateways.includes(scope.gateway);
-  return evidence.isCalm(concerns, from - evidence.run.bounds.contactMs, to);
+  return evidence.isUndisturbed(concerns, from - evidence.run.bounds.contactMs, to);
 };
 
 const checkEnd = (evidence: Evidence, stop: PlannedStop): readonly Violation[] => {
   const { gateway, at, endedAt, exitCode } = stop;
   const { graceMs } = evidence.run.bounds;
   const promise = 'planned-stops';
-  if (!isOnlyPlanned(evidence, [gateway], at, endedAt ?? at + graceMs)) {
+  if (!hadOnlyPlannedWork(evidence, [gateway], at, endedAt ?? at + graceMs)) {
     return [];
   }
-  evidence.noteJudged('planned-stops', 1);
+  evidence.recordCases('planned-stops', 1);
   if (endedAt === undefined || endedAt - at > graceMs) {
     const text = `the process had not ended ${graceMs} ms after the request to stop`;
     return [{ promise, at: at + graceMs, gateway, text }];
@@ -40,10 +40,10 @@
     (sample) =>
       sample.gateway === gateway &&
       sample.ready &&
-      sample.at > at + READY_UNTIL_MS &&
+      sample.at > at + MAX_READY_MS &&
       sample.at < endedAt,
   );
-  if (stillReady === undefined || !isOnlyPlanned(evidence, [gateway], at, endedAt)) {
+  if (stillReady === undefined || !hadOnlyPlannedWork(evidence, [gateway], at, endedAt)) {
     return [];
   }
   const text = `the process was ready ${Math.round(stillReady.at - at)} ms after the request to stop`;
@@ -51,27 +51,32 @@
 };
 
 /** Whether the replicas of the services that a request went to had no fault. */
-const hadCalmReplicas = (evidence: Evidence, { id, sentAt, endedAt }: CallerRequest): boolean => {
+const hadUndisturbedReplicas = (
+  evidence: Evidence,
+  { id, sentAt, endedAt }: CallerRequest,
+): boolean => {
   const services = new Set(evidence.arrivalsOf(id).map(({ service }) => service));
   const concerns = (scope: Scope): boolean =>
     scope.type === 'service' && services.has(scope.service);
-  return evidence.isCalm(concerns, sentAt, endedAt);
+  return evidence.isUndisturbed(concerns, sentAt, endedAt);
 };
 
 /** A connection that ends before a request has been read may do so, soon after it was sent. */
 const wasUnread = (evidence: Evidence, { id, sentAt, endedAt }: CallerRequest): boolean =>
   evidence.arrivalsOf(id).length === 0 && endedAt - sentAt <= evidence.run.bounds.lossSlackMs;
 
-const checkCut = (evidence: Evidence, request: CallerRequest): readonly Violation[] => {
+const checkCutOff = (evidence: Evidence, request: CallerRequest): readonly Violation[] => {
   if (request.outcome.type !== 'cut' || wasUnread(evidence, request)) {
     return [];
   }
   const { id, gateway, path, sentAt, endedAt } = request;
-  const isCalm =
-    isOnlyPlanned(evidence, evidence.gatewaysOf(request), sentAt, endedAt) &&
-    hadCalmReplicas(evidence, request);
+  const isUndisturbed =
+    hadOnlyPlannedWork(evidence, evidence.gatewaysOf(request), sentAt, endedAt) &&
+    hadUndisturbedReplicas(evidence, request);
   const text = `${path} was cut off ${Math.round(endedAt - sentAt)} ms after it was sent`;
-  return isCalm ? [{ promise: 'planned-stops', at: endedAt, gateway, requestId: id, text }] : [];
+  return isUndisturbed
+    ? [{ promise: 'planned-stops', at: endedAt, gateway, requestId: id, text }]
+    : [];
 };
 
 /** Finds stops that took too long, and requests that were cut off though nothing unplanned happened. */
@@ -80,5 +85,5 @@
     ...checkEnd(evidence, stop),
     ...checkReadiness(evidence, stop),
   ]),
-  ...evidence.observations.requests.flatMap((request) => checkCut(evidence, request)),
+  ...evidence.observations.requests.flatMap((request) => checkCutOff(evidence, request)),
 ];
--- a/soak/checker/poison-requests.ts
+++ b/soak/checker/poison-requests.ts
@@ -3,10 +3,10 @@
 import type { Violation } from './violation.js';
 
 /** Replicas that must have ended under it. */
-const KNOWN_AFTER_RUNS = 3;
+const KNOWN_AFTER_CRASHES = 3;
 
 /** Tries that may still reach replicas later than `contactMs` after that. */
-const MOST_LATE_TRIES = 3;
+const MAX_LATE_ATTEMPTS = 3;
 
 const checkPath = (evidence: Evidence, path: string, knownAt: number): readonly Violation[] => {
   const lateFrom = knownAt + evidence.run.bounds.contactMs;
@@ -14,11 +14,11 @@
     (request) =>
       request.path === path &&
       request.sentAt > lateFrom &&
-      evidence.isRequestInTouch(request, request.sentAt, request.endedAt),
+      evidence.isRequestInContact(request, request.sentAt, request.endedAt),
   );
-  evidence.noteJudged('lethal-requests', late.length);
+  evidence.recordCases('lethal-requests', late.length);
   const reached = late.filter(({ id }) => evidence.runsOf(id).length > 0);
-  const [fourth] = reached.slice(MOST_LATE_TRIES);
+  const [fourth] = reached.slice(MAX_LATE_ATTEMPTS);
   if (fourth === undefined) {
     return [];
   }
@@ -28,11 +28,11 @@
 };
 
 /** Finds requests that go on ending replicas. */
-export const checkLethalRequests = (evidence: Evidence): readonly Violation[] => {
-  const { lethalRuns } = evidence.observations;
-  const paths = [...new Set(lethalRuns.map(({ path }) => path))];
+export const checkPoisonRequests = (evidence: Evidence): readonly Violation[] => {
+  const { poisonCrashes } = evidence.observations;
+  const paths = [...new Set(poisonCrashes.map(({ path }) => path))];
   return paths.flatMap((path) => {
-    const known = lethalRuns.filter((run) => run.path === path)[KNOWN_AFTER_RUNS - 1];
+    const known = poisonCrashes.filter((crash) => crash.path === path)[KNOWN_AFTER_CRASHES - 1];
     return known === undefined ? [] : checkPath(evidence, path, known.at);
   });
 };
--- a/soak/checker/recovery.ts
+++ b/soak/checker/recovery.ts
@@ -1,11 +1,11 @@
 /** After the faults all gateways serve again, and no process has ended by itself. */
 import type { CallerRequest } from '../model/observations.js';
-import { isLethal } from '../world/paths.js';
+import { isPoison } from '../world/paths.js';
 import { type Evidence, findRoute } from './evidence.js';
 import type { Violation } from './violation.js';
 
 /** Share of the requests that each gateway must serve. */
-const SERVED_SHARE = 0.9;
+const MIN_SERVED_SHARE = 0.9;
 
 const isServed = ({ outcome }: CallerRequest): boolean =>
   outcome.type === 'answered' && outcome.status >= 200 && outcome.status < 300;
@@ -14,7 +14,7 @@
  * Whether the request is owed: every version that may be in force allows it, no replica ends under it, and its caller
  * stayed.
  */
-const isOwed = (evidence: Evidence, { path, sentAt, outcome }: CallerRequest): boolean => {
+const mustBeServed = (evidence: Evidence, { path, sentAt, outcome }: CallerRequest): boolean => {
   const oldest = evidence.oldestAt(sentAt);
   const newest = evidence.newestAt(sentAt);
   const knowing = evidence.versionsWhere(
@@ -22,15 +22,16 @@
     newest,
     (each) => findRoute(each, path) !== undefined,
   );
-  return !isLethal(path) && outcome.type !== 'left' && knowing.length === newest - oldest + 1;
+  return !isPoison(path) && outcome.type !== 'left' && knowing.length === newest - oldest + 1;
 };
 
 const checkGateway = (evidence: Evidence, gateway: number, from: number): readonly Violation[] => {
   const promise = 'recovery';
   const requests = evidence.observations.requests.filter(
-    (request) => request.gateway === gateway && request.sentAt >= from && isOwed(evidence, request),
+    (request) =>
+      request.gateway === gateway && request.sentAt >= from && mustBeServed(evidence, request),
   );
-  evidence.noteJudged(promise, requests.length);
+  evidence.recordCases(promise, requests.length);
   const served = requests.filter(isServed).length;
   const samples = evidence.observations.readiness.filter(
     (sample) => sample.gateway === gateway && sample.at >= from,
@@ -41,7 +42,7 @@
     ...(unready === undefined
       ? []
       : [{ promise, at: unready.at, gateway, text: 'is not ready after the faults' } as const]),
-    ...(served > 0 && served >= SERVED_SHARE * requests.length
+    ...(served > 0 && served >= MIN_SERVED_SHARE * requests.length
       ? []
       : [
           {
@@ -67,8 +68,8 @@
 };
 
 /** Finds processes that ended though nobody had asked them to. */
-export const checkOwnEnds = ({ observations }: Evidence): readonly Violation[] =>
-  observations.unexpectedEnds.map(({ gateway, at, detail }) => ({
+export const checkUnexpectedExits = ({ observations }: Evidence): readonly Violation[] =>
+  observations.unexpectedExits.map(({ gateway, at, detail }) => ({
     promise: 'no-own-end',
     at,
     gateway,
--- a/soak/checker/request-checks.ts
+++ b/soak/checker/request-checks.ts
@@ -4,7 +4,7 @@
 import type { Violation } from './violation.js';
 
 /** Statuses that promise that a request has not run and never will. */
-const PROMISES_NO_RUN: readonly number[] = [408, 421, 429, 503];
+const NOT_RUN_STATUSES: readonly number[] = [408, 421, 429, 503];
 
 const describeChange = (
   request: CallerRequest | undefined,
@@ -23,7 +23,7 @@
 /** Finds requests at replicas that no caller sent so. */
 export const checkUnchangedRequests = (evidence: Evidence): readonly Violation[] => {
   const { arrivals } = evidence.observations;
-  evidence.noteJudged('unchanged-requests', arrivals.length);
+  evidence.recordCases('unchanged-requests', arrivals.length);
   return arrivals.flatMap((arrival): readonly Violation[] => {
     const request = evidence.requests.get(arrival.requestId);
     const text = describeChange(request, arrival);
@@ -36,7 +36,7 @@
   });
 };
 
-const placesOf = (runs: readonly Arrival[]): string =>
+const describeRuns = (runs: readonly Arrival[]): string =>
   runs.map(({ replica, at }) => `${replica} at ${Math.round(at)}`).join(', ');
 
 /** Finds requests that may run only once and ran more often. */
@@ -46,12 +46,12 @@
     if (runs.length === 0 || evidence.isRepeatable(request)) {
       return [];
     }
-    evidence.noteJudged('at-most-once', 1);
+    evidence.recordCases('at-most-once', 1);
     if (runs.length === 1) {
       return [];
     }
     const { id, gateway, path } = request;
-    const text = `${path} ran ${runs.length} times: ${placesOf(runs)}`;
+    const text = `${path} ran ${runs.length} times: ${describeRuns(runs)}`;
     const at = runs[1]?.at ?? request.endedAt;
     return [{ promise: 'at-most-once', at, gateway, requestId: id, text }];
   });
@@ -60,15 +60,15 @@
 export const checkRefusedNeverRan = (evidence: Evidence): readonly Violation[] =>
   evidence.observations.requests.flatMap((request): readonly Violation[] => {
     const { id, gateway, path, endedAt, outcome } = request;
-    if (outcome.type !== 'answered' || !PROMISES_NO_RUN.includes(outcome.status)) {
+    if (outcome.type !== 'answered' || !NOT_RUN_STATUSES.includes(outcome.status)) {
       return [];
     }
-    evidence.noteJudged('refused-never-ran', 1);
+    evidence.recordCases('refused-never-ran', 1);
     const runs = evidence.runsOf(id);
     if (runs.length === 0) {
       return [];
     }
     const kind = evidence.isRepeatable(request) ? 'may be repeated' : 'may run only once';
-    const text = `${path}, which ${kind}, was answered ${outcome.status} and ran: ${placesOf(runs)}`;
+    const text = `${path}, which ${kind}, was answered ${outcome.status} and ran: ${describeRuns(runs)}`;
     return [{ promise: 'refused-never-ran', at: endedAt, gateway, requestId: id, text }];
   });
--- a/soak/checker/retry-budget.ts
+++ b/soak/checker/retry-budget.ts
@@ -7,7 +7,11 @@
 const REQUEST_WINDOWS: readonly number[] = [0, 0.5, 1];
 
 /** Whether a request was for a service: by the newest version when it was sent, or the one before. */
-const isFor = (evidence: Evidence, service: string, { path, sentAt }: CallerRequest): boolean => {
+const targetsService = (
+  evidence: Evidence,
+  service: string,
+  { path, sentAt }: CallerRequest,
+): boolean => {
   const newest = evidence.newestAt(sentAt);
   return (
     evidence.versionsWhere(
@@ -19,7 +23,7 @@
 };
 
 /** Arrivals beyond the first of each request. */
-const extraTimes = (arrivals: readonly Arrival[]): readonly number[] => {
+const findRepeatTimes = (arrivals: readonly Arrival[]): readonly number[] => {
   const seen = new Set<string>();
   return arrivals.flatMap(({ requestId, at }) => {
     if (seen.has(requestId)) {
@@ -40,10 +44,10 @@
   arrivals: readonly Arrival[],
 ): readonly Violation[] => {
   const { retryRatio, retryWindowMs, retrySlack } = evidence.run.bounds;
-  const extras = extraTimes(arrivals);
-  evidence.noteJudged('retry-budget', extras.length);
+  const extras = findRepeatTimes(arrivals);
+  evidence.recordCases('retry-budget', extras.length);
   const requests = evidence.observations.requests
-    .filter((request) => isFor(evidence, service, request))
+    .filter((request) => targetsService(evidence, service, request))
     .map(({ sentAt }) => sentAt);
   return extras.flatMap((end): readonly Violation[] => {
     const repeats = countBetween(extras, end - retryWindowMs, end);
--- a/soak/checker/violation.ts
+++ b/soak/checker/violation.ts
@@ -18,11 +18,11 @@
 ] as const;
 
 /** One of the promises. */
-export type Promised = (typeof PROMISES)[number];
+export type PromiseName = (typeof PROMISES)[number];
 
 /** One finding of a check. */
 export interface Violation {
-  readonly promise: Promised;
+  readonly promise: PromiseName;
   /** When it was seen, in milliseconds on the steady clock of the soak. */
   readonly at: number;
   /** The gateway concerned, where one is known. */
--- a/soak/checker/whole-answers.ts
+++ b/soak/checker/whole-answers.ts
@@ -19,7 +19,7 @@
   return Buffer.concat(records.sort((left, right) => Buffer.compare(right, left)).slice(0, count));
 };
 
-const findForeignPart = (
+const findWrongPart = (
   id: string,
   parts: readonly (ReplicaAnswer | undefined)[],
 ): string | undefined => {
@@ -40,9 +40,9 @@
     return 'names no part';
   }
   const parts = partSignatures.map((each) => evidence.observations.answers.get(each));
-  const foreign = findForeignPart(id, parts);
-  if (foreign !== undefined) {
-    return foreign;
+  const wrongPart = findWrongPart(id, parts);
+  if (wrongPart !== undefined) {
+    return wrongPart;
   }
   const services = parts.map((part) => part?.service ?? '');
   const total = parts.length + missingParts;
@@ -83,7 +83,7 @@
   return isSuccess(status) && !isWhole ? 'has not the whole body of the replica' : undefined;
 };
 
-const findFault = (evidence: Evidence, request: CallerRequest): string | undefined => {
+const findDefect = (evidence: Evidence, request: CallerRequest): string | undefined => {
   const { outcome, id } = request;
   if (outcome.type !== 'answered') {
     return undefined;
@@ -91,7 +91,7 @@
   if (outcome.answeredId !== undefined && outcome.answeredId !== id) {
     return `has the identifier of ${outcome.answeredId}`;
   }
-  evidence.noteJudged('whole-answers', 1);
+  evidence.recordCases('whole-answers', 1);
   return isSuccess(outcome.status) && evidence.isGather(request)
     ? checkGather(evidence, request, outcome)
     : checkSingle(evidence, request, outcome);
@@ -100,11 +100,11 @@
 /** Finds answers that are not the caller's own or not whole. */
 export const checkWholeAnswers = (evidence: Evidence): readonly Violation[] =>
   evidence.observations.requests.flatMap((request): readonly Violation[] => {
-    const fault = findFault(evidence, request);
-    if (fault === undefined) {
+    const defect = findDefect(evidence, request);
+    if (defect === undefined) {
       return [];
     }
     const { id, gateway, endedAt, path } = request;
-    const text = `the answer to ${path} ${fault}`;
+    const text = `the answer to ${path} ${defect}`;
     return [{ promise: 'whole-answers', at: endedAt, gateway, requestId: id, text }];
   });
--- a/soak/faults/fault-runner.ts
+++ b/soak/faults/fault-runner.ts
@@ -11,10 +11,10 @@
 import { StoreFaults } from './store-faults.js';
 
 /** Pause between two planned stops in turn, in milliseconds, from the start of a process on. */
-const PAUSE_IN_TURN_MS = 2_000;
+const STOP_GAP_MS = 2_000;
 
 /** A fault as it was carried out. */
-export interface PlayedFault {
+export interface ExecutedFault {
   readonly fault: Fault;
   readonly from: number;
   /** Undefined while it lasts. */
@@ -34,7 +34,7 @@
 
 /** Plays schedules. */
 export class FaultRunner {
-  readonly played: PlayedFault[] = [];
+  readonly executed: ExecutedFault[] = [];
   private readonly storeFaults: StoreFaults;
 
   constructor(
@@ -45,20 +45,20 @@
   }
 
   /** Resolves when all faults are over. */
-  async play(schedule: readonly ScheduledFault[]): Promise<void> {
-    const began = performance.now();
+  async runSchedule(schedule: readonly ScheduledFault[]): Promise<void> {
+    const startedAt = performance.now();
     await Promise.all(
       schedule.map(async ({ atMs, fault }) => {
-        await pause(Math.max(0, began + atMs - performance.now()));
-        const played: PlayedFault = { fault, from: performance.now(), to: undefined };
-        this.played.push(played);
-        await this.carryOut(fault);
-        played.to = performance.now();
+        await pause(Math.max(0, startedAt + atMs - performance.now()));
+        const executed: ExecutedFault = { fault, from: performance.now(), to: undefined };
+        this.executed.push(executed);
+        await this.execute(fault);
+        executed.to = performance.now();
       }),
     );
   }
 
-  private carryOut(fault: Fault): Promise<void> {
+  private execute(fault: Fault): Promise<void> {
     const { replicas, gateways } = this.world;
     return match(fault)
       .with({ type: 'stop-in-turn' }, (stop) => this.stopInTurn(stop.gateways))
@@ -66,29 +66,29 @@
       .with({ type: 'pause' }, ({ gateway, forMs }) => gateways[gateway]?.pauseFor(forMs))
       .with({ type: 'reload' }, (reload) => this.reload(reload.gateways))
       .with({ type: 'configure' }, ({ count, gapMs }) => this.configure(count, gapMs))
-      .with({ type: 'store-link' }, (link) => this.troubleLinks(link, this.world.storeLinks))
-      .with({ type: 'peer-link' }, (link) => this.troubleLinks(link, this.world.peerLinks))
+      .with({ type: 'store-link' }, (link) => this.disturbLinks(link, this.world.storeLinks))
+      .with({ type: 'peer-link' }, (link) => this.disturbLinks(link, this.world.peerLinks))
       .with({ type: 'replica-leaves', how: 'drain' }, ({ service }) => replicas.drain(service))
       .with({ type: 'replica-leaves', how: 'vanish' }, ({ service }) => replicas.vanish(service))
       .with({ type: 'replica-leaves' }, ({ service }) =>
-        this.troubleService(service, 'crash', () => replicas.crash(service)),
+        this.disturbService(service, 'crash', () => replicas.crash(service)),
       )
       .with({ type: 'replica-loses-answers' }, ({ service, forMs }) =>
-        this.troubleService(service, 'loses answers', () => replicas.loseAnswers(service, forMs)),
+        this.disturbService(service, 'loses answers', () => replicas.loseAnswers(service, forMs)),
       )
       .with({ type: 'replica-restarts' }, ({ service, downMs }) =>
-        this.troubleService(service, 'restarts', () => replicas.restart(service, downMs)),
+        this.disturbService(service, 'restarts', () => replicas.restart(service, downMs)),
       )
       .with({ type: 'entry-spoilt' }, ({ service, forMs }) =>
-        replicas.spoilEntry(service, forMs, this.random),
+        replicas.overwriteEntry(service, forMs, this.random),
       )
-      .otherwise((storeFault) => this.storeFaults.carryOut(storeFault)) as Promise<void>;
+      .otherwise((storeFault) => this.storeFaults.execute(storeFault)) as Promise<void>;
   }
 
   private async stopInTurn(numbers: readonly number[]): Promise<void> {
     for (const number of numbers) {
       await this.world.gateways[number]?.stopAndRestart();
-      await pause(PAUSE_IN_TURN_MS);
+      await pause(STOP_GAP_MS);
     }
   }
 
@@ -107,18 +107,18 @@
     }
   }
 
-  private async troubleLinks(
+  private async disturbLinks(
     { type, gateways, trouble, forMs }: LinkFault<'store-link' | 'peer-link'>,
     links: readonly LoopbackLink[],
   ): Promise<void> {
     const scopes = gatewayScopes(gateways);
     const end = beginDisturbance(this.world.observations, scopes, `${type} ${trouble}`);
     const chosen = gateways.flatMap((number) => links[number] ?? []);
-    await Promise.all(chosen.map((link) => link.troubleFor(trouble, forMs)));
+    await Promise.all(chosen.map((link) => link.failFor(trouble, forMs)));
     end();
   }
 
-  private async troubleService(
+  private async disturbService(
     service: string,
     what: string,
     work: () => Promise<void>,
--- a/soak/faults/store-faults.ts
+++ b/soak/faults/store-faults.ts
@@ -7,7 +7,7 @@
 import type { SoakWorld } from '../world/soak-world.js';
 
 /** When the version changes, as a part of the time in which watches hear nothing. */
-const CHANGE_AT_SHARE = 0.4;
+const CHANGE_AFTER_SHARE = 0.4;
 
 /** A fault of the store for all gateways. */
 export type StoreFault = Extract<
@@ -33,17 +33,17 @@
   ) {}
 
   /** Resolves when the fault is over; it waits for the one before. */
-  carryOut(fault: StoreFault): Promise<void> {
+  execute(fault: StoreFault): Promise<void> {
     this.busy = this.busy.then(async () => {
       const scopes = [{ type: 'store' }] as const;
       const end = beginDisturbance(this.world.observations, scopes, fault.type);
-      await this.play(fault);
+      await this.apply(fault);
       end();
     });
     return this.busy;
   }
 
-  private play(fault: StoreFault): Promise<void> {
+  private apply(fault: StoreFault): Promise<void> {
     const { store } = this.world;
     return match(fault)
       .with({ type: 'delay-watches' }, async ({ delayMs, forMs }) => {
@@ -58,7 +58,7 @@
         await pause(forMs);
         store.muteWatches(false);
       })
-      .with({ type: 'change-and-forget' }, ({ muteMs }) => this.changeAndForget(muteMs))
+      .with({ type: 'change-and-forget' }, ({ muteMs }) => this.changeAndDiscardHistory(muteMs))
       .with({ type: 'store-down' }, async ({ outage, forMs }) => {
         store.mode = outage;
         store.cutConnections();
@@ -70,36 +70,36 @@
         await pause(forMs);
         store.mode = 'serving';
       })
-      .with({ type: 'store-returns' }, (returns) => this.returnFromCopy(returns))
+      .with({ type: 'store-returns' }, (returns) => this.restoreBackup(returns))
       .exhaustive();
   }
 
-  private async returnFromCopy({
+  private async restoreBackup({
     outage,
     copyAgeMs,
     awayMs,
     rewriteMs,
   }: Extract<StoreFault, { type: 'store-returns' }>): Promise<void> {
-    const { store, storeCopies, operator, replicas } = this.world;
-    const copy = storeCopies.find(copyAgeMs);
+    const { store, storeBackups, operator, replicas } = this.world;
+    const backup = storeBackups.find(copyAgeMs);
     store.mode = outage;
     store.cutConnections();
     await pause(awayMs);
-    store.restore(copy);
+    store.restore(backup);
     store.mode = 'serving';
-    const rewritten = replicas.writeAgain(rewriteMs, this.random);
+    const rewritten = replicas.rewriteEntries(rewriteMs, this.random);
     await pause(rewriteMs);
-    operator.write();
+    operator.rewriteNewest();
     await rewritten;
   }
 
   /** Watches hear nothing while the configuration changes, and are then told that its history is gone. */
-  private async changeAndForget(muteMs: number): Promise<void> {
+  private async changeAndDiscardHistory(muteMs: number): Promise<void> {
     const { store, operator } = this.world;
     store.muteWatches(true);
-    await pause(muteMs * CHANGE_AT_SHARE);
+    await pause(muteMs * CHANGE_AFTER_SHARE);
     operator.configure();
-    await pause(muteMs * (1 - CHANGE_AT_SHARE));
+    await pause(muteMs * (1 - CHANGE_AFTER_SHARE));
     store.discardHistory();
     store.muteWatches(false);
   }
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -9,9 +9,9 @@
 const MS_PER_MINUTE = 60_000;
 
 /** A run needs time to start, to recover and for some faults, in minutes. */
-const LEAST_MINUTES = 0.75;
+const MIN_MINUTES = 0.75;
 
-const MOST_GATEWAYS = 24;
+const MAX_GATEWAYS = 24;
 
 const CALLERS_PER_GATEWAY = 4;
 
@@ -19,10 +19,10 @@
        npm run soak -- --regressions
 
 Runs gateways as processes on loopback under faults drawn from the seed, and judges from outside.
-  --minutes   length of one run; default 1, at least ${LEAST_MINUTES}
+  --minutes   length of one run; default 1, at least ${MIN_MINUTES}
   --seed      first seed; default: drawn from the clock, and printed
   --seeds     number of seeds, one after the other; default 1
-  --gateways  default 6, at most ${MOST_GATEWAYS}
+  --gateways  default 6, at most ${MAX_GATEWAYS}
   --regressions  plays every run again that has ever failed
 Exit codes: 0 every promise held, 1 one was broken, 2 usage.`;
 
@@ -50,8 +50,8 @@
     gateways: Number(values.gateways),
   };
   const areWhole = [read.seed, read.seeds, read.gateways].every(Number.isInteger);
-  const isPossible = read.minutes >= LEAST_MINUTES && read.seeds >= 1 && read.gateways >= 1;
-  if (values.help || !areWhole || !isPossible || read.gateways > MOST_GATEWAYS) {
+  const isPossible = read.minutes >= MIN_MINUTES && read.seeds >= 1 && read.gateways >= 1;
+  if (values.help || !areWhole || !isPossible || read.gateways > MAX_GATEWAYS) {
     return undefined;
   }
   return values.regressions
@@ -59,7 +59,7 @@
     : Array.from({ length: read.seeds }, (_, index) => ({ ...read, seed: read.seed + index }));
 };
 
-const play = async ({ seed, gateways, minutes }: Run): Promise<boolean> => {
+const runSeed = async ({ seed, gateways, minutes }: Run): Promise<boolean> => {
   const durationMs = minutes * MS_PER_MINUTE;
   const callersPerGateway = CALLERS_PER_GATEWAY;
   const result = await runSoak({ seed, gateways, durationMs, callersPerGateway });
@@ -80,7 +80,7 @@
   }
   let allHeld = true;
   for (const run of runs) {
-    allHeld = (await play(run)) && allHeld;
+    allHeld = (await runSeed(run)) && allHeld;
   }
   return allHeld ? ExitCode.done : ExitCode.failed;
 };
--- a/soak/model/observations.ts
+++ b/soak/model/observations.ts
@@ -28,7 +28,7 @@
   | { readonly type: 'expired' };
 
 /** The life of a gateway where it is not known which process was asked. */
-export const UNKNOWN_LIFE = 0;
+export const UNKNOWN_INCARNATION = 0;
 
 /** A request as its caller sent it and saw it end. */
 export interface CallerRequest {
@@ -36,7 +36,7 @@
   /** Number of the gateway that was asked. */
   readonly gateway: number;
   /** Which of the gateway's processes, counted from 1; or `UNKNOWN_LIFE`. */
-  readonly life: number;
+  readonly incarnation: number;
   readonly method: string;
   readonly path: string;
   readonly bodyDigest: string;
@@ -119,7 +119,7 @@
 /** The planned stop of a process. */
 export interface PlannedStop {
   readonly gateway: number;
-  readonly life: number;
+  readonly incarnation: number;
   readonly at: number;
   /** When the process had ended; undefined when it had to be ended by force. */
   endedAt: number | undefined;
@@ -134,14 +134,14 @@
 }
 
 /** A process that ended though nobody had asked it to. */
-export interface UnexpectedEnd {
+export interface UnexpectedExit {
   readonly gateway: number;
   readonly at: number;
   readonly detail: string;
 }
 
 /** A replica that ended under a request. */
-export interface LethalRun {
+export interface PoisonCrash {
   /** Path of the request. */
   readonly path: string;
   readonly at: number;
@@ -157,8 +157,8 @@
   readonly disturbances: Disturbance[];
   readonly stops: PlannedStop[];
   readonly readiness: ReadinessSample[];
-  readonly unexpectedEnds: UnexpectedEnd[];
-  readonly lethalRuns: LethalRun[];
+  readonly unexpectedExits: UnexpectedExit[];
+  readonly poisonCrashes: PoisonCrash[];
   /** When the last fault was over; undefined while there are faults. */
   faultsEndedAt: number | undefined;
 }
@@ -173,7 +173,7 @@
   disturbances: [],
   stops: [],
   readiness: [],
-  unexpectedEnds: [],
-  lethalRuns: [],
+  unexpectedExits: [],
+  poisonCrashes: [],
   faultsEndedAt: undefined,
 });
--- a/soak/model/plan.ts
+++ b/soak/model/plan.ts
@@ -5,11 +5,11 @@
 import {
   drawEntryFaults,
   drawLastVersion,
-  drawPeerTroubles,
-  drawReleases,
+  drawPeerLinkFaults,
+  drawReplacements,
   drawSchedule,
   drawService,
-  drawStoreReturns,
+  drawStoreRestores,
   drawVersions,
   type ScheduledFault,
 } from './schedule.js';
@@ -63,11 +63,11 @@
 }
 
 /** A request that ends each replica that begins to run it. */
-export interface LethalRequest {
+export interface PoisonRequest {
   /** Prefix of its route. */
   readonly prefix: string;
   /** Usual time between two of its callers, in milliseconds. */
-  readonly everyMs: number;
+  readonly intervalMs: number;
   /** Its callers leave after so long, in milliseconds; absent where they wait. */
   readonly leavesAfterMs?: number;
 }
@@ -83,11 +83,11 @@
   /** Faults, with times from the end of the warm-up. */
   readonly schedule: readonly ScheduledFault[];
   /** Requests that end replicas, which come all through the run. */
-  readonly lethalRequests: readonly LethalRequest[];
+  readonly poisonRequests: readonly PoisonRequest[];
   /** A replica ends so long after it has begun to run one, in milliseconds. */
-  readonly lethalAfterMs: number;
+  readonly poisonCrashDelayMs: number;
   /** Replicas tell in their entries when they have started. */
-  readonly tellsStarts: boolean;
+  readonly publishesStartTimes: boolean;
   /** Planned work that goes on after the faults, with times from their end. */
   readonly plannedWork: readonly ScheduledFault[];
 }
@@ -137,38 +137,43 @@
 const drawPlannedWork = (
   seed: number,
   gateways: number,
-  endsQuietly: boolean,
+  endsWithoutVersions: boolean,
 ): readonly ScheduledFault[] => {
   const random = streamOf(seed, 'calm');
-  const releases = drawReleases(random, PLANNED_WORK_MS);
+  const releases = drawReplacements(random, PLANNED_WORK_MS);
   const versions = drawVersions(random, PLANNED_WORK_MS);
   const stop = { type: 'stop-in-turn', gateways: [random.nextBelow(gateways)] } as const;
-  return [...releases, ...(endsQuietly ? [] : versions), { atMs: PLANNED_STOP_MS, fault: stop }];
+  return [
+    ...releases,
+    ...(endsWithoutVersions ? [] : versions),
+    { atMs: PLANNED_STOP_MS, fault: stop },
+  ];
 };
 
 /** Runs of smaller seeds have none: those that have failed stay what they were. */
-const FIRST_LETHAL_SEED = 1_000;
+const FIRST_POISON_SEED = 1_000;
 
-const MOST_LETHAL_REQUESTS = 2;
+const MAX_POISON_REQUESTS = 2;
 
 /** Shortest and longest usual time between two callers of a lethal request, in milliseconds. */
-const LEAST_LETHAL_MS = 300;
-const MOST_LETHAL_MS = 5_000;
+const MIN_POISON_INTERVAL_MS = 300;
+const MAX_POISON_INTERVAL_MS = 5_000;
 
-const drawLethalRequests = (seed: number): readonly LethalRequest[] => {
-  if (seed < FIRST_LETHAL_SEED) {
+const drawPoisonRequests = (seed: number): readonly PoisonRequest[] => {
+  if (seed < FIRST_POISON_SEED) {
     return [];
   }
   const random = streamOf(seed, 'lethal');
   const prefixes = [PREFIXES.gather, PREFIXES.moving, PREFIXES.once];
-  return Array.from({ length: 1 + random.nextBelow(MOST_LETHAL_REQUESTS) }, () => ({
+  return Array.from({ length: 1 + random.nextBelow(MAX_POISON_REQUESTS) }, () => ({
     prefix: prefixes[random.nextBelow(prefixes.length)] ?? PREFIXES.gather,
-    everyMs: LEAST_LETHAL_MS + random.nextBelow(MOST_LETHAL_MS - LEAST_LETHAL_MS),
+    intervalMs:
+      MIN_POISON_INTERVAL_MS + random.nextBelow(MAX_POISON_INTERVAL_MS - MIN_POISON_INTERVAL_MS),
   }));
 };
 
 /** In runs of smaller seeds the store never returns from a copy: those that have failed stay what they were. */
-const FIRST_RETURN_SEED = 2_000;
+const FIRST_RESTORE_SEED = 2_000;
 
 /**
  * In runs of smaller seeds replicas end at once and for all callers that wait, have a new identifier with each start, and
@@ -177,32 +182,32 @@
 const FIRST_ENTRY_SEED = 3_000;
 
 /** Of these runs every second one has no returns: little can be judged of entries while the store is never calm. */
-const hasStoreReturns = (seed: number): boolean =>
-  seed >= FIRST_RETURN_SEED && (seed < FIRST_ENTRY_SEED || seed % 2 === 0);
+const hasStoreRestores = (seed: number): boolean =>
+  seed >= FIRST_RESTORE_SEED && (seed < FIRST_ENTRY_SEED || seed % 2 === 0);
 
 /** Longest time until a caller of a lethal request leaves, and until a replica ends under it, in milliseconds. */
-const LONGEST_LETHAL_WAIT_MS = 200;
-const LONGEST_LETHAL_RUN_MS = 400;
+const MAX_POISON_WAIT_MS = 200;
+const MAX_POISON_RUN_MS = 400;
 
 /** Lets the callers of half of the lethal requests leave, mostly before the replicas end. */
-const drawLeaving = (
+const drawAbandonment = (
   random: Random,
-  requests: readonly LethalRequest[],
-): readonly LethalRequest[] =>
+  requests: readonly PoisonRequest[],
+): readonly PoisonRequest[] =>
   requests.map((request) =>
     random.nextBelow(2) === 0
       ? request
-      : { ...request, leavesAfterMs: 10 + random.nextBelow(LONGEST_LETHAL_WAIT_MS) },
+      : { ...request, leavesAfterMs: 10 + random.nextBelow(MAX_POISON_WAIT_MS) },
   );
 
 /** Entries that are spoilt after the faults, once the store has been calm, and for how long, in milliseconds. */
-const CALM_SPOILT_ENTRIES = 3;
-const CALM_SPOILT_MS = 6_000;
+const FINAL_SPOILT_ENTRIES = 3;
+const FINAL_SPOILT_MS = 6_000;
 
 const drawSpoiltEntries = (random: Random): readonly ScheduledFault[] =>
-  Array.from({ length: CALM_SPOILT_ENTRIES }, () => ({
+  Array.from({ length: FINAL_SPOILT_ENTRIES }, () => ({
     atMs: PLANNED_STOP_MS,
-    fault: { type: 'entry-spoilt', service: drawService(random), forMs: CALM_SPOILT_MS },
+    fault: { type: 'entry-spoilt', service: drawService(random), forMs: FINAL_SPOILT_MS },
   }));
 
 /** Draws a run. */
@@ -216,13 +221,13 @@
   const { seed, gateways } = options;
   const lastVersion = streamOf(seed, 'last-version');
   // Half of the runs end with a version that comes during trouble, and have none after it.
-  const endsQuietly = lastVersion.nextBelow(2) === 0;
+  const endsWithoutVersions = lastVersion.nextBelow(2) === 0;
   const peerTroubles = usesPeerLinks
-    ? drawPeerTroubles(streamOf(seed, 'peer-links'), faultsMs, gateways)
+    ? drawPeerLinkFaults(streamOf(seed, 'peer-links'), faultsMs, gateways)
     : [];
   const hasEntryFaults = seed >= FIRST_ENTRY_SEED;
   const entries = streamOf(seed, 'entries');
-  const lethalRequests = drawLethalRequests(seed);
+  const poisonRequests = drawPoisonRequests(seed);
   return {
     ...options,
     bounds: { ...BOUNDS, retrySlack },
@@ -234,15 +239,17 @@
       ...drawSchedule(streamOf(seed, 'schedule'), faultsMs, gateways),
       ...drawVersions(streamOf(seed, 'versions'), faultsMs),
       ...peerTroubles,
-      ...(endsQuietly ? drawLastVersion(lastVersion, faultsMs) : []),
-      ...(hasStoreReturns(seed) ? drawStoreReturns(streamOf(seed, 'store-returns'), faultsMs) : []),
+      ...(endsWithoutVersions ? drawLastVersion(lastVersion, faultsMs) : []),
+      ...(hasStoreRestores(seed)
+        ? drawStoreRestores(streamOf(seed, 'store-returns'), faultsMs)
+        : []),
       ...(hasEntryFaults ? drawEntryFaults(entries, faultsMs) : []),
     ],
-    lethalRequests: hasEntryFaults ? drawLeaving(entries, lethalRequests) : lethalRequests,
-    lethalAfterMs: hasEntryFaults ? entries.nextBelow(LONGEST_LETHAL_RUN_MS) : 0,
-    tellsStarts: hasEntryFaults,
+    poisonRequests: hasEntryFaults ? drawAbandonment(entries, poisonRequests) : poisonRequests,
+    poisonCrashDelayMs: hasEntryFaults ? entries.nextBelow(MAX_POISON_RUN_MS) : 0,
+    publishesStartTimes: hasEntryFaults,
     plannedWork: [
-      ...drawPlannedWork(seed, gateways, endsQuietly),
+      ...drawPlannedWork(seed, gateways, endsWithoutVersions),
       ...(hasEntryFaults ? drawSpoiltEntries(entries) : []),
     ],
   };
--- a/soak/model/schedule.ts
+++ b/soak/model/schedule.ts
@@ -6,13 +6,13 @@
 export type StoreOutage = 'resetting' | 'silent' | 'busy' | 'throttling';
 
 /** How a proxy treats connections: those of a gateway to the store, or of its peers to a gateway. */
-export type LinkTrouble = 'refuse' | 'silence' | 'delay';
+export type LinkFailure = 'refuse' | 'silence' | 'delay';
 
 /** Trouble with the links of some gateways; the duration in milliseconds. */
 export interface LinkFault<Type extends 'store-link' | 'peer-link'> {
   readonly type: Type;
   readonly gateways: readonly number[];
-  readonly trouble: LinkTrouble;
+  readonly trouble: LinkFailure;
   readonly forMs: number;
 }
 
@@ -57,21 +57,21 @@
 }
 
 /** Time before the end of the faults in which none begins, in milliseconds: the last ones must end. */
-const LAST_START_MS = 4_000;
+const QUIET_END_MS = 4_000;
 
 /** Longest pause between two faults; one of three comes at once with the one before. */
-const LONGEST_GAP_MS = 5_000;
+const MAX_GAP_MS = 5_000;
 
 /** Longest trouble with the store, a link or a replica, in milliseconds. */
-const LONGEST_TROUBLE_MS = 4_000;
+const MAX_FAULT_MS = 4_000;
 
 /** Longest pause of a process, in milliseconds: some are shorter than a probe, some longer. */
-const LONGEST_PAUSE_MS = 6_000;
+const MAX_PROCESS_PAUSE_MS = 6_000;
 
 const pick = <Value>(random: Random, values: readonly [Value, ...Value[]]): Value =>
   values[random.nextBelow(values.length)] ?? values[0];
 
-const between = (random: Random, least: number, most: number): number =>
+const drawBetween = (random: Random, least: number, most: number): number =>
   least + random.nextBelow(most - least + 1);
 
 /** `count` different gateways, in any order. */
@@ -86,55 +86,59 @@
 export const drawService = (random: Random): string =>
   SERVICES[random.nextBelow(SERVICES.length)] ?? 'desk';
 
-const troubleMs = (random: Random): number => between(random, 300, LONGEST_TROUBLE_MS);
+const drawFaultMs = (random: Random): number => drawBetween(random, 300, MAX_FAULT_MS);
 
-type Draw = (random: Random, gateways: number) => Fault;
+type FaultDraw = (random: Random, gateways: number) => Fault;
 
 /** One entry for each kind of fault; those that stand more than once are drawn more often. */
-const DRAWS: readonly [Draw, ...Draw[]] = [
+const FAULT_DRAWS: readonly [FaultDraw, ...FaultDraw[]] = [
   (random, gateways) => ({
     type: 'stop-in-turn',
-    gateways: pickGateways(random, gateways, between(random, 1, 3)),
+    gateways: pickGateways(random, gateways, drawBetween(random, 1, 3)),
   }),
   (random, gateways) => ({
     type: 'kill',
     gateways: pickGateways(random, gateways, 1),
-    downMs: between(random, 200, 3_000),
+    downMs: drawBetween(random, 200, 3_000),
   }),
   (random, gateways) => ({
     type: 'kill',
-    gateways: pickGateways(random, gateways, between(random, 2, gateways)),
-    downMs: between(random, 200, 1_500),
+    gateways: pickGateways(random, gateways, drawBetween(random, 2, gateways)),
+    downMs: drawBetween(random, 200, 1_500),
   }),
   (random, gateways) => ({
     type: 'pause',
     gateway: random.nextBelow(gateways),
-    forMs: between(random, 200, LONGEST_PAUSE_MS),
+    forMs: drawBetween(random, 200, MAX_PROCESS_PAUSE_MS),
   }),
   (random, gateways) => ({
     type: 'reload',
-    gateways: pickGateways(random, gateways, between(random, 1, gateways)),
+    gateways: pickGateways(random, gateways, drawBetween(random, 1, gateways)),
+  }),
+  (random) => ({ type: 'configure', count: 1, gapMs: drawBetween(random, 0, 500) }),
+  (random) => ({
+    type: 'configure',
+    count: drawBetween(random, 2, 8),
+    gapMs: drawBetween(random, 0, 600),
   }),
-  (random) => ({ type: 'configure', count: 1, gapMs: between(random, 0, 500) }),
-  (random) => ({ type: 'configure', count: between(random, 2, 8), gapMs: between(random, 0, 600) }),
   (random) => ({
     type: 'delay-watches',
-    delayMs: between(random, 200, 2_000),
-    forMs: troubleMs(random),
+    delayMs: drawBetween(random, 200, 2_000),
+    forMs: drawFaultMs(random),
   }),
-  (random) => ({ type: 'mute-watches', forMs: troubleMs(random) }),
-  (random) => ({ type: 'change-and-forget', muteMs: between(random, 500, 1_500) }),
+  (random) => ({ type: 'mute-watches', forMs: drawFaultMs(random) }),
+  (random) => ({ type: 'change-and-forget', muteMs: drawBetween(random, 500, 1_500) }),
   (random) => ({
     type: 'store-down',
     outage: pick(random, ['resetting', 'silent', 'busy', 'throttling']),
-    forMs: troubleMs(random),
+    forMs: drawFaultMs(random),
   }),
-  (random) => ({ type: 'store-loses-answers', forMs: troubleMs(random) }),
+  (random) => ({ type: 'store-loses-answers', forMs: drawFaultMs(random) }),
   (random, gateways) => ({
     type: 'store-link',
-    gateways: pickGateways(random, gateways, between(random, 1, Math.ceil(gateways / 2))),
+    gateways: pickGateways(random, gateways, drawBetween(random, 1, Math.ceil(gateways / 2))),
     trouble: pick(random, ['refuse', 'silence', 'delay']),
-    forMs: troubleMs(random),
+    forMs: drawFaultMs(random),
   }),
   (random) => ({
     type: 'replica-leaves',
@@ -149,42 +153,42 @@
   (random) => ({
     type: 'replica-loses-answers',
     service: drawService(random),
-    forMs: troubleMs(random),
+    forMs: drawFaultMs(random),
   }),
 ];
 
 /** Shortest and longest pause between two versions that come besides, in milliseconds. */
-const LEAST_VERSION_GAP_MS = 1_500;
-const MOST_VERSION_GAP_MS = 4_500;
+const MIN_VERSION_GAP_MS = 1_500;
+const MAX_VERSION_GAP_MS = 4_500;
 
 /** Draws versions of the configuration that come all through a run, besides those of its faults. */
 export const drawVersions = (random: Random, durationMs: number): readonly ScheduledFault[] => {
   const schedule: ScheduledFault[] = [];
-  for (let atMs = 0; atMs < durationMs - LAST_START_MS;) {
+  for (let atMs = 0; atMs < durationMs - QUIET_END_MS;) {
     schedule.push({ atMs, fault: { type: 'configure', count: 1, gapMs: 0 } });
-    atMs += between(random, LEAST_VERSION_GAP_MS, MOST_VERSION_GAP_MS);
+    atMs += drawBetween(random, MIN_VERSION_GAP_MS, MAX_VERSION_GAP_MS);
   }
   return schedule;
 };
 
 /** Longest time from the beginning of the last trouble to the last version, in milliseconds. */
-const LAST_VERSION_WITHIN_MS = 2_000;
+const MAX_LAST_VERSION_DELAY_MS = 2_000;
 
 /**
  * Draws the end of a run after which no version comes: trouble with the store, and a version meanwhile. A
  * gateway that has missed it does not learn it with the next one.
  */
 export const drawLastVersion = (random: Random, durationMs: number): readonly ScheduledFault[] => {
-  const forMs = troubleMs(random);
+  const forMs = drawFaultMs(random);
   const trouble = pick<Fault>(random, [
-    { type: 'change-and-forget', muteMs: between(random, 500, 1_500) },
+    { type: 'change-and-forget', muteMs: drawBetween(random, 500, 1_500) },
     { type: 'mute-watches', forMs },
-    { type: 'delay-watches', delayMs: between(random, 200, 2_000), forMs },
+    { type: 'delay-watches', delayMs: drawBetween(random, 200, 2_000), forMs },
     { type: 'store-loses-answers', forMs },
     { type: 'store-down', outage: 'silent', forMs },
   ]);
-  const atMs = durationMs - LAST_START_MS;
-  const versionAtMs = atMs + random.nextBelow(LAST_VERSION_WITHIN_MS);
+  const atMs = durationMs - QUIET_END_MS;
+  const versionAtMs = atMs + random.nextBelow(MAX_LAST_VERSION_DELAY_MS);
   return [
     { atMs, fault: trouble },
     { atMs: versionAtMs, fault: { type: 'configure', count: 1, gapMs: 0 } },
@@ -192,93 +196,96 @@
 };
 
 /** Shortest and longest pause between two replicas that are replaced, in milliseconds. */
-const LEAST_RELEASE_GAP_MS = 300;
-const MOST_RELEASE_GAP_MS = 1_500;
+const MIN_REPLACEMENT_GAP_MS = 300;
+const MAX_REPLACEMENT_GAP_MS = 1_500;
 
 /** Draws replicas that are replaced one after the other. */
-export const drawReleases = (random: Random, durationMs: number): readonly ScheduledFault[] => {
+export const drawReplacements = (random: Random, durationMs: number): readonly ScheduledFault[] => {
   const schedule: ScheduledFault[] = [];
   for (let atMs = 0; atMs < durationMs;) {
     const how = pick<'drain' | 'vanish'>(random, ['drain', 'vanish']);
     schedule.push({ atMs, fault: { type: 'replica-leaves', service: drawService(random), how } });
-    atMs += between(random, LEAST_RELEASE_GAP_MS, MOST_RELEASE_GAP_MS);
+    atMs += drawBetween(random, MIN_REPLACEMENT_GAP_MS, MAX_REPLACEMENT_GAP_MS);
   }
   return schedule;
 };
 
 /** Shortest and longest pause between troubles of links between gateways, in milliseconds. */
-const LEAST_PEER_GAP_MS = 3_000;
-const MOST_PEER_GAP_MS = 10_000;
+const MIN_PEER_GAP_MS = 3_000;
+const MAX_PEER_GAP_MS = 10_000;
 
 /** Draws trouble with the connections of gateways to one another, besides the other faults. */
-export const drawPeerTroubles = (
+export const drawPeerLinkFaults = (
   random: Random,
   durationMs: number,
   gateways: number,
 ): readonly ScheduledFault[] => {
   const schedule: ScheduledFault[] = [];
-  for (let atMs = 0; atMs < durationMs - LAST_START_MS;) {
+  for (let atMs = 0; atMs < durationMs - QUIET_END_MS;) {
     const fault: Fault = {
       type: 'peer-link',
-      gateways: pickGateways(random, gateways, between(random, 1, Math.ceil(gateways / 2))),
+      gateways: pickGateways(random, gateways, drawBetween(random, 1, Math.ceil(gateways / 2))),
       trouble: pick(random, ['refuse', 'silence', 'delay']),
-      forMs: troubleMs(random),
+      forMs: drawFaultMs(random),
     };
     schedule.push({ atMs, fault });
-    atMs += between(random, LEAST_PEER_GAP_MS, MOST_PEER_GAP_MS);
+    atMs += drawBetween(random, MIN_PEER_GAP_MS, MAX_PEER_GAP_MS);
   }
   return schedule;
 };
 
 /** Oldest copy, longest time away, and time in which all is written again, in milliseconds. */
-const OLDEST_COPY_MS = 10_000;
-const LONGEST_AWAY_MS = 3_000;
-const LONGEST_REWRITE_MS = 2_000;
+const MAX_BACKUP_AGE_MS = 10_000;
+const MAX_OUTAGE_MS = 3_000;
+const MAX_REWRITE_MS = 2_000;
 
 /** Shortest and longest pause between two returns, in milliseconds; one of three follows the one before at once. */
-const LEAST_RETURN_GAP_MS = 4_000;
-const MOST_RETURN_GAP_MS = 10_000;
+const MIN_RESTORE_GAP_MS = 4_000;
+const MAX_RESTORE_GAP_MS = 10_000;
 
 /** Draws returns of the store from copies, besides the other faults. */
-export const drawStoreReturns = (random: Random, durationMs: number): readonly ScheduledFault[] => {
+export const drawStoreRestores = (
+  random: Random,
+  durationMs: number,
+): readonly ScheduledFault[] => {
   const schedule: ScheduledFault[] = [];
-  for (let atMs = 0; atMs < durationMs - LAST_START_MS;) {
+  for (let atMs = 0; atMs < durationMs - QUIET_END_MS;) {
     const fault: Fault = {
       type: 'store-returns',
       outage: pick(random, ['resetting', 'silent', 'busy', 'throttling']),
-      copyAgeMs: random.nextBelow(OLDEST_COPY_MS),
-      awayMs: between(random, 50, LONGEST_AWAY_MS),
-      rewriteMs: random.nextBelow(LONGEST_REWRITE_MS),
+      copyAgeMs: random.nextBelow(MAX_BACKUP_AGE_MS),
+      awayMs: drawBetween(random, 50, MAX_OUTAGE_MS),
+      rewriteMs: random.nextBelow(MAX_REWRITE_MS),
     };
     schedule.push({ atMs, fault });
     const isSeries = random.nextBelow(3) === 0;
-    atMs += isSeries ? 100 : between(random, LEAST_RETURN_GAP_MS, MOST_RETURN_GAP_MS);
+    atMs += isSeries ? 100 : drawBetween(random, MIN_RESTORE_GAP_MS, MAX_RESTORE_GAP_MS);
   }
   return schedule;
 };
 
 /** Shortest and longest time for which a replica is down that starts again, and for which an entry is spoilt. */
-const LEAST_DOWN_MS = 50;
-const MOST_DOWN_MS = 3_000;
-const LEAST_SPOILT_MS = 1_000;
-const MOST_SPOILT_MS = 9_000;
+const MIN_DOWN_MS = 50;
+const MAX_DOWN_MS = 3_000;
+const MIN_SPOILT_MS = 1_000;
+const MAX_SPOILT_MS = 9_000;
 
 /** Shortest and longest pause between two of these, in milliseconds; one of three follows the one before at once. */
-const LEAST_ENTRY_GAP_MS = 1_000;
-const MOST_ENTRY_GAP_MS = 5_000;
+const MIN_ENTRY_GAP_MS = 1_000;
+const MAX_ENTRY_GAP_MS = 5_000;
 
 /** Draws replicas that start again under their identifiers, and entries of other writers, besides the other faults. */
 export const drawEntryFaults = (random: Random, durationMs: number): readonly ScheduledFault[] => {
   const schedule: ScheduledFault[] = [];
-  for (let atMs = 0; atMs < durationMs - LAST_START_MS;) {
+  for (let atMs = 0; atMs < durationMs - QUIET_END_MS;) {
     const service = drawService(random);
     const fault = pick<Fault>(random, [
-      { type: 'replica-restarts', service, downMs: between(random, LEAST_DOWN_MS, MOST_DOWN_MS) },
-      { type: 'entry-spoilt', service, forMs: between(random, LEAST_SPOILT_MS, MOST_SPOILT_MS) },
+      { type: 'replica-restarts', service, downMs: drawBetween(random, MIN_DOWN_MS, MAX_DOWN_MS) },
+      { type: 'entry-spoilt', service, forMs: drawBetween(random, MIN_SPOILT_MS, MAX_SPOILT_MS) },
     ]);
     schedule.push({ atMs, fault });
     const isSeries = random.nextBelow(3) === 0;
-    atMs += isSeries ? 100 : between(random, LEAST_ENTRY_GAP_MS, MOST_ENTRY_GAP_MS);
+    atMs += isSeries ? 100 : drawBetween(random, MIN_ENTRY_GAP_MS, MAX_ENTRY_GAP_MS);
   }
   return schedule;
 };
@@ -290,10 +297,10 @@
   gateways: number,
 ): readonly ScheduledFault[] => {
   const schedule: ScheduledFault[] = [];
-  for (let atMs = 0; atMs < durationMs - LAST_START_MS;) {
-    schedule.push({ atMs, fault: pick(random, DRAWS)(random, gateways) });
+  for (let atMs = 0; atMs < durationMs - QUIET_END_MS;) {
+    schedule.push({ atMs, fault: pick(random, FAULT_DRAWS)(random, gateways) });
     const isTogether = random.nextBelow(3) === 0;
-    atMs += isTogether ? random.nextBelow(300) : random.nextBelow(LONGEST_GAP_MS);
+    atMs += isTogether ? random.nextBelow(300) : random.nextBelow(MAX_GAP_MS);
   }
   return schedule;
 };
--- a/soak/report.ts
+++ b/soak/report.ts
@@ -2,16 +2,16 @@
 import { readFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import { PROMISES, type Violation } from './checker/violation.js';
-import type { PlayedFault } from './faults/fault-runner.js';
+import type { ExecutedFault } from './faults/fault-runner.js';
 import type { SoakResult } from './run-soak.js';
 
 /** Violations of one promise that are shown; the rest is counted. */
-const SHOWN_OF_A_PROMISE = 3;
+const MAX_SHOWN_PER_PROMISE = 3;
 
 /** Lines about beliefs of the gateway that are shown, from this long before the violation. */
 const LOG_BEFORE_MS = 8_000;
 const LOG_AFTER_MS = 500;
-const MOST_LOG_LINES = 40;
+const MAX_LOG_LINES = 40;
 
 interface LogLine {
   readonly time: number;
@@ -41,23 +41,23 @@
       ? requestId !== undefined && line.requestId === requestId
       : isNear;
   };
-  return log.split('\n').filter(isWanted).slice(-MOST_LOG_LINES);
+  return log.split('\n').filter(isWanted).slice(-MAX_LOG_LINES);
 };
 
-const describeFault = ({ fault, from, to }: PlayedFault, began: number): string => {
+const describeFault = ({ fault, from, to }: ExecutedFault, startedAt: number): string => {
   const { type, ...fields } = fault;
-  const end = to === undefined ? '' : ` to ${Math.round(to - began)}`;
-  return `  ${Math.round(from - began)}${end}: ${type} ${JSON.stringify(fields)}`;
+  const end = to === undefined ? '' : ` to ${Math.round(to - startedAt)}`;
+  return `  ${Math.round(from - startedAt)}${end}: ${type} ${JSON.stringify(fields)}`;
 };
 
 const describeViolation = async (
-  { folder, began }: SoakResult,
+  { folder, startedAt }: SoakResult,
   violation: Violation,
 ): Promise<readonly string[]> => {
   const { promise, at, gateway, requestId, text } = violation;
   const where = gateway === undefined ? '' : ` front-${gateway + 1}`;
   const about = requestId === undefined ? '' : ` ${requestId}`;
-  const head = `BROKEN ${promise} at ${Math.round(at - began)}${where}${about}: ${text}`;
+  const head = `BROKEN ${promise} at ${Math.round(at - startedAt)}${where}${about}: ${text}`;
   if (gateway === undefined) {
     return [head];
   }
@@ -76,7 +76,7 @@
 };
 
 const summarize = (result: SoakResult): readonly string[] => {
-  const { plan, observations, violations, judged } = result;
+  const { plan, observations, violations, caseCounts } = result;
   const { requests, arrivals, versions, disturbances } = observations;
   const stalls = disturbances.filter(({ scope }) => scope.type === 'everything');
   const stalledMs = stalls.reduce((sum, { from, to }) => sum + to - from, 0);
@@ -84,7 +84,7 @@
     `seed ${plan.seed}: ${plan.gateways} gateways, ${plan.schedule.length} faults, ` +
       `${versions.length} versions, at most ${plan.maxConnections} connections of a replica`,
     `  ${requests.length} requests (${countOutcomes(result)}), ${arrivals.length} arrivals`,
-    `  judged: ${[...judged].map(([promise, cases]) => `${promise} ${cases}`).join(', ')}`,
+    `  judged: ${[...caseCounts].map(([promise, cases]) => `${promise} ${cases}`).join(', ')}`,
     `  the soak itself stood still ${stalls.length} times, ${Math.round(stalledMs)} ms in all`,
     violations.length === 0 ? '  every promise held' : `  ${violations.length} violations`,
   ];
@@ -92,18 +92,18 @@
 
 /** The report of a run, line by line. Times are milliseconds since the calls began. */
 export const formatReport = async (result: SoakResult): Promise<readonly string[]> => {
-  const { violations, played, began, folder, plan } = result;
+  const { violations, executed, startedAt, folder, plan } = result;
   if (violations.length === 0) {
     return summarize(result);
   }
   const shown = PROMISES.flatMap((promise) =>
-    violations.filter((each) => each.promise === promise).slice(0, SHOWN_OF_A_PROMISE),
+    violations.filter((each) => each.promise === promise).slice(0, MAX_SHOWN_PER_PROMISE),
   );
   const described = await Promise.all(shown.map((each) => describeViolation(result, each)));
   return [
     ...summarize(result),
     'faults as they were played:',
-    ...played.map((each) => describeFault(each, began)),
+    ...executed.map((each) => describeFault(each, startedAt)),
     ...described.flat(),
     `  ${violations.length - shown.length} more violations; whole logs: ${folder}`,
     `  again: npm run soak -- --seed ${plan.seed} --gateways ${plan.gateways} ` +
--- a/soak/run-soak.ts
+++ b/soak/run-soak.ts
@@ -5,8 +5,8 @@
 import { bundlePlatform } from '../test/runtime/compiled-source.js';
 import { checkRun } from './checker/check-run.js';
 import type { CheckedRun } from './checker/evidence.js';
-import type { Promised, Violation } from './checker/violation.js';
-import { FaultRunner, type PlayedFault } from './faults/fault-runner.js';
+import type { PromiseName, Violation } from './checker/violation.js';
+import { FaultRunner, type ExecutedFault } from './faults/fault-runner.js';
 import type { Observations } from './model/observations.js';
 import { drawPlan, type SoakOptions, type SoakPlan, streamOf } from './model/plan.js';
 import { watchForStalls } from './world/recorder.js';
@@ -15,22 +15,22 @@
 const ROOT = resolve(import.meta.dirname, '..');
 
 /** With fewer connections for each gateway than this, gathers may go by way of feeders. */
-const CONNECTIONS_WITHOUT_FEEDERS = 2;
+const MIN_CONNECTIONS_WITHOUT_FEEDERS = 2;
 
 /** How often the warm-up looks whether all are ready, in milliseconds, and how long it waits at most. */
 const READY_CHECK_MS = 100;
-const READY_WITHIN_MS = 30_000;
+const READY_TIMEOUT_MS = 30_000;
 
 /** The run and what came of it. */
 export interface SoakResult {
   readonly plan: SoakPlan;
   readonly observations: Observations;
-  readonly played: readonly PlayedFault[];
+  readonly executed: readonly ExecutedFault[];
   readonly violations: readonly Violation[];
   /** How many cases of each promise were judged. */
-  readonly judged: ReadonlyMap<Promised, number>;
+  readonly caseCounts: ReadonlyMap<PromiseName, number>;
   /** When the calls began, in milliseconds on the steady clock. */
-  readonly began: number;
+  readonly startedAt: number;
   /** Folder with the logs of the gateways. */
   readonly folder: string;
 }
@@ -45,8 +45,8 @@
   return run.split(' ');
 };
 
-const untilAllReady = async ({ observations, gateways }: SoakWorld): Promise<void> => {
-  const giveUpAt = performance.now() + READY_WITHIN_MS;
+const waitUntilAllReady = async ({ observations, gateways }: SoakWorld): Promise<void> => {
+  const giveUpAt = performance.now() + READY_TIMEOUT_MS;
   const isReady = (number: number): boolean =>
     observations.readiness.findLast(({ gateway }) => gateway === number)?.ready ?? false;
   while (!gateways.every(({ number }) => isReady(number))) {
@@ -60,24 +60,24 @@
 const checkedRunOf = ({ bounds, gateways, maxConnections }: SoakPlan): CheckedRun => ({
   bounds,
   gateways,
-  usesFeeders: maxConnections < CONNECTIONS_WITHOUT_FEEDERS * gateways,
+  usesFeeders: maxConnections < MIN_CONNECTIONS_WITHOUT_FEEDERS * gateways,
 });
 
-const playPlan = async (world: SoakWorld, plan: SoakPlan): Promise<readonly PlayedFault[]> => {
+const executePlan = async (world: SoakWorld, plan: SoakPlan): Promise<readonly ExecutedFault[]> => {
   const { observations } = world;
   const faults = new FaultRunner(world, streamOf(plan.seed, 'store-returns', 1));
-  world.beginCalls();
+  world.startCallers();
   const warm = pause(plan.warmUpMs);
-  await untilAllReady(world);
+  await waitUntilAllReady(world);
   await warm;
-  world.beginLethalCalls();
-  await faults.play(plan.schedule);
+  world.startPoisonCallers();
+  await faults.runSchedule(plan.schedule);
   observations.faultsEndedAt = performance.now();
   const calm = pause(plan.bounds.recoveryMs + plan.finalMs);
-  await faults.play(plan.plannedWork);
+  await faults.runSchedule(plan.plannedWork);
   await calm;
   await world.callers.stop();
-  return faults.played;
+  return faults.executed;
 };
 
 /** Plays a run. */
@@ -89,15 +89,15 @@
   const runtimeFlags = await readRuntimeFlags();
   const world = await SoakWorld.start(plan, { program: bundle.main, runtimeFlags, folder });
   const { observations } = world;
-  const endStallWatch = watchForStalls(observations);
-  const began = performance.now();
+  const stopStallWatch = watchForStalls(observations);
+  const startedAt = performance.now();
   try {
-    const played = await playPlan(world, plan);
-    endStallWatch();
+    const executed = await executePlan(world, plan);
+    stopStallWatch();
     const verdict = checkRun(observations, checkedRunOf(plan));
-    return { plan, observations, played, ...verdict, began, folder };
+    return { plan, observations, executed, ...verdict, startedAt, folder };
   } finally {
-    endStallWatch();
+    stopStallWatch();
     await world.stop();
     await bundle.remove();
   }
--- a/soak/world/answer-body.ts
+++ b/soak/world/answer-body.ts
@@ -5,7 +5,7 @@
 export const RECORD_BYTES = 16;
 
 /** Longest body, in digests of 32 bytes. */
-const MOST_BLOCKS = 40;
+const MAX_BLOCKS = 40;
 
 /** A short digest by which bodies are compared. */
 export const digestOf = (body: Uint8Array): string =>
@@ -14,7 +14,7 @@
 /** The body of the answer with a signature: up to some 1,200 bytes, the last record often incomplete. */
 export const bodyOf = (signature: string): Buffer => {
   const first = createHash('sha256').update(signature).digest();
-  const blocks = 1 + ((first[0] ?? 0) % MOST_BLOCKS);
+  const blocks = 1 + ((first[0] ?? 0) % MAX_BLOCKS);
   const chunks = Array.from({ length: blocks }, (_, index) =>
     createHash('sha256').update(`${signature}/${index}`).digest(),
   );
--- a/soak/world/caller-connection.ts
+++ b/soak/world/caller-connection.ts
@@ -8,7 +8,7 @@
 const HEADERS = platformProtocol.headers;
 
 /** How long a caller waits for an answer after its deadline, in milliseconds. */
-const PATIENCE_MS = 1_500;
+const EXPIRY_SLACK_MS = 1_500;
 
 /** What a caller sends. */
 export interface CallerQuery {
@@ -58,7 +58,7 @@
 export const sendQuery = (host: string, query: CallerQuery): Promise<CallerResult> =>
   new Promise((resolve) => {
     let sentAt: number | undefined;
-    let intent: 'left' | 'expired' | undefined;
+    let abandonReason: 'left' | 'expired' | undefined;
     const timers: NodeJS.Timeout[] = [];
     const finish = (outcome: Outcome): void => {
       timers.forEach((timer) => clearTimeout(timer));
@@ -66,7 +66,7 @@
       resolve({ sentAt: sentAt ?? endedAt, endedAt, outcome });
     };
     const fail = (): void =>
-      finish({ type: intent ?? (sentAt === undefined ? 'unreachable' : 'cut') });
+      finish({ type: abandonReason ?? (sentAt === undefined ? 'unreachable' : 'cut') });
     const outgoing = sendRequest({
       host: '127.0.0.1',
       port: query.port,
@@ -80,24 +80,24 @@
         ...(query.body !== '' && { 'content-length': String(Buffer.byteLength(query.body)) }),
       },
     });
-    const giveUp = (reason: 'left' | 'expired'): void => {
-      intent ??= reason;
+    const abandon = (reason: 'left' | 'expired'): void => {
+      abandonReason ??= reason;
       outgoing.destroy();
     };
-    const noteSent = (): void => {
+    const recordSent = (): void => {
       sentAt = performance.now();
       if (query.leavesAfterMs !== undefined) {
-        timers.push(setTimeout(() => giveUp('left'), query.leavesAfterMs));
+        timers.push(setTimeout(() => abandon('left'), query.leavesAfterMs));
       }
     };
     outgoing.on('socket', (socket: Socket) => {
       if (socket.connecting) {
-        socket.once('connect', noteSent);
+        socket.once('connect', recordSent);
       } else {
-        noteSent();
+        recordSent();
       }
     });
-    timers.push(setTimeout(() => giveUp('expired'), query.budgetMs + PATIENCE_MS));
+    timers.push(setTimeout(() => abandon('expired'), query.budgetMs + EXPIRY_SLACK_MS));
     outgoing.on('error', fail);
     outgoing.on('response', (incoming) => {
       const chunks: Buffer[] = [];
--- a/soak/world/callers.ts
+++ b/soak/world/callers.ts
@@ -3,46 +3,46 @@
 import { setTimeout as pause } from 'node:timers/promises';
 import type { Random } from '../../src/core/random.js';
 import { HOST } from '../../test/platform/operator-spec.js';
-import { type Observations, UNKNOWN_LIFE } from '../model/observations.js';
-import { type LethalRequest, streamOf } from '../model/plan.js';
+import { type Observations, UNKNOWN_INCARNATION } from '../model/observations.js';
+import { type PoisonRequest, streamOf } from '../model/plan.js';
 import { digestOf } from './answer-body.js';
 import { type CallerQuery, sendQuery } from './caller-connection.js';
 import type { GatewayProcess } from './gateway-process.js';
 import type { Operator } from './operator.js';
-import { lethalPathOf, pathOf } from './paths.js';
+import { poisonPathOf, pathOf } from './paths.js';
 import { isReady } from './readiness.js';
 import { markerPrefix, PREFIXES } from './routes.js';
 
 /** Shortest and longest pause of a caller between two requests, in milliseconds. */
-const SHORTEST_PAUSE_MS = 40;
-const LONGEST_PAUSE_MS = 220;
+const MIN_PAUSE_MS = 40;
+const MAX_PAUSE_MS = 220;
 
 /** Pause of a caller that found no open port, in milliseconds. */
 const UNREACHABLE_PAUSE_MS = 100;
 
 /** Pause between two questions for a route that was added or removed lately, in milliseconds. */
-const MARKER_PAUSE_MS = 120;
+const MARKER_INTERVAL_MS = 120;
 
 /** Pause between two questions for readiness, in milliseconds; the platform asks each second. */
-const READINESS_PAUSE_MS = 500;
+const READINESS_INTERVAL_MS = 500;
 
 /** Time that callers give, in milliseconds. */
-const BUDGET_MS = 2_000;
+const TIME_BUDGET_MS = 2_000;
 
 /** One of so many callers' requests is given up by its caller. */
-const LEAVES_ONE_OF = 12;
+const ABANDONED_ONE_IN = 12;
 
 /** Work of usual requests, and of those that their callers give up, in milliseconds. */
-const SHORTEST_WORK_MS = 1;
-const LONGEST_WORK_MS = 40;
-const WORK_OF_LEAVERS_MS = 1_400;
+const MIN_WORK_MS = 1;
+const MAX_WORK_MS = 40;
+const ABANDONED_WORK_MS = 1_400;
 
 /** Longest time that a leaving caller waits, in milliseconds. */
-const LONGEST_WAIT_MS = 400;
+const MAX_WAIT_MS = 400;
 
-const MOST_BODY_LETTERS = 2_000;
+const MAX_BODY_LETTERS = 2_000;
 
-interface Draft {
+interface RequestDraft {
   readonly method: string;
   readonly prefix: string;
   readonly workMs: number;
@@ -51,10 +51,10 @@
 }
 
 const drawWork = (random: Random): number =>
-  SHORTEST_WORK_MS + random.nextBelow(LONGEST_WORK_MS - SHORTEST_WORK_MS);
+  MIN_WORK_MS + random.nextBelow(MAX_WORK_MS - MIN_WORK_MS);
 
 const drawBody = (random: Random): string =>
-  'b'.repeat(1 + random.nextBelow(MOST_BODY_LETTERS)) + String(random.nextBelow(1_000));
+  'b'.repeat(1 + random.nextBelow(MAX_BODY_LETTERS)) + String(random.nextBelow(1_000));
 
 interface PathDraft {
   readonly method: string;
@@ -64,16 +64,16 @@
 }
 
 /** Tries of a lethal request by one caller. */
-const LETHAL_TRIES = 2;
+const POISON_ATTEMPTS = 2;
 
 /** Draws what a caller asks for next. */
-const drawDraft = (random: Random): Draft => {
+const drawRequest = (random: Random): RequestDraft => {
   const workMs = drawWork(random);
   const kind = random.nextBelow(10);
-  if (random.nextBelow(LEAVES_ONE_OF) === 0) {
+  if (random.nextBelow(ABANDONED_ONE_IN) === 0) {
     const prefix = kind < 5 ? PREFIXES.gather : PREFIXES.moving;
-    const leavesAfterMs = 20 + random.nextBelow(LONGEST_WAIT_MS);
-    return { method: 'GET', prefix, workMs: WORK_OF_LEAVERS_MS, body: '', leavesAfterMs };
+    const leavesAfterMs = 20 + random.nextBelow(MAX_WAIT_MS);
+    return { method: 'GET', prefix, workMs: ABANDONED_WORK_MS, body: '', leavesAfterMs };
   }
   if (kind < 3) {
     return { method: 'GET', prefix: PREFIXES.gather, workMs, body: '' };
@@ -94,87 +94,91 @@
 
 /** All callers, and those who ask for readiness. */
 export class Callers {
-  private working = true;
+  private running = true;
   private sent = 0;
   private readonly ended: Promise<void>[] = [];
 
   constructor(private readonly context: CallerContext) {}
 
   /** Lets `count` callers work over a gateway: every second one keeps its connection. */
-  begin(gateway: GatewayProcess, count: number): void {
+  startCallers(gateway: GatewayProcess, count: number): void {
     for (let index = 0; index < count; index += 1) {
       const random = streamOf(this.context.seed, 'callers', gateway.number * count + index);
       this.ended.push(this.work(gateway, random, index % 2 === 0));
     }
-    this.ended.push(this.askForMarkers(gateway), this.askForReadiness(gateway));
+    this.ended.push(this.pollMarkerRoutes(gateway), this.pollReadiness(gateway));
   }
 
   /** Lets callers ask for a lethal request, at any gateway; one that is not served is asked for once more. */
-  beginLethal(
+  startPoisonCallers(
     gateways: readonly GatewayProcess[],
-    { prefix, everyMs, leavesAfterMs }: LethalRequest,
+    { prefix, intervalMs, leavesAfterMs }: PoisonRequest,
     number: number,
   ): void {
     const random = streamOf(this.context.seed, 'lethal', 1 + number);
     const drawGateway = (): GatewayProcess | undefined =>
       gateways[random.nextBelow(gateways.length)];
-    const path = lethalPathOf(prefix, number);
+    const path = poisonPathOf(prefix, number);
     const ask = async (): Promise<void> => {
-      for (let tries = 0; tries < LETHAL_TRIES; tries += 1) {
+      for (let attempts = 0; attempts < POISON_ATTEMPTS; attempts += 1) {
         const gateway = drawGateway();
         if (gateway !== undefined) {
           await this.sendPath(gateway, { method: 'GET', path, body: '', leavesAfterMs });
         }
       }
     };
-    const work = async (): Promise<void> => {
-      while (this.working) {
+    const runCaller = async (): Promise<void> => {
+      while (this.running) {
         await ask();
-        await pause(everyMs / 2 + random.nextBelow(everyMs));
+        await pause(intervalMs / 2 + random.nextBelow(intervalMs));
       }
     };
-    this.ended.push(work());
+    this.ended.push(runCaller());
   }
 
   /** Ends after the requests that are under way. */
   async stop(): Promise<void> {
-    this.working = false;
+    this.running = false;
     await Promise.all(this.ended);
   }
 
-  private async work(gateway: GatewayProcess, random: Random, keeps: boolean): Promise<void> {
-    const agent = keeps ? new Agent({ keepAlive: true, maxSockets: 1 }) : undefined;
-    while (this.working) {
-      const pauseMs = SHORTEST_PAUSE_MS + random.nextBelow(LONGEST_PAUSE_MS - SHORTEST_PAUSE_MS);
-      const outcome = await this.send(gateway, drawDraft(random), agent);
+  private async work(
+    gateway: GatewayProcess,
+    random: Random,
+    keepsConnection: boolean,
+  ): Promise<void> {
+    const agent = keepsConnection ? new Agent({ keepAlive: true, maxSockets: 1 }) : undefined;
+    while (this.running) {
+      const pauseMs = MIN_PAUSE_MS + random.nextBelow(MAX_PAUSE_MS - MIN_PAUSE_MS);
+      const outcome = await this.send(gateway, drawRequest(random), agent);
       await pause(outcome === 'unreachable' ? UNREACHABLE_PAUSE_MS : pauseMs);
     }
     agent?.destroy();
   }
 
   /** Asks by turns for the route added last and for the one removed last. */
-  private async askForMarkers(gateway: GatewayProcess): Promise<void> {
+  private async pollMarkerRoutes(gateway: GatewayProcess): Promise<void> {
     const offsets = [0, -2, -1] as const;
-    for (let index = 0; this.working; index += 1) {
+    for (let index = 0; this.running; index += 1) {
       const number = this.context.operator.newest + (offsets[index % offsets.length] ?? 0);
       if (number >= 0) {
         const prefix = markerPrefix(number);
-        await this.send(gateway, { method: 'GET', prefix, workMs: SHORTEST_WORK_MS, body: '' });
+        await this.send(gateway, { method: 'GET', prefix, workMs: MIN_WORK_MS, body: '' });
       }
-      await pause(MARKER_PAUSE_MS);
+      await pause(MARKER_INTERVAL_MS);
     }
   }
 
-  private async askForReadiness(gateway: GatewayProcess): Promise<void> {
-    while (this.working) {
+  private async pollReadiness(gateway: GatewayProcess): Promise<void> {
+    while (this.running) {
       const ready = await isReady(gateway.ports.readiness);
       const { readiness } = this.context.observations;
       readiness.push({ gateway: gateway.number, at: performance.now(), ready });
-      await pause(READINESS_PAUSE_MS);
+      await pause(READINESS_INTERVAL_MS);
     }
   }
 
-  private send(gateway: GatewayProcess, draft: Draft, agent?: Agent): Promise<string> {
+  private send(gateway: GatewayProcess, draft: RequestDraft, agent?: Agent): Promise<string> {
     const { method, prefix, workMs, body, leavesAfterMs } = draft;
     const path = pathOf(prefix, workMs, this.nextId);
     return this.sendPath(gateway, { method, path, body, leavesAfterMs }, agent);
@@ -191,22 +195,30 @@
   ): Promise<string> {
     const id = this.nextId;
     this.sent += 1;
-    const { life } = gateway;
+    const { incarnation } = gateway;
     const query: CallerQuery = {
       id,
       port: gateway.ports.callers,
       method,
       path,
       body,
-      budgetMs: BUDGET_MS,
+      budgetMs: TIME_BUDGET_MS,
       ...(leavesAfterMs !== undefined && { leavesAfterMs }),
       ...(agent !== undefined && { agent }),
     };
     const result = await sendQuery(HOST, query);
     const bodyDigest = digestOf(Buffer.from(body));
     // A process that was replaced meanwhile: it is not known which of the two was asked.
-    const knownLife = gateway.life === life ? life : UNKNOWN_LIFE;
-    const asked = { id, gateway: gateway.number, life: knownLife, method, path, bodyDigest };
+    const knownIncarnation =
+      gateway.incarnation === incarnation ? incarnation : UNKNOWN_INCARNATION;
+    const asked = {
+      id,
+      gateway: gateway.number,
+      incarnation: knownIncarnation,
+      method,
+      path,
+      bodyDigest,
+    };
     this.context.observations.requests.push({ ...asked, ...result });
     return result.outcome.type;
   }
--- a/soak/world/gateway-process.ts
+++ b/soak/world/gateway-process.ts
@@ -16,8 +16,8 @@
 const RESTART_MS = 300;
 
 /** How often a port is tried that is not open yet, and for how long, in milliseconds. */
-const OPEN_CHECK_MS = 10;
-const OPEN_WITHIN_MS = 5_000;
+const POLL_INTERVAL_MS = 10;
+const OPEN_TIMEOUT_MS = 5_000;
 
 /** Puts another file in the place of `file` at once: nobody reads half of it. */
 const replaceFile = async (file: string, text: string): Promise<void> => {
@@ -38,7 +38,7 @@
 /** Starts, signals and ends the processes of one gateway. */
 export class GatewayProcess {
   /** Which process this is, counted from 1. */
-  life = 0;
+  incarnation = 0;
   private current: RigProcess | undefined;
   private readonly log: WriteStream;
   private readonly settingsFile: string;
@@ -46,9 +46,9 @@
   private busy: Promise<void> = Promise.resolve();
   private closing = false;
   /** When the settings that were written last are in place. */
-  private written: Promise<void> = Promise.resolve();
+  private settingsWritten: Promise<void> = Promise.resolve();
   /** The settings file holds the address at which peers connect. */
-  private tellsPeersAddress = false;
+  private publishesPeersAddress = false;
 
   constructor(
     readonly number: number,
@@ -61,7 +61,7 @@
     private readonly peersAddress?: HostPort,
   ) {
     this.settingsFile = join(context.folder, `${settings.node}.json`);
-    process.once('exit', this.endNow);
+    process.once('exit', this.killNow);
     this.log = createWriteStream(join(context.folder, `${settings.node}.log`));
   }
 
@@ -82,8 +82,8 @@
 
   /** Takes changed settings by a signal; this is no disturbance. */
   reload(change: (settings: GatewaySettings) => GatewaySettings): Promise<void> {
-    return this.inTurn(async () => {
-      await this.untilOpen();
+    return this.enqueue(async () => {
+      await this.waitUntilOpen();
       this.settings = change(this.settings);
       await this.writeSettings();
       this.current?.signal('SIGHUP');
@@ -92,10 +92,10 @@
 
   /** Asks the process to end, ends it by force after the grace period, and starts the next one. */
   stopAndRestart(): Promise<void> {
-    return this.inTurn(async () => {
-      await this.untilOpen();
-      const end = this.disturb('stop', true);
-      await this.stopOnce();
+    return this.enqueue(async () => {
+      await this.waitUntilOpen();
+      const end = this.recordDisturbance('stop', true);
+      await this.stopProcess();
       await pause(RESTART_MS);
       await this.spawn();
       end();
@@ -104,8 +104,8 @@
 
   /** Ends the process by force and starts the next one after some time. */
   kill(downMs: number): Promise<void> {
-    return this.inTurn(async () => {
-      const end = this.disturb('kill');
+    return this.enqueue(async () => {
+      const end = this.recordDisturbance('kill');
       const process = this.current;
       this.current = undefined;
       process?.signal('SIGKILL');
@@ -118,8 +118,8 @@
 
   /** Stands the process still for a while. */
   pauseFor(forMs: number): Promise<void> {
-    return this.inTurn(async () => {
-      const end = this.disturb('pause');
+    return this.enqueue(async () => {
+      const end = this.recordDisturbance('pause');
       this.current?.signal('SIGSTOP');
       await pause(forMs);
       this.current?.signal('SIGCONT');
@@ -130,7 +130,7 @@
   /** Ends the process for good. */
   async close(): Promise<void> {
     this.closing = true;
-    process.off('exit', this.endNow);
+    process.off('exit', this.killNow);
     const last = this.current;
     this.current = undefined;
     last?.signal('SIGKILL');
@@ -138,9 +138,9 @@
     await new Promise<void>((resolve) => this.log.end(resolve));
   }
 
-  private readonly endNow = (): void => this.current?.signal('SIGKILL');
+  private readonly killNow = (): void => this.current?.signal('SIGKILL');
 
-  private disturb(what: string, planned = false): EndDisturbance {
+  private recordDisturbance(what: string, planned = false): EndDisturbance {
     const scope = { type: 'gateway', gateway: this.number } as const;
     return beginDisturbance(this.context.observations, [scope], what, planned);
   }
@@ -149,30 +149,30 @@
    * Waits until the process takes callers. Before it runs no program can know of a signal; one that takes
    * callers must know of those that ask it to stop or to read its settings again.
    */
-  private async untilOpen(): Promise<void> {
-    const giveUpAt = performance.now() + OPEN_WITHIN_MS;
+  private async waitUntilOpen(): Promise<void> {
+    const giveUpAt = performance.now() + OPEN_TIMEOUT_MS;
     while (!(await isOpen(this.ports.callers)) && performance.now() < giveUpAt) {
-      await pause(OPEN_CHECK_MS);
+      await pause(POLL_INTERVAL_MS);
     }
   }
 
-  private inTurn(work: () => Promise<void>): Promise<void> {
+  private enqueue(work: () => Promise<void>): Promise<void> {
     this.busy = this.busy.then(() => (this.closing ? undefined : work()));
     return this.busy;
   }
 
-  private async stopOnce(): Promise<void> {
+  private async stopProcess(): Promise<void> {
     const process = this.current;
     if (process === undefined) {
       return;
     }
     this.current = undefined;
     const { stops } = this.context.observations;
-    const { number: gateway, life } = this;
+    const { number: gateway, incarnation } = this;
     const { graceMs } = this.settings.bounds;
     const stop: PlannedStop = {
       gateway,
-      life,
+      incarnation,
       at: performance.now(),
       endedAt: undefined,
       exitCode: undefined,
@@ -192,46 +192,48 @@
 
   private writeSettings(): Promise<void> {
     const peers =
-      this.tellsPeersAddress && this.peersAddress !== undefined
+      this.publishesPeersAddress && this.peersAddress !== undefined
         ? this.peersAddress
         : this.settings.peers;
     const text = settingsFileOf({ ...this.settings, peers });
-    this.written = this.written.then(() => replaceFile(this.settingsFile, text));
-    return this.written;
+    this.settingsWritten = this.settingsWritten.then(() => replaceFile(this.settingsFile, text));
+    return this.settingsWritten;
   }
 
-  private async tellPeersAddress(process: RigProcess): Promise<void> {
+  private async publishPeersAddress(process: RigProcess): Promise<void> {
     while (this.current === process && !(await isReady(this.ports.readiness))) {
-      await pause(OPEN_CHECK_MS);
+      await pause(POLL_INTERVAL_MS);
     }
     if (this.current === process) {
-      this.tellsPeersAddress = true;
+      this.publishesPeersAddress = true;
       await this.writeSettings();
       process.signal('SIGHUP');
     }
   }
 
   private async spawn(): Promise<void> {
-    this.settings = { ...this.settings, firstStart: this.life === 0 };
-    this.tellsPeersAddress = false;
+    this.settings = { ...this.settings, firstStart: this.incarnation === 0 };
+    this.publishesPeersAddress = false;
     await this.writeSettings();
     if (this.closing) {
       return;
     }
-    this.life += 1;
+    this.incarnation += 1;
     const { program, runtimeFlags } = this.context;
-    this.log.write(`${JSON.stringify({ time: Date.now(), soak: `process ${this.life}` })}\n`);
+    this.log.write(
+      `${JSON.stringify({ time: Date.now(), soak: `process ${this.incarnation}` })}\n`,
+    );
     const process = new RigProcess(this.name, program, [], this.environment(), {
       runtimeFlags,
       onOutput: (text) => this.log.write(text),
     });
     this.current = process;
     if (this.peersAddress !== undefined) {
-      void this.tellPeersAddress(process);
+      void this.publishPeersAddress(process);
     }
     void process.waitForExit().then(({ code, signal }) => {
       if (this.current === process) {
-        this.noteUnexpectedEnd(`code ${String(code)}, signal ${String(signal)}`);
+        this.handleUnexpectedExit(`code ${String(code)}, signal ${String(signal)}`);
         this.current = undefined;
       }
     });
@@ -241,10 +243,10 @@
     return { [SETTINGS_VARIABLE]: this.settingsFile };
   }
 
-  private noteUnexpectedEnd(detail: string): void {
-    const { unexpectedEnds } = this.context.observations;
-    unexpectedEnds.push({ gateway: this.number, at: performance.now(), detail });
-    void this.inTurn(async () => {
+  private handleUnexpectedExit(detail: string): void {
+    const { unexpectedExits } = this.context.observations;
+    unexpectedExits.push({ gateway: this.number, at: performance.now(), detail });
+    void this.enqueue(async () => {
       await pause(RESTART_MS);
       await this.spawn();
     });
--- a/soak/world/loopback-link.ts
+++ b/soak/world/loopback-link.ts
@@ -2,7 +2,7 @@
 import { type AddressInfo, connect, createServer, type Server, type Socket } from 'node:net';
 import { once } from 'node:events';
 import { setTimeout as pause } from 'node:timers/promises';
-import type { LinkTrouble } from '../model/schedule.js';
+import type { LinkFailure } from '../model/schedule.js';
 
 const HOST = '127.0.0.1';
 
@@ -11,7 +11,7 @@
 
 /** Forwards connections to one port. */
 export class LoopbackLink {
-  private trouble: LinkTrouble | undefined;
+  private failure: LinkFailure | undefined;
   /** Deliver what a silence has held up. */
   private held: (() => void)[] = [];
   private busy: Promise<void> = Promise.resolve();
@@ -38,18 +38,18 @@
   }
 
   /** Troubles the link for a while; one trouble waits for the one before. */
-  troubleFor(trouble: LinkTrouble, forMs: number): Promise<void> {
+  failFor(trouble: LinkFailure, forMs: number): Promise<void> {
     this.busy = this.busy.then(async () => {
-      this.setTrouble(trouble);
+      this.setFailure(trouble);
       await pause(forMs);
-      this.setTrouble(undefined);
+      this.setFailure(undefined);
     });
     return this.busy;
   }
 
   /** Begins trouble, or ends it. Bytes that a silence has held up are delivered at its end. */
-  private setTrouble(trouble: LinkTrouble | undefined): void {
-    this.trouble = trouble;
+  private setFailure(trouble: LinkFailure | undefined): void {
+    this.failure = trouble;
     if (trouble === 'refuse') {
       this.reset();
     }
@@ -69,7 +69,7 @@
   }
 
   private forward(near: Socket): void {
-    if (this.trouble === 'refuse') {
+    if (this.failure === 'refuse') {
       near.on('error', () => undefined);
       near.resetAndDestroy();
       return;
@@ -94,7 +94,7 @@
   }
 
   private pass(chunk: Buffer, from: Socket, to: Socket): void {
-    if (this.trouble === undefined) {
+    if (this.failure === undefined) {
       to.write(chunk);
       return;
     }
@@ -104,7 +104,7 @@
       to.write(chunk);
       from.resume();
     };
-    if (this.trouble === 'delay') {
+    if (this.failure === 'delay') {
       setTimeout(deliver, DELAY_MS);
     } else {
       this.held.push(deliver);
--- a/soak/world/operator.ts
+++ b/soak/world/operator.ts
@@ -11,7 +11,7 @@
 import { SERVICES } from './topology.js';
 
 /** Versions rise by up to so much. */
-const LARGEST_STEP = 5;
+const MAX_VERSION_STEP = 5;
 
 /** The operator of the deployment. */
 export class Operator {
@@ -34,16 +34,16 @@
   configure(): void {
     const { versions } = this.observations;
     const routes = routesOf(versions.length);
-    this.version += 1 + this.random.nextBelow(LARGEST_STEP);
+    this.version += 1 + this.random.nextBelow(MAX_VERSION_STEP);
     const specs = routes.map(operatorRouteSpec);
     const spec = configurationSpec(this.version, specs, SERVICES, this.maxConnections);
     this.newestSpec = spec;
-    this.write();
+    this.rewriteNewest();
     versions.push({ version: this.version, acknowledgedAt: performance.now(), routes });
   }
 
   /** Writes the newest version to the store, which may have lost it. */
-  write(): void {
+  rewriteNewest(): void {
     const { kind, name } = CONFIGURATION_ENTRY;
     this.store.put(kind, name, this.newestSpec);
   }
--- a/soak/world/paths.ts
+++ b/soak/world/paths.ts
@@ -9,14 +9,14 @@
 export const pathOf = (prefix: string, workMs: number, id: string): string =>
   `${prefix}${workMs}/${id}?part=${id.length}`;
 
-const LETHAL_PATTERN = /\/lethal-\d+$/;
+const POISON_PATTERN = /\/lethal-\d+$/;
 
 /** The path of a request that ends each replica that begins to run it; each of its tries has the same. */
-export const lethalPathOf = (prefix: string, number: number): string =>
+export const poisonPathOf = (prefix: string, number: number): string =>
   `${prefix}${DEFAULT_WORK_MS}/lethal-${number}`;
 
 /** Whether replicas end under the request for a path. */
-export const isLethal = (path: string): boolean => LETHAL_PATTERN.test(path);
+export const isPoison = (path: string): boolean => POISON_PATTERN.test(path);
 
 /** Work of the request for a path, in milliseconds. */
 export const workOf = (path: string): number =>
--- a/soak/world/ports.ts
+++ b/soak/world/ports.ts
@@ -9,10 +9,10 @@
 
 /** First port and number of ports that are tried; the kernel's own begin at 32,768. */
 const FIRST_PORT = 22_000;
-const PORTS = 10_000;
+const PORT_COUNT = 10_000;
 
 /** Distance between the ports that two processes of the soak try first. */
-const PORTS_OF_A_RUN = 97;
+const START_STRIDE = 97;
 
 const isFree = async (port: number): Promise<boolean> => {
   const server = createServer();
@@ -39,11 +39,11 @@
   });
 
 /** Finds `length` free ports that follow one another; gives the first. */
-export const findPortRow = async (length: number): Promise<number> => {
-  const start = (process.pid * PORTS_OF_A_RUN) % PORTS;
+export const findConsecutivePorts = async (length: number): Promise<number> => {
+  const start = (process.pid * START_STRIDE) % PORT_COUNT;
   let row = 0;
-  for (let step = 0; step < PORTS; step += 1) {
-    const port = FIRST_PORT + ((start + step) % PORTS);
+  for (let step = 0; step < PORT_COUNT; step += 1) {
+    const port = FIRST_PORT + ((start + step) % PORT_COUNT);
     const continues = row === 0 || port !== FIRST_PORT;
     row = (await isFree(port)) ? (continues ? row + 1 : 1) : 0;
     if (row === length) {
--- a/soak/world/recorder.ts
+++ b/soak/world/recorder.ts
@@ -5,7 +5,7 @@
 const STALL_CHECK_MS = 50;
 
 /** A stall that is noted, in milliseconds: it takes a good part of the tightest bounds. */
-const STALL_MS = 200;
+const MIN_STALL_MS = 200;
 
 /** Ends a disturbance. */
 export type EndDisturbance = () => void;
@@ -38,7 +38,7 @@
   let last = performance.now();
   const timer = setInterval(() => {
     const now = performance.now();
-    if (now - last > STALL_MS) {
+    if (now - last > MIN_STALL_MS) {
       const scope = { type: 'everything' } as const;
       disturbances.push({ scope, what: 'soak stood still', planned: false, from: last, to: now });
     }
--- a/soak/world/replica-fleet.ts
+++ b/soak/world/replica-fleet.ts
@@ -10,15 +10,15 @@
 import type { StandInStore } from '../../test/platform/stand-in-store.js';
 import type { Arrival, Departure, Observations } from '../model/observations.js';
 import { bodyOf, digestOf } from './answer-body.js';
-import { isLethal, workOf } from './paths.js';
+import { isPoison, workOf } from './paths.js';
 import { beginDisturbance } from './recorder.js';
 import { REPLICA_SLOTS, SERVICES, replicasOf, zoneOf } from './topology.js';
 
 /** A replica that leaves serves for longer than it has to by this time, in milliseconds. */
-const SERVES_LONGER_MS = 3_000;
+const EXTRA_SERVING_MS = 3_000;
 
 /** What other writers put in the place of a replica's entry: it names no replica to use. */
-const SPOILT_FIELDS: readonly Readonly<Record<string, unknown>>[] = [
+const INVALID_FIELDS: readonly Readonly<Record<string, unknown>>[] = [
   { service: 7 },
   { address: 'nowhere' },
   { state: 'sleeping' },
@@ -28,19 +28,19 @@
 ];
 
 /** Work that a replica is not done with before it ends, in milliseconds. */
-const NEVER_DONE_MS = 10_000;
+const UNFINISHED_WORK_MS = 10_000;
 
 /** What a run asks of its replicas. */
 export interface FleetOptions {
   readonly drainMs: number;
   /** A replica ends so long after it has begun to run a lethal request, in milliseconds. */
-  readonly lethalAfterMs: number;
+  readonly poisonCrashDelayMs: number;
   /** Replicas tell in their entries when they have started. */
-  readonly tellsStarts: boolean;
+  readonly publishesStartTimes: boolean;
 }
 
 /** Time after which the store drops the entry of a replica that has crashed, in milliseconds. */
-const ENTRY_LASTS_MS = 3_600;
+const ENTRY_EXPIRY_MS = 3_600;
 
 interface FleetMember {
   readonly replica: StandInReplica;
@@ -77,33 +77,33 @@
 
   /** A replica of the service announces that it drains, serves on for some time, and ends. */
   async drain(service: string): Promise<void> {
-    const member = await this.replaceOne(service);
+    const member = await this.replaceMember(service);
     if (member === undefined) {
       return;
     }
     const { replica } = member;
-    this.write(replica.id, this.entryOf(member, 'draining'));
-    this.noteDeparture(member);
-    await pause(this.options.drainMs + SERVES_LONGER_MS);
-    this.erase(replica.id);
+    this.writeEntry(replica.id, this.entryOf(member, 'draining'));
+    this.recordDeparture(member);
+    await pause(this.options.drainMs + EXTRA_SERVING_MS);
+    this.removeEntry(replica.id);
     await this.end(member);
   }
 
   /** The entry of a replica goes away; it serves on for some time, and ends. */
   async vanish(service: string): Promise<void> {
-    const member = await this.replaceOne(service);
+    const member = await this.replaceMember(service);
     if (member === undefined) {
       return;
     }
-    this.erase(member.replica.id);
-    this.noteDeparture(member);
-    await pause(this.options.drainMs + SERVES_LONGER_MS);
+    this.removeEntry(member.replica.id);
+    this.recordDeparture(member);
+    await pause(this.options.drainMs + EXTRA_SERVING_MS);
     await this.end(member);
   }
 
   /** A replica ends at once; its entry goes later, when another has taken its place. */
   async crash(service: string): Promise<void> {
-    const member = this.findOne(service);
+    const member = this.findActive(service);
     if (member === undefined) {
       return;
     }
@@ -113,8 +113,8 @@
   private async crashMember(member: FleetMember): Promise<void> {
     member.leaving = true;
     await this.end(member);
-    await pause(ENTRY_LASTS_MS);
-    this.erase(member.replica.id);
+    await pause(ENTRY_EXPIRY_MS);
+    this.removeEntry(member.replica.id);
     if (!this.stopped) {
       await this.add(member.service, member.zone);
     }
@@ -122,7 +122,7 @@
 
   /** A replica ends, and is back under its identifier, at another address, with another start. */
   async restart(service: string, downMs: number): Promise<void> {
-    const member = this.findOne(service);
+    const member = this.findActive(service);
     if (member === undefined) {
       return;
     }
@@ -135,33 +135,33 @@
   }
 
   /** Another writer overwrites the entry of a replica, which goes on and later writes its own again. */
-  async spoilEntry(service: string, forMs: number, random: Random): Promise<void> {
-    const member = this.findOne(service);
+  async overwriteEntry(service: string, forMs: number, random: Random): Promise<void> {
+    const member = this.findActive(service);
     if (member === undefined) {
       return;
     }
     const { id } = member.replica;
-    const fields = SPOILT_FIELDS[random.nextBelow(SPOILT_FIELDS.length)];
+    const fields = INVALID_FIELDS[random.nextBelow(INVALID_FIELDS.length)];
     this.store.put(REPLICA_KIND, id, { ...(this.entryOf(member) as object), ...fields });
-    const departure = this.noteDeparture(member, 'entry-spoilt');
+    const departure = this.recordDeparture(member, 'entry-spoilt');
     await pause(forMs);
     departure.returnedAt = performance.now();
     if (this.members.has(member) && !member.leaving) {
-      this.write(id, this.entryOf(member));
+      this.writeEntry(id, this.entryOf(member));
     }
   }
 
   /** A replica ends under a request, with all that it runs. */
-  private async endUnder(replica: StandInReplica, path: string): Promise<void> {
-    const { lethalAfterMs } = this.options;
-    if (lethalAfterMs > 0) {
-      await pause(lethalAfterMs);
+  private async crashUnderRequest(replica: StandInReplica, path: string): Promise<void> {
+    const { poisonCrashDelayMs } = this.options;
+    if (poisonCrashDelayMs > 0) {
+      await pause(poisonCrashDelayMs);
     }
     const member = [...this.members].find((each) => each.replica === replica);
     if (member === undefined) {
       return;
     }
-    this.observations.lethalRuns.push({ path, at: performance.now() });
+    this.observations.poisonCrashes.push({ path, at: performance.now() });
     const scope = { type: 'service', service: member.service } as const;
     const end = beginDisturbance(this.observations, [scope], 'a request ends a replica');
     await this.crashMember(member);
@@ -170,7 +170,7 @@
 
   /** One replica of the service runs requests and closes their connections for a while. */
   async loseAnswers(service: string, forMs: number): Promise<void> {
-    const member = this.findOne(service);
+    const member = this.findActive(service);
     if (member === undefined) {
       return;
     }
@@ -183,7 +183,7 @@
    * The store has returned from a copy: replicas write their entries again, each at its time, and the entries of those that
    * have left lapse. Resolves when all entries are right.
    */
-  async writeAgain(withinMs: number, random: Random): Promise<void> {
+  async rewriteEntries(withinMs: number, random: Random): Promise<void> {
     const written = [...this.entries.keys()].map(async (id) => {
       await pause(random.nextBelow(withinMs + 1));
       const entry = this.entries.get(id);
@@ -193,7 +193,7 @@
     });
     const left = this.store.names(REPLICA_KIND).filter((id) => !this.entries.has(id));
     const lapsed = left.map(async (id) => {
-      await pause(ENTRY_LASTS_MS);
+      await pause(ENTRY_EXPIRY_MS);
       this.store.remove(REPLICA_KIND, id);
     });
     await Promise.all([...written, ...lapsed]);
@@ -204,13 +204,13 @@
     await Promise.all([...this.members].map((member) => this.end(member)));
   }
 
-  private findOne(service: string): FleetMember | undefined {
+  private findActive(service: string): FleetMember | undefined {
     return [...this.members].find((member) => member.service === service && !member.leaving);
   }
 
   /** Chooses a replica that is to leave and starts another in its place. */
-  private async replaceOne(service: string): Promise<FleetMember | undefined> {
-    const member = this.findOne(service);
+  private async replaceMember(service: string): Promise<FleetMember | undefined> {
+    const member = this.findActive(service);
     if (member !== undefined) {
       member.leaving = true;
       await this.add(service, member.zone);
@@ -231,30 +231,32 @@
       workOf: (path) => this.workOf(path),
       start: bornAt,
     });
-    replica.observer = this.observe(replica, service);
+    replica.observer = this.createObserver(replica, service);
     const member = { replica, service, zone, bornAt, leaving: false };
     this.members.add(member);
-    this.write(id, this.entryOf(member));
+    this.writeEntry(id, this.entryOf(member));
   }
 
   /** A replica answers no request under which it is about to end. */
   private workOf(path: string): number {
-    const { lethalAfterMs } = this.options;
-    return isLethal(path) && lethalAfterMs > 0 ? lethalAfterMs + NEVER_DONE_MS : workOf(path);
+    const { poisonCrashDelayMs } = this.options;
+    return isPoison(path) && poisonCrashDelayMs > 0
+      ? poisonCrashDelayMs + UNFINISHED_WORK_MS
+      : workOf(path);
   }
 
   /** What a replica tells of itself. */
   private entryOf({ replica, service, zone, bornAt }: FleetMember, state = 'ready'): unknown {
     const entry = replica.entry(service, zone, state) as object;
-    return this.options.tellsStarts ? { ...entry, born: bornAt } : entry;
+    return this.options.publishesStartTimes ? { ...entry, born: bornAt } : entry;
   }
 
-  private write(id: string, entry: unknown): void {
+  private writeEntry(id: string, entry: unknown): void {
     this.entries.set(id, entry);
     this.store.put(REPLICA_KIND, id, entry);
   }
 
-  private erase(id: string): void {
+  private removeEntry(id: string): void {
     this.entries.delete(id);
     this.store.remove(REPLICA_KIND, id);
   }
@@ -264,7 +266,7 @@
     await member.replica.stop();
   }
 
-  private noteDeparture(
+  private recordDeparture(
     { replica, service }: FleetMember,
     why: Departure['why'] = 'leaves',
   ): Departure {
@@ -280,21 +282,21 @@
     return departure;
   }
 
-  private observe(replica: StandInReplica, service: string): ReplicaObserver {
+  private createObserver(replica: StandInReplica, service: string): ReplicaObserver {
     const { arrivals, answers } = this.observations;
-    const noted = new WeakMap<ArrivedRequest, Arrival>();
+    const recorded = new WeakMap<ArrivedRequest, Arrival>();
     return {
       arrived: (request, ran) => {
         const arrival = describeArrival(request, replica.id, service, ran);
-        noted.set(request, arrival);
+        recorded.set(request, arrival);
         arrivals.push(arrival);
         replica.arrived.length = 0;
-        if (ran && isLethal(request.path)) {
-          void this.endUnder(replica, request.path);
+        if (ran && isPoison(request.path)) {
+          void this.crashUnderRequest(replica, request.path);
         }
       },
       read: (request) => {
-        const arrival = noted.get(request);
+        const arrival = recorded.get(request);
         if (arrival !== undefined) {
           arrival.bodyDigest = digestOf(Buffer.from(request.body));
         }
@@ -303,7 +305,7 @@
         answers.set(signature, { signature, requestId: id, replica: replica.id, service, status });
       },
       ended: (request) => {
-        const arrival = noted.get(request);
+        const arrival = recorded.get(request);
         if (arrival !== undefined) {
           arrival.endedAt ??= performance.now();
         }
--- a/soak/world/routes.ts
+++ b/soak/world/routes.ts
@@ -15,16 +15,16 @@
 } as const;
 
 /** Versions after which the index moves to the other set of shards. */
-const VERSIONS_OF_AN_INDEX = 3;
+const VERSIONS_PER_INDEX = 3;
 
 /** Versions in which a route of its own stands. */
-const VERSIONS_OF_A_MARKER = 2;
+const VERSIONS_PER_MARKER = 2;
 
 /** Prefix of the route that the version with a number adds, and that goes two versions later. */
 export const markerPrefix = (number: number): string => `/only-${number}/`;
 
 const markerRoutes = (number: number): readonly OperatorRoute[] =>
-  Array.from({ length: VERSIONS_OF_A_MARKER }, (_, back) => number - back)
+  Array.from({ length: VERSIONS_PER_MARKER }, (_, back) => number - back)
     .filter((each) => each >= 0)
     .map((each) => ({
       name: `only-${each}`,
@@ -41,7 +41,7 @@
     pathPrefix: PREFIXES.gather,
     repeatable: true,
     maxAttempts: 2,
-    services: INDEXES[Math.floor(number / VERSIONS_OF_AN_INDEX) % INDEXES.length] ?? [],
+    services: INDEXES[Math.floor(number / VERSIONS_PER_INDEX) % INDEXES.length] ?? [],
     gather: { maxRecords: 10, minCoverage: 0.75 },
   },
   {
--- a/soak/world/soak-world.ts
+++ b/soak/world/soak-world.ts
@@ -6,16 +6,16 @@
 import { Callers } from './callers.js';
 import { type GatewayContext, GatewayProcess } from './gateway-process.js';
 import { Operator } from './operator.js';
-import { findPortRow } from './ports.js';
+import { findConsecutivePorts } from './ports.js';
 import { ReplicaFleet } from './replica-fleet.js';
 import { LoopbackLink } from './loopback-link.js';
-import { StoreCopies } from './store-backups.js';
+import { StoreBackups } from './store-backups.js';
 import { REGION, ZONES, zoneOf } from './topology.js';
 
 const HOST = '127.0.0.1';
 
 /** Callers, readiness and peers. */
-const PORTS_OF_A_GATEWAY = 3;
+const PORTS_PER_GATEWAY = 3;
 
 /** Processor share of the users' machines. */
 const PROCESSOR_SHARE = 0.675;
@@ -32,7 +32,7 @@
   /** In front of the port for peers of each gateway; none where the plan has no such links. */
   readonly peerLinks: LoopbackLink[] = [];
   readonly replicas: ReplicaFleet;
-  readonly storeCopies: StoreCopies;
+  readonly storeBackups: StoreBackups;
   readonly operator: Operator;
   readonly callers: Callers;
 
@@ -43,11 +43,11 @@
     const { seed, maxConnections, bounds } = plan;
     const { observations } = this;
     store.era = 1;
-    this.storeCopies = new StoreCopies(store);
+    this.storeBackups = new StoreBackups(store);
     this.replicas = new ReplicaFleet(store, observations, {
       drainMs: bounds.drainMs,
-      lethalAfterMs: plan.lethalAfterMs,
-      tellsStarts: plan.tellsStarts,
+      poisonCrashDelayMs: plan.poisonCrashDelayMs,
+      publishesStartTimes: plan.publishesStartTimes,
     });
     const random = streamOf(seed, 'operator');
     this.operator = new Operator(store, observations, random, maxConnections);
@@ -63,15 +63,15 @@
     return world;
   }
 
-  beginCalls(): void {
+  startCallers(): void {
     this.gateways.forEach((gateway) => {
-      this.callers.begin(gateway, this.plan.callersPerGateway);
+      this.callers.startCallers(gateway, this.plan.callersPerGateway);
     });
   }
 
-  beginLethalCalls(): void {
-    this.plan.lethalRequests.forEach((request, number) =>
-      this.callers.beginLethal(this.gateways, request, number),
+  startPoisonCallers(): void {
+    this.plan.poisonRequests.forEach((request, number) =>
+      this.callers.startPoisonCallers(this.gateways, request, number),
     );
   }
 
@@ -79,17 +79,17 @@
   async stop(): Promise<void> {
     await Promise.all(this.gateways.map((gateway) => gateway.close()));
     await Promise.all([...this.storeLinks, ...this.peerLinks].map((link) => link.close()));
-    this.storeCopies.stop();
+    this.storeBackups.stop();
     await this.replicas.stop();
     await this.store.stop();
   }
 
   private async startGateways(files: ProgramFiles): Promise<void> {
     const { gateways: count } = this.plan;
-    const firstPort = await findPortRow(count * PORTS_OF_A_GATEWAY);
+    const firstPort = await findConsecutivePorts(count * PORTS_PER_GATEWAY);
     const context = { ...files, observations: this.observations };
     for (let number = 0; number < count; number += 1) {
-      await this.addGateway(number, firstPort + number * PORTS_OF_A_GATEWAY, context);
+      await this.addGateway(number, firstPort + number * PORTS_PER_GATEWAY, context);
     }
     await Promise.all(this.gateways.map((gateway) => gateway.start()));
   }
--- a/test/docs/walk.test.ts
+++ b/test/docs/walk.test.ts
@@ -7,7 +7,7 @@
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { afterAll, beforeAll, describe, expect, it } from 'vitest';
-import { findPortRow } from '../../soak/world/ports.js';
+import { findConsecutivePorts } from '../../soak/world/ports.js';
 import { type CompiledSource, compileSource } from '../runtime/compiled-source.js';
 import { listCodeLines } from './documented-commands.js';
 
@@ -82,7 +82,7 @@
 /** Starts the replicas on a row of free ports; resolves with the first port. */
 const startReplicas = async (line: string): Promise<number> => {
   for (let attempt = 1; ; attempt += 1) {
-    const first = await findPortRow(REPLICA_PORTS);
+    const first = await findConsecutivePorts(REPLICA_PORTS);
     try {
       await startUntil(`${line} --first-port ${first}`, /Serving \d+ replicas/);
       return first;
--- a/test/soak/checker.test.ts
+++ b/test/soak/checker.test.ts
@@ -1,12 +1,12 @@
 /** The checker of the soak: each promise is broken once in observations that are made up. */
 import { beforeEach, describe, expect, it } from 'vitest';
 import { digestOf } from '../../soak/world/answer-body.js';
-import { FAULTS_ENDED_AT, MadeUpRun } from './synthetic-run.js';
+import { FAULTS_ENDED_AT, SyntheticRun } from './synthetic-run.js';
 
-let run: MadeUpRun;
+let run: SyntheticRun;
 
 beforeEach(() => {
-  run = new MadeUpRun();
+  run = new SyntheticRun();
 });
 
 describe('a run in which every promise holds', () => {
@@ -235,7 +235,7 @@
     run.addVersion(10_000);
     run.addServed('/move/x', 'annex', { sentAt: 11_000 });
     run.addServed('/move/x', 'desk', { sentAt: 11_500, gateway: 1 });
-    run.addServed('/move/x', 'desk', { sentAt: 11_600, life: 2 });
+    run.addServed('/move/x', 'desk', { sentAt: 11_600, incarnation: 2 });
     expect(run.broken()).toEqual([]);
   });
 
@@ -254,7 +254,7 @@
 
 describe('a planned stop', () => {
   const stop = (endedAt: number | undefined, exitCode = 0): void => {
-    run.observations.stops.push({ gateway: 0, life: 1, at: 20_000, endedAt, exitCode });
+    run.observations.stops.push({ gateway: 0, incarnation: 1, at: 20_000, endedAt, exitCode });
     run.addDisturbance(0, 20_000, endedAt ?? 26_100, true);
   };
 
@@ -380,7 +380,7 @@
   });
 
   it('no process has ended by itself', () => {
-    run.observations.unexpectedEnds.push({ gateway: 0, at: 5_000, detail: 'code 1' });
+    run.observations.unexpectedExits.push({ gateway: 0, at: 5_000, detail: 'code 1' });
     expect(run.broken()).toEqual(['no-own-end']);
   });
 });
@@ -390,7 +390,9 @@
 
   /** Its third replica has ended at 20 s; `count` of its tries reach one more, each at a time of its own. */
   const addLateRuns = (count: number, from: number): void => {
-    [18_000, 19_000, 20_000].forEach((at) => run.observations.lethalRuns.push({ path: PATH, at }));
+    [18_000, 19_000, 20_000].forEach((at) =>
+      run.observations.poisonCrashes.push({ path: PATH, at }),
+    );
     for (let index = 0; index < count; index += 1) {
       const at = from + index * 100;
       const refused = run.addRefused(PATH, 502, { sentAt: at, endedAt: at + 20 });
--- a/test/soak/loopback-link.test.ts
+++ b/test/soak/loopback-link.test.ts
@@ -4,7 +4,7 @@
 import { LoopbackLink } from '../../soak/world/loopback-link.js';
 
 /** Time of a trouble in these tests, in milliseconds; with room for a busy machine below. */
-const TROUBLE_MS = 400;
+const FAILURE_MS = 400;
 
 let echo: Server;
 let link: LoopbackLink;
@@ -51,22 +51,22 @@
   it('that is silent delivers in order at the end of the silence', async () => {
     const socket = await open();
     const began = performance.now();
-    const trouble = link.troubleFor('silence', TROUBLE_MS);
+    const trouble = link.failFor('silence', FAILURE_MS);
     await Promise.resolve();
     socket.write('one');
-    setTimeout(() => socket.write('two'), TROUBLE_MS / 4);
+    setTimeout(() => socket.write('two'), FAILURE_MS / 4);
     expect(await read(socket, 6)).toBe('onetwo');
-    expect(performance.now() - began).toBeGreaterThan(TROUBLE_MS * 0.9);
+    expect(performance.now() - began).toBeGreaterThan(FAILURE_MS * 0.9);
     await trouble;
     socket.destroy();
   });
 
   it('that delays keeps the order', async () => {
     const socket = await open();
-    const trouble = link.troubleFor('delay', TROUBLE_MS);
+    const trouble = link.failFor('delay', FAILURE_MS);
     await Promise.resolve();
     socket.write('one');
-    setTimeout(() => socket.write('two'), TROUBLE_MS);
+    setTimeout(() => socket.write('two'), FAILURE_MS);
     expect(await read(socket, 6)).toBe('onetwo');
     await trouble;
     socket.destroy();
@@ -77,7 +77,7 @@
     old.write('x');
     await read(old, 1);
     const ended = once(old, 'error');
-    const trouble = link.troubleFor('refuse', TROUBLE_MS);
+    const trouble = link.failFor('refuse', FAILURE_MS);
     expect(await ended).toEqual([expect.objectContaining({ code: 'ECONNRESET' })]);
     const young = connect(link.port, '127.0.0.1');
     expect(await once(young, 'error')).toEqual([expect.objectContaining({ code: 'ECONNRESET' })]);
--- a/test/soak/restore-soak.test.ts
+++ b/test/soak/restore-soak.test.ts
@@ -1,6 +1,6 @@
 /** A run of the soak in which the store returns from copies, beside the other faults. */
 import { expect, it } from 'vitest';
-import { playHeldRun, RUN_TIMEOUT_MS } from './run-without-violations.js';
+import { runWithoutViolations, RUN_TIMEOUT_MS } from './run-without-violations.js';
 
 const SEED = 2_000;
 const DURATION_MS = 50_000;
@@ -9,8 +9,8 @@
   'keeps every promise where the store returns from copies',
   { timeout: RUN_TIMEOUT_MS },
   async () => {
-    const { played } = await playHeldRun(SEED, DURATION_MS, ['configuration']);
-    const returns = played.filter(({ fault }) => fault.type === 'store-returns');
+    const { executed } = await runWithoutViolations(SEED, DURATION_MS, ['configuration']);
+    const returns = executed.filter(({ fault }) => fault.type === 'store-returns');
     expect(returns.length).toBeGreaterThan(1);
   },
 );
--- a/test/soak/schedule.test.ts
+++ b/test/soak/schedule.test.ts
@@ -31,16 +31,19 @@
     expect(types).toContain('replica-restarts');
     expect(types).toContain('entry-spoilt');
     expect(types).toContain('store-returns');
-    const waits = plans.flatMap(({ lethalRequests }) => lethalRequests);
+    const waits = plans.flatMap(({ poisonRequests }) => poisonRequests);
     expect(waits.some(({ leavesAfterMs }) => leavesAfterMs !== undefined)).toBe(true);
     expect(waits.some(({ leavesAfterMs }) => leavesAfterMs === undefined)).toBe(true);
   });
 
   it('has none of these with smaller seeds', () => {
-    const { schedule, lethalAfterMs, tellsStarts } = drawPlan(optionsOf(2_999));
+    const { schedule, poisonCrashDelayMs, publishesStartTimes } = drawPlan(optionsOf(2_999));
     const types = new Set(schedule.map(({ fault }) => fault.type));
     expect([types.has('replica-restarts'), types.has('entry-spoilt')]).toEqual([false, false]);
-    expect({ lethalAfterMs, tellsStarts }).toEqual({ lethalAfterMs: 0, tellsStarts: false });
+    expect({ poisonCrashDelayMs, publishesStartTimes }).toEqual({
+      poisonCrashDelayMs: 0,
+      publishesStartTimes: false,
+    });
   });
 
   it('has faults of every kind over some seeds, all in time and on gateways that exist', () => {
--- a/test/soak/synthetic-run.ts
+++ b/test/soak/synthetic-run.ts
@@ -1,7 +1,7 @@
 /** Observations made up for tests of the checker: a run in which every promise holds. */
 import { checkRun } from '../../soak/checker/check-run.js';
 import type { CheckedRun } from '../../soak/checker/evidence.js';
-import type { Promised } from '../../soak/checker/violation.js';
+import type { PromiseName } from '../../soak/checker/violation.js';
 import { greatestRecords } from '../../soak/checker/whole-answers.js';
 import {
   type Arrival,
@@ -53,7 +53,7 @@
 });
 
 /** Builds observations step by step. */
-export class MadeUpRun {
+export class SyntheticRun {
   readonly observations: Observations = createObservations();
   private count = 0;
 
@@ -80,7 +80,7 @@
     const request: CallerRequest = {
       id: `r${this.count}`,
       gateway: 0,
-      life: 1,
+      incarnation: 1,
       method: 'GET',
       path,
       bodyDigest: EMPTY_BODY,
@@ -151,7 +151,7 @@
   }
 
   /** Promises that the checker says were broken, each once. */
-  broken(run: Partial<CheckedRun> = {}): readonly Promised[] {
+  broken(run: Partial<CheckedRun> = {}): readonly PromiseName[] {
     const { violations } = checkRun(this.observations, { ...RUN, ...run });
     return [...new Set(violations.map(({ promise }) => promise))];
   }
