--- a/deploy/bundle.mjs
+++ b/deploy/bundle.mjs
@@ -1,6 +1,6 @@
 /**
- * Bundles the gateway into one file. After a loss of power every gateway starts at the same time as its
- * callers come back, and loading some hundred modules one by one takes longer than all else at a start.
+ * Bundles the gateway into one file. After a power failure all gateways start while their callers already
+ * return, and loading some hundred separate modules would take longer than the rest of the start.
  *
  *     node deploy/bundle.mjs [OUTPUT]
  */
@@ -10,18 +10,18 @@
 
 const ROOT = dirname(dirname(fileURLToPath(import.meta.url)));
 
-/** Where the bundle goes unless the command line says otherwise; `system.toml` starts it from there. */
+/** Default path of the bundle, from which `system.toml` starts it. */
 const DEFAULT_OUTPUT = join(ROOT, 'target/gateway.cjs');
 
 /**
- * Modules that libraries load at their start and that a gateway never calls: HTTP/2, which brings in
- * all of `node:http2`, and the native string reader of cbor-x, which looks for its binary by way of
- * `node:child_process`. cbor-x goes on without the latter when it fails to load.
+ * Modules that libraries load at startup and a gateway never uses: HTTP/2, which loads all of `node:http2`, and
+ * the native string decoder of cbor-x, which searches for its binary through `node:child_process`. cbor-x works
+ * without the decoder if it fails to load.
  */
 const UNUSED_MODULES = /(client-h2(\.js)?|cbor-extract)$/;
 
-/** Puts a module in place of an unused one that fails when it is asked for anything. */
-const leaveOutUnused = {
+/** Replaces each unused module by a stub that throws: HTTP/2 when it is called, the decoder when it is loaded. */
+const stubUnusedModules = {
   name: 'leave-out-unused',
   setup(bundler) {
     bundler.onResolve({ filter: UNUSED_MODULES }, ({ path }) => ({ path, namespace: 'unused' }));
@@ -41,8 +41,8 @@
   target: 'node20',
   format: 'cjs',
   legalComments: 'none',
-  plugins: [leaveOutUnused],
-  // Guarded by `typeof require` in cbor-x: never evaluated in a bundle of this format.
+  plugins: [stubUnusedModules],
+  // cbor-x guards its use of `import.meta` by `typeof require`, so it is never evaluated in a CommonJS bundle.
   logOverride: { 'empty-import-meta': 'silent' },
   logLevel: 'warning',
 });
--- a/spec/grants.pml
+++ b/spec/grants.pml
@@ -83,7 +83,7 @@
 
 inline reset() { h = 0; k = 0; n = 0; s = 0 }
 
-/* beginTenure: with the lease a new tenure begins, also for one that had it before. */
+/* startTenure: with the lease a new tenure begins, also for one that had it before. */
 inline beginTenure() {
   select (h : 0 .. HOLDERS - 1);
   if
@@ -127,7 +127,7 @@
   fi
 }
 
-/* takeReport: grants before this request are void, but for the one the node holds. */
+/* applyReport: grants before this request are void, but for the one the node holds. */
 inline takeReport() {
   k = 1;
   do
@@ -150,7 +150,7 @@
   entry(h, n, s) = time + GRANT
 }
 
-/* answerGrantRequest: the holder gives what no other node can be using. */
+/* handleRowGrantRequest: the holder gives what no other node can be using. */
 inline giveGrant() {
   select (n : 0 .. NODES - 1);
   select (s : 1 .. ASKS);
@@ -167,7 +167,7 @@
   fi
 }
 
-/* takeGrant: the answer to the newest request, valid from when that was sent. */
+/* applyGrant: the answer to the newest request, valid from when that was sent. */
 inline takeGrant() {
   select (n : 0 .. NODES - 1);
 #ifdef DROP_NEWEST
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -105,7 +105,7 @@
   releasing[h] = false
 }
 
-/* castVote: a vote counts for the round in which it was asked for. */
+/* handleLeaseRequest: a vote counts for the round in which it was asked for. */
 inline castVote() {
   select (h : 0 .. HOLDERS - 1);
   select (k : 0 .. KEEPERS - 1);
@@ -124,7 +124,7 @@
   fi
 }
 
-/* takeVote, beginTenure: with a majority the lease runs from when the votes were asked for. */
+/* handleLeaseVote, startTenure: with a majority the lease runs from when the votes were asked for. */
 inline takeLease() {
   select (h : 0 .. HOLDERS - 1);
   if
--- a/spec/models.mjs
+++ b/spec/models.mjs
@@ -1,11 +1,11 @@
 /**
- * The table of models: each is to hold as it stands, and to fail under each of its mutations, which
- * take away one rule of the core by a macro.
+ * The models to check. Each must hold unchanged, and must fail with each of its mutations, macros that
+ * each remove one rule of the core.
  *
  * @typedef {object} Model
- * @property {string} name file in this folder without its ending
- * @property {string} [size] macros that set the size explored, for spin's command line
- * @property {string} [verifier] options of the verifier, e.g. a larger depth
+ * @property {string} name name of the file in this folder, without its extension
+ * @property {string} [size] macros for spin's command line that set the size to explore
+ * @property {string} [verifier] options of the verifier, e.g. a larger search depth
  * @property {string[]} mutations macros, each of which must make the model fail
  */
 
--- a/spec/once.pml
+++ b/spec/once.pml
@@ -94,7 +94,7 @@
   fi
 }
 
-/* takeReply: with a majority the coordinator has the claim, if it still asks. */
+/* handleClaimReply: with a majority the coordinator has the claim, if it still asks. */
 inline takeVote() {
   if
   :: phase[r] == ASKING ->
@@ -191,7 +191,7 @@
   fi
 }
 
-/* forgetPastClaims: the period is closed for good, and its claims are forgotten. */
+/* removeExpiredClaims: the period is closed for good, and its claims are forgotten. */
 inline forget() {
   pickKeeper();
   holder[k] = 0;
--- a/spec/run-models.mjs
+++ b/spec/run-models.mjs
@@ -1,9 +1,8 @@
 /**
- * Checks the models by spin, to exhaustion: `npm run model [-- name…]`.
+ * Checks the models exhaustively with spin: `npm run model [-- name…]`.
  *
- * Each model is checked as it stands, where it must hold, and with each mutation, where it must
- * fail. Prints one line for each check; exits with 1 when any verdict is not the one expected, or
- * when a search was cut short and so proves nothing.
+ * Each model must hold unchanged and fail with each mutation. Prints one line per check. Exits with 1 if a
+ * verdict differs from the expected one, or if a search was incomplete and so proves nothing.
  */
 import { execFileSync, spawnSync } from 'node:child_process';
 import { mkdirSync, rmSync } from 'node:fs';
@@ -15,11 +14,11 @@
 
 const SPEC_FOLDER = dirname(fileURLToPath(import.meta.url));
 const BUILD_FOLDER = join(SPEC_FOLDER, 'build');
-/** Most memory of one search, in megabytes. */
+/** Memory limit of one search, in megabytes. */
 const MEMORY_LIMIT_MB = 3_000;
-/** Longest search, in milliseconds. */
+/** Time limit of one search, in milliseconds. */
 const TIME_LIMIT_MS = 120_000;
-/** Searches at once. */
+/** Number of concurrent searches. */
 const WORKERS = Math.max(1, Math.min(4, Math.floor(availableParallelism() / 3)));
 const DEFAULT_DEPTH = '-m200000';
 const OUTPUT_LIMIT_BYTES = 64 * 1024 * 1024;
@@ -37,16 +36,16 @@
   mkdirSync(folder, { recursive: true });
   const macros = [...splitWords(model.size), ...(mutation === undefined ? [] : [`-D${mutation}`])];
   const source = join(SPEC_FOLDER, `${model.name}.pml`);
-  const quiet = { cwd: folder, stdio: ['ignore', 'pipe', 'pipe'] };
-  execFileSync('spin', [...macros, '-a', source], quiet);
+  const spawnOptions = { cwd: folder, stdio: ['ignore', 'pipe', 'pipe'] };
+  execFileSync('spin', [...macros, '-a', source], spawnOptions);
   const flags = ['-O2', '-DSAFETY', `-DMEMLIM=${MEMORY_LIMIT_MB}`, '-w', '-o', 'pan', 'pan.c'];
-  execFileSync('gcc', flags, quiet);
+  execFileSync('gcc', flags, spawnOptions);
   return folder;
 };
 
 const readNumber = (output, pattern) => Number(pattern.exec(output)?.[1] ?? Number.NaN);
 
-/** What a search found: `holds`, `fails`, or `cut-short` when it says nothing. */
+/** Returns the result of a search: `holds`, `fails`, or `cut-short` if it was incomplete. */
 const readVerdict = (output) => {
   if (readNumber(output, /errors: (\d+)/) > 0) {
     return 'fails';
@@ -80,9 +79,9 @@
 };
 
 const formatResult = ({ name, mutation, expected, verdict, states, seconds }) => {
-  const mark = verdict === expected ? 'ok' : 'NOT OK';
-  const what = `${name} ${mutation === undefined ? 'as it stands' : `with ${mutation}`}`;
-  return `${mark}: ${what}: ${verdict} (expected: ${expected}), ${states} states, ${seconds.toFixed(1)} s`;
+  const status = verdict === expected ? 'ok' : 'NOT OK';
+  const subject = `${name} ${mutation === undefined ? 'unchanged' : `with ${mutation}`}`;
+  return `${status}: ${subject}: ${verdict} (expected: ${expected}), ${states} states, ${seconds.toFixed(1)} s`;
 };
 
 const runInWorker = (check) =>
@@ -95,23 +94,23 @@
 const runAll = async (checks) => {
   const queue = [...checks];
   const results = [];
-  const work = async () => {
+  const runQueued = async () => {
     for (let check = queue.shift(); check !== undefined; check = queue.shift()) {
       const result = await runInWorker(check);
       results.push(result);
       console.log(formatResult(result));
     }
   };
-  await Promise.all(Array.from({ length: WORKERS }, work));
+  await Promise.all(Array.from({ length: WORKERS }, runQueued));
   return results;
 };
 
 if (isMainThread) {
   const checks = listChecks(process.argv.slice(2));
   const results = await runAll(checks);
-  const right = results.filter(({ verdict, expected }) => verdict === expected).length;
-  console.log(`${right} of ${checks.length} checks ended as expected`);
-  process.exitCode = right === checks.length && checks.length > 0 ? 0 : 1;
+  const expectedCount = results.filter(({ verdict, expected }) => verdict === expected).length;
+  console.log(`${expectedCount} of ${checks.length} checks ended as expected`);
+  process.exitCode = expectedCount === checks.length && checks.length > 0 ? 0 : 1;
 } else {
   parentPort.postMessage(runCheck(workerData));
 }
--- a/spec/zone-grants.pml
+++ b/spec/zone-grants.pml
@@ -95,7 +95,7 @@
   fi
 }
 
-/* renewDivider: a divider asks and reports what may be in use below it. */
+/* requestDividerGrant: a divider asks and reports what may be in use below it. */
 inline askHolder() {
   select (d : 0 .. DIVIDERS - 1);
   if
@@ -112,7 +112,7 @@
   fi
 }
 
-/* giveSlice: the answer may be less than there is room for. */
+/* grantSlice: the answer may be less than there is room for. */
 inline giveToDivider() {
   select (d : 0 .. DIVIDERS - 1);
   select (s : 1 .. ASKS);
@@ -130,7 +130,7 @@
   fi
 }
 
-/* takeReport: slices before this request are void, but for the one the divider holds. */
+/* applyReport: slices before this request are void, but for the one the divider holds. */
 inline takeReport() {
   if
   :: s > 1 && heldThen[q(d, s)] != 1 -> book[k * 4 + 1] = 0
@@ -142,7 +142,7 @@
   fi
 }
 
-/* takeGrant. */
+/* applyGrant. */
 inline takeOfHolder() {
   select (d : 0 .. DIVIDERS - 1);
   s = newest[d];
@@ -160,7 +160,7 @@
   fi
 }
 
-/* answerFromDivider: what a node gets ends with the divider's own grant. */
+/* handleDividerGrantRequest: what a node gets ends with the divider's own grant. */
 inline giveToNode() {
   select (d : 0 .. DIVIDERS - 1);
   k = of(d, process[d]);
@@ -176,7 +176,7 @@
   fi
 }
 
-/* takeBackSlice: a node hands back what it got, and uses it no longer. */
+/* returnSlice: a node hands back what it got, and uses it no longer. */
 inline takeBack() {
   select (d : 0 .. DIVIDERS - 1);
   k = of(d, process[d]);
