--- a/bench/claim-and-limit-cost.mjs
+++ b/bench/claim-and-limit-cost.mjs
@@ -1,6 +1,6 @@
 /**
- * What a claim and a limit in demand at every node cost, from 3 to 2,200 nodes: processor time of the
- * core and bytes of its messages in frames of their own, sent and taken. Usage: npm run build, then
+ * Measures the cost of a claim, and of a limit with demand at every node, for 3 to 2,200 nodes: processor time
+ * of the core, and bytes of the messages sent and received, each in its own frame. Usage: npm run build, then
  * `node bench/claim-and-limit-cost.mjs [--json] [--only claim|limit]`.
  */
 import { parseArgs } from 'node:util';
@@ -70,7 +70,7 @@
   },
 };
 
-/** Cores by node, made when they are first needed; all hold the same view. */
+/** Creates a tier whose cores have the same view. The core of a node is created when it is first used. */
 const createTier = (size) => {
   const identities = Array.from({ length: size }, (_, index) => identityOf(index));
   const objects = [...rosterObjects(identities), sheetObject];
@@ -100,8 +100,8 @@
 
 const microseconds = () => Number(process.hrtime.bigint()) / 1_000;
 
-/** Delivers messages until there are none; counts them, their bytes, and time at each side. */
-const settle = (tier, from, effects, at, count) => {
+/** Delivers messages until none is left; counts the messages, their bytes and the processing time. */
+const deliverAll = (tier, from, effects, at, count) => {
   let queue = linksOf(effects).map((effect) => ({ from, effect }));
   while (queue.length > 0) {
     const next = [];
@@ -140,7 +140,7 @@
     const startedAt = microseconds();
     const effects = requestClaim(state, `request-${index}`, 'ensemble', key, 10);
     count.microseconds += microseconds() - startedAt;
-    settle(tier, coordinator, effects, 10, count);
+    deliverAll(tier, coordinator, effects, 10, count);
   });
   if (state.counters.claims_granted !== CLAIMS) {
     throw new Error(`only ${state.counters.claims_granted} of ${CLAIMS} claims were granted`);
@@ -152,13 +152,13 @@
   };
 };
 
-/** Counts what one node sends and takes. */
+/** Creates the counters of the messages that one node sends and receives. */
 const createTraffic = () => ({ messages: 0, bytes: 0, microseconds: 0 });
 
-/** Bytes of one message in a frame of its own. */
+/** Returns the bytes of one message in its own frame. */
 const sizeOf = (message) => encodeLinkFrame([message]).length;
 
-/** A tier in virtual time whose messages arrive at once; traffic is counted for each node. */
+/** A tier in virtual time in which messages arrive without delay; counts the traffic of each node. */
 class LimitTier {
   constructor(size, startedAt) {
     this.tier = createTier(size);
@@ -166,7 +166,7 @@
     this.now = startedAt;
   }
 
-  /** Carries out a step at a node and delivers all that follows from it. */
+  /** Executes a step at a node and delivers all messages that follow from it. */
   run(node, act) {
     const queue = [{ node, act }];
     while (queue.length > 0) {
@@ -196,7 +196,7 @@
   }
 }
 
-/** One node's part: queries begin and end, so that it has a steady demand. */
+/** Number of queries that each node starts and ends per step, for a steady demand. */
 const PER_NODE = 4;
 
 const useLimit = (state, at) => {
@@ -207,7 +207,7 @@
   return effects;
 };
 
-/** The nodes that other nodes ask, by level. */
+/** Returns the nodes from which others request grants, by level. */
 const rolesOf = (tier) => {
   const roles = { row: new Set(), zone: new Set(), group: new Set() };
   for (const { node } of tier.identities) {
@@ -227,9 +227,9 @@
 
 const SETTLE_MS = 30_000;
 const COUNT_MS = 16_000;
-const LOOK_MS = 250;
+const STEP_MS = 250;
 
-/** A limit in demand at every node, after it has settled. */
+/** Measures a limit with demand at every node, after the grants have settled. */
 const measureLimit = (size, mostAskers) => {
   const run = new LimitTier(size, 5_000);
   const { tier, traffic } = run;
@@ -240,7 +240,7 @@
   });
   const endAt = run.now + SETTLE_MS + COUNT_MS;
   const countFrom = run.now + SETTLE_MS;
-  for (; run.now < endAt; run.now += LOOK_MS) {
+  for (; run.now < endAt; run.now += STEP_MS) {
     if (run.now === countFrom) {
       run.clear();
     }
@@ -255,7 +255,7 @@
     [...nodes]
       .map((node) => traffic.get(node))
       .reduce((max, one) => (one.bytes > max.bytes ? one : max), createTraffic());
-  const middle = (nodes) =>
+  const medianTraffic = (nodes) =>
     nodes.map((node) => traffic.get(node)).sort((a, b) => a.bytes - b.bytes)[nodes.length >> 1] ??
     createTraffic();
   const perSecond = ({ messages, bytes, microseconds: time }) => ({
@@ -263,12 +263,12 @@
     bytes: bytes / seconds,
     microseconds: time / seconds,
   });
-  const plain = order.filter((node) => !Object.values(roles).some((role) => role.has(node)));
+  const withoutRole = order.filter((node) => !Object.values(roles).some((role) => role.has(node)));
   return {
     row: perSecond(most(roles.row)),
     zone: perSecond(most(roles.zone)),
     group: perSecond(most(roles.group)),
-    node: perSecond(middle(plain)),
+    node: perSecond(medianTraffic(withoutRole)),
     refused: order.filter((node) => {
       const use = tier.coreOf(node).admission.uses.get(`${LIMIT.row}|${LIMIT.bound}`);
       return usableAmount(use, run.now) < PER_NODE;
@@ -283,7 +283,7 @@
   );
 };
 
-/** Ways to ask: all ask the row's holder; zones divide; zones and groups, as the core does. */
+/** Variants: all nodes request grants from the row's holder, or from dividers of zones and groups, as the core decides. */
 const WAYS = { direct: () => Number.POSITIVE_INFINITY, levels: () => MOST_ASKERS };
 
 const { values } = parseArgs({
--- a/bench/edit-cost.mjs
+++ b/bench/edit-cost.mjs
@@ -1,7 +1,7 @@
 /**
- * Processor time of one edit of one row, step by step, by the number of rows of the sheet: at the
- * node that decides it, at a reader of the store, and at a node that takes the push. Several builds
- * can be compared; they take turns in one run. Run after `npm run build`:
+ * Measures the processor time of each step of an edit of one row, for several numbers of rows in the sheet: at
+ * the node that decides the edit, at a reader of the store, and at a node that receives the push. Several
+ * builds can be compared; they alternate in one run. Run after `npm run build`:
  * node bench/edit-cost.mjs [directory of a build]...
  */
 import { performance } from 'node:perf_hooks';
@@ -59,7 +59,7 @@
     ...(await get('runtime/store/store-answers.js')),
     ...(await get('core/editing/decide-edit.js')),
     ...(await get('core/configuration/derive-in-force.js')),
-    // A build without this module spreads sheets with their whole history.
+    // Builds without this module push sheets with their whole history.
     ...(await get('table/spread-history.js').catch(() => ({}))),
     ...(await get('core/configuration/push-deltas.js')),
     ...(await get('table/sheet-delta.js')),
@@ -69,11 +69,11 @@
 
 const median = (values) => [...values].sort((a, b) => a - b)[Math.floor(values.length / 2)];
 
-/** Carries one edit through all steps; `time` notes how long each took. */
+/** Executes all steps of one edit; `time` records the duration of each. */
 const runOnce = (build, rows, time) => {
   const standing = createObject(rows);
   const text = JSON.stringify(standing);
-  // A reader and a node that takes pushes hold what they once read.
+  // The reader and the node that receives the push hold the sheet as they have read it before.
   const spread = build.trimHistory ?? ((object) => object);
   const heldByReader = spread(JSON.parse(text));
   const heldByNode = spread(JSON.parse(text));
@@ -92,22 +92,22 @@
   const [object] = time('reader: read the line', () =>
     build.readWatchLine(line).unsafeCoerce().objects.map(spread),
   );
-  const delta = time('reader: tell apart', () => build.diffSheet(heldByReader, object));
+  const delta = time('reader: compute the delta', () => build.diffSheet(heldByReader, object));
   const shared = time('reader: share rows', () =>
     build.shareUnchangedRows === undefined ? object : build.applySheetDelta(heldByReader, delta),
   );
-  time('reader: take into force', () => build.updateInForce(inForceAtReader, heldByReader, shared));
+  time('reader: update in force', () => build.updateInForce(inForceAtReader, heldByReader, shared));
   const push = time('reader: encode the push', () => encode({ deltas: [delta] }));
 
-  const taken = time('node: read the push', () => {
-    const [received] = decode(push).deltas;
-    if (!build.isSheetDelta(received)) {
+  const received = time('node: read the push', () => {
+    const [pushed] = decode(push).deltas;
+    if (!build.isSheetDelta(pushed)) {
       throw new Error('the push is malformed');
     }
-    return received;
+    return pushed;
   });
-  const expanded = time('node: make the sheet', () => build.applySheetDelta(heldByNode, taken));
-  time('node: take into force', () => build.updateInForce(inForceAtNode, heldByNode, expanded));
+  const expanded = time('node: apply the delta', () => build.applySheetDelta(heldByNode, received));
+  time('node: update in force', () => build.updateInForce(inForceAtNode, heldByNode, expanded));
   return { push: push.length, line: line.length };
 };
 
@@ -134,9 +134,9 @@
 for (const rows of SIZES) {
   const { times, bytes } = measure(builds, rows);
   console.log(
-    `\n${rows} rows, ${HISTORY} edits: pushed as ${bytes.push}, watched as ${bytes.line} bytes`,
+    `\n${rows} rows, ${HISTORY} edits: push ${bytes.push} bytes, watch line ${bytes.line} bytes`,
   );
-  console.log(`  medians in ms of ${ROUNDS} rounds: ${names.join(', ')}`);
+  console.log(`  median of ${ROUNDS} rounds in ms: ${names.join(', ')}`);
   const sums = times.map(() => new Map());
   for (const name of times[0].keys()) {
     const medians = times.map((each) => median(each.get(name)));
@@ -148,6 +148,6 @@
   }
   for (const place of sums[0].keys()) {
     const values = sums.map((each) => each.get(place).toFixed(2)).join('  ');
-    console.log(`  all of ${place.padEnd(19)} ${values}`);
+    console.log(`  sum of ${place.padEnd(19)} ${values}`);
   }
 }
--- a/bench/history-bytes.mjs
+++ b/bench/history-bytes.mjs
@@ -1,6 +1,6 @@
 /**
- * Bytes of one edit of a sheet of 10 rows, by the codec of links, for histories of several lengths:
- * a push, as it goes to every node, and a page, as a node pulls that joins or missed a push.
+ * Measures the bytes of one edit of a sheet of 10 rows in the codec of links, for histories of several lengths:
+ * the push that is sent to every node, and the page pulled by a node that joins or has missed a push.
  * Run after `npm run build`: node bench/history-bytes.mjs
  */
 import { Buffer } from 'node:buffer';
@@ -13,8 +13,8 @@
 const EDITED_ROW = 5;
 const HISTORY_LIMIT = 2_000;
 const HISTORIES = [10, 100, 256, 2_000];
-const EDITS_A_DAY = 9_200;
-const SECONDS_A_DAY = 86_400;
+const EDITS_PER_DAY = 9_200;
+const SECONDS_PER_DAY = 86_400;
 
 const rowAt = (index, weight) =>
   createRow({
@@ -36,7 +36,7 @@
   return { row: rowAt(index, version), rowVersion: version, writtenBy: 'mair' };
 };
 
-/** The sheet as the edit that made version `newest` left it; it has `length` records. */
+/** Creates the sheet after the edit with version `newest`; its history has `length` records. */
 const createObject = (newest, length) =>
   createSheetObject(
     newest,
@@ -45,7 +45,7 @@
   );
 
 const bytesOf = (message) => encodeLinkFrame([message]).length;
-const rate = (bytes) => ((bytes * EDITS_A_DAY) / SECONDS_A_DAY).toFixed(0);
+const rate = (bytes) => ((bytes * EDITS_PER_DAY) / SECONDS_PER_DAY).toFixed(0);
 
 for (const length of HISTORIES) {
   const from = createObject(10_000, length);
@@ -56,7 +56,7 @@
     bytesOf({ type: 'configuration-page', after, objects: [object], revision: through });
   const delta = diffSheet(trimHistory(from), trimHistory(to));
   if (delta === undefined) {
-    throw new Error('the change of the sheet cannot be told');
+    throw new Error('the change of the sheet cannot be expressed as a delta');
   }
   const push = bytesOf({
     type: 'configuration-push',
@@ -69,6 +69,6 @@
   const trimmed = page(trimHistory(to));
   const json = Buffer.byteLength(JSON.stringify(to));
   console.log(
-    `${length} records: push ${push} bytes (${rate(push)} B/s at ${EDITS_A_DAY} edits a day); page ${whole} bytes with the whole history (${rate(whole)} B/s), ${trimmed} with what nodes hold (${rate(trimmed)} B/s); from the store to a reader ${json} bytes (${rate(json)} B/s)`,
+    `${length} records: push ${push} bytes (${rate(push)} B/s at ${EDITS_PER_DAY} edits per day); page ${whole} bytes with the whole history (${rate(whole)} B/s), ${trimmed} with the history that nodes hold (${rate(trimmed)} B/s); JSON from the store to a reader ${json} bytes (${rate(json)} B/s)`,
   );
 }
--- a/bench/sample-sheet.mjs
+++ b/bench/sample-sheet.mjs
@@ -1,6 +1,6 @@
-/** Rows and records of a sheet, as the measurements of this folder fill it. */
+/** Sample rows and records of a sheet for the measurements in this folder. */
 
-/** A row of the ensemble; `fields` say what it is named and what differs from the usual. */
+/** Creates a row of the partner `ensemble` with its route, kind and services; `fields` override the defaults. */
 export const createRow = ({ route, kind, services, ...fields }) => ({
   partner: 'ensemble',
   route,
@@ -19,7 +19,7 @@
   ...fields,
 });
 
-/** A record of the edit with this number; `fields` name its rows, digest and version. */
+/** Creates the record of edit `number`, with its rows, digest and sheet version. */
 export const createRecord = (number, { rows, digest, sheetVersion }) => ({
   edit: `edit-${number}-0123456789abcdef`,
   operator: 'mair',
@@ -30,7 +30,7 @@
   sheetVersion,
 });
 
-/** A sheet of the ensemble as the store keeps it. */
+/** Creates the store object of the sheet of the partner `ensemble`. */
 export const createSheetObject = (version, rows, history) => ({
   name: 'sheet/ensemble',
   version,
--- a/bench/table-import.mjs
+++ b/bench/table-import.mjs
@@ -1,6 +1,6 @@
 /**
- * Cost of importing a sheet of 10,000 rows with all its checks, beside a bare parse of the same file,
- * alternating in one run; several builds can be compared. Run after `npm run build`:
+ * Measures the import of a sheet of 10,000 rows with all checks, relative to a bare parse of the same file. The
+ * variants alternate in one run; several builds can be compared. Run after `npm run build`:
  * node bench/table-import.mjs [directory of a build]...
  */
 import { performance } from 'node:perf_hooks';
@@ -39,7 +39,7 @@
 
 const rows = Array.from({ length: ROWS }, (_, index) => rowAt(index));
 const text = formatSheetCsv(rows);
-// A tenth of the rows of the second file have a wrong weight, deadline and flag.
+// In the second file, a tenth of the rows have an invalid weight and deadline.
 const wrongText = text
   .split('\n')
   .map((line, index) =>
--- a/bench/table-page.mjs
+++ b/bench/table-page.mjs
@@ -1,7 +1,7 @@
 /**
- * Time and bytes of the operators' table page, by the number of rows of the sheet: the first page
- * after an edit (when the order of the rows is made anew), the next, a filtered one, and the JSON of
- * the whole table. Run after `npm run build`: node bench/table-page.mjs
+ * Measures time and bytes of the operators' table page for several numbers of rows in the sheet: the first page
+ * after an edit (when the rows are sorted again), the next page, a filtered page, and the JSON of the whole
+ * table. Run after `npm run build`: node bench/table-page.mjs
  */
 import { Buffer } from 'node:buffer';
 import { performance } from 'node:perf_hooks';
@@ -38,7 +38,7 @@
 const now = () => Date.now();
 const app = createOperatorApp({
   state: () => state,
-  submitEdit: () => Promise.reject(new Error('nothing is edited here')),
+  submitEdit: () => Promise.reject(new Error('edits are not supported by this benchmark')),
   now,
   monotonicNow: () => performance.now(),
   sessionSecret: 'session-secret-of-the-bench',
