--- a/soak/checker/check-run.ts
+++ b/soak/checker/check-run.ts
@@ -1,15 +1,15 @@
-/** Judges a run by what was seen from outside; nothing of the gateway's own code is used. */
+/** Checks a run by observations from outside, without using code of the gateway. */
 import type { Observations } from '../model/observations.js';
-import { checkCallersGone } from './callers-gone.js';
+import { checkAbandonedRequests } from './callers-gone.js';
 import { checkConfiguration } from './configuration.js';
 import { checkDrainedReplicas } from './drained-replicas.js';
 import { type CheckedRun, Evidence } from './evidence.js';
-import { checkLethalRequests } from './lethal-requests.js';
+import { checkPoisonRequests } from './poison-requests.js';
 import { checkPlannedStops } from './planned-stops.js';
-import { checkOwnEnds, checkRecovery } from './recovery.js';
+import { checkUnexpectedExits, checkRecovery } from './recovery.js';
 import { checkAtMostOnce, checkRefusedNeverRan, checkUnchangedRequests } from './request-checks.js';
 import { checkRetryBudget } from './retry-budget.js';
-import type { Promised, Violation } from './violation.js';
+import type { PromiseName, Violation } from './violation.js';
 import { checkWholeAnswers } from './whole-answers.js';
 
 const CHECKS: readonly ((evidence: Evidence) => readonly Violation[])[] = [
@@ -21,26 +21,26 @@
   checkConfiguration,
   checkPlannedStops,
   checkRetryBudget,
-  checkCallersGone,
-  checkLethalRequests,
+  checkAbandonedRequests,
+  checkPoisonRequests,
   checkRecovery,
-  checkOwnEnds,
+  checkUnexpectedExits,
 ];
 
-/** What the checker says of a run. */
+/** Result of the checks of a run. */
 export interface Verdict {
-  /** In the order of time. */
+  /** In order of time. */
   readonly violations: readonly Violation[];
-  /** How many cases of each promise were judged. */
-  readonly judged: ReadonlyMap<Promised, number>;
+  /** Number of cases checked for each promise. */
+  readonly caseCounts: ReadonlyMap<PromiseName, number>;
 }
 
-/** Judges a run. */
+/** Checks the observations of a run against all promises. */
 export const checkRun = (observations: Observations, run: CheckedRun): Verdict => {
   const evidence = new Evidence(observations, run);
   const violations = CHECKS.flatMap((check) => check(evidence));
   return {
     violations: violations.sort((left, right) => left.at - right.at),
-    judged: evidence.judged,
+    caseCounts: evidence.caseCounts,
   };
 };
--- a/soak/checker/drained-replicas.ts
+++ b/soak/checker/drained-replicas.ts
@@ -1,49 +1,49 @@
-/** A replica that drains, is gone, or has an entry that cannot be read gets no request once that can be known. */
+/** Checks that replicas which drain, are removed, or have an invalid entry get no requests after the bound. */
 import type { Departure } from '../model/observations.js';
 import type { Evidence } from './evidence.js';
-import type { Promised, Violation } from './violation.js';
+import type { PromiseName, Violation } from './violation.js';
 
-const promiseOf = ({ why }: Departure): Promised =>
+const getPromise = ({ why }: Departure): PromiseName =>
   why === 'leaves' ? 'drained-replicas' : 'spoilt-entries';
 
-const reasonOf = ({ why }: Departure): string =>
-  why === 'leaves' ? 'the store said that it leaves' : 'its entry was spoilt';
+const describeReason = ({ why }: Departure): string =>
+  why === 'leaves' ? 'the store announced that it leaves' : 'its entry was overwritten';
 
-/** Whether a replica had its own entry again. */
+/** Whether the replica had restored its own entry by `at`. */
 const hasReturned = ({ returnedAt }: Departure, at: number): boolean =>
   returnedAt !== undefined && at >= returnedAt;
 
-/** Whether the store had been calm when it acknowledged that the replica leaves. */
-const wasStable = (evidence: Evidence, { acknowledgedAt }: Departure): boolean =>
-  evidence.isInTouch([], acknowledgedAt, acknowledgedAt);
+/** Whether the store was undisturbed when it acknowledged the departure. */
+const hadStoreContact = (evidence: Evidence, { acknowledgedAt }: Departure): boolean =>
+  evidence.isInContact([], acknowledgedAt, acknowledgedAt);
 
-/** Time after the bound in which all replicas that leave still serve, in milliseconds. */
-const SERVES_LONGER_MS = 2_500;
+/** Time after the bound during which every departing replica still serves, in milliseconds. */
+const EXTRA_SERVING_MS = 2_500;
 
-/** Arrivals at other replicas, in touch, that could have gone to the one that leaves. */
-const noteJudged = (evidence: Evidence): void => {
+/** Records arrivals, from gateways in contact, that could have gone to the departing replica. */
+const recordCases = (evidence: Evidence): void => {
   const { departures, arrivals } = evidence.observations;
   const { drainMs } = evidence.run.bounds;
-  for (const departure of departures.filter((each) => wasStable(evidence, each))) {
+  for (const departure of departures.filter((each) => hadStoreContact(evidence, each))) {
     const from = departure.acknowledgedAt + drainMs;
     const cases = arrivals.filter(({ service, at, requestId }) => {
       const request = evidence.requests.get(requestId);
       const isTimely =
         service === departure.service &&
         at > from &&
-        at < from + SERVES_LONGER_MS &&
+        at < from + EXTRA_SERVING_MS &&
         !hasReturned(departure, at);
-      return isTimely && request !== undefined && evidence.isRequestInTouch(request, at, at);
+      return isTimely && request !== undefined && evidence.isRequestInContact(request, at, at);
     });
-    evidence.noteJudged(promiseOf(departure), cases.length);
+    evidence.recordCases(getPromise(departure), cases.length);
   }
 };
 
-/** Finds requests that gateways in touch sent to a replica too late. */
+/** Finds requests that gateways in contact sent to a replica after its departure had to be known. */
 export const checkDrainedReplicas = (evidence: Evidence): readonly Violation[] => {
   const { departures, arrivals } = evidence.observations;
   const { drainMs } = evidence.run.bounds;
-  noteJudged(evidence);
+  recordCases(evidence);
   const left = new Map(departures.map((departure) => [departure.replica, departure]));
   return arrivals.flatMap((arrival): readonly Violation[] => {
     const departure = left.get(arrival.replica);
@@ -53,12 +53,12 @@
     }
     const lateMs = Math.round(arrival.at - departure.acknowledgedAt);
     const isKnown = lateMs > drainMs && !hasReturned(departure, arrival.at);
-    const isLate = isKnown && wasStable(evidence, departure);
-    if (!isLate || !evidence.isRequestInTouch(request, arrival.at, arrival.at)) {
+    const isLate = isKnown && hadStoreContact(evidence, departure);
+    if (!isLate || !evidence.isRequestInContact(request, arrival.at, arrival.at)) {
       return [];
     }
     const { id, gateway, path } = request;
-    const text = `${path} reached ${arrival.replica} ${lateMs} ms after ${reasonOf(departure)}`;
-    return [{ promise: promiseOf(departure), at: arrival.at, gateway, requestId: id, text }];
+    const text = `${path} reached ${arrival.replica} ${lateMs} ms after ${describeReason(departure)}`;
+    return [{ promise: getPromise(departure), at: arrival.at, gateway, requestId: id, text }];
   });
 };
--- a/soak/faults/store-faults.ts
+++ b/soak/faults/store-faults.ts
@@ -1,4 +1,4 @@
-/** Faults of the store: it is down, loses answers, and its watches are late, silent or reset. */
+/** Faults of the store: outages, lost answers, restores from backups, and watches that are delayed, silent or reset. */
 import { setTimeout as pause } from 'node:timers/promises';
 import { match } from 'ts-pattern';
 import type { Random } from '../../src/core/random.js';
@@ -6,10 +6,10 @@
 import { beginDisturbance } from '../world/recorder.js';
 import type { SoakWorld } from '../world/soak-world.js';
 
-/** When the version changes, as a part of the time in which watches hear nothing. */
-const CHANGE_AT_SHARE = 0.4;
+/** Time of the configuration change, as a share of the time during which watches are silent. */
+const CHANGE_AFTER_SHARE = 0.4;
 
-/** A fault of the store for all gateways. */
+/** A fault of the store that affects all gateways. */
 export type StoreFault = Extract<
   Fault,
   {
@@ -23,7 +23,7 @@
   }
 >;
 
-/** Carries out one fault of the store after the other. */
+/** Injects faults of the store, one at a time. */
 export class StoreFaults {
   private busy: Promise<void> = Promise.resolve();
 
@@ -32,25 +32,25 @@
     private readonly random: Random,
   ) {}
 
-  /** Resolves when the fault is over; it waits for the one before. */
-  carryOut(fault: StoreFault): Promise<void> {
+  /** Injects a fault after the previous one is over; resolves when it is over itself. */
+  execute(fault: StoreFault): Promise<void> {
     this.busy = this.busy.then(async () => {
       const scopes = [{ type: 'store' }] as const;
       const end = beginDisturbance(this.world.observations, scopes, fault.type);
-      await this.play(fault);
+      await this.apply(fault);
       end();
     });
     return this.busy;
   }
 
-  private play(fault: StoreFault): Promise<void> {
+  private apply(fault: StoreFault): Promise<void> {
     const { store } = this.world;
     return match(fault)
       .with({ type: 'delay-watches' }, async ({ delayMs, forMs }) => {
         store.watchDelayMs = delayMs;
         await pause(forMs);
         store.watchDelayMs = 0;
-        // Answers that are on their way come late still.
+        // Answers that were delayed before the end still arrive late.
         await pause(delayMs);
       })
       .with({ type: 'mute-watches' }, async ({ forMs }) => {
@@ -58,7 +58,7 @@
         await pause(forMs);
         store.muteWatches(false);
       })
-      .with({ type: 'change-and-forget' }, ({ muteMs }) => this.changeAndForget(muteMs))
+      .with({ type: 'change-and-forget' }, ({ muteMs }) => this.changeAndDiscardHistory(muteMs))
       .with({ type: 'store-down' }, async ({ outage, forMs }) => {
         store.mode = outage;
         store.cutConnections();
@@ -70,36 +70,36 @@
         await pause(forMs);
         store.mode = 'serving';
       })
-      .with({ type: 'store-returns' }, (returns) => this.returnFromCopy(returns))
+      .with({ type: 'store-returns' }, (returns) => this.restoreBackup(returns))
       .exhaustive();
   }
 
-  private async returnFromCopy({
+  private async restoreBackup({
     outage,
     copyAgeMs,
     awayMs,
     rewriteMs,
   }: Extract<StoreFault, { type: 'store-returns' }>): Promise<void> {
-    const { store, storeCopies, operator, replicas } = this.world;
-    const copy = storeCopies.find(copyAgeMs);
+    const { store, storeBackups, operator, replicas } = this.world;
+    const backup = storeBackups.find(copyAgeMs);
     store.mode = outage;
     store.cutConnections();
     await pause(awayMs);
-    store.restore(copy);
+    store.restore(backup);
     store.mode = 'serving';
-    const rewritten = replicas.writeAgain(rewriteMs, this.random);
+    const rewritten = replicas.rewriteEntries(rewriteMs, this.random);
     await pause(rewriteMs);
-    operator.write();
+    operator.rewriteNewest();
     await rewritten;
   }
 
-  /** Watches hear nothing while the configuration changes, and are then told that its history is gone. */
-  private async changeAndForget(muteMs: number): Promise<void> {
+  /** Mutes watches during a configuration change, then discards the history that they need to resume. */
+  private async changeAndDiscardHistory(muteMs: number): Promise<void> {
     const { store, operator } = this.world;
     store.muteWatches(true);
-    await pause(muteMs * CHANGE_AT_SHARE);
+    await pause(muteMs * CHANGE_AFTER_SHARE);
     operator.configure();
-    await pause(muteMs * (1 - CHANGE_AT_SHARE));
+    await pause(muteMs * (1 - CHANGE_AFTER_SHARE));
     store.discardHistory();
     store.muteWatches(false);
   }
--- a/soak/model/plan.ts
+++ b/soak/model/plan.ts
@@ -1,32 +1,32 @@
-/** What one run does, drawn from its seed. */
+/** The plan of one run, drawn from its seed. */
 import { createRandom, type Random } from '../../src/core/random.js';
 import type { GatewayBounds } from '../../src/gateway/settings.js';
 import { PREFIXES } from '../world/routes.js';
 import {
   drawEntryFaults,
   drawLastVersion,
-  drawPeerTroubles,
-  drawReleases,
+  drawPeerLinkFaults,
+  drawReplacements,
   drawSchedule,
   drawService,
-  drawStoreReturns,
+  drawStoreRestores,
   drawVersions,
   type ScheduledFault,
 } from './schedule.js';
 
-/** Bounds that the soak checks; milliseconds unless the name says otherwise. */
+/** Bounds checked by the soak; times are in milliseconds. */
 export interface SoakBounds extends GatewayBounds {
-  /** Time without a fault after which a gateway is in touch. */
+  /** Time without a fault after which a gateway counts as in contact. */
   readonly contactMs: number;
-  /** Time after the end of the faults after which all serve. */
+  /** Time after the end of the faults within which all gateways serve again. */
   readonly recoveryMs: number;
-  /** A version may be taken for older than one that was seen in force for so long. */
+  /** Time after a version was seen in force during which evidence of an older one is no rollback. */
   readonly rollbackSlackMs: number;
-  /** A connection that ends sooner than this has not been read. */
+  /** A request whose connection closes sooner than this may not have been read. */
   readonly lossSlackMs: number;
 }
 
-/** Figures of the users' deployments, except for the slack of the budget, which a run draws. */
+/** Bounds of the users' deployments, except for the slack of the retry budget, which each run draws. */
 const BOUNDS: Omit<SoakBounds, 'retrySlack'> = {
   drainMs: 3_000,
   graceMs: 6_000,
@@ -39,22 +39,22 @@
   lossSlackMs: 200,
 };
 
-/** Slack of the retry budget: the users' figure, and a small one that is used up sooner. */
+/** Slacks of the retry budget: that of the users' deployments, and a smaller one that is exhausted sooner. */
 const RETRY_SLACKS = [56, 20] as const;
 
 /**
- * Connections of a replica: with the first, every gateway speaks to replicas itself; with the second, six
- * gateways or more go by way of feeders.
+ * Connection limits of a replica: with the first, every gateway connects to replicas itself; with the second,
+ * six or more gateways use feeders.
  */
 const MAX_CONNECTIONS = [60, 8] as const;
 
-/** Time in which all start, before the first fault, in milliseconds. */
+/** Time for the start of all processes before the first fault, in milliseconds. */
 const WARM_UP_MS = 7_000;
 
-/** Time in which all must serve again after the recovery, in milliseconds. */
+/** Time after the recovery in which all gateways must serve, in milliseconds. */
 const FINAL_MS = 5_000;
 
-/** What the command line says. */
+/** Options of the command line. */
 export interface SoakOptions {
   readonly seed: number;
   readonly gateways: number;
@@ -62,37 +62,37 @@
   readonly callersPerGateway: number;
 }
 
-/** A request that ends each replica that begins to run it. */
-export interface LethalRequest {
+/** A request that crashes every replica which runs it. */
+export interface PoisonRequest {
   /** Prefix of its route. */
   readonly prefix: string;
-  /** Usual time between two of its callers, in milliseconds. */
-  readonly everyMs: number;
-  /** Its callers leave after so long, in milliseconds; absent where they wait. */
+  /** Mean time between two of its callers, in milliseconds. */
+  readonly intervalMs: number;
+  /** Time after which its callers close the connection, in milliseconds; absent if they wait for the answer. */
   readonly leavesAfterMs?: number;
 }
 
-/** One run. */
+/** Plan of one run. */
 export interface SoakPlan extends SoakOptions {
   readonly bounds: SoakBounds;
   readonly maxConnections: number;
-  /** Gateways reach one another by way of proxies. */
+  /** Whether gateways connect to one another through proxies. */
   readonly usesPeerLinks: boolean;
   readonly warmUpMs: number;
   readonly finalMs: number;
-  /** Faults, with times from the end of the warm-up. */
+  /** Faults; times are relative to the end of the warm-up. */
   readonly schedule: readonly ScheduledFault[];
-  /** Requests that end replicas, which come all through the run. */
-  readonly lethalRequests: readonly LethalRequest[];
-  /** A replica ends so long after it has begun to run one, in milliseconds. */
-  readonly lethalAfterMs: number;
-  /** Replicas tell in their entries when they have started. */
-  readonly tellsStarts: boolean;
-  /** Planned work that goes on after the faults, with times from their end. */
+  /** Poison requests, sent throughout the run. */
+  readonly poisonRequests: readonly PoisonRequest[];
+  /** Time from the start of a poison request at a replica to its crash, in milliseconds. */
+  readonly poisonCrashDelayMs: number;
+  /** Whether replicas publish their start time in their entries. */
+  readonly publishesStartTimes: boolean;
+  /** Planned work after the faults; times are relative to their end. */
   readonly plannedWork: readonly ScheduledFault[];
 }
 
-/** Streams of random numbers of one seed. */
+/** Random streams of one seed. */
 export type RandomStream =
   | 'plan'
   | 'schedule'
@@ -106,7 +106,7 @@
   | 'store-returns'
   | 'entries';
 
-/** A new one goes to the end: the seeds that have failed then keep the streams that they had. */
+/** New streams are appended, so that the regression seeds keep theirs. */
 const STREAMS: readonly RandomStream[] = [
   'plan',
   'schedule',
@@ -121,91 +121,96 @@
   'entries',
 ];
 
-/** Distance between the seeds of two runs, so that their streams differ. */
+/** Distance between the stream seeds of two runs, so that their streams differ. */
 const STREAM_STRIDE = 1_000_003;
 
-/** A stream of random numbers of its own for each purpose. */
+/** Creates the random stream for one purpose. */
 export const streamOf = (seed: number, stream: RandomStream, index = 0) =>
   createRandom(seed * STREAM_STRIDE + STREAMS.indexOf(stream) * 10_007 + index);
 
-/** Time after the faults in which replicas are replaced and versions come, in milliseconds. */
+/** Time after the faults during which replicas are replaced and versions are written, in milliseconds. */
 const PLANNED_WORK_MS = 9_000;
 
-/** Time after the faults at which a gateway is stopped: it has been in touch by then, in milliseconds. */
+/** Time from the end of the faults to the stop of a gateway, which is in contact by then, in milliseconds. */
 const PLANNED_STOP_MS = BOUNDS.contactMs + 200;
 
 const drawPlannedWork = (
   seed: number,
   gateways: number,
-  endsQuietly: boolean,
+  endsWithoutVersions: boolean,
 ): readonly ScheduledFault[] => {
   const random = streamOf(seed, 'calm');
-  const releases = drawReleases(random, PLANNED_WORK_MS);
+  const releases = drawReplacements(random, PLANNED_WORK_MS);
   const versions = drawVersions(random, PLANNED_WORK_MS);
   const stop = { type: 'stop-in-turn', gateways: [random.nextBelow(gateways)] } as const;
-  return [...releases, ...(endsQuietly ? [] : versions), { atMs: PLANNED_STOP_MS, fault: stop }];
+  return [
+    ...releases,
+    ...(endsWithoutVersions ? [] : versions),
+    { atMs: PLANNED_STOP_MS, fault: stop },
+  ];
 };
 
-/** Runs of smaller seeds have none: those that have failed stay what they were. */
-const FIRST_LETHAL_SEED = 1_000;
+/** Runs with smaller seeds have no poison requests, so that earlier regression seeds are unchanged. */
+const FIRST_POISON_SEED = 1_000;
 
-const MOST_LETHAL_REQUESTS = 2;
+const MAX_POISON_REQUESTS = 2;
 
-/** Shortest and longest usual time between two callers of a lethal request, in milliseconds. */
-const LEAST_LETHAL_MS = 300;
-const MOST_LETHAL_MS = 5_000;
+/** Minimum and maximum mean time between two callers of a poison request, in milliseconds. */
+const MIN_POISON_INTERVAL_MS = 300;
+const MAX_POISON_INTERVAL_MS = 5_000;
 
-const drawLethalRequests = (seed: number): readonly LethalRequest[] => {
-  if (seed < FIRST_LETHAL_SEED) {
+const drawPoisonRequests = (seed: number): readonly PoisonRequest[] => {
+  if (seed < FIRST_POISON_SEED) {
     return [];
   }
   const random = streamOf(seed, 'lethal');
   const prefixes = [PREFIXES.gather, PREFIXES.moving, PREFIXES.once];
-  return Array.from({ length: 1 + random.nextBelow(MOST_LETHAL_REQUESTS) }, () => ({
+  return Array.from({ length: 1 + random.nextBelow(MAX_POISON_REQUESTS) }, () => ({
     prefix: prefixes[random.nextBelow(prefixes.length)] ?? PREFIXES.gather,
-    everyMs: LEAST_LETHAL_MS + random.nextBelow(MOST_LETHAL_MS - LEAST_LETHAL_MS),
+    intervalMs:
+      MIN_POISON_INTERVAL_MS + random.nextBelow(MAX_POISON_INTERVAL_MS - MIN_POISON_INTERVAL_MS),
   }));
 };
 
-/** In runs of smaller seeds the store never returns from a copy: those that have failed stay what they were. */
-const FIRST_RETURN_SEED = 2_000;
+/** Runs with smaller seeds have no restores of the store, so that earlier regression seeds are unchanged. */
+const FIRST_RESTORE_SEED = 2_000;
 
 /**
- * In runs of smaller seeds replicas end at once and for all callers that wait, have a new identifier with each start, and
- * nobody else writes their entries: those that have failed stay what they were.
+ * In runs with smaller seeds poison requests crash replicas at once and their callers wait, each replica has a new
+ * identifier, and no entry is overwritten, so that earlier regression seeds are unchanged.
  */
 const FIRST_ENTRY_SEED = 3_000;
 
-/** Of these runs every second one has no returns: little can be judged of entries while the store is never calm. */
-const hasStoreReturns = (seed: number): boolean =>
-  seed >= FIRST_RETURN_SEED && (seed < FIRST_ENTRY_SEED || seed % 2 === 0);
+/** Half of the runs with entry faults have no restores: few entries can be checked while the store is disturbed. */
+const hasStoreRestores = (seed: number): boolean =>
+  seed >= FIRST_RESTORE_SEED && (seed < FIRST_ENTRY_SEED || seed % 2 === 0);
 
-/** Longest time until a caller of a lethal request leaves, and until a replica ends under it, in milliseconds. */
-const LONGEST_LETHAL_WAIT_MS = 200;
-const LONGEST_LETHAL_RUN_MS = 400;
+/** Maximum time until a caller of a poison request leaves, and until a replica crashes, in milliseconds. */
+const MAX_POISON_WAIT_MS = 200;
+const MAX_POISON_RUN_MS = 400;
 
-/** Lets the callers of half of the lethal requests leave, mostly before the replicas end. */
-const drawLeaving = (
+/** Makes the callers of about half of the poison requests leave, mostly before the replica crashes. */
+const drawAbandonment = (
   random: Random,
-  requests: readonly LethalRequest[],
-): readonly LethalRequest[] =>
+  requests: readonly PoisonRequest[],
+): readonly PoisonRequest[] =>
   requests.map((request) =>
     random.nextBelow(2) === 0
       ? request
-      : { ...request, leavesAfterMs: 10 + random.nextBelow(LONGEST_LETHAL_WAIT_MS) },
+      : { ...request, leavesAfterMs: 10 + random.nextBelow(MAX_POISON_WAIT_MS) },
   );
 
-/** Entries that are spoilt after the faults, once the store has been calm, and for how long, in milliseconds. */
-const CALM_SPOILT_ENTRIES = 3;
-const CALM_SPOILT_MS = 6_000;
+/** Number of entries overwritten after the faults, once the store is undisturbed, and for how long, in milliseconds. */
+const FINAL_SPOILT_ENTRIES = 3;
+const FINAL_SPOILT_MS = 6_000;
 
 const drawSpoiltEntries = (random: Random): readonly ScheduledFault[] =>
-  Array.from({ length: CALM_SPOILT_ENTRIES }, () => ({
+  Array.from({ length: FINAL_SPOILT_ENTRIES }, () => ({
     atMs: PLANNED_STOP_MS,
-    fault: { type: 'entry-spoilt', service: drawService(random), forMs: CALM_SPOILT_MS },
+    fault: { type: 'entry-spoilt', service: drawService(random), forMs: FINAL_SPOILT_MS },
   }));
 
-/** Draws a run. */
+/** Draws the plan of a run. */
 export const drawPlan = (options: SoakOptions): SoakPlan => {
   const random = streamOf(options.seed, 'plan');
   const retrySlack = RETRY_SLACKS[random.nextBelow(RETRY_SLACKS.length)] ?? RETRY_SLACKS[0];
@@ -215,14 +220,14 @@
   const usesPeerLinks = random.nextBelow(2) === 0;
   const { seed, gateways } = options;
   const lastVersion = streamOf(seed, 'last-version');
-  // Half of the runs end with a version that comes during trouble, and have none after it.
-  const endsQuietly = lastVersion.nextBelow(2) === 0;
-  const peerTroubles = usesPeerLinks
-    ? drawPeerTroubles(streamOf(seed, 'peer-links'), faultsMs, gateways)
+  // Half of the runs write their last version during a fault of the store.
+  const endsWithoutVersions = lastVersion.nextBelow(2) === 0;
+  const peerFaults = usesPeerLinks
+    ? drawPeerLinkFaults(streamOf(seed, 'peer-links'), faultsMs, gateways)
     : [];
   const hasEntryFaults = seed >= FIRST_ENTRY_SEED;
   const entries = streamOf(seed, 'entries');
-  const lethalRequests = drawLethalRequests(seed);
+  const poisonRequests = drawPoisonRequests(seed);
   return {
     ...options,
     bounds: { ...BOUNDS, retrySlack },
@@ -233,16 +238,18 @@
     schedule: [
       ...drawSchedule(streamOf(seed, 'schedule'), faultsMs, gateways),
       ...drawVersions(streamOf(seed, 'versions'), faultsMs),
-      ...peerTroubles,
-      ...(endsQuietly ? drawLastVersion(lastVersion, faultsMs) : []),
-      ...(hasStoreReturns(seed) ? drawStoreReturns(streamOf(seed, 'store-returns'), faultsMs) : []),
+      ...peerFaults,
+      ...(endsWithoutVersions ? drawLastVersion(lastVersion, faultsMs) : []),
+      ...(hasStoreRestores(seed)
+        ? drawStoreRestores(streamOf(seed, 'store-returns'), faultsMs)
+        : []),
       ...(hasEntryFaults ? drawEntryFaults(entries, faultsMs) : []),
     ],
-    lethalRequests: hasEntryFaults ? drawLeaving(entries, lethalRequests) : lethalRequests,
-    lethalAfterMs: hasEntryFaults ? entries.nextBelow(LONGEST_LETHAL_RUN_MS) : 0,
-    tellsStarts: hasEntryFaults,
+    poisonRequests: hasEntryFaults ? drawAbandonment(entries, poisonRequests) : poisonRequests,
+    poisonCrashDelayMs: hasEntryFaults ? entries.nextBelow(MAX_POISON_RUN_MS) : 0,
+    publishesStartTimes: hasEntryFaults,
     plannedWork: [
-      ...drawPlannedWork(seed, gateways, endsQuietly),
+      ...drawPlannedWork(seed, gateways, endsWithoutVersions),
       ...(hasEntryFaults ? drawSpoiltEntries(entries) : []),
     ],
   };
--- a/soak/run-soak.ts
+++ b/soak/run-soak.ts
@@ -1,12 +1,12 @@
-/** Plays one run from its start to the verdict of the checker. */
+/** Executes one run and checks its observations. */
 import { mkdir, readFile } from 'node:fs/promises';
 import { join, resolve } from 'node:path';
 import { setTimeout as pause } from 'node:timers/promises';
 import { bundlePlatform } from '../test/runtime/compiled-source.js';
 import { checkRun } from './checker/check-run.js';
 import type { CheckedRun } from './checker/evidence.js';
-import type { Promised, Violation } from './checker/violation.js';
-import { FaultRunner, type PlayedFault } from './faults/fault-runner.js';
+import type { PromiseName, Violation } from './checker/violation.js';
+import { FaultRunner, type ExecutedFault } from './faults/fault-runner.js';
 import type { Observations } from './model/observations.js';
 import { drawPlan, type SoakOptions, type SoakPlan, streamOf } from './model/plan.js';
 import { watchForStalls } from './world/recorder.js';
@@ -14,44 +14,44 @@
 
 const ROOT = resolve(import.meta.dirname, '..');
 
-/** With fewer connections for each gateway than this, gathers may go by way of feeders. */
-const CONNECTIONS_WITHOUT_FEEDERS = 2;
+/** With fewer connections per gateway than this, gathers may use feeders. */
+const MIN_CONNECTIONS_WITHOUT_FEEDERS = 2;
 
-/** How often the warm-up looks whether all are ready, in milliseconds, and how long it waits at most. */
+/** Interval of the readiness checks during the warm-up, and their timeout, in milliseconds. */
 const READY_CHECK_MS = 100;
-const READY_WITHIN_MS = 30_000;
+const READY_TIMEOUT_MS = 30_000;
 
-/** The run and what came of it. */
+/** Result of a run. */
 export interface SoakResult {
   readonly plan: SoakPlan;
   readonly observations: Observations;
-  readonly played: readonly PlayedFault[];
+  readonly executed: readonly ExecutedFault[];
   readonly violations: readonly Violation[];
-  /** How many cases of each promise were judged. */
-  readonly judged: ReadonlyMap<Promised, number>;
-  /** When the calls began, in milliseconds on the steady clock. */
-  readonly began: number;
-  /** Folder with the logs of the gateways. */
+  /** Number of cases checked for each promise. */
+  readonly caseCounts: ReadonlyMap<PromiseName, number>;
+  /** Start of the run, once all processes were spawned, in milliseconds on the monotonic clock. */
+  readonly startedAt: number;
+  /** Folder that contains the logs of the gateways. */
   readonly folder: string;
 }
 
-/** Flags of Node with which the deployment starts the program. */
+/** Reads the Node.js flags with which the deployment starts the gateway. */
 const readRuntimeFlags = async (): Promise<readonly string[]> => {
   const deployment = await readFile(join(ROOT, 'deploy/system.toml'), 'utf8');
   const run = /^run = "node (.*) target\/gateway\.cjs"$/m.exec(deployment)?.[1];
   if (run === undefined) {
-    throw new Error('deploy/system.toml does not say how the gateway is started');
+    throw new Error('deploy/system.toml has no run command of the gateway in the expected form');
   }
   return run.split(' ');
 };
 
-const untilAllReady = async ({ observations, gateways }: SoakWorld): Promise<void> => {
-  const giveUpAt = performance.now() + READY_WITHIN_MS;
+const waitUntilAllReady = async ({ observations, gateways }: SoakWorld): Promise<void> => {
+  const giveUpAt = performance.now() + READY_TIMEOUT_MS;
   const isReady = (number: number): boolean =>
     observations.readiness.findLast(({ gateway }) => gateway === number)?.ready ?? false;
   while (!gateways.every(({ number }) => isReady(number))) {
     if (performance.now() > giveUpAt) {
-      throw new Error('not all gateways were ready in time; their logs are in out/soak');
+      throw new Error('not all gateways became ready in time; their logs are in out/soak');
     }
     await pause(READY_CHECK_MS);
   }
@@ -60,27 +60,27 @@
 const checkedRunOf = ({ bounds, gateways, maxConnections }: SoakPlan): CheckedRun => ({
   bounds,
   gateways,
-  usesFeeders: maxConnections < CONNECTIONS_WITHOUT_FEEDERS * gateways,
+  usesFeeders: maxConnections < MIN_CONNECTIONS_WITHOUT_FEEDERS * gateways,
 });
 
-const playPlan = async (world: SoakWorld, plan: SoakPlan): Promise<readonly PlayedFault[]> => {
+const executePlan = async (world: SoakWorld, plan: SoakPlan): Promise<readonly ExecutedFault[]> => {
   const { observations } = world;
   const faults = new FaultRunner(world, streamOf(plan.seed, 'store-returns', 1));
-  world.beginCalls();
+  world.startCallers();
   const warm = pause(plan.warmUpMs);
-  await untilAllReady(world);
+  await waitUntilAllReady(world);
   await warm;
-  world.beginLethalCalls();
-  await faults.play(plan.schedule);
+  world.startPoisonCallers();
+  await faults.runSchedule(plan.schedule);
   observations.faultsEndedAt = performance.now();
   const calm = pause(plan.bounds.recoveryMs + plan.finalMs);
-  await faults.play(plan.plannedWork);
+  await faults.runSchedule(plan.plannedWork);
   await calm;
   await world.callers.stop();
-  return faults.played;
+  return faults.executed;
 };
 
-/** Plays a run. */
+/** Executes a run. Rejects if the gateways do not become ready or a process cannot be started. */
 export const runSoak = async (options: SoakOptions): Promise<SoakResult> => {
   const plan = drawPlan(options);
   const folder = join(ROOT, `out/soak/seed-${options.seed}-${process.pid}`);
@@ -89,15 +89,15 @@
   const runtimeFlags = await readRuntimeFlags();
   const world = await SoakWorld.start(plan, { program: bundle.main, runtimeFlags, folder });
   const { observations } = world;
-  const endStallWatch = watchForStalls(observations);
-  const began = performance.now();
+  const stopStallWatch = watchForStalls(observations);
+  const startedAt = performance.now();
   try {
-    const played = await playPlan(world, plan);
-    endStallWatch();
+    const executed = await executePlan(world, plan);
+    stopStallWatch();
     const verdict = checkRun(observations, checkedRunOf(plan));
-    return { plan, observations, played, ...verdict, began, folder };
+    return { plan, observations, executed, ...verdict, startedAt, folder };
   } finally {
-    endStallWatch();
+    stopStallWatch();
     await world.stop();
     await bundle.remove();
   }
--- a/soak/world/caller-connection.ts
+++ b/soak/world/caller-connection.ts
@@ -1,4 +1,4 @@
-/** Sends one request as a caller does, and tells how it ended. */
+/** Sends one request as a caller and returns its result. */
 import { type Agent, request as sendRequest, type IncomingMessage } from 'node:http';
 import type { Socket } from 'node:net';
 import { platformProtocol } from '../../platform/protocol.js';
@@ -7,10 +7,10 @@
 
 const HEADERS = platformProtocol.headers;
 
-/** How long a caller waits for an answer after its deadline, in milliseconds. */
-const PATIENCE_MS = 1_500;
+/** Time after its deadline for which a caller still waits for an answer, in milliseconds. */
+const EXPIRY_SLACK_MS = 1_500;
 
-/** What a caller sends. */
+/** A request to send. */
 export interface CallerQuery {
   readonly id: string;
   readonly port: number;
@@ -18,15 +18,15 @@
   readonly path: string;
   readonly body: string;
   readonly budgetMs: number;
-  /** The caller closes the connection after this time, in milliseconds. */
+  /** Time after which the caller closes the connection, in milliseconds; absent if it waits for the answer. */
   readonly leavesAfterMs?: number;
-  /** Keeps connections; absent for a connection of its own. */
+  /** Agent that keeps connections open; absent for a new connection. */
   readonly agent?: Agent;
 }
 
-/** How and when a request ended. */
+/** Result of a request and its times. */
 export interface CallerResult {
-  /** When the connection was up and the request was written. */
+  /** When the connection was established and the request written; the end of the request if that never happened. */
   readonly sentAt: number;
   readonly endedAt: number;
   readonly outcome: Outcome;
@@ -54,11 +54,11 @@
   };
 };
 
-/** Sends a request; always resolves. */
+/** Sends a request to a gateway on loopback. Never rejects: failures are outcomes. */
 export const sendQuery = (host: string, query: CallerQuery): Promise<CallerResult> =>
   new Promise((resolve) => {
     let sentAt: number | undefined;
-    let intent: 'left' | 'expired' | undefined;
+    let abandonReason: 'left' | 'expired' | undefined;
     const timers: NodeJS.Timeout[] = [];
     const finish = (outcome: Outcome): void => {
       timers.forEach((timer) => clearTimeout(timer));
@@ -66,7 +66,7 @@
       resolve({ sentAt: sentAt ?? endedAt, endedAt, outcome });
     };
     const fail = (): void =>
-      finish({ type: intent ?? (sentAt === undefined ? 'unreachable' : 'cut') });
+      finish({ type: abandonReason ?? (sentAt === undefined ? 'unreachable' : 'cut') });
     const outgoing = sendRequest({
       host: '127.0.0.1',
       port: query.port,
@@ -80,29 +80,29 @@
         ...(query.body !== '' && { 'content-length': String(Buffer.byteLength(query.body)) }),
       },
     });
-    const giveUp = (reason: 'left' | 'expired'): void => {
-      intent ??= reason;
+    const abandon = (reason: 'left' | 'expired'): void => {
+      abandonReason ??= reason;
       outgoing.destroy();
     };
-    const noteSent = (): void => {
+    const recordSent = (): void => {
       sentAt = performance.now();
       if (query.leavesAfterMs !== undefined) {
-        timers.push(setTimeout(() => giveUp('left'), query.leavesAfterMs));
+        timers.push(setTimeout(() => abandon('left'), query.leavesAfterMs));
       }
     };
     outgoing.on('socket', (socket: Socket) => {
       if (socket.connecting) {
-        socket.once('connect', noteSent);
+        socket.once('connect', recordSent);
       } else {
-        noteSent();
+        recordSent();
       }
     });
-    timers.push(setTimeout(() => giveUp('expired'), query.budgetMs + PATIENCE_MS));
+    timers.push(setTimeout(() => abandon('expired'), query.budgetMs + EXPIRY_SLACK_MS));
     outgoing.on('error', fail);
     outgoing.on('response', (incoming) => {
       const chunks: Buffer[] = [];
       incoming.on('data', (chunk: Buffer) => chunks.push(chunk));
-      // An answer that breaks off ends with an error, and `end` does not come.
+      // An incomplete answer causes an error; `end` is not emitted.
       incoming.on('error', fail);
       incoming.on('end', () => finish(describeAnswer(incoming, Buffer.concat(chunks))));
     });
--- a/soak/world/gateway-process.ts
+++ b/soak/world/gateway-process.ts
@@ -1,4 +1,4 @@
-/** One gateway: its settings file, and one process after the other that runs on it. */
+/** One gateway: its settings file and its successive processes. */
 import { createWriteStream, type WriteStream } from 'node:fs';
 import { rename, writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
@@ -12,56 +12,56 @@
 import { isOpen } from './ports.js';
 import { beginDisturbance, type EndDisturbance } from './recorder.js';
 
-/** Time between the end of a process and the start of the next one, in milliseconds. */
+/** Time between the exit of a process and the start of the next one, in milliseconds. */
 const RESTART_MS = 300;
 
-/** How often a port is tried that is not open yet, and for how long, in milliseconds. */
-const OPEN_CHECK_MS = 10;
-const OPEN_WITHIN_MS = 5_000;
+/** Interval and timeout of checks whether a port is open, in milliseconds. */
+const POLL_INTERVAL_MS = 10;
+const OPEN_TIMEOUT_MS = 5_000;
 
-/** Puts another file in the place of `file` at once: nobody reads half of it. */
+/** Replaces `file` atomically, so that no process reads an incomplete one. */
 const replaceFile = async (file: string, text: string): Promise<void> => {
   const next = `${file}.next`;
   await writeFile(next, text);
   await rename(next, file);
 };
 
-/** What all gateways of a run have in common. */
+/** Context shared by all gateways of a run. */
 export interface GatewayContext {
-  /** The bundled program. */
+  /** Path of the bundled gateway program. */
   readonly program: string;
   readonly runtimeFlags: readonly string[];
   readonly folder: string;
   readonly observations: Observations;
 }
 
-/** Starts, signals and ends the processes of one gateway. */
+/** Starts, signals and stops the processes of one gateway. */
 export class GatewayProcess {
-  /** Which process this is, counted from 1. */
-  life = 0;
+  /** Incarnation of the current process, counted from 1; 0 before the first start. */
+  incarnation = 0;
   private current: RigProcess | undefined;
   private readonly log: WriteStream;
   private readonly settingsFile: string;
-  /** Faults take a gateway one after the other: each begins where the one before has ended. */
+  /** Settles when the last queued fault is over; faults of a gateway run one at a time. */
   private busy: Promise<void> = Promise.resolve();
   private closing = false;
-  /** When the settings that were written last are in place. */
-  private written: Promise<void> = Promise.resolve();
-  /** The settings file holds the address at which peers connect. */
-  private tellsPeersAddress = false;
+  /** Resolves when the last settings have been written. */
+  private settingsWritten: Promise<void> = Promise.resolve();
+  /** Whether the settings file contains `peersAddress`. */
+  private publishesPeersAddress = false;
 
   constructor(
     readonly number: number,
     private settings: GatewaySettings,
     private readonly context: GatewayContext,
     /**
-     * Where peers connect, if not to the port on which the gateway listens. A process listens where its first
-     * settings say and tells others what its newest ones say: these are changed once it is ready.
+     * Address for connections of peers, if it differs from the one on which the gateway listens. A process listens on
+     * the address of its first settings and publishes that of its newest, which change once it is ready.
      */
     private readonly peersAddress?: HostPort,
   ) {
     this.settingsFile = join(context.folder, `${settings.node}.json`);
-    process.once('exit', this.endNow);
+    process.once('exit', this.killNow);
     this.log = createWriteStream(join(context.folder, `${settings.node}.log`));
   }
 
@@ -69,7 +69,7 @@
     return this.settings.node;
   }
 
-  /** Ports on which callers and the load balancer ask. */
+  /** Ports for callers and for the readiness checks of the load balancer. */
   get ports(): { readonly callers: number; readonly readiness: number } {
     const { callers, readiness } = this.settings;
     return { callers: callers.port, readiness: readiness.port };
@@ -80,32 +80,32 @@
     return this.spawn();
   }
 
-  /** Takes changed settings by a signal; this is no disturbance. */
+  /** Changes the settings file and signals the process to reload it; this is not recorded as a disturbance. */
   reload(change: (settings: GatewaySettings) => GatewaySettings): Promise<void> {
-    return this.inTurn(async () => {
-      await this.untilOpen();
+    return this.enqueue(async () => {
+      await this.waitUntilOpen();
       this.settings = change(this.settings);
       await this.writeSettings();
       this.current?.signal('SIGHUP');
     });
   }
 
-  /** Asks the process to end, ends it by force after the grace period, and starts the next one. */
+  /** Stops the process, kills it after the grace period, and starts the next one. */
   stopAndRestart(): Promise<void> {
-    return this.inTurn(async () => {
-      await this.untilOpen();
-      const end = this.disturb('stop', true);
-      await this.stopOnce();
+    return this.enqueue(async () => {
+      await this.waitUntilOpen();
+      const end = this.recordDisturbance('stop', true);
+      await this.stopProcess();
       await pause(RESTART_MS);
       await this.spawn();
       end();
     });
   }
 
-  /** Ends the process by force and starts the next one after some time. */
+  /** Kills the process and starts the next one after `downMs` milliseconds. */
   kill(downMs: number): Promise<void> {
-    return this.inTurn(async () => {
-      const end = this.disturb('kill');
+    return this.enqueue(async () => {
+      const end = this.recordDisturbance('kill');
       const process = this.current;
       this.current = undefined;
       process?.signal('SIGKILL');
@@ -116,10 +116,10 @@
     });
   }
 
-  /** Stands the process still for a while. */
+  /** Pauses the process for `forMs` milliseconds. */
   pauseFor(forMs: number): Promise<void> {
-    return this.inTurn(async () => {
-      const end = this.disturb('pause');
+    return this.enqueue(async () => {
+      const end = this.recordDisturbance('pause');
       this.current?.signal('SIGSTOP');
       await pause(forMs);
       this.current?.signal('SIGCONT');
@@ -127,10 +127,10 @@
     });
   }
 
-  /** Ends the process for good. */
+  /** Kills the process for good. */
   async close(): Promise<void> {
     this.closing = true;
-    process.off('exit', this.endNow);
+    process.off('exit', this.killNow);
     const last = this.current;
     this.current = undefined;
     last?.signal('SIGKILL');
@@ -138,41 +138,41 @@
     await new Promise<void>((resolve) => this.log.end(resolve));
   }
 
-  private readonly endNow = (): void => this.current?.signal('SIGKILL');
+  private readonly killNow = (): void => this.current?.signal('SIGKILL');
 
-  private disturb(what: string, planned = false): EndDisturbance {
+  private recordDisturbance(what: string, planned = false): EndDisturbance {
     const scope = { type: 'gateway', gateway: this.number } as const;
     return beginDisturbance(this.context.observations, [scope], what, planned);
   }
 
   /**
-   * Waits until the process takes callers. Before it runs no program can know of a signal; one that takes
-   * callers must know of those that ask it to stop or to read its settings again.
+   * Waits until the process accepts callers. Earlier, its signal handlers may not be installed; once it accepts
+   * callers, it must handle SIGTERM and SIGHUP.
    */
-  private async untilOpen(): Promise<void> {
-    const giveUpAt = performance.now() + OPEN_WITHIN_MS;
+  private async waitUntilOpen(): Promise<void> {
+    const giveUpAt = performance.now() + OPEN_TIMEOUT_MS;
     while (!(await isOpen(this.ports.callers)) && performance.now() < giveUpAt) {
-      await pause(OPEN_CHECK_MS);
+      await pause(POLL_INTERVAL_MS);
     }
   }
 
-  private inTurn(work: () => Promise<void>): Promise<void> {
+  private enqueue(work: () => Promise<void>): Promise<void> {
     this.busy = this.busy.then(() => (this.closing ? undefined : work()));
     return this.busy;
   }
 
-  private async stopOnce(): Promise<void> {
+  private async stopProcess(): Promise<void> {
     const process = this.current;
     if (process === undefined) {
       return;
     }
     this.current = undefined;
     const { stops } = this.context.observations;
-    const { number: gateway, life } = this;
+    const { number: gateway, incarnation } = this;
     const { graceMs } = this.settings.bounds;
     const stop: PlannedStop = {
       gateway,
-      life,
+      incarnation,
       at: performance.now(),
       endedAt: undefined,
       exitCode: undefined,
@@ -192,46 +192,48 @@
 
   private writeSettings(): Promise<void> {
     const peers =
-      this.tellsPeersAddress && this.peersAddress !== undefined
+      this.publishesPeersAddress && this.peersAddress !== undefined
         ? this.peersAddress
         : this.settings.peers;
     const text = settingsFileOf({ ...this.settings, peers });
-    this.written = this.written.then(() => replaceFile(this.settingsFile, text));
-    return this.written;
+    this.settingsWritten = this.settingsWritten.then(() => replaceFile(this.settingsFile, text));
+    return this.settingsWritten;
   }
 
-  private async tellPeersAddress(process: RigProcess): Promise<void> {
+  private async publishPeersAddress(process: RigProcess): Promise<void> {
     while (this.current === process && !(await isReady(this.ports.readiness))) {
-      await pause(OPEN_CHECK_MS);
+      await pause(POLL_INTERVAL_MS);
     }
     if (this.current === process) {
-      this.tellsPeersAddress = true;
+      this.publishesPeersAddress = true;
       await this.writeSettings();
       process.signal('SIGHUP');
     }
   }
 
   private async spawn(): Promise<void> {
-    this.settings = { ...this.settings, firstStart: this.life === 0 };
-    this.tellsPeersAddress = false;
+    this.settings = { ...this.settings, firstStart: this.incarnation === 0 };
+    this.publishesPeersAddress = false;
     await this.writeSettings();
     if (this.closing) {
       return;
     }
-    this.life += 1;
+    this.incarnation += 1;
     const { program, runtimeFlags } = this.context;
-    this.log.write(`${JSON.stringify({ time: Date.now(), soak: `process ${this.life}` })}\n`);
+    this.log.write(
+      `${JSON.stringify({ time: Date.now(), soak: `process ${this.incarnation}` })}\n`,
+    );
     const process = new RigProcess(this.name, program, [], this.environment(), {
       runtimeFlags,
       onOutput: (text) => this.log.write(text),
     });
     this.current = process;
     if (this.peersAddress !== undefined) {
-      void this.tellPeersAddress(process);
+      void this.publishPeersAddress(process);
     }
     void process.waitForExit().then(({ code, signal }) => {
       if (this.current === process) {
-        this.noteUnexpectedEnd(`code ${String(code)}, signal ${String(signal)}`);
+        this.handleUnexpectedExit(`code ${String(code)}, signal ${String(signal)}`);
         this.current = undefined;
       }
     });
@@ -241,10 +243,10 @@
     return { [SETTINGS_VARIABLE]: this.settingsFile };
   }
 
-  private noteUnexpectedEnd(detail: string): void {
-    const { unexpectedEnds } = this.context.observations;
-    unexpectedEnds.push({ gateway: this.number, at: performance.now(), detail });
-    void this.inTurn(async () => {
+  private handleUnexpectedExit(detail: string): void {
+    const { unexpectedExits } = this.context.observations;
+    unexpectedExits.push({ gateway: this.number, at: performance.now(), detail });
+    void this.enqueue(async () => {
       await pause(RESTART_MS);
       await this.spawn();
     });
--- a/soak/world/loopback-link.ts
+++ b/soak/world/loopback-link.ts
@@ -1,18 +1,18 @@
-/** A proxy on loopback in front of one port: refuses, silences or delays connections. */
+/** A proxy on loopback in front of one port that can refuse, silence or delay connections. */
 import { type AddressInfo, connect, createServer, type Server, type Socket } from 'node:net';
 import { once } from 'node:events';
 import { setTimeout as pause } from 'node:timers/promises';
-import type { LinkTrouble } from '../model/schedule.js';
+import type { LinkFailure } from '../model/schedule.js';
 
 const HOST = '127.0.0.1';
 
-/** How late bytes are while a link delays them, in milliseconds. */
+/** Delay of bytes on a link that delays, in milliseconds. */
 const DELAY_MS = 300;
 
 /** Forwards connections to one port. */
 export class LoopbackLink {
-  private trouble: LinkTrouble | undefined;
-  /** Deliver what a silence has held up. */
+  private failure: LinkFailure | undefined;
+  /** Deliver the bytes held back during a silence. */
   private held: (() => void)[] = [];
   private busy: Promise<void> = Promise.resolve();
   private readonly pairs = new Set<readonly [Socket, Socket]>();
@@ -32,24 +32,24 @@
     return new LoopbackLink(server, target);
   }
 
-  /** Where others connect. */
+  /** Port that accepts the connections to forward. */
   get port(): number {
     return (this.server.address() as AddressInfo).port;
   }
 
-  /** Troubles the link for a while; one trouble waits for the one before. */
-  troubleFor(trouble: LinkTrouble, forMs: number): Promise<void> {
+  /** Applies a failure for `forMs` milliseconds, after any previous failure has ended. */
+  failFor(trouble: LinkFailure, forMs: number): Promise<void> {
     this.busy = this.busy.then(async () => {
-      this.setTrouble(trouble);
+      this.setFailure(trouble);
       await pause(forMs);
-      this.setTrouble(undefined);
+      this.setFailure(undefined);
     });
     return this.busy;
   }
 
-  /** Begins trouble, or ends it. Bytes that a silence has held up are delivered at its end. */
-  private setTrouble(trouble: LinkTrouble | undefined): void {
-    this.trouble = trouble;
+  /** Sets or ends a failure. Bytes held back during a silence are delivered at its end. */
+  private setFailure(trouble: LinkFailure | undefined): void {
+    this.failure = trouble;
     if (trouble === 'refuse') {
       this.reset();
     }
@@ -69,7 +69,7 @@
   }
 
   private forward(near: Socket): void {
-    if (this.trouble === 'refuse') {
+    if (this.failure === 'refuse') {
       near.on('error', () => undefined);
       near.resetAndDestroy();
       return;
@@ -83,7 +83,7 @@
 
   private pipe(from: Socket, to: Socket, pair: readonly [Socket, Socket]): void {
     from.setNoDelay(true);
-    // A reset of one side ends both, by `close`; why it was reset does not matter to a proxy.
+    // The `close` handler ends both sides after a reset; the proxy does not need its cause.
     from.on('error', () => undefined);
     from.on('data', (chunk: Buffer) => this.pass(chunk, from, to));
     from.on('end', () => to.end());
@@ -94,17 +94,17 @@
   }
 
   private pass(chunk: Buffer, from: Socket, to: Socket): void {
-    if (this.trouble === undefined) {
+    if (this.failure === undefined) {
       to.write(chunk);
       return;
     }
-    // Later chunks wait behind this one, so that their order stays.
+    // Pausing keeps later chunks behind this one, in order.
     from.pause();
     const deliver = (): void => {
       to.write(chunk);
       from.resume();
     };
-    if (this.trouble === 'delay') {
+    if (this.failure === 'delay') {
       setTimeout(deliver, DELAY_MS);
     } else {
       this.held.push(deliver);
--- a/soak/world/replica-fleet.ts
+++ b/soak/world/replica-fleet.ts
@@ -1,4 +1,4 @@
-/** Replicas of all services: the stand-ins of the tests, with what happens at them noted. */
+/** Replicas of all services: stand-ins of the tests whose requests and answers are recorded. */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { Random } from '../../src/core/random.js';
 import { REPLICA_KIND } from '../../test/platform/operator-spec.js';
@@ -10,15 +10,15 @@
 import type { StandInStore } from '../../test/platform/stand-in-store.js';
 import type { Arrival, Departure, Observations } from '../model/observations.js';
 import { bodyOf, digestOf } from './answer-body.js';
-import { isLethal, workOf } from './paths.js';
+import { isPoison, workOf } from './paths.js';
 import { beginDisturbance } from './recorder.js';
 import { REPLICA_SLOTS, SERVICES, replicasOf, zoneOf } from './topology.js';
 
-/** A replica that leaves serves for longer than it has to by this time, in milliseconds. */
-const SERVES_LONGER_MS = 3_000;
+/** Time for which a departing replica serves beyond the drain bound, in milliseconds. */
+const EXTRA_SERVING_MS = 3_000;
 
-/** What other writers put in the place of a replica's entry: it names no replica to use. */
-const SPOILT_FIELDS: readonly Readonly<Record<string, unknown>>[] = [
+/** Fields with which another writer overwrites a replica's entry; each makes the entry invalid. */
+const INVALID_FIELDS: readonly Readonly<Record<string, unknown>>[] = [
   { service: 7 },
   { address: 'nowhere' },
   { state: 'sleeping' },
@@ -27,35 +27,35 @@
   { zone: undefined },
 ];
 
-/** Work that a replica is not done with before it ends, in milliseconds. */
-const NEVER_DONE_MS = 10_000;
+/** Additional processing time of poison requests, in milliseconds, so that the replica crashes before it answers. */
+const UNFINISHED_WORK_MS = 10_000;
 
-/** What a run asks of its replicas. */
+/** Options of the replicas of a run. */
 export interface FleetOptions {
   readonly drainMs: number;
-  /** A replica ends so long after it has begun to run a lethal request, in milliseconds. */
-  readonly lethalAfterMs: number;
-  /** Replicas tell in their entries when they have started. */
-  readonly tellsStarts: boolean;
+  /** Time from the start of a poison request at a replica to its crash, in milliseconds. */
+  readonly poisonCrashDelayMs: number;
+  /** Whether replicas publish their start time in their entries. */
+  readonly publishesStartTimes: boolean;
 }
 
-/** Time after which the store drops the entry of a replica that has crashed, in milliseconds. */
-const ENTRY_LASTS_MS = 3_600;
+/** Time after which the store removes the entry of a crashed replica, in milliseconds. */
+const ENTRY_EXPIRY_MS = 3_600;
 
 interface FleetMember {
   readonly replica: StandInReplica;
   readonly service: string;
   readonly zone: string;
-  /** When it has started, on the Unix clock, in milliseconds. */
+  /** Start time in milliseconds since the Unix epoch. */
   readonly bornAt: number;
-  /** It leaves, or has left. */
+  /** Whether it is leaving or has left. */
   leaving: boolean;
 }
 
-/** Starts, watches and ends replicas. */
+/** Starts, observes and stops replicas. */
 export class ReplicaFleet {
   private readonly members = new Set<FleetMember>();
-  /** What replicas have last written of themselves. */
+  /** Current entries of the replicas, as last written by them. */
   private readonly entries = new Map<string, unknown>();
   private started = 0;
   private stopped = false;
@@ -75,35 +75,35 @@
     }
   }
 
-  /** A replica of the service announces that it drains, serves on for some time, and ends. */
+  /** Drains a replica of the service: it publishes this, keeps serving for some time, and stops. */
   async drain(service: string): Promise<void> {
-    const member = await this.replaceOne(service);
+    const member = await this.replaceMember(service);
     if (member === undefined) {
       return;
     }
     const { replica } = member;
-    this.write(replica.id, this.entryOf(member, 'draining'));
-    this.noteDeparture(member);
-    await pause(this.options.drainMs + SERVES_LONGER_MS);
-    this.erase(replica.id);
+    this.writeEntry(replica.id, this.entryOf(member, 'draining'));
+    this.recordDeparture(member);
+    await pause(this.options.drainMs + EXTRA_SERVING_MS);
+    this.removeEntry(replica.id);
     await this.end(member);
   }
 
-  /** The entry of a replica goes away; it serves on for some time, and ends. */
+  /** Removes the entry of a replica, which keeps serving for some time and then stops. */
   async vanish(service: string): Promise<void> {
-    const member = await this.replaceOne(service);
+    const member = await this.replaceMember(service);
     if (member === undefined) {
       return;
     }
-    this.erase(member.replica.id);
-    this.noteDeparture(member);
-    await pause(this.options.drainMs + SERVES_LONGER_MS);
+    this.removeEntry(member.replica.id);
+    this.recordDeparture(member);
+    await pause(this.options.drainMs + EXTRA_SERVING_MS);
     await this.end(member);
   }
 
-  /** A replica ends at once; its entry goes later, when another has taken its place. */
+  /** Crashes a replica. Its entry is removed later, and then another replica is started in its place. */
   async crash(service: string): Promise<void> {
-    const member = this.findOne(service);
+    const member = this.findActive(service);
     if (member === undefined) {
       return;
     }
@@ -113,16 +113,16 @@
   private async crashMember(member: FleetMember): Promise<void> {
     member.leaving = true;
     await this.end(member);
-    await pause(ENTRY_LASTS_MS);
-    this.erase(member.replica.id);
+    await pause(ENTRY_EXPIRY_MS);
+    this.removeEntry(member.replica.id);
     if (!this.stopped) {
       await this.add(member.service, member.zone);
     }
   }
 
-  /** A replica ends, and is back under its identifier, at another address, with another start. */
+  /** Stops a replica and starts it again with the same identifier, another address and another start time. */
   async restart(service: string, downMs: number): Promise<void> {
-    const member = this.findOne(service);
+    const member = this.findActive(service);
     if (member === undefined) {
       return;
     }
@@ -134,43 +134,43 @@
     }
   }
 
-  /** Another writer overwrites the entry of a replica, which goes on and later writes its own again. */
-  async spoilEntry(service: string, forMs: number, random: Random): Promise<void> {
-    const member = this.findOne(service);
+  /** Overwrites the entry of a replica with an invalid one; the replica keeps running and later restores its own. */
+  async overwriteEntry(service: string, forMs: number, random: Random): Promise<void> {
+    const member = this.findActive(service);
     if (member === undefined) {
       return;
     }
     const { id } = member.replica;
-    const fields = SPOILT_FIELDS[random.nextBelow(SPOILT_FIELDS.length)];
+    const fields = INVALID_FIELDS[random.nextBelow(INVALID_FIELDS.length)];
     this.store.put(REPLICA_KIND, id, { ...(this.entryOf(member) as object), ...fields });
-    const departure = this.noteDeparture(member, 'entry-spoilt');
+    const departure = this.recordDeparture(member, 'entry-spoilt');
     await pause(forMs);
     departure.returnedAt = performance.now();
     if (this.members.has(member) && !member.leaving) {
-      this.write(id, this.entryOf(member));
+      this.writeEntry(id, this.entryOf(member));
     }
   }
 
-  /** A replica ends under a request, with all that it runs. */
-  private async endUnder(replica: StandInReplica, path: string): Promise<void> {
-    const { lethalAfterMs } = this.options;
-    if (lethalAfterMs > 0) {
-      await pause(lethalAfterMs);
+  /** Crashes a replica that runs a poison request, along with its other requests. */
+  private async crashUnderRequest(replica: StandInReplica, path: string): Promise<void> {
+    const { poisonCrashDelayMs } = this.options;
+    if (poisonCrashDelayMs > 0) {
+      await pause(poisonCrashDelayMs);
     }
     const member = [...this.members].find((each) => each.replica === replica);
     if (member === undefined) {
       return;
     }
-    this.observations.lethalRuns.push({ path, at: performance.now() });
+    this.observations.poisonCrashes.push({ path, at: performance.now() });
     const scope = { type: 'service', service: member.service } as const;
-    const end = beginDisturbance(this.observations, [scope], 'a request ends a replica');
+    const end = beginDisturbance(this.observations, [scope], 'a poison request crashes a replica');
     await this.crashMember(member);
     end();
   }
 
-  /** One replica of the service runs requests and closes their connections for a while. */
+  /** Makes a replica of the service close connections instead of answering the requests it ran, for some time. */
   async loseAnswers(service: string, forMs: number): Promise<void> {
-    const member = this.findOne(service);
+    const member = this.findActive(service);
     if (member === undefined) {
       return;
     }
@@ -180,10 +180,10 @@
   }
 
   /**
-   * The store has returned from a copy: replicas write their entries again, each at its time, and the entries of those that
-   * have left lapse. Resolves when all entries are right.
+   * Repairs the entries after a restore of the store: replicas write theirs again, each at a random time, and the
+   * entries of those that have left expire. Resolves when all entries are correct.
    */
-  async writeAgain(withinMs: number, random: Random): Promise<void> {
+  async rewriteEntries(withinMs: number, random: Random): Promise<void> {
     const written = [...this.entries.keys()].map(async (id) => {
       await pause(random.nextBelow(withinMs + 1));
       const entry = this.entries.get(id);
@@ -193,7 +193,7 @@
     });
     const left = this.store.names(REPLICA_KIND).filter((id) => !this.entries.has(id));
     const lapsed = left.map(async (id) => {
-      await pause(ENTRY_LASTS_MS);
+      await pause(ENTRY_EXPIRY_MS);
       this.store.remove(REPLICA_KIND, id);
     });
     await Promise.all([...written, ...lapsed]);
@@ -204,13 +204,13 @@
     await Promise.all([...this.members].map((member) => this.end(member)));
   }
 
-  private findOne(service: string): FleetMember | undefined {
+  private findActive(service: string): FleetMember | undefined {
     return [...this.members].find((member) => member.service === service && !member.leaving);
   }
 
-  /** Chooses a replica that is to leave and starts another in its place. */
-  private async replaceOne(service: string): Promise<FleetMember | undefined> {
-    const member = this.findOne(service);
+  /** Selects a replica that is to leave and starts another in its place. */
+  private async replaceMember(service: string): Promise<FleetMember | undefined> {
+    const member = this.findActive(service);
     if (member !== undefined) {
       member.leaving = true;
       await this.add(service, member.zone);
@@ -231,30 +231,32 @@
       workOf: (path) => this.workOf(path),
       start: bornAt,
     });
-    replica.observer = this.observe(replica, service);
+    replica.observer = this.createObserver(replica, service);
     const member = { replica, service, zone, bornAt, leaving: false };
     this.members.add(member);
-    this.write(id, this.entryOf(member));
+    this.writeEntry(id, this.entryOf(member));
   }
 
-  /** A replica answers no request under which it is about to end. */
+  /** Returns the processing time for a path; a replica crashes before it answers a poison request. */
   private workOf(path: string): number {
-    const { lethalAfterMs } = this.options;
-    return isLethal(path) && lethalAfterMs > 0 ? lethalAfterMs + NEVER_DONE_MS : workOf(path);
+    const { poisonCrashDelayMs } = this.options;
+    return isPoison(path) && poisonCrashDelayMs > 0
+      ? poisonCrashDelayMs + UNFINISHED_WORK_MS
+      : workOf(path);
   }
 
-  /** What a replica tells of itself. */
+  /** Returns the entry that a replica publishes. */
   private entryOf({ replica, service, zone, bornAt }: FleetMember, state = 'ready'): unknown {
     const entry = replica.entry(service, zone, state) as object;
-    return this.options.tellsStarts ? { ...entry, born: bornAt } : entry;
+    return this.options.publishesStartTimes ? { ...entry, born: bornAt } : entry;
   }
 
-  private write(id: string, entry: unknown): void {
+  private writeEntry(id: string, entry: unknown): void {
     this.entries.set(id, entry);
     this.store.put(REPLICA_KIND, id, entry);
   }
 
-  private erase(id: string): void {
+  private removeEntry(id: string): void {
     this.entries.delete(id);
     this.store.remove(REPLICA_KIND, id);
   }
@@ -264,7 +266,7 @@
     await member.replica.stop();
   }
 
-  private noteDeparture(
+  private recordDeparture(
     { replica, service }: FleetMember,
     why: Departure['why'] = 'leaves',
   ): Departure {
@@ -280,21 +282,21 @@
     return departure;
   }
 
-  private observe(replica: StandInReplica, service: string): ReplicaObserver {
+  private createObserver(replica: StandInReplica, service: string): ReplicaObserver {
     const { arrivals, answers } = this.observations;
-    const noted = new WeakMap<ArrivedRequest, Arrival>();
+    const recorded = new WeakMap<ArrivedRequest, Arrival>();
     return {
       arrived: (request, ran) => {
         const arrival = describeArrival(request, replica.id, service, ran);
-        noted.set(request, arrival);
+        recorded.set(request, arrival);
         arrivals.push(arrival);
         replica.arrived.length = 0;
-        if (ran && isLethal(request.path)) {
-          void this.endUnder(replica, request.path);
+        if (ran && isPoison(request.path)) {
+          void this.crashUnderRequest(replica, request.path);
         }
       },
       read: (request) => {
-        const arrival = noted.get(request);
+        const arrival = recorded.get(request);
         if (arrival !== undefined) {
           arrival.bodyDigest = digestOf(Buffer.from(request.body));
         }
@@ -303,7 +305,7 @@
         answers.set(signature, { signature, requestId: id, replica: replica.id, service, status });
       },
       ended: (request) => {
-        const arrival = noted.get(request);
+        const arrival = recorded.get(request);
         if (arrival !== undefined) {
           arrival.endedAt ??= performance.now();
         }
