--- a/src/cli/demo.ts
+++ b/src/cli/demo.ts
@@ -10,9 +10,9 @@
 import { listenForInterrupt } from './interrupt-signal.js';
 
 const DEFAULT_SECONDS = 12;
-const SECONDS_BOUNDS = { least: 1, most: 3_600 } as const;
-const SEED_BOUNDS = { least: 0, most: 2_147_483_647, integer: true } as const;
-const RATE_BOUNDS = { least: 0.1, most: 10_000 } as const;
+const SECONDS_BOUNDS = { min: 1, max: 3_600 } as const;
+const SEED_BOUNDS = { min: 0, max: 2_147_483_647, integer: true } as const;
+const RATE_BOUNDS = { min: 0.1, max: 10_000 } as const;
 
 const HELP = `Usage: crossroad demo [options]
 
--- a/src/cli/experiment.ts
+++ b/src/cli/experiment.ts
@@ -30,8 +30,8 @@
 const DEFAULT_FOLDER = join(PACKAGE_FOLDER, SCENARIO_FOLDER);
 const DEFAULT_SEEDS = '1,2,3,4,5';
 const DEFAULT_OUT = 'out/experiment';
-const SEED_BOUNDS = { least: 0, most: 2_147_483_647, integer: true } as const;
-const RATE_FACTOR_BOUNDS = { least: 0.001, most: 1_000 } as const;
+const SEED_BOUNDS = { min: 0, max: 2_147_483_647, integer: true } as const;
+const RATE_FACTOR_BOUNDS = { min: 0.001, max: 1_000 } as const;
 
 const HELP = `Usage: crossroad experiment list [--scenarios <folder>]
        crossroad experiment run <scenario> … [options]
--- a/src/cli/flags.ts
+++ b/src/cli/flags.ts
@@ -7,21 +7,21 @@
 
 /** Inclusive bounds of a number. */
 export interface NumberBounds {
-  readonly least: number;
-  readonly most: number;
+  readonly min: number;
+  readonly max: number;
   readonly integer?: boolean;
 }
 
 /** Bounds of port numbers. */
-export const PORT_BOUNDS: NumberBounds = { least: 0, most: 65_535, integer: true };
+export const PORT_BOUNDS: NumberBounds = { min: 0, max: 65_535, integer: true };
 
 /** Parses a number within bounds; throws a `UsageError` for other text. */
 export const readNumber = (flag: string, text: string, bounds: NumberBounds): number => {
   const value = Number(text);
   const whole = bounds.integer !== true || Number.isInteger(value);
-  if (text.trim() === '' || !whole || !(value >= bounds.least && value <= bounds.most)) {
+  if (text.trim() === '' || !whole || !(value >= bounds.min && value <= bounds.max)) {
     const kind = bounds.integer === true ? 'an integer' : 'a number';
-    throw new UsageError(`--${flag} must be ${kind} from ${bounds.least} to ${bounds.most}`);
+    throw new UsageError(`--${flag} must be ${kind} from ${bounds.min} to ${bounds.max}`);
   }
   return value;
 };
--- a/src/cli/plan.ts
+++ b/src/cli/plan.ts
@@ -57,10 +57,10 @@
   json: { type: 'boolean', default: false },
 } as const;
 
-const COUNT: NumberBounds = { least: 1, most: 10_000_000, integer: true };
-const RATE: NumberBounds = { least: 0, most: 1e9 };
-const DURATION: NumberBounds = { least: 0.001, most: 1e6 };
-const SHARE: NumberBounds = { least: 0, most: 1 };
+const COUNT: NumberBounds = { min: 1, max: 10_000_000, integer: true };
+const RATE: NumberBounds = { min: 0, max: 1e9 };
+const DURATION: NumberBounds = { min: 0.001, max: 1e6 };
+const SHARE: NumberBounds = { min: 0, max: 1 };
 
 type Values = ReturnType<typeof parsePlanArguments>;
 
--- a/src/cli/platform.ts
+++ b/src/cli/platform.ts
@@ -13,7 +13,7 @@
 
 const DEFAULT_LISTEN = '127.0.0.1:7000';
 const DEFAULT_REPLICA_HOST = '127.0.0.1';
-const SEED_BOUNDS = { least: 0, most: 2_147_483_647, integer: true } as const;
+const SEED_BOUNDS = { min: 0, max: 2_147_483_647, integer: true } as const;
 
 const HELP = `Usage: crossroad platform [options]
 
--- a/src/cli/replica.ts
+++ b/src/cli/replica.ts
@@ -11,8 +11,8 @@
 import { waitForInterrupt } from './wait-for-interrupt.js';
 
 const DEFAULT_HOST = '127.0.0.1';
-const SEED_BOUNDS = { least: 0, most: 2_147_483_647, integer: true } as const;
-const DELAY_BOUNDS = { least: 0, most: 10_000 } as const;
+const SEED_BOUNDS = { min: 0, max: 2_147_483_647, integer: true } as const;
+const DELAY_BOUNDS = { min: 0, max: 10_000 } as const;
 
 const HELP = `Usage: crossroad replica [options]
 
--- a/src/cli/simulate.ts
+++ b/src/cli/simulate.ts
@@ -17,7 +17,7 @@
 import { ExitCode } from './exit-code.js';
 import { defineCommand, readChoice, readNumber, UsageError } from './flags.js';
 
-const SEED_BOUNDS = { least: 0, most: 2_147_483_647, integer: true } as const;
+const SEED_BOUNDS = { min: 0, max: 2_147_483_647, integer: true } as const;
 /** Most violations printed per scenario. */
 const PRINTED_VIOLATIONS = 5;
 
--- a/src/cli/status.ts
+++ b/src/cli/status.ts
@@ -14,8 +14,8 @@
 const DEFAULT_INTERVAL_SECONDS = 2;
 /** Number of requests after which --watch ends. */
 const DEFAULT_TIMES = 1_800;
-const INTERVAL_BOUNDS = { least: 0.1, most: 3_600 } as const;
-const TIMES_BOUNDS = { least: 1, most: 1_000_000, integer: true } as const;
+const INTERVAL_BOUNDS = { min: 0.1, max: 3_600 } as const;
+const TIMES_BOUNDS = { min: 1, max: 1_000_000, integer: true } as const;
 const MS_PER_SECOND = 1_000;
 
 const HELP = `Usage: crossroad status [options]
--- a/src/cli/table/send-edit.ts
+++ b/src/cli/table/send-edit.ts
@@ -31,8 +31,8 @@
   const ours = wantedRow === undefined ? 'remove it' : formatRow(wantedRow, current?.row);
   return [
     `conflict on row ${row}, which was changed since version ${wanted.basedOn}`,
-    `  stands: ${theirs}`,
-    `  wanted by ${wantedBy}: ${ours || 'the same values'}`,
+    `  current: ${theirs}`,
+    `  requested by ${wantedBy}: ${ours || 'the same values'}`,
   ].join('\n');
 };
 
--- a/src/cli/table/table-arguments.ts
+++ b/src/cli/table/table-arguments.ts
@@ -6,9 +6,9 @@
 
 /** Default timeout of the wait for an edit to be in force on all nodes, in seconds. */
 const DEFAULT_WAIT_SECONDS = 10;
-const WAIT_BOUNDS = { least: 0, most: 3_600 } as const;
-const COUNT_BOUNDS = { least: 1, most: 100_000, integer: true } as const;
-const VERSION_BOUNDS = { least: 0, most: Number.MAX_SAFE_INTEGER, integer: true } as const;
+const WAIT_BOUNDS = { min: 0, max: 3_600 } as const;
+const COUNT_BOUNDS = { min: 1, max: 100_000, integer: true } as const;
+const VERSION_BOUNDS = { min: 0, max: Number.MAX_SAFE_INTEGER, integer: true } as const;
 
 const OPTIONS = {
   ...OPERATOR_OPTIONS,
--- a/test/table/table-command.test.ts
+++ b/test/table/table-command.test.ts
@@ -219,8 +219,8 @@
       [
         'refused; nothing was changed',
         'conflict on row season-roster/page, which was changed since version 1',
-        '  stands: version 2 by demo-operator: weight=6',
-        '  wanted by demo-operator: weight=7',
+        '  current: version 2 by demo-operator: weight=6',
+        '  requested by demo-operator: weight=7',
         '',
       ].join('\n'),
     );
