--- a/bench/claim-and-limit-cost.mjs
+++ b/bench/claim-and-limit-cost.mjs
@@ -13,8 +13,8 @@
 import { requestClaim } from '../dist/core/once/claim.js';
 import { claimSubject } from '../dist/core/once/keep-claim.js';
 import { admitQuery, releaseQuery } from '../dist/core/admission/admit-query.js';
-import { findAsked } from '../dist/core/admission/find-holder.js';
-import { MOST_ASKERS } from '../dist/core/admission/limit-timing.js';
+import { findGrantHolder } from '../dist/core/admission/find-holder.js';
+import { MAX_REQUESTERS } from '../dist/core/admission/limit-timing.js';
 import { usableAmount } from '../dist/core/admission/limit-use.js';
 import { refreshLimits } from '../dist/core/admission/refresh.js';
 import { encodeLinkFrame } from '../dist/protocol/codec/link-frame.js';
@@ -213,7 +213,7 @@
   for (const { node } of tier.identities) {
     const state = tier.coreOf(node);
     for (const asker of ['node', 'group', 'zone']) {
-      const asked = findAsked(state, LIMIT.row, asker);
+      const asked = findGrantHolder(state, LIMIT.row, asker);
       if (
         asker === 'node' ||
         state.admission.dividers.has(`${LIMIT.row}|${LIMIT.bound}|${asker}`)
@@ -230,12 +230,12 @@
 const LOOK_MS = 250;
 
 /** A limit in demand at every node, after it has settled. */
-const measureLimit = (size, mostAskers) => {
+const measureLimit = (size, maxRequesters) => {
   const run = new LimitTier(size, 5_000);
   const { tier, traffic } = run;
   const order = tier.identities.map(({ node }) => node);
   order.forEach((node) => {
-    tier.coreOf(node).admission.mostAskers = mostAskers;
+    tier.coreOf(node).admission.maxRequesters = maxRequesters;
     tier.coreOf(node).admission.sequence = START_WALL_MS * 1_024;
   });
   const endAt = run.now + SETTLE_MS + COUNT_MS;
@@ -284,7 +284,7 @@
 };
 
 /** Ways to ask: all ask the row's holder; zones divide; zones and groups, as the core does. */
-const WAYS = { direct: () => Number.POSITIVE_INFINITY, levels: () => MOST_ASKERS };
+const WAYS = { direct: () => Number.POSITIVE_INFINITY, levels: () => MAX_REQUESTERS };
 
 const { values } = parseArgs({
   options: {
@@ -297,7 +297,10 @@
   ...(values.only !== 'limit' && { claim: medianOf(() => measureClaims(nodes)) }),
   ...(values.only !== 'claim' && {
     limit: Object.fromEntries(
-      Object.entries(WAYS).map(([way, mostAskers]) => [way, measureLimit(nodes, mostAskers())]),
+      Object.entries(WAYS).map(([way, maxRequesters]) => [
+        way,
+        measureLimit(nodes, maxRequesters()),
+      ]),
     ),
   }),
 }));
--- a/src/core/admission/find-holder.ts
+++ b/src/core/admission/find-holder.ts
@@ -18,11 +18,11 @@
 const groupOf = (node: NodeId, groups: number): number => hash32(node) % groups;
 
 const chooseFirstLevel = (state: CoreState, live: number, inZone: number): GrantLevel => {
-  const { mostAskers } = state.admission;
-  if (live <= mostAskers) {
+  const { maxRequesters: maxRequesters } = state.admission;
+  if (live <= maxRequesters) {
     return 'row';
   }
-  return inZone <= mostAskers ? 'zone' : 'group';
+  return inZone <= maxRequesters ? 'zone' : 'group';
 };
 
 const deriveLevels = (state: CoreState): ZoneLevels => {
@@ -92,7 +92,11 @@
 };
 
 /** Returns the node and level from which this node, as `asker`, requests grants of the row's limits. */
-export const findAsked = (state: CoreState, row: string, asker: GrantRequester): GrantHolder => {
+export const findGrantHolder = (
+  state: CoreState,
+  row: string,
+  asker: GrantRequester,
+): GrantHolder => {
   const { asked } = getCachedHolder(state, row);
   const known = asked.get(asker);
   if (known !== undefined) {
--- a/src/core/admission/limit-book.ts
+++ b/src/core/admission/limit-book.ts
@@ -114,7 +114,7 @@
   return state.random.next() < amount - whole ? whole + 1 : whole;
 };
 
-const wantedAmount = (state: CoreState, book: LimitBook, demand: number): number => {
+const targetAmount = (state: CoreState, book: LimitBook, demand: number): number => {
   const wanted = Math.min(book.level, demand) + book.headroom;
   return book.bound === 'concurrent' ? roundRandomly(state, wanted) : wanted;
 };
@@ -131,7 +131,7 @@
   }
   const others = book.counted - slice.counted;
   const available = Math.max(0, giving.amount - others);
-  const amount = Math.min(available, wantedAmount(state, book, request.demand));
+  const amount = Math.min(available, targetAmount(state, book, request.demand));
   return book.bound === 'concurrent' ? Math.floor(amount) : amount;
 };
 
--- a/src/core/admission/limit-timing.ts
+++ b/src/core/admission/limit-timing.ts
@@ -27,7 +27,7 @@
  * group within it, ask a divider among themselves. This number costs a holder at most 2 KB/s while the
  * demand is steady.
  */
-export const MOST_ASKERS = 24;
+export const MAX_REQUESTERS = 24;
 
 /** Renewal interval of a grant below the demand, in milliseconds. */
 export const RENEW_MS = 1_000;
--- a/src/core/admission/request-grant.ts
+++ b/src/core/admission/request-grant.ts
@@ -3,7 +3,7 @@
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
 import { sendGrantMessage } from './send-grant-message.js';
-import { findAsked } from './find-holder.js';
+import { findGrantHolder } from './find-holder.js';
 import {
   GRANT_TIMEOUT_MS,
   RENEW_MS,
@@ -27,7 +27,7 @@
   at: number,
 ): Effect[] => {
   const { limit, asker } = grantee;
-  const holder = findAsked(state, limit.row, asker);
+  const holder = findGrantHolder(state, limit.row, asker);
   state.admission.sequence += 1;
   const { sequence } = state.admission;
   grantee.pending = { holder, sequence, sentAt: at };
--- a/src/core/admission/state.ts
+++ b/src/core/admission/state.ts
@@ -8,7 +8,7 @@
 } from '../../protocol/grant-messages.js';
 import type { RouteRow } from '../../table/route-row.js';
 import type { NodeId } from '../identifiers.js';
-import { MOST_ASKERS } from './limit-timing.js';
+import { MAX_REQUESTERS } from './limit-timing.js';
 
 /** A node that grants slices: the holder of a row's limits, or a divider of its own grant. */
 export interface GrantHolder {
@@ -188,8 +188,8 @@
   readonly votes: Map<string, LeaseRecord>;
   readonly holders: Map<string, CachedHolder>;
   zoneLevels: ZoneLevels | undefined;
-  /** See `MOST_ASKERS`. */
-  mostAskers: number;
+  /** See `MAX_REQUESTERS`. */
+  maxRequesters: number;
   limitedRows: LimitedRows;
 }
 
@@ -202,7 +202,7 @@
   votes: new Map(),
   holders: new Map(),
   zoneLevels: undefined,
-  mostAskers: MOST_ASKERS,
+  maxRequesters: MAX_REQUESTERS,
   limitedRows: { rows: new Map(), limited: [] },
 });
 
--- a/src/core/membership/bounds.ts
+++ b/src/core/membership/bounds.ts
@@ -77,6 +77,6 @@
 /** Interval between requests of a node that is alone or does not know all seeds. */
 export const REJOIN_INTERVAL_MS = 5_000;
 /** Maximum number of addresses from the machine list pinged on one tick. */
-export const HINTS_PER_TICK = 8;
+export const LISTED_ADDRESSES_PER_TICK = 8;
 /** Maximum number of addresses kept from the machine list. */
-export const MAX_HINTS = 4_096;
+export const MAX_LISTED_ADDRESSES = 4_096;
--- a/src/core/membership/join.ts
+++ b/src/core/membership/join.ts
@@ -4,7 +4,7 @@
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
 import {
-  MAX_HINTS,
+  MAX_LISTED_ADDRESSES,
   JOIN_RETRY_MS,
   JOIN_TIMEOUT_MS,
   PROBE_INTERVAL_MS,
@@ -104,8 +104,8 @@
 /** Records the unknown addresses of the platform's machine list, to be pinged. */
 export const handleMachinesRead = (state: CoreState, machines: readonly Machine[]): void => {
   const { membership } = state;
-  membership.hints = machines
+  membership.listedAddresses = machines
     .map(({ host, port }) => ({ host, port }))
     .filter((address) => !membership.addresses.has(addressKey(address)))
-    .slice(0, MAX_HINTS);
+    .slice(0, MAX_LISTED_ADDRESSES);
 };
--- a/src/core/membership/state.ts
+++ b/src/core/membership/state.ts
@@ -73,7 +73,7 @@
   /** Members dead at this node but alive with the same incarnation in a peer's table. */
   readonly disputed: Set<NodeId>;
   /** Addresses from the machine list that belong to no known member. */
-  hints: PeerAddress[];
+  listedAddresses: PeerAddress[];
   /** When seeds that are not members are pinged again. */
   rejoinAt: number;
   /** When the last exchange was requested, or its last page was received. */
@@ -122,7 +122,7 @@
     round: [],
     dead: new Set(),
     disputed: new Set(),
-    hints: [],
+    listedAddresses: [],
     rejoinAt: 0,
     pulledAt: Number.NEGATIVE_INFINITY,
     changesSincePull: 0,
--- a/src/core/membership/table-exchange.ts
+++ b/src/core/membership/table-exchange.ts
@@ -115,7 +115,7 @@
 /**
  * Turns a death into a suspicion: after a partition, the other side may have declared it in error.
  */
-const deadToSuspect = (update: MemberUpdate): MemberUpdate =>
+const convertDeathToSuspicion = (update: MemberUpdate): MemberUpdate =>
   update.state === 'dead' ? { identity: update.identity, state: 'suspect' } : update;
 
 const isDisputed = (held: Member | undefined, update: MemberUpdate): boolean =>
@@ -136,7 +136,7 @@
   }
   const before = membership.changedAt;
   const hadRumour = membership.rumours.sent.has(node);
-  const effects = applyUpdate(state, deadToSuspect(update), at);
+  const effects = applyUpdate(state, convertDeathToSuspicion(update), at);
   if (membership.rumours.sent.has(node) && !hadRumour) {
     suppressTableRumour(state, update, before);
   }
--- a/src/core/membership/tick.ts
+++ b/src/core/membership/tick.ts
@@ -7,7 +7,7 @@
   DEAD_PINGS_PER_SECOND,
   DISPUTED_PER_TICK,
   DEAD_RETENTION_MS,
-  HINTS_PER_TICK,
+  LISTED_ADDRESSES_PER_TICK,
   PROBE_INTERVAL_MS,
 } from './bounds.js';
 import { removeMember } from './change-member.js';
@@ -62,7 +62,7 @@
   return member === undefined ? [] : probeMember(state, member, at);
 };
 
-const pickDead = (state: CoreState): Member | undefined => {
+const chooseDeadMember = (state: CoreState): Member | undefined => {
   const { membership } = state;
   const dead = [...membership.dead];
   const node = dead[state.random.nextBelow(dead.length)];
@@ -78,7 +78,7 @@
   const live = Math.max(1, listRing(membership).length);
   const pingsPerTick = (DEAD_PINGS_PER_SECOND * PROBE_INTERVAL_MS) / MS_PER_SECOND;
   const chance = (membership.dead.size * pingsPerTick) / live;
-  const member = state.random.next() < chance ? pickDead(state) : undefined;
+  const member = state.random.next() < chance ? chooseDeadMember(state) : undefined;
   return member === undefined ? [] : [pingMember(state, member, at)];
 };
 
@@ -100,10 +100,10 @@
 const isUnknown = (membership: MembershipState, address: PeerAddress): boolean =>
   !membership.addresses.has(addressKey(address));
 
-const pingHints = (state: CoreState, at: number): Effect[] => {
+const pingListedAddresses = (state: CoreState, at: number): Effect[] => {
   const { membership } = state;
-  const hints = membership.hints.splice(0, HINTS_PER_TICK);
-  return hints
+  const addresses = membership.listedAddresses.splice(0, LISTED_ADDRESSES_PER_TICK);
+  return addresses
     .filter((address) => isUnknown(membership, address))
     .map((address) => pingAddress(state, address, at));
 };
@@ -128,6 +128,6 @@
     ...probeNext(state, at),
     ...pingDead(state, at),
     ...pingDisputed(state, at),
-    ...pingHints(state, at),
+    ...pingListedAddresses(state, at),
   ];
 };
--- a/src/core/once/claim.ts
+++ b/src/core/once/claim.ts
@@ -14,7 +14,7 @@
 import { handleClaimVerdict } from '../query/handle-claim-verdict.js';
 import type { CoreState } from '../state.js';
 import { CLAIM_RESEND_MS, CLAIM_RESENDS, KEY_LEAD_MS, KEY_LIFETIME_MS } from './claim-timing.js';
-import { claimSubject, keepClaim, releaseKeptClaim } from './keep-claim.js';
+import { claimSubject, handleClaimRequest, releaseKeptClaim } from './keep-claim.js';
 import type { OwnClaim } from './state.js';
 
 /** The decision on a claim. Only `granted` lets the request run. */
@@ -47,7 +47,7 @@
 ): Effect[] => {
   switch (message.type) {
     case 'claim-request':
-      return sendOnceMessage(state, from, keepClaim(state, message, at), at);
+      return sendOnceMessage(state, from, handleClaimRequest(state, message, at), at);
     case 'claim-reply':
       return handleClaimReply(state, from, message, at);
     case 'claim-release':
--- a/src/core/once/keep-claim.ts
+++ b/src/core/once/keep-claim.ts
@@ -95,7 +95,11 @@
 };
 
 /** Decides on a claim and keeps it if granted. */
-export const keepClaim = (state: CoreState, message: ClaimRequest, at: number): ClaimReply => {
+export const handleClaimRequest = (
+  state: CoreState,
+  message: ClaimRequest,
+  at: number,
+): ClaimReply => {
   const verdict = parseIdempotencyKey(message.idempotencyKey)
     .map((key) => decideClaim(state, key, message, at))
     .orDefault('owner-not-ready');
--- a/src/core/query/accept-query.ts
+++ b/src/core/query/accept-query.ts
@@ -17,7 +17,7 @@
 import type { QueryPlan } from './query-plan.js';
 import type { QueryRequest, RefusalReason } from './query-request.js';
 import { createLeg, scatterQuery } from './scatter-query.js';
-import { wantedShards } from './wanted-shards.js';
+import { countRequiredShards } from './required-shards.js';
 
 const IDENTIFIER_RADIX = 36;
 
@@ -112,7 +112,7 @@
     query,
     startedAt: event.at,
     deadlineAt: event.at + Math.min(row.deadlineMs, query.deadlineMs ?? row.deadlineMs),
-    wantedShards: wantedShards(row, query, plan.shards.length),
+    requiredShards: countRequiredShards(row, query, plan.shards.length),
     phase: row.safeToRepeat ? 'running' : 'claiming',
     context,
     legs: plan.shards.map(createLeg),
--- a/src/core/query/active-query.ts
+++ b/src/core/query/active-query.ts
@@ -24,7 +24,7 @@
   readonly sentAt: number;
   ended: boolean;
   /** Whether the feeder did not send it, because it found the replica silent. */
-  heldBack: boolean;
+  unsent: boolean;
 }
 
 /** One leg of a query: the part that one shard contributes. */
@@ -52,7 +52,7 @@
   readonly startedAt: number;
   readonly deadlineAt: number;
   /** Number of shards that suffice for an early answer. */
-  wantedShards: number;
+  requiredShards: number;
   phase: 'claiming' | 'running';
   /** What the attempts of the current plan share; a restart replaces it together with the legs. */
   context: LegContext;
--- a/src/core/query/extra-load-budget.ts
+++ b/src/core/query/extra-load-budget.ts
@@ -25,7 +25,7 @@
 });
 
 /** Credits the bucket for `legs` needed legs and updates its share. */
-export const earnExtraLoad = (budget: ExtraLoadBudget, share: number, legs: number): void => {
+export const creditExtraLoad = (budget: ExtraLoadBudget, share: number, legs: number): void => {
   budget.share = share;
   budget.tokens = Math.min(share * BUCKET_LEGS, budget.tokens + share * legs);
 };
@@ -40,7 +40,7 @@
 };
 
 /** Takes one token, on credit if necessary: for a silent replica, a lost feeder or a lost connection. */
-export const borrowExtraLoad = (budget: ExtraLoadBudget): boolean => {
+export const spendExtraLoadOnCredit = (budget: ExtraLoadBudget): boolean => {
   if (budget.tokens <= -DEBT_LIMIT) {
     return false;
   }
--- a/src/core/query/finish-query.ts
+++ b/src/core/query/finish-query.ts
@@ -92,20 +92,20 @@
   at: number,
   effects: Effect[],
 ): void => {
-  const unwanted: AttemptRecord[] = [];
+  const cancelled: AttemptRecord[] = [];
   for (const leg of query.legs) {
     for (const record of leg.attempts) {
       if (record.purpose === 'probe' && !record.ended) {
         continue;
       }
       if (!record.ended) {
-        unwanted.push(record);
+        cancelled.push(record);
       }
       state.query.attempts.delete(record.attempt);
     }
   }
-  if (unwanted.length > 0) {
-    cancelAttempts(state, unwanted, at, effects);
+  if (cancelled.length > 0) {
+    cancelAttempts(state, cancelled, at, effects);
   }
 };
 
@@ -231,7 +231,7 @@
   at: number,
   effects: Effect[],
 ): boolean => {
-  const covered = query.row.safeToRepeat && query.contributed >= query.wantedShards;
+  const covered = query.row.safeToRepeat && query.contributed >= query.requiredShards;
   if (query.open > 0 && !covered) {
     return false;
   }
--- a/src/core/query/hedge-legs.ts
+++ b/src/core/query/hedge-legs.ts
@@ -6,7 +6,7 @@
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
 import type { ActiveQuery, AttemptRecord, LegState } from './active-query.js';
-import { borrowExtraLoad, budgetLevel, spendExtraLoad } from './extra-load-budget.js';
+import { spendExtraLoadOnCredit, budgetLevel, spendExtraLoad } from './extra-load-budget.js';
 import { hedgeThreshold } from './latency-histogram.js';
 import { isSilent, silenceThresholdMs } from './replica-observation.js';
 import { MAX_ATTEMPTS_PER_LEG } from './retry-legs.js';
@@ -56,7 +56,7 @@
 const lastLegCount = (query: ActiveQuery): number =>
   Math.max(MIN_LAST_LEGS, Math.floor(query.legs.length * LAST_LEGS_SHARE)) +
   query.legs.length -
-  query.wantedShards;
+  query.requiredShards;
 
 const timerKey = (query: ActiveQuery) =>
   ({ purpose: 'query-hedge', subject: query.request }) as const;
@@ -150,7 +150,9 @@
   if (state.query.policy.hedging === 'fixed') {
     return true;
   }
-  return isSilent(record.target.observed, at) ? borrowExtraLoad(budget) : spendExtraLoad(budget);
+  return isSilent(record.target.observed, at)
+    ? spendExtraLoadOnCredit(budget)
+    : spendExtraLoad(budget);
 };
 
 const chooseHedges = (state: CoreState, query: ActiveQuery, at: number): ChosenLeg[] => {
--- a/src/core/query/record-observation.ts
+++ b/src/core/query/record-observation.ts
@@ -155,7 +155,11 @@
 };
 
 /** Records that the feeder did not send an attempt because the replica is silent; ejects the replica. */
-export const recordHeldBack = (observed: ReplicaObservation, random: Random, at: number): void => {
+export const recordUnsentAttempt = (
+  observed: ReplicaObservation,
+  random: Random,
+  at: number,
+): void => {
   observed.inFlight -= 1;
   if (!observed.ejected) {
     eject(observed, random, at);
--- a/src/core/query/record-outcome.ts
+++ b/src/core/query/record-outcome.ts
@@ -12,7 +12,7 @@
   recordAnswer,
   recordCancelledAttempt,
   recordFailure,
-  recordHeldBack,
+  recordUnsentAttempt,
   recordSnapshotRefused,
   recordInconclusive,
   recordShed,
@@ -91,8 +91,8 @@
       recordFailure(observed, true, state.random, at);
       break;
     case 'not-answering':
-      record.heldBack = true;
-      recordHeldBack(observed, state.random, at);
+      record.unsent = true;
+      recordUnsentAttempt(observed, state.random, at);
       break;
     case 'timed-out':
       recordTruncatedLatency(record, at);
--- a/src/core/query/wanted-shards.ts
+++ b/src/core/query/required-shards.ts
@@ -3,5 +3,5 @@
 import type { QueryRequest } from './query-request.js';
 
 /** Returns how many of `shards` shards reach the caller's coverage, or else the row's; at least 1. */
-export const wantedShards = (row: RouteRow, query: QueryRequest, shards: number): number =>
+export const countRequiredShards = (row: RouteRow, query: QueryRequest, shards: number): number =>
   Math.max(1, Math.ceil(shards * (query.coverage ?? row.coverage)));
--- a/src/core/query/restart-query.ts
+++ b/src/core/query/restart-query.ts
@@ -6,7 +6,7 @@
 import { mayHaveRun, releaseLegs } from './finish-query.js';
 import { createAnswerMerge } from './merge-answers.js';
 import { createLeg, scatterLegs } from './scatter-query.js';
-import { wantedShards } from './wanted-shards.js';
+import { countRequiredShards } from './required-shards.js';
 
 /** Maximum number of restarts of one query. */
 const MAX_RESTARTS = 1;
@@ -54,7 +54,7 @@
   query.needed = query.legs.length;
   query.legsAwaitingRetry = [];
   query.nearlyComplete = false;
-  query.wantedShards = wantedShards(query.row, query.query, query.legs.length);
+  query.requiredShards = countRequiredShards(query.row, query.query, query.legs.length);
   scatterLegs(state, query, 'first', at, effects);
   return true;
 };
--- a/src/core/query/retry-legs.ts
+++ b/src/core/query/retry-legs.ts
@@ -2,7 +2,7 @@
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
 import type { ActiveQuery, LegState } from './active-query.js';
-import { borrowExtraLoad, spendExtraLoad } from './extra-load-budget.js';
+import { spendExtraLoadOnCredit, spendExtraLoad } from './extra-load-budget.js';
 import { finishIfDone, markMissing } from './finish-query.js';
 import { startHedging } from './hedge-legs.js';
 import type { MissingReason } from './query-request.js';
@@ -37,7 +37,7 @@
   const { budget } = query.observed;
   const { reason } = leg;
   if (reason !== undefined && LOST_REASONS.has(reason)) {
-    return borrowExtraLoad(budget);
+    return spendExtraLoadOnCredit(budget);
   }
   const overloaded = reason !== undefined && OVERLOAD_REASONS.has(reason);
   const free = !leg.mayHaveRun && (!overloaded || hasAvailableReplica(state, leg, at));
--- a/src/core/query/scatter-query.ts
+++ b/src/core/query/scatter-query.ts
@@ -2,7 +2,7 @@
 import type { Effect } from '../effect.js';
 import type { CoreState } from '../state.js';
 import type { ActiveQuery, AttemptPurpose, LegState } from './active-query.js';
-import { earnExtraLoad, spendExtraLoad } from './extra-load-budget.js';
+import { creditExtraLoad, spendExtraLoad } from './extra-load-budget.js';
 import { finishIfDone, markMissing } from './finish-query.js';
 import { startHedging } from './hedge-legs.js';
 import type { ShardTarget } from './query-plan.js';
@@ -66,7 +66,7 @@
 ): void => {
   state.counters.legs_needed += query.legs.length;
   query.needed += query.legs.length;
-  earnExtraLoad(query.observed.budget, query.row.extraLoadLimit, query.legs.length);
+  creditExtraLoad(query.observed.budget, query.row.extraLoadLimit, query.legs.length);
   scatterLegs(state, query, 'first', at, effects);
   sendChosen(state, query, chooseProbes(state, query, at), at, effects);
   finishIfDone(state, query, at, effects);
--- a/src/core/query/select-replica.ts
+++ b/src/core/query/select-replica.ts
@@ -21,7 +21,7 @@
 
 const wasAttempted = (leg: LegState, target: ReplicaTarget, lastResort: boolean): boolean => {
   for (const record of leg.attempts) {
-    if (record.target.endpoint === target.endpoint && !(record.heldBack && lastResort)) {
+    if (record.target.endpoint === target.endpoint && !(record.unsent && lastResort)) {
       return true;
     }
   }
--- a/src/core/query/send-legs.ts
+++ b/src/core/query/send-legs.ts
@@ -64,7 +64,7 @@
     insist: purpose === 'probe' || isLastResort(leg, target, at),
     sentAt: at,
     ended: false,
-    heldBack: false,
+    unsent: false,
   };
   leg.attempts.push(record);
   leg.outstanding += purpose === 'probe' ? 0 : 1;
@@ -104,7 +104,7 @@
 ): boolean =>
   legs.length > 1 &&
   query.row.safeToRepeat &&
-  query.wantedShards === query.legs.length &&
+  query.requiredShards === query.legs.length &&
   state.query.policy.resultWaitMs > 0;
 
 const sendBatch = (
--- a/src/core/replica/report-result.ts
+++ b/src/core/replica/report-result.ts
@@ -63,7 +63,7 @@
 };
 
 /** Removes and returns the delayed results for a coordinator, each with its delay in milliseconds. */
-const takeDelayedResults = (state: CoreState, coordinator: NodeId, at: number): LegResult[] => {
+const removeDelayedResults = (state: CoreState, coordinator: NodeId, at: number): LegResult[] => {
   const waiting = state.replica.delayedResults.get(coordinator);
   if (waiting === undefined) {
     return [];
@@ -76,7 +76,7 @@
 export const releaseDelayedResults = (state: CoreState, at: number): void => {
   state.replica.resultTimerSet = false;
   for (const coordinator of [...state.replica.delayedResults.keys()]) {
-    for (const result of takeDelayedResults(state, coordinator, at)) {
+    for (const result of removeDelayedResults(state, coordinator, at)) {
       reportResult(state, coordinator, result);
     }
   }
@@ -124,7 +124,7 @@
   at: number,
   effects: Effect[],
 ): void => {
-  const results = [...takeDelayedResults(state, coordinator, at), ...ended];
+  const results = [...removeDelayedResults(state, coordinator, at), ...ended];
   const member = state.membership.members.get(coordinator);
   if (member !== undefined) {
     const { address } = member.identity;
--- a/test/admission/histories.test.ts
+++ b/test/admission/histories.test.ts
@@ -147,14 +147,14 @@
     return effects;
   };
 
-/** Values of `mostAskers` with which six nodes in three zones use these levels. */
-const MOST_ASKERS_FOR = { 'one level': 6, zones: 2, 'zones and groups': 1 } as const;
+/** Values of `maxRequesters` with which six nodes in three zones use these levels. */
+const MAX_REQUESTERS_FOR = { 'one level': 6, zones: 2, 'zones and groups': 1 } as const;
 
 /** Creates a step function whose core requests grants over these levels. */
 const createLevelStep =
-  (levels: keyof typeof MOST_ASKERS_FOR): StepFunction =>
+  (levels: keyof typeof MAX_REQUESTERS_FOR): StepFunction =>
   (state, event) => {
-    state.admission.mostAskers = MOST_ASKERS_FOR[levels];
+    state.admission.maxRequesters = MAX_REQUESTERS_FOR[levels];
     return step(state, event);
   };
 
--- a/test/query/observations-and-budget.test.ts
+++ b/test/query/observations-and-budget.test.ts
@@ -2,9 +2,9 @@
 import type { SendLink } from '../../src/core/effect.js';
 import type { NodeId } from '../../src/core/identifiers.js';
 import {
-  borrowExtraLoad,
+  spendExtraLoadOnCredit,
   createExtraLoadBudget,
-  earnExtraLoad,
+  creditExtraLoad,
   spendExtraLoad,
 } from '../../src/core/query/extra-load-budget.js';
 import type { Random } from '../../src/core/random.js';
@@ -56,20 +56,20 @@
 describe('the extra-load budget', () => {
   it('spends its credit, allows a bounded debt and never exceeds its capacity', () => {
     const budget = createExtraLoadBudget(0.02);
-    earnExtraLoad(budget, 0.02, 100);
+    creditExtraLoad(budget, 0.02, 100);
     let spent = 0;
     while (spendExtraLoad(budget)) {
       spent += 1;
     }
     expect(spent).toBe(4);
     let borrowed = 0;
-    while (borrowExtraLoad(budget)) {
+    while (spendExtraLoadOnCredit(budget)) {
       borrowed += 1;
     }
     expect(borrowed).toBe(50);
-    earnExtraLoad(budget, 0.02, 2_400);
+    creditExtraLoad(budget, 0.02, 2_400);
     expect(spendExtraLoad(budget)).toBe(false);
-    earnExtraLoad(budget, 0.02, 1_000_000);
+    creditExtraLoad(budget, 0.02, 1_000_000);
     expect(budget.tokens).toBeLessThanOrEqual(8);
   });
 
