--- a/src/cli/demo.ts
+++ b/src/cli/demo.ts
@@ -10,25 +10,25 @@
 import { listenForInterrupt } from './interrupt-signal.js';
 
 const DEFAULT_SECONDS = 12;
-const SECONDS_BOUNDS = { least: 1, most: 3_600 } as const;
-const SEED_BOUNDS = { least: 0, most: 2_147_483_647, integer: true } as const;
-const RATE_BOUNDS = { least: 0.1, most: 10_000 } as const;
+const SECONDS_BOUNDS = { min: 1, max: 3_600 } as const;
+const SEED_BOUNDS = { min: 0, max: 2_147_483_647, integer: true } as const;
+const RATE_BOUNDS = { min: 0.1, max: 10_000 } as const;
 
 const HELP = `Usage: crossroad demo [options]
 
 Runs a whole tier on loopback in one process: the platform, all replicas of the
 deployments, three nodes in different zones, and callers of each kind. Every answer
-is checked as a caller would, and compared with what the replicas ran.
+is checked by its caller and compared with what the replicas ran.
 
 Options:
   --deployment <name>  ${DEPLOYMENT_NAMES.join(', ')} (default both)
-  --seconds <n>        how long callers call (default ${DEFAULT_SECONDS})
-  --rate <n>           queries a second of each partner (default ${DEMO_QUERIES_PER_SECOND})
-  --seed <n>           seeds arrivals, service times and nodes (default 1)
-  --json               print the figures as one JSON object
+  --seconds <n>        duration of the load (default ${DEFAULT_SECONDS})
+  --rate <n>           queries per second of each partner (default ${DEMO_QUERIES_PER_SECOND})
+  --seed <n>           seed of arrivals, service times and nodes (default 1)
+  --json               print the results as one JSON object
 
-Ends with 0 when no promise was broken, else with 1. SIGINT ends the calls, then the
-table follows.`;
+Exit codes: 0 all promises kept, 1 a promise was broken, 2 usage. SIGINT ends the
+load; the results are still printed.`;
 
 const OPTIONS = {
   deployment: { type: 'string', default: 'both' },
@@ -58,7 +58,7 @@
 /** The subcommand `demo`. */
 export const demoCommand: Command = defineCommand({
   name: 'demo',
-  summary: 'a whole tier on loopback in one process',
+  summary: 'run a whole tier on loopback in one process',
   help: HELP,
   run: runDemoCommand,
 });
