--- a/soak/checker/check-run.ts
+++ b/soak/checker/check-run.ts
@@ -1,6 +1,6 @@
 /** Checks a run by observations from outside, without using code of the gateway. */
 import type { Observations } from '../model/observations.js';
-import { checkAbandonedRequests } from './callers-gone.js';
+import { checkAbandonedRequests } from './abandoned-requests.js';
 import { checkConfiguration } from './configuration.js';
 import { checkDrainedReplicas } from './drained-replicas.js';
 import { type CheckedRun, Evidence } from './evidence.js';
