--- a/soak/checker/abandoned-requests.ts
+++ b/soak/checker/abandoned-requests.ts
@@ -33,9 +33,9 @@
 
 const checkLateArrivals = (
   evidence: Evidence,
-  departed: readonly AbandonedRequest[],
+  abandoned: readonly AbandonedRequest[],
 ): readonly Violation[] => {
-  const late = departed.filter(({ request, dueAt }) =>
+  const late = abandoned.filter(({ request, dueAt }) =>
     evidence.arrivalsOf(request.id).some(({ at }) => at > dueAt),
   );
   return late.length <= MAX_LATE_ARRIVALS
@@ -45,11 +45,11 @@
 
 const checkWork = (
   evidence: Evidence,
-  departed: readonly AbandonedRequest[],
+  abandoned: readonly AbandonedRequest[],
 ): readonly Violation[] => {
   const runsPast = ({ at, workMs }: Arrival, dueAt: number): boolean =>
     at <= dueAt && at + workMs > dueAt;
-  const long = departed.filter(({ request, dueAt }) =>
+  const long = abandoned.filter(({ request, dueAt }) =>
     evidence.runsOf(request.id).some((run) => runsPast(run, dueAt)),
   );
   const stillRunning = long.filter(({ request, dueAt }) =>
@@ -69,7 +69,7 @@
 
 /** Finds requests that replicas still run, or begin to run, long after their callers have left. */
 export const checkAbandonedRequests = (evidence: Evidence): readonly Violation[] => {
-  const departed = findAbandoned(evidence);
-  evidence.recordCases('callers-gone', departed.length);
-  return [...checkLateArrivals(evidence, departed), ...checkWork(evidence, departed)];
+  const abandoned = findAbandoned(evidence);
+  evidence.recordCases('callers-gone', abandoned.length);
+  return [...checkLateArrivals(evidence, abandoned), ...checkWork(evidence, abandoned)];
 };
--- a/soak/model/schedule.ts
+++ b/soak/model/schedule.ts
@@ -180,7 +180,7 @@
  */
 export const drawLastVersion = (random: Random, durationMs: number): readonly ScheduledFault[] => {
   const forMs = drawFaultMs(random);
-  const trouble = pick<Fault>(random, [
+  const storeFault = pick<Fault>(random, [
     { type: 'change-and-forget', muteMs: drawBetween(random, 500, 1_500) },
     { type: 'mute-watches', forMs },
     { type: 'delay-watches', delayMs: drawBetween(random, 200, 2_000), forMs },
@@ -190,7 +190,7 @@
   const atMs = durationMs - QUIET_END_MS;
   const versionAtMs = atMs + random.nextBelow(MAX_LAST_VERSION_DELAY_MS);
   return [
-    { atMs, fault: trouble },
+    { atMs, fault: storeFault },
     { atMs: versionAtMs, fault: { type: 'configure', count: 1, gapMs: 0 } },
   ];
 };
--- a/soak/run-soak.ts
+++ b/soak/run-soak.ts
@@ -73,9 +73,9 @@
   world.startPoisonCallers();
   await faults.runSchedule(plan.schedule);
   observations.faultsEndedAt = performance.now();
-  const calm = pause(plan.bounds.recoveryMs + plan.finalMs);
+  const recoveryTime = pause(plan.bounds.recoveryMs + plan.finalMs);
   await faults.runSchedule(plan.plannedWork);
-  await calm;
+  await recoveryTime;
   await world.callers.stop();
   return faults.executed;
 };
--- a/soak/world/callers.ts
+++ b/soak/world/callers.ts
@@ -104,7 +104,7 @@
   startCallers(gateway: GatewayProcess, count: number): void {
     for (let index = 0; index < count; index += 1) {
       const random = streamOf(this.context.seed, 'callers', gateway.number * count + index);
-      this.ended.push(this.work(gateway, random, index % 2 === 0));
+      this.ended.push(this.runCaller(gateway, random, index % 2 === 0));
     }
     this.ended.push(this.pollMarkerRoutes(gateway), this.pollReadiness(gateway));
   }
@@ -119,7 +119,7 @@
     const drawGateway = (): GatewayProcess | undefined =>
       gateways[random.nextBelow(gateways.length)];
     const path = poisonPathOf(prefix, number);
-    const ask = async (): Promise<void> => {
+    const sendAttempts = async (): Promise<void> => {
       for (let attempts = 0; attempts < POISON_ATTEMPTS; attempts += 1) {
         const gateway = drawGateway();
         if (gateway !== undefined) {
@@ -127,13 +127,13 @@
         }
       }
     };
-    const runCaller = async (): Promise<void> => {
+    const runPoisonCaller = async (): Promise<void> => {
       while (this.running) {
-        await ask();
+        await sendAttempts();
         await pause(intervalMs / 2 + random.nextBelow(intervalMs));
       }
     };
-    this.ended.push(runCaller());
+    this.ended.push(runPoisonCaller());
   }
 
   /** Stops all callers; resolves when the requests in progress have ended. */
@@ -142,7 +142,7 @@
     await Promise.all(this.ended);
   }
 
-  private async work(
+  private async runCaller(
     gateway: GatewayProcess,
     random: Random,
     keepsConnection: boolean,
@@ -211,7 +211,7 @@
     // If the process was replaced meanwhile, it is not known which of the two received the request.
     const knownIncarnation =
       gateway.incarnation === incarnation ? incarnation : UNKNOWN_INCARNATION;
-    const asked = {
+    const request = {
       id,
       gateway: gateway.number,
       incarnation: knownIncarnation,
@@ -219,7 +219,7 @@
       path,
       bodyDigest,
     };
-    this.context.observations.requests.push({ ...asked, ...result });
+    this.context.observations.requests.push({ ...request, ...result });
     return result.outcome.type;
   }
 }
--- a/soak/world/loopback-link.ts
+++ b/soak/world/loopback-link.ts
@@ -38,9 +38,9 @@
   }
 
   /** Applies a failure for `forMs` milliseconds, after any previous failure has ended. */
-  failFor(trouble: LinkFailure, forMs: number): Promise<void> {
+  failFor(failure: LinkFailure, forMs: number): Promise<void> {
     this.busy = this.busy.then(async () => {
-      this.setFailure(trouble);
+      this.setFailure(failure);
       await pause(forMs);
       this.setFailure(undefined);
     });
@@ -48,9 +48,9 @@
   }
 
   /** Sets or ends a failure. Bytes held back during a silence are delivered at its end. */
-  private setFailure(trouble: LinkFailure | undefined): void {
-    this.failure = trouble;
-    if (trouble === 'refuse') {
+  private setFailure(failure: LinkFailure | undefined): void {
+    this.failure = failure;
+    if (failure === 'refuse') {
       this.reset();
     }
     const released = this.held;
