--- a/src/gateway/crashes/publish-crashes.ts
+++ b/src/gateway/crashes/publish-crashes.ts
@@ -40,7 +40,7 @@
 const publish = (peers: readonly PeerRecord[], updates: readonly CrashUpdate[]): GatewayEffect[] =>
   peers.length === 0 || updates.length === 0
     ? []
-    : [{ type: 'tell-crashes', peers, news: updates }];
+    : [{ type: 'send-crash-updates', peers, news: updates }];
 
 /** Publishes pending requests to all neighbours. Those beyond the size limit go with the next message. */
 const publishPending = (state: GatewayState, at: number): GatewayEffect[] => {
@@ -105,7 +105,7 @@
 const storeSuspects = (state: GatewayState, at: number): GatewayEffect[] =>
   state.registration.listedGeneration === undefined ? [] : registerIfMissing(state, at);
 
-/** Handles `crash-news-due`: publishes pending updates and those due for repetition. */
+/** Handles `crash-updates-due`: publishes pending updates and those due for repetition. */
 export const handleCrashUpdatesDue = (
   state: GatewayState,
   { at }: CrashUpdatesDue,
@@ -126,7 +126,7 @@
   ];
 };
 
-/** Handles `crashes-told`: merges the received histories, and forwards those that change. */
+/** Handles `crash-updates-received`: merges the received histories, and forwards those that change. */
 export const handleCrashUpdates = (
   state: GatewayState,
   { news: updates, from, at }: CrashUpdatesReceived,
--- a/src/gateway/crashes/update-history.ts
+++ b/src/gateway/crashes/update-history.ts
@@ -36,7 +36,7 @@
     return [];
   }
   crashes.publishAt = at;
-  return [{ type: 'set-crash-news-timer', at }];
+  return [{ type: 'set-crash-update-timer', at }];
 };
 
 /** Schedules the immediate publication of a request, if it is pending. */
--- a/src/gateway/effect.ts
+++ b/src/gateway/effect.ts
@@ -47,14 +47,14 @@
 
 /** Sends updates about requests that have crashed replicas to other gateways. */
 export interface SendCrashUpdates {
-  readonly type: 'tell-crashes';
+  readonly type: 'send-crash-updates';
   readonly peers: readonly PeerRecord[];
   readonly news: readonly CrashUpdate[];
 }
 
 /** Sets the timer of the next crash updates to other gateways. */
 export interface SetCrashUpdateTimer {
-  readonly type: 'set-crash-news-timer';
+  readonly type: 'set-crash-update-timer';
   readonly at: number;
 }
 
@@ -168,7 +168,7 @@
 
 /** Aborts the pending list or watch of a collection. */
 export interface AbortStoreCall {
-  readonly type: 'drop-store-call';
+  readonly type: 'abort-store-call';
   readonly collection: CollectionName;
 }
 
@@ -184,7 +184,7 @@
   readonly at: number;
 }
 
-/** Subscribes to a reader's updates from the store; each update results in `reader-told`. */
+/** Subscribes to a reader's updates from the store; each update results in `reader-update-received`. */
 export interface FollowReader {
   readonly type: 'follow-reader';
   readonly peer: PeerRecord;
@@ -201,7 +201,7 @@
 
 /** Sends followers an update of what was read from the store. */
 export interface SendReaderUpdate {
-  readonly type: 'tell-followers';
+  readonly type: 'send-reader-update';
   readonly followers: readonly FollowerId[];
   readonly news: ReaderUpdate;
 }
--- a/src/gateway/event.ts
+++ b/src/gateway/event.ts
@@ -94,13 +94,13 @@
 
 /** The next crash updates to other gateways are due. */
 export interface CrashUpdatesDue {
-  readonly type: 'crash-news-due';
+  readonly type: 'crash-updates-due';
   readonly at: number;
 }
 
 /** Another gateway has sent updates about requests that have crashed replicas. */
 export interface CrashUpdatesReceived {
-  readonly type: 'crashes-told';
+  readonly type: 'crash-updates-received';
   readonly at: number;
   /** Name of the gateway that sent the updates. */
   readonly from: string;
@@ -238,7 +238,7 @@
 
 /** A reader has sent an update. */
 export interface ReaderUpdateReceived {
-  readonly type: 'reader-told';
+  readonly type: 'reader-update-received';
   readonly at: number;
   /** Name under which the reader is followed. */
   readonly reader: string;
--- a/src/gateway/readers/handle-reader-update.ts
+++ b/src/gateway/readers/handle-reader-update.ts
@@ -231,7 +231,7 @@
   return [...compared, { type: 'write-log', level: 'info', part: 'store', change }];
 };
 
-/** Handles `reader-told`. Updates of a gateway that is no longer followed are discarded. */
+/** Handles `reader-update-received`. Updates of a gateway that is no longer followed are discarded. */
 export const handleReaderUpdate = (
   state: GatewayState,
   { reader, news: update, at }: ReaderUpdateReceived,
--- a/src/gateway/readers/publish-to-followers.ts
+++ b/src/gateway/readers/publish-to-followers.ts
@@ -50,7 +50,7 @@
 };
 
 const sendUpdate = (followers: readonly FollowerId[], update: ReaderUpdate): GatewayEffect[] =>
-  followers.length === 0 ? [] : [{ type: 'tell-followers', followers, news: update }];
+  followers.length === 0 ? [] : [{ type: 'send-reader-update', followers, news: update }];
 
 const synchronizedFollowers = ({ reading }: GatewayState): readonly FollowerId[] =>
   [...reading.followers].filter(([, { isSynchronized }]) => isSynchronized).map(([id]) => id);
--- a/src/gateway/readers/update-reading.ts
+++ b/src/gateway/readers/update-reading.ts
@@ -144,7 +144,7 @@
 const cancelStoreCalls = (state: GatewayState): GatewayEffect[] =>
   collectionsOf(state).map((collection) => {
     stopFollowing(state.collections[collection]);
-    return { type: 'drop-store-call', collection };
+    return { type: 'abort-store-call', collection };
   });
 
 const setReading = (state: GatewayState, isReading: boolean): GatewayEffect[] => {
--- a/src/gateway/reducer.ts
+++ b/src/gateway/reducer.ts
@@ -89,8 +89,8 @@
     .with({ type: 'caller-left' }, (left) => handleCallerLeft(state, left))
     .with({ type: 'attempt-ended' }, (ended) => handleAttemptEnded(state, ended))
     .with({ type: 'replica-checked' }, (checked) => handleReplicaChecked(state, checked))
-    .with({ type: 'crash-news-due' }, (due) => handleCrashUpdatesDue(state, due))
-    .with({ type: 'crashes-told' }, (told) => [
+    .with({ type: 'crash-updates-due' }, (due) => handleCrashUpdatesDue(state, due))
+    .with({ type: 'crash-updates-received' }, (told) => [
       ...handleCrashUpdates(state, told),
       ...told.news.flatMap(({ fingerprint }) => progressHeldRequests(state, fingerprint, told.at)),
     ])
@@ -128,7 +128,7 @@
       handleFollowerLeft(state, left);
       return updateReading(state, left.at);
     })
-    .with({ type: 'reader-told' }, (told) => [
+    .with({ type: 'reader-update-received' }, (told) => [
       ...handleReaderUpdate(state, told),
       ...resumeAfterStoreUpdate(state, told.at),
     ])
--- a/src/gateway/runtime/gateway-timers.ts
+++ b/src/gateway/runtime/gateway-timers.ts
@@ -6,7 +6,7 @@
 import type { GatewayEventSink } from './gateway-loop.js';
 
 type TimerKey =
-  CallId | CollectionName | 'stop' | 'probe' | 'reading' | 'registration' | 'crash-news';
+  CallId | CollectionName | 'stop' | 'probe' | 'reading' | 'registration' | 'crash-updates';
 
 /** Sets timers and emits their events. */
 export class GatewayTimers {
@@ -57,8 +57,8 @@
         return this.sink.emit({ type: 'reading-due', at });
       case 'registration':
         return this.sink.emit({ type: 'registration-due', at });
-      case 'crash-news':
-        return this.sink.emit({ type: 'crash-news-due', at });
+      case 'crash-updates':
+        return this.sink.emit({ type: 'crash-updates-due', at });
       case 'configuration':
       case 'replicas':
       case 'gateways':
--- a/src/gateway/runtime/peers/peer-client.ts
+++ b/src/gateway/runtime/peers/peer-client.ts
@@ -215,7 +215,7 @@
         return;
       case 'news':
         link.usedAt = at;
-        sink.emit({ type: 'reader-told', at, reader: link.peer, news: message.news });
+        sink.emit({ type: 'reader-update-received', at, reader: link.peer, news: message.news });
         return;
       default:
     }
--- a/src/gateway/runtime/peers/peer-port.ts
+++ b/src/gateway/runtime/peers/peer-port.ts
@@ -168,7 +168,7 @@
       case 'crashes': {
         const { sink, clock } = this.context;
         const { from, news } = message;
-        sink.emit({ type: 'crashes-told', at: clock.now(), from, news });
+        sink.emit({ type: 'crash-updates-received', at: clock.now(), from, news });
         return;
       }
       default:
--- a/src/gateway/runtime/start-gateway.ts
+++ b/src/gateway/runtime/start-gateway.ts
@@ -171,15 +171,15 @@
       .with({ type: 'open-connection' }, (open) => this.replicas.preconnect(open))
       .with({ type: 'check-replica' }, (check) => this.replicas.check(check))
       .with({ type: 'watch-replica' }, (watch) => this.replicas.watch(watch))
-      .with({ type: 'tell-crashes' }, (update) => this.peerClient.sendCrashUpdates(update))
-      .with({ type: 'set-crash-news-timer' }, ({ at }) => this.timers.set('crash-news', at))
+      .with({ type: 'send-crash-updates' }, (update) => this.peerClient.sendCrashUpdates(update))
+      .with({ type: 'set-crash-update-timer' }, ({ at }) => this.timers.set('crash-updates', at))
       .with({ type: 'close-replica' }, ({ replica }) => this.replicas.close(replica))
       .with({ type: 'call-store' }, ({ call }) => this.callStore(call))
       .with({ type: 'set-collection-timer' }, ({ collection, at }) =>
         this.timers.set(collection, at),
       )
       .with({ type: 'set-probe-timer' }, ({ at }) => this.timers.set('probe', at))
-      .with({ type: 'drop-store-call' }, ({ collection }) => {
+      .with({ type: 'abort-store-call' }, ({ collection }) => {
         this.timers.cancel(collection);
         this.store.drop(collection);
       })
@@ -187,7 +187,7 @@
       .with({ type: 'set-reading-timer' }, ({ at }) => this.timers.set('reading', at))
       .with({ type: 'follow-reader' }, (follow) => this.peerClient.follow(follow))
       .with({ type: 'unfollow-reader' }, ({ reader }) => this.peerClient.unfollow(reader))
-      .with({ type: 'tell-followers' }, (update) => this.peerPort.sendUpdate(update))
+      .with({ type: 'send-reader-update' }, (update) => this.peerPort.sendUpdate(update))
       .with({ type: 'set-stop-timer' }, ({ at }) => this.timers.set('stop', at))
       .with({ type: 'set-readiness' }, ({ ready }) => {
         this.readiness.setReady(ready);
--- a/src/gateway/runtime/store-client.ts
+++ b/src/gateway/runtime/store-client.ts
@@ -51,7 +51,7 @@
 /** Valid values of the era header: non-negative integers. */
 const ERA_PATTERN = /^\d{1,15}$/;
 
-/** Executes `call-store` and `drop-store-call`. */
+/** Executes `call-store` and `abort-store-call`. */
 export class StoreClient {
   private readonly clients = new Map<Purpose, Client>();
   /** The latest call of each collection; it replaces earlier ones, whose answers are ignored. */
--- a/test/gateway/crash-network.ts
+++ b/test/gateway/crash-network.ts
@@ -628,10 +628,10 @@
         return this.watch(node, effect);
       case 'call-store':
         return this.register(node, effect.call);
-      case 'tell-crashes':
+      case 'send-crash-updates':
         return this.sendCrashUpdates(node, effect);
-      case 'set-crash-news-timer':
-        return this.setTimer(node, 'news', effect.at, { type: 'crash-news-due', at: 0 });
+      case 'set-crash-update-timer':
+        return this.setTimer(node, 'news', effect.at, { type: 'crash-updates-due', at: 0 });
       case 'answer-caller':
         return this.handleAnswer(effect.call, effect.response);
       case 'set-request-timer': {
@@ -682,7 +682,7 @@
       this.messages += 1;
       if (to !== undefined && this.isLinked(node, to)) {
         const from = node.record.name;
-        this.emitLater(LINK_MS, to, { type: 'crashes-told', at: 0, from, news });
+        this.emitLater(LINK_MS, to, { type: 'crash-updates-received', at: 0, from, news });
       }
     }
   }
--- a/test/gateway/feeders.test.ts
+++ b/test/gateway/feeders.test.ts
@@ -533,7 +533,7 @@
   /** Another gateway reports that the request crashed a replica three seconds ago. */
   const suspect = (gateway: VirtualGateway): void => {
     const news = [{ fingerprint: 'print', rounds: 1, crashedMsAgo: 3_000 }];
-    gateway.emit({ type: 'crashes-told', at: gateway.now, from: 'front-2', news });
+    gateway.emit({ type: 'crash-updates-received', at: gateway.now, from: 'front-2', news });
   };
 
   it('is not sent to another feeder at once when its caller has left', () => {
--- a/test/gateway/peer-port.test.ts
+++ b/test/gateway/peer-port.test.ts
@@ -84,12 +84,12 @@
       objects: [{ name: 'main', gone: false, value: configurationOf(8) }],
       revision: 8,
     };
-    port.sendUpdate({ type: 'tell-followers', followers, news });
+    port.sendUpdate({ type: 'send-reader-update', followers, news });
     await until(() => received.length === 1);
     expect(received).toEqual([{ type: 'news', news }]);
     connection.send({ type: 'unfollow' });
     await until(() => typesOf().includes('follower-left'));
-    port.sendUpdate({ type: 'tell-followers', followers, news });
+    port.sendUpdate({ type: 'send-reader-update', followers, news });
     await delay(50);
     expect(received).toHaveLength(1);
   });
--- a/test/gateway/reader-interruptions.test.ts
+++ b/test/gateway/reader-interruptions.test.ts
@@ -194,7 +194,7 @@
       after: revision,
       revision: page.revision + 1,
     };
-    step(follower.state, { type: 'reader-told', at, reader, news });
+    step(follower.state, { type: 'reader-update-received', at, reader, news });
     step(follower.state, { type: 'page-read', at, page });
     expect(follower.state.replicas.find('r-0')?.record.draining).toBe(true);
   });
--- a/test/gateway/reader-lists.test.ts
+++ b/test/gateway/reader-lists.test.ts
@@ -34,7 +34,7 @@
   network.calls.filter(({ type }) => type === 'list').length;
 
 const publishedUpdates = (effects: readonly GatewayEffect[]): readonly ReaderUpdate[] =>
-  effects.flatMap((effect) => (effect.type === 'tell-followers' ? [effect.news] : []));
+  effects.flatMap((effect) => (effect.type === 'send-reader-update' ? [effect.news] : []));
 
 /** Identifiers of the replicas that the updates publish as not draining. */
 const publishedAsServing = (news: readonly ReaderUpdate[]): readonly string[] =>
@@ -150,7 +150,7 @@
     reader.state.reading.sources.set(peer.name, source);
     const { revision } = network.store;
     step(reader.state, {
-      type: 'reader-told',
+      type: 'reader-update-received',
       at: network.now,
       reader: peer.name,
       news: { type: 'changes', collection: 'replicas', objects: [added], after, revision },
@@ -211,7 +211,7 @@
         },
       }),
       ...step(state, {
-        type: 'reader-told',
+        type: 'reader-update-received',
         at,
         reader,
         news: {
@@ -223,7 +223,7 @@
         },
       }),
       ...step(state, {
-        type: 'reader-told',
+        type: 'reader-update-received',
         at,
         reader,
         news: {
--- a/test/gateway/reader-logs.test.ts
+++ b/test/gateway/reader-logs.test.ts
@@ -39,7 +39,7 @@
       after: revision,
       revision: revision + 1,
     };
-    const effects = step(follower.state, { type: 'reader-told', at, reader, news });
+    const effects = step(follower.state, { type: 'reader-update-received', at, reader, news });
     expect(changesOf(effects)).toContainEqual({
       event: 'configuration-in-force',
       version: 2,
@@ -57,7 +57,7 @@
     const receiveStatus = (): readonly unknown[] => {
       const news: ReaderUpdate = { type: 'status', isCurrent: false };
       return changesOf(
-        step(follower.state, { type: 'reader-told', at: network.now, reader, news }),
+        step(follower.state, { type: 'reader-update-received', at: network.now, reader, news }),
       );
     };
     const change = { event: 'reader-status', reader, isCurrent: false };
--- a/test/gateway/reader-network.ts
+++ b/test/gateway/reader-network.ts
@@ -366,7 +366,7 @@
     switch (effect.type) {
       case 'call-store':
         return this.callStore(node, effect.call);
-      case 'drop-store-call':
+      case 'abort-store-call':
         node.calls.delete(effect.collection);
         node.watches.delete(effect.collection);
         return this.setTimer(node, effect.collection, undefined, undefined);
@@ -388,7 +388,7 @@
         return this.follow(node, effect);
       case 'unfollow-reader':
         return this.unfollow(node, effect.reader);
-      case 'tell-followers':
+      case 'send-reader-update':
         return this.sendToFollowers(node, effect);
       case 'write-log':
         return this.onLog(node, effect.change);
@@ -647,7 +647,7 @@
     const { from, to } = follow;
     if (this.isLinked(from, to)) {
       this.emitLater(LINK_MS, from, {
-        type: 'reader-told',
+        type: 'reader-update-received',
         at: 0,
         reader: this.nameOf(from, to),
         news: update,
--- a/test/gateway/readers.test.ts
+++ b/test/gateway/readers.test.ts
@@ -193,7 +193,12 @@
     const receive = (
       news: Extract<ReaderUpdate, { type: 'changes' | 'snapshot' }>,
     ): readonly GatewayEffect[] =>
-      step(follower.state, { type: 'reader-told', at: network.now, reader: reader ?? '', news });
+      step(follower.state, {
+        type: 'reader-update-received',
+        at: network.now,
+        reader: reader ?? '',
+        news,
+      });
     const collection = 'replicas';
     receive({ type: 'changes', collection, objects, after: revision, revision: revision + 5 });
     const older = [{ name: 'r-07', gone: false, value: replicaOf('r-7') }];
--- a/test/gateway/replica-crashes.test.ts
+++ b/test/gateway/replica-crashes.test.ts
@@ -92,7 +92,7 @@
     crashReplica(gateway, second);
     crashReplica(gateway, gateway.sent.at(-1));
     const types = gateway.effects.map(({ type }) => type);
-    const publishedIndex = types.indexOf('tell-crashes');
+    const publishedIndex = types.indexOf('send-crash-updates');
     expect(types.indexOf('answer-caller')).toBeGreaterThan(publishedIndex);
     expect(publishedIndex).toBeGreaterThan(-1);
   });
--- a/test/gateway/restored-objects.test.ts
+++ b/test/gateway/restored-objects.test.ts
@@ -225,7 +225,7 @@
     const value = replicaOf('r-1', true);
     const objects = [{ name: 'r-1', gone: false, value }];
     step(follower.state, {
-      type: 'reader-told',
+      type: 'reader-update-received',
       at: network.now,
       reader: reader ?? '',
       news: {
@@ -248,7 +248,7 @@
     const [reader] = [...follower.state.reading.sources.keys()];
     const { revision = 0 } = follower.state.collections.replicas;
     const effects = step(follower.state, {
-      type: 'reader-told',
+      type: 'reader-update-received',
       at: network.now,
       reader: reader ?? '',
       news: {
@@ -292,7 +292,7 @@
     const [source] = [...follower.state.reading.sources.values()];
     const { revision = 0 } = follower.state.collections.replicas;
     step(follower.state, {
-      type: 'reader-told',
+      type: 'reader-update-received',
       at: network.now,
       reader: source?.peer.name ?? '',
       news: { type: 'snapshot', collection: 'replicas', objects: [], revision: revision + 900 },
@@ -386,7 +386,12 @@
     const receiveOlderStatus = (): number => {
       const [reader = ''] = [...follower.state.reading.sources.keys()];
       const news = { type: 'status', isCurrent: true, confirmedMsAgo: 1, version: 1 } as const;
-      const effects = step(follower.state, { type: 'reader-told', at: network.now, reader, news });
+      const effects = step(follower.state, {
+        type: 'reader-update-received',
+        at: network.now,
+        reader,
+        news,
+      });
       return effects.filter((effect) => 'configuration' in effect).length;
     };
     expect(receiveOlderStatus()).toBe(0);
