--- a/src/gateway/effect.ts
+++ b/src/gateway/effect.ts
@@ -135,8 +135,8 @@
 }
 
 /** Ends a call without an answer, because its caller has disconnected. */
-export interface ForgetCall {
-  readonly type: 'forget-call';
+export interface DiscardCall {
+  readonly type: 'discard-call';
   readonly call: CallId;
 }
 
@@ -265,7 +265,7 @@
   | SetCrashUpdateTimer
   | CloseReplica
   | AnswerCaller
-  | ForgetCall
+  | DiscardCall
   | SendSubquery
   | CancelSubquery
   | AcknowledgeSubquery
--- a/src/gateway/peers/follow-gateways.ts
+++ b/src/gateway/peers/follow-gateways.ts
@@ -39,16 +39,16 @@
 
 /** Whether the store holds this gateway's entry with its current content. */
 const isOwnEntryCurrent = (state: GatewayState): boolean => {
-  const { peers, returns } = state;
+  const { peers, storeRestores } = state;
   const own = ownRecord(state);
   const listed = peers.find(own.name);
-  const isUnconfirmed = returns.unconfirmed.gateways.has(own.name);
+  const isUnconfirmed = storeRestores.unconfirmed.gateways.has(own.name);
   return listed !== undefined && !isUnconfirmed && isSamePeerRecord(listed, own);
 };
 
 /** Whether the store has an entry of this gateway, with any content. */
-const hasOwnEntry = ({ peers, settings, returns }: GatewayState): boolean => {
-  const unconfirmed = returns.unconfirmed.gateways.get(settings.node);
+const hasOwnEntry = ({ peers, settings, storeRestores }: GatewayState): boolean => {
+  const unconfirmed = storeRestores.unconfirmed.gateways.get(settings.node);
   return unconfirmed === undefined
     ? peers.find(settings.node) !== undefined
     : unconfirmed.type === 'older';
--- a/src/gateway/readers/compare-versions.ts
+++ b/src/gateway/readers/compare-versions.ts
@@ -28,7 +28,7 @@
     return [{ type: 'follow-reader', peer, positions }];
   }
   const isKnownThere = version === own || source.offeredVersion === own;
-  if (isKnownThere || !isRestoreRecent(state.returns, at)) {
+  if (isKnownThere || !isRestoreRecent(state.storeRestores, at)) {
     return [];
   }
   source.offeredVersion = own;
--- a/src/gateway/readers/handle-reader-update.ts
+++ b/src/gateway/readers/handle-reader-update.ts
@@ -16,10 +16,10 @@
   keepUnlisted,
   isKnownOrDeparted,
   withholdOlder,
-} from '../returns/cross-era.js';
+} from '../returns/record-unconfirmed.js';
 import { recordEra, completeRestore } from '../returns/record-era.js';
 import { collectionsOf, type GatewayState } from '../state.js';
-import { applyObjects, removeUnlistedObjects, forgetGoneReplicas } from '../store/apply-objects.js';
+import { applyObjects, removeUnlistedObjects, removeGoneReplicas } from '../store/apply-objects.js';
 import {
   callNow,
   type CollectionProgress,
@@ -202,7 +202,7 @@
   return [
     ...applyObjects(state, changes, at, source.peer.name),
     ...publishChanges(state, received, before, at),
-    ...forgetGoneReplicas(state, at),
+    ...removeGoneReplicas(state, at),
     ...(collection === 'gateways' ? registerIfMissing(state, at) : []),
     ...(isNewEra ? restartWatch(state, progress) : []),
   ];
--- a/src/gateway/readers/update-content.ts
+++ b/src/gateway/readers/update-content.ts
@@ -17,8 +17,11 @@
  * The entry of a gateway as the store has it, even where a restore brought back an older one: only the gateway itself
  * can write it again.
  */
-const gatewayObject = ({ peers, returns }: GatewayState, name: string): Stored<PeerRecord> => {
-  const unconfirmed = returns.unconfirmed.gateways.get(name);
+const gatewayObject = (
+  { peers, storeRestores }: GatewayState,
+  name: string,
+): Stored<PeerRecord> => {
+  const unconfirmed = storeRestores.unconfirmed.gateways.get(name);
   if (unconfirmed?.type === 'older') {
     // Unconfirmed objects of the `gateways` collection are entries of gateways.
     return unconfirmed.stored as Stored<PeerRecord>;
@@ -65,11 +68,11 @@
 
 /** The fields of an update that describe its era. */
 export const eraFields = (
-  { returns }: GatewayState,
+  { storeRestores }: GatewayState,
   era: StoreEra,
   at: number,
 ): Pick<CollectionSnapshot, 'era' | 'eraAgeMs'> => {
-  const eraAgeMs = Math.max(0, at - returns.eraSince);
+  const eraAgeMs = Math.max(0, at - storeRestores.eraSince);
   return {
     ...(era !== undefined && { era }),
     ...(era !== undefined && Number.isFinite(eraAgeMs) && { eraAgeMs }),
--- a/src/gateway/readers/update-reading.ts
+++ b/src/gateway/readers/update-reading.ts
@@ -7,7 +7,7 @@
 import type { GatewayEffect } from '../effect.js';
 import type { StateChange } from '../log/log-event.js';
 import type { PeerRecord } from '../model/peer-record.js';
-import { expireUnconfirmed } from '../returns/unconfirmed.js';
+import { expireUnconfirmed } from '../returns/expire-unconfirmed.js';
 import { collectionsOf, type GatewayState, canServe } from '../state.js';
 import { resumeCollections } from '../store/apply-collections.js';
 import { stopFollowing } from '../store/follow-collection.js';
@@ -21,7 +21,7 @@
  * Time within which the list of gateways must have been read from the store, in milliseconds. When all gateways start
  * for the first time, it settles after two lists, 1.5 s apart.
  */
-const ROSTER_WAIT_MS = 4_000;
+const GATEWAY_LIST_WAIT_MS = 4_000;
 
 /**
  * Gateways that start together and can serve from their own lists follow their reader at different times within this
@@ -103,7 +103,7 @@
       ? undefined
       : chooseFromCandidates(state, candidates, at);
   }
-  const isLate = at - startedAt >= ROSTER_WAIT_MS || !store.reachable;
+  const isLate = at - startedAt >= GATEWAY_LIST_WAIT_MS || !store.reachable;
   return isLate ? chooseFromCandidates(state, seedCandidates(state, at), at) : undefined;
 };
 
--- a/src/gateway/reducer.ts
+++ b/src/gateway/reducer.ts
@@ -77,7 +77,7 @@
 const dispatch = (state: GatewayState, event: GatewayEvent): GatewayEffect[] =>
   match(event)
     .with({ type: 'started' }, (started) => handleStarted(state, started))
-    .with({ type: 'stood-still' }, (stood) => handleProcessPaused(state, stood))
+    .with({ type: 'stood-still' }, (paused) => handleProcessPaused(state, paused))
     .with({ type: 'stop-requested' }, (stop) => handleStopRequested(state, stop))
     .with({ type: 'stop-due' }, (due) => handleStopDue(state, due))
     .with({ type: 'settings-reloaded' }, ({ settings }) => {
@@ -90,9 +90,11 @@
     .with({ type: 'attempt-ended' }, (ended) => handleAttemptEnded(state, ended))
     .with({ type: 'replica-checked' }, (checked) => handleReplicaChecked(state, checked))
     .with({ type: 'crash-updates-due' }, (due) => handleCrashUpdatesDue(state, due))
-    .with({ type: 'crash-updates-received' }, (told) => [
-      ...handleCrashUpdates(state, told),
-      ...told.news.flatMap(({ fingerprint }) => progressHeldRequests(state, fingerprint, told.at)),
+    .with({ type: 'crash-updates-received' }, (received) => [
+      ...handleCrashUpdates(state, received),
+      ...received.news.flatMap(({ fingerprint }) =>
+        progressHeldRequests(state, fingerprint, received.at),
+      ),
     ])
     .with({ type: 'request-due' }, (due) => handleRequestDue(state, due))
     .with({ type: 'page-read' }, (read) => [
@@ -128,9 +130,9 @@
       handleFollowerLeft(state, left);
       return updateReading(state, left.at);
     })
-    .with({ type: 'reader-update-received' }, (told) => [
-      ...handleReaderUpdate(state, told),
-      ...resumeAfterStoreUpdate(state, told.at),
+    .with({ type: 'reader-update-received' }, (received) => [
+      ...handleReaderUpdate(state, received),
+      ...resumeAfterStoreUpdate(state, received.at),
     ])
     .with({ type: 'subquery-received' }, (received) => handleSubqueryReceived(state, received))
     .with({ type: 'subquery-cancelled' }, (cancelled) => handleSubqueryCancelled(state, cancelled))
--- a/src/gateway/replicas/directory.ts
+++ b/src/gateway/replicas/directory.ts
@@ -70,7 +70,7 @@
   }
 
   /** Removes replicas that were marked gone before the time `before`, in milliseconds; returns their identifiers. */
-  forgetGone(before: number): readonly string[] {
+  removeGone(before: number): readonly string[] {
     const gone = [...this.byId.values()].filter(
       (replica) => replica.goneAt !== undefined && replica.goneAt < before,
     );
--- a/src/gateway/requests/accept-request.ts
+++ b/src/gateway/requests/accept-request.ts
@@ -84,8 +84,8 @@
     fingerprint: request.request.fingerprint,
     version: state.inForce?.configuration.version ?? 0,
     versionAgeMs: Math.round(at - (state.inForce?.since ?? at)),
-    ...(isRestoreRecent(state.returns, at) && {
-      storeReturnedMsAgo: Math.round(at - state.returns.eraSince),
+    ...(isRestoreRecent(state.storeRestores, at) && {
+      storeReturnedMsAgo: Math.round(at - state.storeRestores.eraSince),
     }),
     legs: request.legs.length,
     budgetMs: Math.round(request.deadlineAt - at),
--- a/src/gateway/requests/accept-subquery.ts
+++ b/src/gateway/requests/accept-subquery.ts
@@ -116,7 +116,7 @@
   const elapsedMs = Math.round(at - request.receivedAt);
   recordDecision(request.decisions, at, { event: 'subquery-cancelled', elapsedMs });
   return [
-    { type: 'forget-call', call },
+    { type: 'discard-call', call },
     ...giveUpAttempts(state, request, withinMs, at),
     ...writeTrace(request.request.requestId, request.decisions, true),
   ];
--- a/src/gateway/requests/attempt-result.ts
+++ b/src/gateway/requests/attempt-result.ts
@@ -138,13 +138,13 @@
 ): GatewayEffect[] => {
   const request = state.requests.get(call);
   if (request === undefined) {
-    return state.held.delete(call) ? [{ type: 'forget-call', call }] : [];
+    return state.held.delete(call) ? [{ type: 'discard-call', call }] : [];
   }
   state.requests.delete(call);
   const elapsedMs = Math.round(at - request.receivedAt);
   recordDecision(request.decisions, at, { event: 'caller-left', elapsedMs });
   return [
-    { type: 'forget-call', call },
+    { type: 'discard-call', call },
     ...recordInconclusive(state, request, at),
     ...giveUpAttempts(state, request, 0, at),
     ...writeTrace(request.request.requestId, request.decisions, true),
--- a/src/gateway/requests/broken-attempts.ts
+++ b/src/gateway/requests/broken-attempts.ts
@@ -107,7 +107,7 @@
   if (isBroken(event)) {
     return recordBrokenAttempt(state, attempt, at);
   }
-  const { histories: memory } = state.crashes;
+  const { histories } = state.crashes;
   const answer = exoneratingAnswerOf(attempt, event);
   if (answer === undefined) {
     return [
@@ -115,7 +115,7 @@
       ...recordReplacedReplica(state, attempt, event),
     ];
   }
-  if (memory.verdict(fingerprint, at) === 'unsuspected') {
+  if (histories.verdict(fingerprint, at) === 'unsuspected') {
     return [];
   }
   return [
--- a/src/gateway/requests/finish.ts
+++ b/src/gateway/requests/finish.ts
@@ -164,8 +164,8 @@
   const ran = mayHaveRun(request);
   const retry = ran ? {} : { retryAfterMs: retryAfter(state, request, reason, at) };
   const response = { type: 'refusal', reason, mayHaveRun: ran, ...retry } as const;
-  const told = publishBeforeAnswer(state, request.request.fingerprint, at);
-  return [...told, ...finishRequest(state, request, response, at)];
+  const updates = publishBeforeAnswer(state, request.request.fingerprint, at);
+  return [...updates, ...finishRequest(state, request, response, at)];
 };
 
 /** The signature of an answered leg; none while its part is missing. */
--- a/src/gateway/requests/inconclusive-attempts.ts
+++ b/src/gateway/requests/inconclusive-attempts.ts
@@ -24,17 +24,17 @@
   at: number,
 ): GatewayEffect[] => {
   const { fingerprint } = request.request;
-  const { histories: memory } = state.crashes;
+  const { histories } = state.crashes;
   const hasEvidence = request.answeredLegs + request.crashes + request.uncheckedBreaks > 0;
   if (
     hasEvidence ||
     request.origin === 'coordinator' ||
-    memory.verdict(fingerprint, at) !== 'suspected' ||
+    histories.verdict(fingerprint, at) !== 'suspected' ||
     !mayHaveReachedReplica(request)
   ) {
     return [];
   }
-  const paused = recordInconclusiveTrial(memory.find(fingerprint, at), at, mayStillRun(request));
+  const paused = recordInconclusiveTrial(histories.find(fingerprint, at), at, mayStillRun(request));
   const origin = { from: state.settings.node, isUrgent: true };
   return updateHistory(state, fingerprint, paused, origin, at);
 };
--- a/src/gateway/requests/pause-outcomes.ts
+++ b/src/gateway/requests/leg-pause-outcomes.ts
@@ -13,18 +13,18 @@
 const EXPLORATION_SHARE = 0.1;
 
 /** Outcomes of recent pauses for one service, as the moving share that were served. */
-export interface PauseOutcomes {
+export interface LegPauseOutcomes {
   servedShare: number;
 }
 
 /** Creates a record without outcomes, which expects pauses to be served. */
-export const createPauseOutcomes = (): PauseOutcomes => ({ servedShare: 1 });
+export const createLegPauseOutcomes = (): LegPauseOutcomes => ({ servedShare: 1 });
 
 /** Records the outcome of one pause. */
-export const recordPauseOutcome = (outcomes: PauseOutcomes, isServed: boolean): void => {
+export const recordLegPauseOutcome = (outcomes: LegPauseOutcomes, isServed: boolean): void => {
   outcomes.servedShare += OUTCOME_WEIGHT * (Number(isServed) - outcomes.servedShare);
 };
 
 /** Whether a request should pause; `draw` is a uniform random number between 0 and 1. */
-export const isPauseWorthwhile = ({ servedShare }: PauseOutcomes, draw: number): boolean =>
+export const isLegPauseWorthwhile = ({ servedShare }: LegPauseOutcomes, draw: number): boolean =>
   servedShare >= MIN_SERVED_SHARE || draw < EXPLORATION_SHARE;
--- a/src/gateway/requests/retry-leg.ts
+++ b/src/gateway/requests/retry-leg.ts
@@ -3,9 +3,9 @@
 import type { AttemptReason } from '../log/log-event.js';
 import { recordDecision } from '../log/trace.js';
 import { eligibleReplicas } from '../replicas/eligible-replicas.js';
-import { type GatewayState, pauseOutcomesOf } from '../state.js';
+import { type GatewayState, legPauseOutcomesOf } from '../state.js';
 import { sendAttempt } from './attempts.js';
-import { isPauseWorthwhile, recordPauseOutcome } from './pause-outcomes.js';
+import { isLegPauseWorthwhile, recordLegPauseOutcome } from './leg-pause-outcomes.js';
 import { claimProbe } from './claim-probe.js';
 import { guardOf, holdLeg, maySendNext } from './guard.js';
 import type { ActiveRequest, Leg, LegOutcome } from './request-state.js';
@@ -31,17 +31,17 @@
 /** Records whether the pauses of an ended leg led to an answer; does nothing if it has not paused. */
 export const recordLegPauses = (state: GatewayState, { pauses, service, outcome }: Leg): void => {
   if (pauses > 0) {
-    recordPauseOutcome(pauseOutcomesOf(state, service), outcome?.type !== 'unanswered');
+    recordLegPauseOutcome(legPauseOutcomesOf(state, service), outcome?.type !== 'unanswered');
   }
 };
 
 /** Whether a leg should pause. Beside other legs a pause costs no time, since the request waits for those anyway. */
-const isWaitingWorthwhile = (
+const isPauseWorthwhile = (
   state: GatewayState,
   { legs }: ActiveRequest,
   { service }: Leg,
 ): boolean =>
-  legs.length > 1 || isPauseWorthwhile(pauseOutcomesOf(state, service), state.random.next());
+  legs.length > 1 || isLegPauseWorthwhile(legPauseOutcomesOf(state, service), state.random.next());
 
 /** Time before which a pause must end: the deadline for a request of several legs, earlier for a single one. */
 const latestResumeAt = ({ legs, receivedAt, deadlineAt, route }: ActiveRequest): number =>
@@ -55,7 +55,7 @@
   const mayRunAgain = leg.runs === 0 || (repeatable && leg.runs < maxAttempts);
   const isWorthwhile = hasReplicas && mayRunAgain && leg.pauses < MAX_PAUSES;
   const isTooLate = resumeAt >= latestResumeAt(request);
-  if (!isWorthwhile || isTooLate || !isWaitingWorthwhile(state, request, leg)) {
+  if (!isWorthwhile || isTooLate || !isPauseWorthwhile(state, request, leg)) {
     return false;
   }
   leg.pauses += 1;
--- a/src/gateway/returns/unconfirmed.ts
+++ b/src/gateway/returns/expire-unconfirmed.ts
@@ -37,8 +37,8 @@
   collection: CollectionName,
   names: readonly string[],
 ): GatewayEffect[] => {
-  const { collections, reading, returns, store } = state;
-  names.forEach((name) => returns.unconfirmed[collection].delete(name));
+  const { collections, reading, storeRestores, store } = state;
+  names.forEach((name) => storeRestores.unconfirmed[collection].delete(name));
   const progress = collections[collection];
   if (names.length === 0) {
     return [];
@@ -61,7 +61,9 @@
   collection: CollectionName,
   at: number,
 ): GatewayEffect[] => {
-  const due = [...state.returns.unconfirmed[collection]].filter(([, { until }]) => until <= at);
+  const due = [...state.storeRestores.unconfirmed[collection]].filter(
+    ([, { until }]) => until <= at,
+  );
   const namesOf = (type: UnconfirmedObject['type']): readonly string[] =>
     due.filter(([, object]) => object.type === type).map(([name]) => name);
   return [
@@ -73,7 +75,7 @@
 /** Expires unconfirmed objects whose time is over, and old departures while the store is reachable. */
 export const expireUnconfirmed = (state: GatewayState, at: number): GatewayEffect[] => {
   if (state.store.reachable) {
-    removeExpiredDepartures(state.returns, at);
+    removeExpiredDepartures(state.storeRestores, at);
   }
   return collectionsOf(state).flatMap((collection) => expireInCollection(state, collection, at));
 };
--- a/src/gateway/returns/record-era.ts
+++ b/src/gateway/returns/record-era.ts
@@ -48,15 +48,15 @@
   era: StoreEra,
   { from, collection, since }: EraSource,
 ): GatewayEffect[] => {
-  const { store, returns } = state;
+  const { store, storeRestores } = state;
   const { era: previous } = store;
   const order = era === undefined ? 0 : compareEras(era, previous);
-  if (order < 0 && !Number.isFinite(returns.eraSince)) {
+  if (order < 0 && !Number.isFinite(storeRestores.eraSince)) {
     // This gateway has started since the restore, and learns of it from a gateway that has not noticed it yet.
-    returns.eraSince = since;
+    storeRestores.eraSince = since;
   }
   if (era !== undefined && order === 0) {
-    returns.eraSince = Math.min(returns.eraSince, since);
+    storeRestores.eraSince = Math.min(storeRestores.eraSince, since);
   }
   if (era === undefined || order <= 0) {
     return [];
@@ -65,9 +65,9 @@
   if (previous === undefined) {
     return relistEarlierEra(state, collection);
   }
-  returns.eraSince = since;
-  const { ongoing } = returns;
-  returns.ongoing = {
+  storeRestores.eraSince = since;
+  const { ongoing } = storeRestores;
+  storeRestores.ongoing = {
     previousEra: ongoing?.previousEra ?? previous,
     missing: new Map(),
     older: new Map(),
@@ -81,15 +81,15 @@
 
 /** Completes a restore once all collections have been read since, and logs what it has changed. */
 export const completeRestore = (state: GatewayState, at: number): GatewayEffect[] => {
-  const { returns, store, collections, inForce } = state;
-  const { ongoing, eraSince } = returns;
+  const { storeRestores, store, collections, inForce } = state;
+  const { ongoing, eraSince } = storeRestores;
   const isBehind = collectionsOf(state).some((name) =>
     isOfEarlierEra(collections[name], store.era),
   );
   if (ongoing === undefined || store.era === undefined || isBehind) {
     return [];
   }
-  returns.ongoing = undefined;
+  storeRestores.ongoing = undefined;
   const change: StateChange = {
     event: 'store-returned',
     era: store.era,
--- a/src/gateway/returns/cross-era.ts
+++ b/src/gateway/returns/record-unconfirmed.ts
@@ -9,7 +9,7 @@
 import { unlistedNames } from '../store/list-changes.js';
 import type { Stored, StoreObjects } from '../store/store-objects.js';
 import {
-  awaitedUntil,
+  missingKeptUntil,
   type UnconfirmedObject,
   withheldSpreadMs,
   withheldUntil,
@@ -23,11 +23,11 @@
 
 /** Whether the entry brings back a replica that has left, a draining replica as active, or an earlier start of one. */
 const isOlderReplica = (
-  { replicas, returns }: GatewayState,
+  { replicas, storeRestores }: GatewayState,
   { id, bornAt, draining }: ReplicaRecord,
 ): boolean => {
   const known = replicas.find(id);
-  const departed = returns.departedReplicas.get(id);
+  const departed = storeRestores.departedReplicas.get(id);
   const knownBornAt = known?.record.bornAt ?? departed?.bornAt;
   if (isLaterStart(bornAt, knownBornAt)) {
     return false;
@@ -67,20 +67,20 @@
         read.objects
           .filter(({ name, gone }) => !gone && !state.evacuatedZones.has(name))
           .map(({ name }) => name)
-          .filter((name) => state.returns.reopenedZones.has(name)),
+          .filter((name) => state.storeRestores.reopenedZones.has(name)),
       );
   }
 };
 
 /** Records an unconfirmed object, and counts it for the ongoing restore. */
 const recordUnconfirmed = (
-  { returns }: GatewayState,
+  { storeRestores }: GatewayState,
   collection: CollectionName,
   name: string,
   object: UnconfirmedObject,
 ): void => {
-  returns.unconfirmed[collection].set(name, object);
-  const counts = returns.ongoing?.[object.type];
+  storeRestores.unconfirmed[collection].set(name, object);
+  const counts = storeRestores.ongoing?.[object.type];
   counts?.set(collection, (counts.get(collection) ?? 0) + 1);
 };
 
@@ -95,7 +95,7 @@
   at: number,
 ): Read => {
   const { collection } = read;
-  const until = withheldUntil(state.returns, collection, state.settings.bounds);
+  const until = withheldUntil(state.storeRestores, collection, state.settings.bounds);
   const older = at < until ? olderNames(state, read) : new Set<string>();
   if (older.size === 0) {
     return read;
@@ -121,7 +121,7 @@
   names: readonly string[],
   at: number,
 ): void => {
-  const until = awaitedUntil(state.returns, collection);
+  const until = missingKeptUntil(state.storeRestores, collection);
   if (at < until) {
     names.forEach((name) => recordUnconfirmed(state, collection, name, { type: 'missing', until }));
   }
@@ -159,7 +159,7 @@
   collection: CollectionName,
   name: string,
 ): boolean => {
-  const { departedReplicas, reopenedZones } = state.returns;
+  const { departedReplicas, reopenedZones } = state.storeRestores;
   return (
     isKnown(state, collection, name) ||
     (collection === 'replicas' && departedReplicas.has(name)) ||
@@ -180,7 +180,7 @@
   const all: readonly Stored<unknown>[] = read.objects;
   const isKept = ({ name, gone }: Stored<unknown>): boolean =>
     gone && isKnown(state, collection, name);
-  const kept = at < awaitedUntil(state.returns, collection) ? all.filter(isKept) : [];
+  const kept = at < missingKeptUntil(state.storeRestores, collection) ? all.filter(isKept) : [];
   keepMissing(
     state,
     collection,
--- a/src/gateway/returns/restore-state.ts
+++ b/src/gateway/returns/restore-state.ts
@@ -89,19 +89,19 @@
   at < eraSince + RETENTION_MS;
 
 /** Until when an object that the backup lacks is kept. */
-export const awaitedUntil = ({ eraSince }: RestoreState, collection: CollectionName): number =>
+export const missingKeptUntil = ({ eraSince }: RestoreState, collection: CollectionName): number =>
   eraSince + (collection === 'gateways' ? GATEWAY_REWRITE_MS : REWRITE_MS);
 
 /** Until when an object that the backup brings back is not applied. */
 export const withheldUntil = (
-  returns: RestoreState,
+  restoreState: RestoreState,
   collection: CollectionName,
   { replicaHeartbeatMs = DEFAULT_HEARTBEAT_MS }: GatewayBounds,
 ): number => {
   const expiryMs = EXPIRY_HEARTBEATS * replicaHeartbeatMs;
   return collection === 'replicas'
-    ? returns.eraSince + REWRITE_MS + expiryMs
-    : awaitedUntil(returns, collection);
+    ? restoreState.eraSince + REWRITE_MS + expiryMs
+    : missingKeptUntil(restoreState, collection);
 };
 
 /**
--- a/src/gateway/runtime/caller-port.ts
+++ b/src/gateway/runtime/caller-port.ts
@@ -109,7 +109,7 @@
   /** Sends the final answer of a call. */
   answer({ call, response, closeConnection }: AnswerCaller): void {
     const outgoing = this.pendingResponses.get(call);
-    this.forget(call);
+    this.discard(call);
     if (outgoing !== undefined && !outgoing.destroyed) {
       this.send(
         outgoing,
@@ -120,7 +120,7 @@
   }
 
   /** Removes a call; it gets no further answer. */
-  forget(call: CallId): void {
+  discard(call: CallId): void {
     this.pendingResponses.delete(call);
     this.context.requests.remove(call);
   }
--- a/src/gateway/runtime/peers/peer-port.ts
+++ b/src/gateway/runtime/peers/peer-port.ts
@@ -83,14 +83,14 @@
     const open = this.openCalls.get(call);
     open?.coordinator.connection.send({ type: 'parts', id: open.id, part });
     if (part.isFinal) {
-      this.forget(call);
+      this.discard(call);
     }
   }
 
   refuse(call: CallId): void {
     const open = this.openCalls.get(call);
     open?.coordinator.connection.send({ type: 'refused', id: open.id });
-    this.forget(call);
+    this.discard(call);
   }
 
   /** Sends an update to followers; the message is encoded once for all of them. */
@@ -100,7 +100,7 @@
   }
 
   /** Removes a call that has ended. */
-  forget(call: CallId): void {
+  discard(call: CallId): void {
     const open = this.openCalls.get(call);
     if (open !== undefined) {
       open.coordinator.calls.delete(open.id);
--- a/src/gateway/runtime/start-gateway.ts
+++ b/src/gateway/runtime/start-gateway.ts
@@ -155,10 +155,10 @@
   /** Executes effects that few requests or none cause. */
   private executeRareEffect(effect: Exclude<GatewayEffect, FrequentEffect>): void {
     match(effect)
-      .with({ type: 'forget-call' }, ({ call }) => {
+      .with({ type: 'discard-call' }, ({ call }) => {
         this.timers.cancel(call);
-        this.callers.forget(call);
-        this.peerPort.forget(call);
+        this.callers.discard(call);
+        this.peerPort.discard(call);
       })
       .with({ type: 'send-subquery' }, (send) => this.peerClient.send(send))
       .with({ type: 'cancel-subquery' }, (cancel) => this.peerClient.cancel(cancel))
@@ -181,7 +181,7 @@
       .with({ type: 'set-probe-timer' }, ({ at }) => this.timers.set('probe', at))
       .with({ type: 'abort-store-call' }, ({ collection }) => {
         this.timers.cancel(collection);
-        this.store.drop(collection);
+        this.store.abortCall(collection);
       })
       .with({ type: 'set-registration-timer' }, ({ at }) => this.timers.set('registration', at))
       .with({ type: 'set-reading-timer' }, ({ at }) => this.timers.set('reading', at))
--- a/src/gateway/runtime/store-client.ts
+++ b/src/gateway/runtime/store-client.ts
@@ -73,7 +73,7 @@
   }
 
   /** Drops the list or watch call of a collection. */
-  drop(collection: CollectionName): void {
+  abortCall(collection: CollectionName): void {
     if (this.newest.delete(collection)) {
       this.dropClient(collection);
     }
--- a/src/gateway/state.ts
+++ b/src/gateway/state.ts
@@ -16,7 +16,7 @@
 import { createRestoreState, type RestoreState } from './returns/restore-state.js';
 import { ReplicaDirectory } from './replicas/directory.js';
 import type { ActiveAttempt, ActiveRequest } from './requests/request-state.js';
-import { createPauseOutcomes, type PauseOutcomes } from './requests/pause-outcomes.js';
+import { createLegPauseOutcomes, type LegPauseOutcomes } from './requests/leg-pause-outcomes.js';
 import type { RouteLatency } from './requests/route-latency.js';
 import type { UnreadableLog } from './requests/unreadable-log.js';
 import type { RouteTable } from './routing/route-table.js';
@@ -104,7 +104,7 @@
   nextSubquery: SubqueryId;
   readonly store: StoreReachability;
   /** State that is kept for the case that the store is restored from a backup. */
-  readonly returns: RestoreState;
+  readonly storeRestores: RestoreState;
   phase: LifecyclePhase;
   /** When the request to stop arrived. */
   stoppingSince: number;
@@ -135,7 +135,7 @@
   /** Recent log lines about unreadable requests, by problem. */
   readonly unreadableLogs: Map<UnreadableProblem, UnreadableLog>;
   /** Outcomes of waits for a replica, by service. */
-  readonly pauseOutcomes: Map<string, PauseOutcomes>;
+  readonly legPauseOutcomes: Map<string, LegPauseOutcomes>;
   readonly splits: Map<string, SplitCursor>;
   readonly counters: GatewayCounters;
 }
@@ -166,7 +166,7 @@
     regainedAt: Number.NEGATIVE_INFINITY,
     era: undefined,
   },
-  returns: createRestoreState(),
+  storeRestores: createRestoreState(),
   phase: 'starting',
   stoppingSince: Number.POSITIVE_INFINITY,
   ready: false,
@@ -191,7 +191,7 @@
   budgets: new Map(),
   latencies: new Map(),
   unreadableLogs: new Map(),
-  pauseOutcomes: new Map(),
+  legPauseOutcomes: new Map(),
   splits: new Map(),
   counters: createGatewayCounters(),
 });
@@ -225,8 +225,8 @@
 };
 
 /** The outcomes of waits for a replica of a service; created on first use. */
-export const pauseOutcomesOf = (state: GatewayState, service: string): PauseOutcomes => {
-  const known = state.pauseOutcomes.get(service) ?? createPauseOutcomes();
-  state.pauseOutcomes.set(service, known);
+export const legPauseOutcomesOf = (state: GatewayState, service: string): LegPauseOutcomes => {
+  const known = state.legPauseOutcomes.get(service) ?? createLegPauseOutcomes();
+  state.legPauseOutcomes.set(service, known);
   return known;
 };
--- a/src/gateway/store/apply-collections.ts
+++ b/src/gateway/store/apply-collections.ts
@@ -8,10 +8,10 @@
   handleGatewaysListed,
 } from '../peers/follow-gateways.js';
 import { publishChanges, publishNamed } from '../readers/publish-to-followers.js';
-import { keepUnlisted, withholdOlder } from '../returns/cross-era.js';
+import { keepUnlisted, withholdOlder } from '../returns/record-unconfirmed.js';
 import { completeRestore } from '../returns/record-era.js';
 import { collectionsOf, type GatewayState } from '../state.js';
-import { applyObjects, removeUnlistedObjects, forgetGoneReplicas } from './apply-objects.js';
+import { applyObjects, removeUnlistedObjects, removeGoneReplicas } from './apply-objects.js';
 import type { CollectionName } from './collection.js';
 import {
   beginList,
@@ -162,7 +162,7 @@
   const hasChanges = changes.objects.length > 0;
   return [
     ...effects,
-    ...forgetGoneReplicas(state, at),
+    ...removeGoneReplicas(state, at),
     ...(changes.collection === 'gateways' ? registerIfMissing(state, at) : []),
     scheduleNextWatch(progress, hasChanges, state.settings.bounds, at),
   ];
--- a/src/gateway/store/apply-objects.ts
+++ b/src/gateway/store/apply-objects.ts
@@ -19,9 +19,9 @@
 const GONE_RETENTION_SHARE = 0.5;
 
 const removeUnusedRouteState = (state: GatewayState, configuration: GatewayConfiguration): void => {
-  for (const service of state.pauseOutcomes.keys()) {
+  for (const service of state.legPauseOutcomes.keys()) {
     if (!configuration.services.has(service)) {
-      state.pauseOutcomes.delete(service);
+      state.legPauseOutcomes.delete(service);
     }
   }
   const names = new Set(configuration.routes.map((route) => route.name));
@@ -93,7 +93,7 @@
 
 /** Applies the store's entry of one replica; returns the change of its state, if any. */
 const applyReplica = (
-  { replicas, returns }: GatewayState,
+  { replicas, storeRestores }: GatewayState,
   { name, gone, value }: Stored<ReplicaRecord>,
   at: number,
 ): readonly ReplicaChange[] => {
@@ -107,7 +107,7 @@
   }
   const replica = replicas.find(name);
   const after = stateOf(replica);
-  recordDeparture(returns.departedReplicas, name, gone, at, replica?.record.bornAt);
+  recordDeparture(storeRestores.departedReplicas, name, gone, at, replica?.record.bornAt);
   return replica === undefined || after === undefined || after === before
     ? []
     : [{ replica: name, service: replica.record.service, state: after }];
@@ -149,14 +149,14 @@
 
 /** Applies an evacuation order. The zone's replicas receive requests again once the order is gone. */
 const applyEvacuation = (
-  { evacuatedZones, returns }: GatewayState,
+  { evacuatedZones, storeRestores }: GatewayState,
   { name: zone, gone }: Stored<Evacuation>,
   at: number,
 ): GatewayEffect[] => {
   if (gone !== evacuatedZones.has(zone)) {
     return [];
   }
-  recordDeparture(returns.reopenedZones, zone, gone, at);
+  recordDeparture(storeRestores.reopenedZones, zone, gone, at);
   if (gone) {
     evacuatedZones.delete(zone);
   } else {
@@ -190,7 +190,7 @@
   at: number,
   from: string,
 ): GatewayEffect[] => {
-  const unconfirmed = state.returns.unconfirmed[read.collection];
+  const unconfirmed = state.storeRestores.unconfirmed[read.collection];
   read.objects.forEach(({ name }) => unconfirmed.delete(name));
   return [...logUnreadable(state, read), ...applyReadable(state, read, at, from)];
 };
@@ -236,11 +236,11 @@
 
 /** Discards unconfirmed objects that were kept apart as older than the known ones and that the store no longer lists. */
 const discardUnlistedUnconfirmed = (
-  { returns }: GatewayState,
+  { storeRestores }: GatewayState,
   collection: CollectionName,
   listed: ReadonlySet<string>,
 ): void => {
-  const unconfirmed = returns.unconfirmed[collection];
+  const unconfirmed = storeRestores.unconfirmed[collection];
   [...unconfirmed]
     .filter(([name, { type }]) => type === 'older' && !listed.has(name))
     .forEach(([name]) => unconfirmed.delete(name));
@@ -273,9 +273,9 @@
 };
 
 /** Removes replicas whose retention time after leaving the store has passed, and closes the connections to them. */
-export const forgetGoneReplicas = (state: GatewayState, at: number): GatewayEffect[] => {
+export const removeGoneReplicas = (state: GatewayState, at: number): GatewayEffect[] => {
   const before = at - state.settings.bounds.drainMs * GONE_RETENTION_SHARE;
-  return state.replicas.forgetGone(before).map((replica): GatewayEffect => {
+  return state.replicas.removeGone(before).map((replica): GatewayEffect => {
     state.unawaitedRuns.removeRuns(replica, at);
     return { type: 'close-replica', replica };
   });
--- a/src/gateway/store/list-changes.ts
+++ b/src/gateway/store/list-changes.ts
@@ -37,7 +37,7 @@
  * backup: followers wait for the confirmation of these as well.
  */
 export const changedNames = (state: GatewayState, read: StoreObjects): readonly string[] => {
-  const unconfirmed = state.returns.unconfirmed[read.collection];
+  const unconfirmed = state.storeRestores.unconfirmed[read.collection];
   const isUnconfirmed = ({ name }: Stored<unknown>): boolean => unconfirmed.has(name);
   return [...differingNames(state, read), ...namesOf(read.objects.filter(isUnconfirmed))];
 };
@@ -76,10 +76,10 @@
 
 /** Names of objects that stay known although the store, restored from a backup, does not list them. */
 export const missingNames = (
-  { returns }: GatewayState,
+  { storeRestores }: GatewayState,
   collection: CollectionName,
 ): readonly string[] =>
-  [...returns.unconfirmed[collection]]
+  [...storeRestores.unconfirmed[collection]]
     .filter(([, { type }]) => type === 'missing')
     .map(([name]) => name);
 
--- a/test/gateway/reader-faults.ts
+++ b/test/gateway/reader-faults.ts
@@ -11,7 +11,7 @@
   | { readonly type: 'cut' | 'heal'; readonly node: number; readonly other: number }
   | { readonly type: 'configure' | 'drain' | 'remove'; readonly replica: number }
   | { readonly type: 'evacuate' | 'reopen'; readonly zone: string }
-  | { readonly type: 'deafen' | 'cut-watches' | 'forget' }
+  | { readonly type: 'withhold-changes' | 'cut-watches' | 'discard-history' }
   | { readonly type: 'slow'; readonly node: number; readonly ms: number }
   | { readonly type: 'advance'; readonly ms: number };
 
@@ -33,7 +33,9 @@
 /** The same, and interruptions of the store's watches. */
 export const faultOrInterruption: fc.Arbitrary<Fault> = fc.oneof(
   fault,
-  fc.record({ type: fc.constantFrom('deafen', 'cut-watches', 'cut-watches', 'forget') }),
+  fc.record({
+    type: fc.constantFrom('withhold-changes', 'cut-watches', 'cut-watches', 'discard-history'),
+  }),
   fc.record({ type: fc.constant('slow'), node, ms: fc.constantFrom(4, 300) }),
 ) as fc.Arbitrary<Fault>;
 
@@ -63,12 +65,12 @@
       case 'cut':
       case 'heal':
         return this.link(this.nodeAt(step.node), this.nodeAt(step.other), step.type === 'cut');
-      case 'deafen':
+      case 'withhold-changes':
         return this.network.withholdChanges();
       case 'cut-watches':
         return this.network.cutWatches();
-      case 'forget':
-        return this.network.forgetHistory();
+      case 'discard-history':
+        return this.network.discardHistory();
       case 'slow':
         this.nodeAt(step.node).storeMs = step.ms;
         return undefined;
--- a/test/gateway/reader-fuzz.test.ts
+++ b/test/gateway/reader-fuzz.test.ts
@@ -133,7 +133,7 @@
           const run = new Run(network);
           faults.forEach((step) => run.apply(step));
           endFaults(network);
-          network.forgetHistory();
+          network.discardHistory();
           network.advance(RECOVERY_MS);
           expectSameAsStore(network, run);
           expectSameDraining(network);
@@ -155,7 +155,7 @@
           const run = new Run(network);
           faults.forEach((step) => run.apply(step));
           endFaults(network);
-          network.forgetHistory();
+          network.discardHistory();
           network.advance(RECOVERY_MS);
           network.withholdChanges();
           run.apply({ type: 'configure', replica: 0 });
@@ -164,7 +164,7 @@
           network.advance(withheldMs);
           network.cutWatches();
           network.advance(historyLossDelayMs);
-          network.forgetHistory();
+          network.discardHistory();
           network.advance(BOUND_MS - withheldMs - historyLossDelayMs);
           for (const { name, version, state } of network.nodes) {
             expect([name, version]).toEqual([name, run.version]);
--- a/test/gateway/reader-interruptions.test.ts
+++ b/test/gateway/reader-interruptions.test.ts
@@ -99,7 +99,7 @@
     const network = threeZones();
     changeWhileWithheld(network);
     network.advance(HISTORY_LOSS_DELAY_MS);
-    network.forgetHistory();
+    network.discardHistory();
     network.advance(REREAD_MS);
     expect(versionsOf(network)).toEqual([2]);
     for (const { state } of network.nodes) {
@@ -112,7 +112,7 @@
     const network = threeZones();
     changeWhileWithheld(network);
     network.advance(HISTORY_LOSS_DELAY_MS);
-    network.forgetHistory();
+    network.discardHistory();
     network.advance(WITHHELD_MS);
     network.silenceWatches();
     network.advance(BOUND_MS - 2 * WITHHELD_MS - HISTORY_LOSS_DELAY_MS);
@@ -123,7 +123,7 @@
     const network = threeZones();
     changeWhileWithheld(network);
     network.advance(HISTORY_LOSS_DELAY_MS);
-    network.forgetHistory();
+    network.discardHistory();
     network.advance(REREAD_MS);
     const reasons = network.nodes.map((node) =>
       refusalOf(sendRequest(node, '/added/x', network.now)),
--- a/test/gateway/reader-network.ts
+++ b/test/gateway/reader-network.ts
@@ -255,7 +255,7 @@
   }
 
   /** Drops the history of the store. Watches receive changes again from now on. */
-  forgetHistory(): void {
+  discardHistory(): void {
     this.store.discardHistory();
     this.withholdsChanges = false;
   }
--- a/test/gateway/restore-fuzz.test.ts
+++ b/test/gateway/restore-fuzz.test.ts
@@ -180,7 +180,7 @@
         const run = new Run(restoring.network, restoring.writers);
         faults.forEach((step) => restoring.apply(step, run));
         endFaults(restoring);
-        restoring.network.forgetHistory();
+        restoring.network.discardHistory();
         restoring.network.advance(RECOVERY_MS);
         expect(restoring.broken).toEqual([]);
         expectSameAsStore(restoring, run.version);
@@ -206,7 +206,7 @@
     ];
     faults.forEach((step) => restoring.apply(step, run));
     endFaults(restoring);
-    restoring.network.forgetHistory();
+    restoring.network.discardHistory();
     restoring.network.advance(RECOVERY_MS);
     expect(restoring.broken).toEqual([]);
   });
