--- a/src/gateway/requests/give-up-attempts.ts
+++ b/src/gateway/requests/give-up-attempts.ts
@@ -6,8 +6,7 @@
 
 /**
  * Time that unneeded attempts have to finish before their connections are closed, in milliseconds. Most finish in that
- * time under normal load. With 400 ms, slow replicas spent their time on unneeded attempts while other requests waited:
- * see the rounds in docs/policy.md.
+ * time under normal load. With 400 ms, slow replicas spent their time on unneeded attempts while other requests waited.
  */
 export const LINGER_MS = 40;
 
--- a/src/gateway/store/follow-collection.ts
+++ b/src/gateway/store/follow-collection.ts
@@ -30,7 +30,7 @@
 /**
  * Pause between two watches of a collection, as a fraction of the time within which a change must be in force. Changes in
  * quick succession are read with one call, and each call to the store is paid for. The rest of the time covers detection
- * of an unreachable store (see `probe-store.ts`) and late answers. docs/policy.md gives the savings in calls at a quarter.
+ * of an unreachable store (see `probe-store.ts`) and late answers.
  */
 const WATCH_GAP_SHARE = 0.25;
 
--- a/src/gateway/store/record-failure.ts
+++ b/src/gateway/store/record-failure.ts
@@ -32,7 +32,7 @@
 /**
  * Records a failed call. A watch that breaks may have missed changes, and a store that is about to discard its history may
  * accept a new watch from the same revision and send nothing: only a list shows the current objects. Resuming the watch
- * instead kept a zone outdated for the whole wait of a watch in one of thirty interruptions, measured over 132 of them.
+ * instead kept a zone outdated for the whole wait of a watch in one of thirty interruptions.
  * After an outage of the store the watch is resumed, since otherwise all readers would list at the same time.
  */
 export const recordFailure = (
