--- a/src/gateway/crashes/crash-history.ts
+++ b/src/gateway/crashes/crash-history.ts
@@ -18,8 +18,8 @@
 export const BLOCKING_ROUNDS = 3;
 
 /**
- * Duration of the first block, in milliseconds, after which the request is tried at one replica. It is longer than a
- * deployment takes to restart its replicas. Each further block is longer by the factor, since a trial may cost a
+ * Duration of the first block, in milliseconds, after which the request is sent to one replica as a trial. It is longer
+ * than a deployment takes to restart its replicas. Each further block is longer by the factor, since a trial may cost a
  * replica.
  */
 const FIRST_BLOCK_MS = 60_000;
--- a/src/gateway/effect.ts
+++ b/src/gateway/effect.ts
@@ -134,7 +134,7 @@
   readonly type: 'announce-stop';
 }
 
-/** Ends a call without an answer, because its caller has disconnected. */
+/** Discards a call without an answer: its caller has disconnected, or its coordinator has cancelled it. */
 export interface DiscardCall {
   readonly type: 'discard-call';
   readonly call: CallId;
--- a/src/gateway/process-pause.ts
+++ b/src/gateway/process-pause.ts
@@ -34,7 +34,7 @@
   return [log, ...updateReadiness(state), { type: 'set-reading-timer', at }];
 };
 
-/** Whether a reader has reported since the request that it is current, or the store itself has been read. */
+/** Whether a reader has reported since `requestedAt` that it is current, or the store itself has been read. */
 const isConfirmed = (state: GatewayState, requestedAt: number): boolean =>
   confirmedAt(state) > requestedAt ||
   [...state.reading.sources.values()].some(({ isCurrent }) => isCurrent === true);
--- a/src/gateway/readers/reading-state.ts
+++ b/src/gateway/readers/reading-state.ts
@@ -45,11 +45,11 @@
 /** A reader that this gateway follows. */
 export interface Source {
   readonly peer: PeerRecord;
-  /** When this gateway asked to follow it. */
+  /** When this gateway requested its updates. */
   readonly requestedAt: number;
   /** When it last sent an update; initially `requestedAt`. */
   lastUpdateAt: number;
-  /** Whether its last status said that it is current; undefined before the first status. */
+  /** The value of `isCurrent` in its last status; undefined before the first one. */
   isCurrent: boolean | undefined;
   /** The configuration version that was offered to it, since it has an older one. */
   offeredVersion: number | undefined;
@@ -86,7 +86,7 @@
   publishedCurrent: boolean | undefined;
   /** When that status was sent. */
   statusPublishedAt: number;
-  /** A gateway that can serve right after its start follows its first reader from this time on. */
+  /** Time from which a gateway that can serve right after its start follows its first reader. */
   followFrom: number;
   /** The last computed order of readers. */
   order: ReaderOrder | undefined;
--- a/src/gateway/readers/refresh-outdated.ts
+++ b/src/gateway/readers/refresh-outdated.ts
@@ -13,7 +13,8 @@
 
 /**
  * Refreshes a gateway whose state may be out of date: it lists the store where it reads the store itself. The readers
- * that it follows are removed, so that it follows them again and judges them only by updates after the pause.
+ * that it follows are removed, so that it follows them again and only updates after the pause show whether they are
+ * current.
  */
 export const refreshOutdated = (state: GatewayState, at: number): GatewayEffect[] => {
   const { pauseRecovery: outdated, reading, store } = state;
--- a/src/gateway/readers/update-reading.ts
+++ b/src/gateway/readers/update-reading.ts
@@ -36,7 +36,7 @@
   readonly shouldRead: boolean;
 }
 
-/** Whether a source is current. `pending` means that it has been asked, or will be, and may still answer in time. */
+/** Whether a source is current. `pending`: it is not followed yet, or its first status may still arrive in time. */
 const sourceStatus = (
   state: GatewayState,
   source: Source | undefined,
--- a/src/gateway/replicas/replica.ts
+++ b/src/gateway/replicas/replica.ts
@@ -46,7 +46,7 @@
   failures: number;
   /** Until then the replica is selected only if no other is left. */
   ejectedUntil: number;
-  /** Whether to open a connection early has been decided, in either way. */
+  /** Whether to open a connection early was decided, with either result. */
   preconnected: boolean;
   /** When the last answer of any kind arrived. */
   answeredAt: number;
--- a/src/gateway/requests/attempts.ts
+++ b/src/gateway/requests/attempts.ts
@@ -81,7 +81,7 @@
   preferred: preferredReplicas(leg, shared),
 });
 
-/** Takes one arrival out of the retry budget; false when none is left. The first arrival of a leg is free. */
+/** Consumes one arrival of the retry budget; false when it is exhausted. The first arrival of a leg is free. */
 const consumeBudget = (
   state: GatewayState,
   request: ActiveRequest,
--- a/src/gateway/requests/claim-probe.ts
+++ b/src/gateway/requests/claim-probe.ts
@@ -6,14 +6,14 @@
 import type { ActiveRequest } from './request-state.js';
 
 /**
- * Whether a probe is published to the other gateways. After a single round it is only when an earlier attempt was
- * inconclusive: every request that was running on a crashed replica has one round, and the messages would be sent when
- * the load is highest.
+ * Whether a probe is published to the other gateways: after a single round only when an earlier attempt was
+ * inconclusive, since every request that was running on a crashed replica has one round, and the messages would be sent
+ * when the load is highest.
  */
 const isClaimable = ({ level, rounds, trialUntil }: CrashHistory): boolean =>
   level === 0 && rounds > 0 && (rounds >= SERIOUS_ROUNDS || Number.isFinite(trialUntil));
 
-/** Publishes that this gateway sends a request that has crashed replicas to one more. */
+/** Publishes that this gateway sends a request that has crashed replicas to one more replica. */
 export const claimProbe = (
   state: GatewayState,
   request: ActiveRequest,
--- a/src/gateway/requests/hedge-legs.ts
+++ b/src/gateway/requests/hedge-legs.ts
@@ -56,7 +56,7 @@
 
 const NO_HEDGE: LegHedge = { effects: [], isDeferred: false };
 
-/** The request may have crashed replicas: it is sent to no second replica until one has answered. */
+/** Result for a request that may have crashed replicas: no second replica gets it until one has answered. */
 const DEFERRED_HEDGE: LegHedge = { effects: [], isDeferred: true };
 
 /**
--- a/src/gateway/requests/hold-request.ts
+++ b/src/gateway/requests/hold-request.ts
@@ -18,7 +18,7 @@
  */
 const MAX_HOLD_MS = 200;
 
-/** Largest share of the caller's timeout for which a request is held, so that enough time is left for a retry elsewhere. */
+/** Largest share of the caller's timeout for which a request is held; the rest is for a retry at another gateway. */
 const HOLD_SHARE = 0.1;
 
 /** Whether a collection is required to serve requests; the list of gateways is not. */
--- a/src/gateway/requests/leg-pause-outcomes.ts
+++ b/src/gateway/requests/leg-pause-outcomes.ts
@@ -1,5 +1,5 @@
 /**
- * Estimates from recent outcomes whether a request should pause until a replica of its service may be used again. A pause
+ * Estimates from recent outcomes whether a leg should pause until a replica of its service may be used again. A pause
  * that does not end with an answer costs the caller time in which another gateway could have served the request.
  */
 
@@ -12,12 +12,12 @@
 /** Share of pauses that are made although they are not worthwhile, to detect when they become so again. */
 const EXPLORATION_SHARE = 0.1;
 
-/** Outcomes of recent pauses for one service, as the moving share that were served. */
+/** Moving share of the pauses of legs for one service that ended with an answer. */
 export interface LegPauseOutcomes {
   servedShare: number;
 }
 
-/** Creates a record without outcomes, which expects pauses to be served. */
+/** Creates outcomes without a recorded pause; all pauses are expected to end with an answer. */
 export const createLegPauseOutcomes = (): LegPauseOutcomes => ({ servedShare: 1 });
 
 /** Records the outcome of one pause. */
@@ -25,6 +25,6 @@
   outcomes.servedShare += OUTCOME_WEIGHT * (Number(isServed) - outcomes.servedShare);
 };
 
-/** Whether a request should pause; `draw` is a uniform random number between 0 and 1. */
+/** Whether a leg should pause; `draw` is a uniform random number between 0 and 1. */
 export const isLegPauseWorthwhile = ({ servedShare }: LegPauseOutcomes, draw: number): boolean =>
   servedShare >= MIN_SERVED_SHARE || draw < EXPLORATION_SHARE;
--- a/src/gateway/runtime/answer-reader.ts
+++ b/src/gateway/runtime/answer-reader.ts
@@ -125,7 +125,7 @@
     return { result: this.readResult(closing), reusable: !closing };
   }
 
-  /** Whether the end of the answer is marked; otherwise it ends with its connection. */
+  /** Whether the answer has a length or is chunked; otherwise it ends with its connection. */
   private hasLength(): boolean {
     const length = findHeader(this.headers, 'content-length');
     return length !== undefined || findHeader(this.headers, 'transfer-encoding') !== undefined;
--- a/src/gateway/runtime/caller-port.ts
+++ b/src/gateway/runtime/caller-port.ts
@@ -119,7 +119,7 @@
     }
   }
 
-  /** Removes a call; it gets no further answer. */
+  /** Discards a call; it gets no further answer. */
   discard(call: CallId): void {
     this.pendingResponses.delete(call);
     this.context.requests.remove(call);
--- a/src/gateway/runtime/peers/peer-port.ts
+++ b/src/gateway/runtime/peers/peer-port.ts
@@ -18,7 +18,7 @@
 
 /**
  * A connection is closed if nothing was received over it for this time, in milliseconds. Gateways send a ping over idle
- * connections every 2 s (see `peer-client.ts`), so that a silent one has ended without closing its connection.
+ * connections every 2 s (see `peer-client.ts`), so that a silent gateway has crashed or is cut off.
  */
 const SILENCE_TIMEOUT_MS = 15_000;
 
@@ -99,7 +99,7 @@
     followers.forEach((follower) => this.followers.get(follower)?.sendFrame(frame));
   }
 
-  /** Removes a call that has ended. */
+  /** Discards a call that has ended. */
   discard(call: CallId): void {
     const open = this.openCalls.get(call);
     if (open !== undefined) {
--- a/src/gateway/runtime/store-client.ts
+++ b/src/gateway/runtime/store-client.ts
@@ -72,7 +72,7 @@
     }
   }
 
-  /** Drops the list or watch call of a collection. */
+  /** Aborts the list or watch of a collection. */
   abortCall(collection: CollectionName): void {
     if (this.newest.delete(collection)) {
       this.dropClient(collection);
--- a/src/gateway/state.ts
+++ b/src/gateway/state.ts
@@ -103,7 +103,7 @@
   readonly subqueries: Map<SubqueryId, CallId>;
   nextSubquery: SubqueryId;
   readonly store: StoreReachability;
-  /** State that is kept for the case that the store is restored from a backup. */
+  /** Unconfirmed objects and recent departures, for restores of the store from a backup. */
   readonly storeRestores: RestoreState;
   phase: LifecyclePhase;
   /** When the request to stop arrived. */
@@ -134,7 +134,7 @@
   readonly latencies: Map<string, RouteLatency>;
   /** Recent log lines about unreadable requests, by problem. */
   readonly unreadableLogs: Map<UnreadableProblem, UnreadableLog>;
-  /** Outcomes of waits for a replica, by service. */
+  /** Outcomes of the pauses of legs, by service. */
   readonly legPauseOutcomes: Map<string, LegPauseOutcomes>;
   readonly splits: Map<string, SplitCursor>;
   readonly counters: GatewayCounters;
@@ -224,7 +224,7 @@
   return budget;
 };
 
-/** The outcomes of waits for a replica of a service; created on first use. */
+/** The outcomes of the pauses of legs for a service; created on first use. */
 export const legPauseOutcomesOf = (state: GatewayState, service: string): LegPauseOutcomes => {
   const known = state.legPauseOutcomes.get(service) ?? createLegPauseOutcomes();
   state.legPauseOutcomes.set(service, known);
--- a/src/gateway/store/probe-store.ts
+++ b/src/gateway/store/probe-store.ts
@@ -12,7 +12,7 @@
 const PROBE_INTERVAL_MS = 1_500;
 const READER_INTERVAL_MS = 750;
 
-/** Time between two probes while the store is unreachable, in milliseconds: of a reader, and of a mere follower. */
+/** Time between two probes while the store is unreachable, in milliseconds: of readers, and of other gateways. */
 const UNREACHABLE_INTERVAL_MS = 400;
 const UNREACHABLE_FOLLOWER_INTERVAL_MS = 1_500;
 
--- a/test/gateway/crash-fuzz.test.ts
+++ b/test/gateway/crash-fuzz.test.ts
@@ -38,7 +38,7 @@
 const FAULTS_END_MS = 25_000;
 const SETTLED_MS = 35_000;
 
-/** Longest time until a crashed replica is back, in milliseconds. */
+/** Longest time until a crashed replica has restarted, in milliseconds. */
 const REPLICA_DOWN_MS = 3_700;
 
 /** Time budget of a caller, and how much longer an answer may take in the test network, in milliseconds. */
@@ -88,10 +88,10 @@
     const path = draw.of(PATHS);
     const everyMs = draw.between(80, 5_000);
     const from = draw.between(0, 5_000);
-    const asking = { fingerprint, path, budgetMs: BUDGET_MS, ...drawCallerLimits(draw, scenario) };
+    const request = { fingerprint, path, budgetMs: BUDGET_MS, ...drawCallerLimits(draw, scenario) };
     for (let at = from; at < SETTLED_MS; at += everyMs * draw.between(0.5, 1.5)) {
       const retries = draw.below(3);
-      network.at(at, () => network.sendRequest({ ...asking, retries }));
+      network.at(at, () => network.sendRequest({ ...request, retries }));
     }
   }
   const popular = 1 + draw.below(30);
--- a/test/gateway/crash-network.ts
+++ b/test/gateway/crash-network.ts
@@ -1,6 +1,6 @@
 /**
  * Several gateways over replicas that can crash, in virtual time. A replica that runs a request with a lethal
- * fingerprint crashes at the end of that run, with everything else that it is running, and is back under another
+ * fingerprint crashes at the end of that run, with everything else that it is running, and restarts under another
  * identifier after some seconds. Callers retry at another gateway.
  */
 import { createRandom, type Random } from '../../src/core/random.js';
@@ -28,7 +28,7 @@
 const MIN_WORK_MS = 10;
 const MAX_WORK_MS = 40;
 
-/** Times from a crash of a replica until its entry has expired, and until it is back, in milliseconds. */
+/** Times from a crash of a replica until its entry has expired, and until it has restarted, in milliseconds. */
 const ENTRY_EXPIRY_MS = 2_500;
 const RESTART_MS = 3_000;
 
@@ -136,7 +136,7 @@
 export interface CallerRequest {
   readonly fingerprint: string;
   readonly path?: string;
-  /** How often the caller retries after a refusal. */
+  /** Maximum number of retries of the caller after refusals. */
   readonly retries?: number;
   readonly budgetMs?: number;
   /** The caller closes its connection after this time, in milliseconds, and does not retry. */
@@ -283,13 +283,13 @@
   }
 
   /** Sends a request of a caller. It and its retries go to gateways drawn at random. */
-  sendRequest(asking: CallerRequest): SentRequest {
-    const asked: SentRequest = { ...asking, requestedAt: this.now, responses: [], isLost: false };
+  sendRequest(request: CallerRequest): SentRequest {
+    const asked: SentRequest = { ...request, requestedAt: this.now, responses: [], isLost: false };
     this.asked.push(asked);
     this.sendToGateway(
       asked,
-      asking.retries ?? 1,
-      this.nodes.find(({ record }) => record.name === asking.gateway),
+      request.retries ?? 1,
+      this.nodes.find(({ record }) => record.name === request.gateway),
     );
     return asked;
   }
@@ -416,7 +416,7 @@
       .forEach((node) => this.emit(node, { type: 'changes-read', at: this.now, changes }));
   }
 
-  /** Crashes a replica: its attempts fail, and its machine refuses connections until it is back. */
+  /** Crashes a replica: its attempts fail, and its machine refuses connections until it has restarted. */
   private crashReplica(place: ReplicaSlot): void {
     place.isUp = false;
     const { record } = place;
@@ -540,7 +540,7 @@
     this.emitLater(2 * LINK_MS, node, { type: 'replica-checked', at: 0, replica, isDown });
   }
 
-  /** Checks a watched replica when it crashes, which breaks the connection to it, or at once where it already has. */
+  /** Checks a watched replica when it crashes, or at once if it has already crashed. */
   private watch(node: CrashNode, { replica, untilAt }: WatchReplica): void {
     const place = this.places.find(({ record }) => record.id === replica.id);
     if (place?.isUp !== true) {
--- a/test/gateway/reader-interruptions.test.ts
+++ b/test/gateway/reader-interruptions.test.ts
@@ -3,11 +3,11 @@
  * had acknowledged a version, all gateways of a zone still used the previous one: they answered 404 on an added route
  * until the next change, while the store answered every probe and the zone's reader reported that it was current.
  *
- * The store withheld changes from watches for 1 s, reset them, and dropped its history. The reader restarted its watch
- * between the reset and the loss of the history. The store accepted this watch but reported "history gone" only at the
- * next change or at the end of the watch, which waited up to 25 s; in the incident that was after 6.6 s, and at other
- * readers after 0.1 s. A waiting watch had been taken as proof that nothing changes, and a watch that was cut had been
- * restarted from the last known revision as if no change had been missed.
+ * The store withheld changes from watches for 1 s, reset them, and discarded its history. The reader restarted its
+ * watch between the reset and the loss of the history. The store accepted this watch but reported "history gone" only
+ * at the next change or at the end of the watch, which waited up to 25 s; in the incident that was after 6.6 s, and at
+ * other readers after 0.1 s. A waiting watch had been taken as proof that nothing changes, and a watch that was cut had
+ * been restarted from the last known revision as if no change had been missed.
  *
  * The last tests guard against a related fault: a reader did not forward updates of another reader to its own
  * followers, although it reported to them that it was current.
--- a/test/gateway/reader-network.ts
+++ b/test/gateway/reader-network.ts
@@ -254,7 +254,7 @@
     }
   }
 
-  /** Drops the history of the store. Watches receive changes again from now on. */
+  /** Discards the history of the store. Watches receive changes again from now on. */
   discardHistory(): void {
     this.store.discardHistory();
     this.withholdsChanges = false;
--- a/test/gateway/readers.test.ts
+++ b/test/gateway/readers.test.ts
@@ -89,7 +89,7 @@
     }
   });
 
-  it('are replaced when they lose the store, and resume when it is back', () => {
+  it('are replaced when they lose the store, and are one per zone after they reach it again', () => {
     const network = networkOf();
     const reader = readerOf(network, 'arada');
     network.setStore(reader, false);
--- a/test/gateway/replica-identity.test.ts
+++ b/test/gateway/replica-identity.test.ts
@@ -121,8 +121,8 @@
   it('is sent to followers without a value, and gets no requests', () => {
     const gateway = gatewayWith();
     list(gateway, undefined, 2);
-    const told = snapshotOf(gateway.state, 'replicas', gateway.now);
-    expect(told?.objects).toEqual([{ name: ID, gone: false }]);
+    const snapshot = snapshotOf(gateway.state, 'replicas', gateway.now);
+    expect(snapshot?.objects).toEqual([{ name: ID, gone: false }]);
     gateway.request();
     expect(gateway.sent).toEqual([]);
   });
--- a/test/gateway/requests.test.ts
+++ b/test/gateway/requests.test.ts
@@ -271,7 +271,7 @@
     expect(gateway.answeredAt.get(call)).toBe(200);
   });
 
-  it('is dropped when its caller leaves', () => {
+  it('is discarded when its caller leaves', () => {
     const gateway = new VirtualGateway();
     const call = gateway.request(900);
     gateway.emit({ type: 'caller-left', at: 10, call });
@@ -351,7 +351,7 @@
     return (gateway.answeredAt.get(call) ?? Number.NaN) - startedAt;
   };
 
-  it('pauses at first, and is mostly refused at once when such pauses were not served', () => {
+  it('pauses at first, and is mostly refused at once when such pauses have ended without an answer', () => {
     const gateway = gatewayWithOneReplica();
     expect(refusalDelay(gateway)).toBeGreaterThan(20);
     const waits = Array.from({ length: 40 }, () => refusalDelay(gateway)).slice(10);
--- a/test/gateway/suspected-requests.test.ts
+++ b/test/gateway/suspected-requests.test.ts
@@ -278,7 +278,7 @@
     expect(network.nodes.every(({ stored }) => stored.suspects === undefined)).toBe(true);
   });
 
-  it('is tried at one replica after a minute, and is served once it is harmless', () => {
+  it('is sent to one replica as a trial after a minute, and is served once it is harmless', () => {
     const network = networkOf(4);
     scheduleLethalRequests(network, '/all/x', 500, 5_000);
     network.advance(63_000);
--- a/test/platform/unawaited-crashes.test.ts
+++ b/test/platform/unawaited-crashes.test.ts
@@ -16,7 +16,7 @@
 const INTERVAL_MS = 300;
 const DURATION_MS = 8_000;
 
-/** Time until a crashed replica is back, in milliseconds. */
+/** Time until a crashed replica has restarted, in milliseconds. */
 const RESTART_MS = 2_000;
 
 /** Work of a replica on any other request, and a time longer than a test lasts, in milliseconds. */
