--- a/src/gateway/runtime/peers/peer-port.ts
+++ b/src/gateway/runtime/peers/peer-port.ts
@@ -18,7 +18,7 @@
 
 /**
  * A connection is closed if nothing was received over it for this time, in milliseconds. Gateways send a ping over idle
- * connections every 2 s (see `peer-client.ts`), so that a silent one has ended without closing its connection.
+ * connections every 2 s (see `peer-client.ts`), so that a silent gateway has crashed or is cut off.
  */
 const SILENCE_TIMEOUT_MS = 15_000;
 
@@ -83,14 +83,14 @@
     const open = this.openCalls.get(call);
     open?.coordinator.connection.send({ type: 'parts', id: open.id, part });
     if (part.isFinal) {
-      this.forget(call);
+      this.discard(call);
     }
   }
 
   refuse(call: CallId): void {
     const open = this.openCalls.get(call);
     open?.coordinator.connection.send({ type: 'refused', id: open.id });
-    this.forget(call);
+    this.discard(call);
   }
 
   /** Sends an update to followers; the message is encoded once for all of them. */
@@ -99,8 +99,8 @@
     followers.forEach((follower) => this.followers.get(follower)?.sendFrame(frame));
   }
 
-  /** Removes a call that has ended. */
-  forget(call: CallId): void {
+  /** Discards a call that has ended. */
+  discard(call: CallId): void {
     const open = this.openCalls.get(call);
     if (open !== undefined) {
       open.coordinator.calls.delete(open.id);
@@ -168,7 +168,7 @@
       case 'crashes': {
         const { sink, clock } = this.context;
         const { from, news } = message;
-        sink.emit({ type: 'crashes-told', at: clock.now(), from, news });
+        sink.emit({ type: 'crash-updates-received', at: clock.now(), from, news });
         return;
       }
       default:
--- a/src/gateway/runtime/start-gateway.ts
+++ b/src/gateway/runtime/start-gateway.ts
@@ -155,10 +155,10 @@
   /** Executes effects that few requests or none cause. */
   private executeRareEffect(effect: Exclude<GatewayEffect, FrequentEffect>): void {
     match(effect)
-      .with({ type: 'forget-call' }, ({ call }) => {
+      .with({ type: 'discard-call' }, ({ call }) => {
         this.timers.cancel(call);
-        this.callers.forget(call);
-        this.peerPort.forget(call);
+        this.callers.discard(call);
+        this.peerPort.discard(call);
       })
       .with({ type: 'send-subquery' }, (send) => this.peerClient.send(send))
       .with({ type: 'cancel-subquery' }, (cancel) => this.peerClient.cancel(cancel))
@@ -171,23 +171,23 @@
       .with({ type: 'open-connection' }, (open) => this.replicas.preconnect(open))
       .with({ type: 'check-replica' }, (check) => this.replicas.check(check))
       .with({ type: 'watch-replica' }, (watch) => this.replicas.watch(watch))
-      .with({ type: 'tell-crashes' }, (update) => this.peerClient.sendCrashUpdates(update))
-      .with({ type: 'set-crash-news-timer' }, ({ at }) => this.timers.set('crash-news', at))
+      .with({ type: 'send-crash-updates' }, (update) => this.peerClient.sendCrashUpdates(update))
+      .with({ type: 'set-crash-update-timer' }, ({ at }) => this.timers.set('crash-updates', at))
       .with({ type: 'close-replica' }, ({ replica }) => this.replicas.close(replica))
       .with({ type: 'call-store' }, ({ call }) => this.callStore(call))
       .with({ type: 'set-collection-timer' }, ({ collection, at }) =>
         this.timers.set(collection, at),
       )
       .with({ type: 'set-probe-timer' }, ({ at }) => this.timers.set('probe', at))
-      .with({ type: 'drop-store-call' }, ({ collection }) => {
+      .with({ type: 'abort-store-call' }, ({ collection }) => {
         this.timers.cancel(collection);
-        this.store.drop(collection);
+        this.store.abortCall(collection);
       })
       .with({ type: 'set-registration-timer' }, ({ at }) => this.timers.set('registration', at))
       .with({ type: 'set-reading-timer' }, ({ at }) => this.timers.set('reading', at))
       .with({ type: 'follow-reader' }, (follow) => this.peerClient.follow(follow))
       .with({ type: 'unfollow-reader' }, ({ reader }) => this.peerClient.unfollow(reader))
-      .with({ type: 'tell-followers' }, (update) => this.peerPort.sendUpdate(update))
+      .with({ type: 'send-reader-update' }, (update) => this.peerPort.sendUpdate(update))
       .with({ type: 'set-stop-timer' }, ({ at }) => this.timers.set('stop', at))
       .with({ type: 'set-readiness' }, ({ ready }) => {
         this.readiness.setReady(ready);
--- a/src/gateway/runtime/store-client.ts
+++ b/src/gateway/runtime/store-client.ts
@@ -51,7 +51,7 @@
 /** Valid values of the era header: non-negative integers. */
 const ERA_PATTERN = /^\d{1,15}$/;
 
-/** Executes `call-store` and `drop-store-call`. */
+/** Executes `call-store` and `abort-store-call`. */
 export class StoreClient {
   private readonly clients = new Map<Purpose, Client>();
   /** The latest call of each collection; it replaces earlier ones, whose answers are ignored. */
@@ -72,8 +72,8 @@
     }
   }
 
-  /** Drops the list or watch call of a collection. */
-  drop(collection: CollectionName): void {
+  /** Aborts the list or watch of a collection. */
+  abortCall(collection: CollectionName): void {
     if (this.newest.delete(collection)) {
       this.dropClient(collection);
     }
