--- a/src/gateway/readers/handle-reader-update.ts
+++ b/src/gateway/readers/handle-reader-update.ts
@@ -223,12 +223,12 @@
       progress.confirmedAt = Math.max(progress.confirmedAt, at - confirmedMsAgo);
     });
   }
-  const compared = compareVersions(state, source, version, at);
+  const effects = compareVersions(state, source, version, at);
   if (isCurrent === wasCurrent) {
-    return compared;
+    return effects;
   }
   const change: StateChange = { event: 'reader-status', reader: source.peer.name, isCurrent };
-  return [...compared, { type: 'write-log', level: 'info', part: 'store', change }];
+  return [...effects, { type: 'write-log', level: 'info', part: 'store', change }];
 };
 
 /** Handles `reader-update-received`. Updates of a gateway that is no longer followed are discarded. */
--- a/src/gateway/readers/update-reading.ts
+++ b/src/gateway/readers/update-reading.ts
@@ -95,8 +95,8 @@
 /** Chooses the gateways to follow; undefined while it is too early to choose. */
 const chooseReaders = (state: GatewayState, at: number): ReaderChoice | undefined => {
   const { reading, startedAt, store, gatewaysSettled } = state;
-  const isRosterKnown = gatewaysSettled || !isAlone(state);
-  if (isRosterKnown) {
+  const isGatewayListKnown = gatewaysSettled || !isAlone(state);
+  if (isGatewayListKnown) {
     const candidates = readerCandidates(state, at);
     const isEarly = at < reading.followFrom && canServe(state);
     return isEarly && candidates[0]?.name !== state.settings.node
--- a/src/gateway/requests/attempt-result.ts
+++ b/src/gateway/requests/attempt-result.ts
@@ -79,11 +79,11 @@
     return [];
   }
   const { fingerprint } = attempt;
-  const noted = recordRunEnd(state, attempt, event);
+  const runEndEffects = recordRunEnd(state, attempt, event);
   const taken = applyRequestResult(state, attempt, event);
   const isSuspected = state.crashes.histories.verdict(fingerprint, event.at) !== 'unsuspected';
   return [
-    ...noted,
+    ...runEndEffects,
     ...taken,
     ...(isSuspected ? progressHeldRequests(state, fingerprint, event.at) : []),
   ];
--- a/src/gateway/requests/broken-attempts.ts
+++ b/src/gateway/requests/broken-attempts.ts
@@ -63,7 +63,7 @@
 };
 
 /** The answer that ended the attempt, when it proves that a replica can run the request. */
-const exoneratingAnswerOf = (
+const clearingAnswerOf = (
   { replica, owner }: ActiveAttempt,
   { result }: AttemptEnded,
 ): ObservedAnswer | undefined =>
@@ -108,7 +108,7 @@
     return recordBrokenAttempt(state, attempt, at);
   }
   const { histories } = state.crashes;
-  const answer = exoneratingAnswerOf(attempt, event);
+  const answer = clearingAnswerOf(attempt, event);
   if (answer === undefined) {
     return [
       ...recordUnawaited(state, attempt, event),
@@ -163,11 +163,11 @@
   state: GatewayState,
   fingerprint: Fingerprint,
   crash: Crash,
-  isStriking: boolean,
+  hasCrashedMany: boolean,
   at: number,
 ): GatewayEffect[] => {
   const after = recordCrash(state.crashes.histories.find(fingerprint, at), crash);
-  const isUrgent = isStriking || after.rounds > 1;
+  const isUrgent = hasCrashedMany || after.rounds > 1;
   const { node: from } = state.settings;
   return updateHistory(state, fingerprint, after, { from, isUrgent }, at);
 };
@@ -177,10 +177,10 @@
   run: BrokenAttempt,
   at: number,
 ): GatewayEffect[] => {
-  const isStriking = countCrash(state, run, at);
+  const hasCrashedMany = countCrash(state, run, at);
   const { fingerprint, knownRounds, sentAt } = run.attempt;
   const crash = { knownRounds, sentAt, crashedAt: run.brokenAt };
-  return recordAndPublishCrash(state, fingerprint, crash, isStriking, at);
+  return recordAndPublishCrash(state, fingerprint, crash, hasCrashedMany, at);
 };
 
 const applyUnawaitedRunCrash = (
@@ -243,11 +243,11 @@
   const unawaited = isDown ? removeUnawaitedRuns(state, replica, at) : [];
   const runs = [...broken.map(({ attempt }) => attempt), ...unawaited];
   const fingerprints = new Set(runs.map(({ fingerprint }) => fingerprint));
-  const noted = isDown
+  const runEffects = isDown
     ? applyCrashToRuns(state, replica, broken, unawaited, at)
     : broken.flatMap(({ attempt }) => watchRun(state, attempt, at));
   return [
-    ...noted,
+    ...runEffects,
     ...[...requests].flatMap((request) => progressRequest(state, request, at)),
     ...[...fingerprints].flatMap((fingerprint) => progressHeldRequests(state, fingerprint, at)),
   ];
--- a/src/gateway/runtime/store-client.ts
+++ b/src/gateway/runtime/store-client.ts
@@ -75,7 +75,7 @@
   /** Aborts the list or watch of a collection. */
   abortCall(collection: CollectionName): void {
     if (this.newest.delete(collection)) {
-      this.dropClient(collection);
+      this.closeClient(collection);
     }
   }
 
@@ -87,7 +87,7 @@
   private async follow(call: CollectionCall): Promise<void> {
     const { collection } = call;
     if (this.newest.has(collection)) {
-      this.dropClient(collection);
+      this.closeClient(collection);
     }
     this.newest.set(collection, call);
     try {
@@ -183,7 +183,7 @@
       return await readText(client, this.context.format.formatCall(call), call.timeoutMs);
     } catch (error) {
       if (this.clients.get(purpose) === client) {
-        this.dropClient(purpose);
+        this.closeClient(purpose);
       }
       throw error;
     }
@@ -209,7 +209,7 @@
     return client;
   }
 
-  private dropClient(purpose: Purpose): void {
+  private closeClient(purpose: Purpose): void {
     const client = this.clients.get(purpose);
     this.clients.delete(purpose);
     void client?.destroy().catch(() => undefined);
--- a/test/gateway/unawaited-crashes.test.ts
+++ b/test/gateway/unawaited-crashes.test.ts
@@ -39,7 +39,7 @@
 /** How the lethal request is sent, and what it does. */
 interface Incident {
   readonly seed: number;
-  readonly asking: Partial<CallerRequest>;
+  readonly request: Partial<CallerRequest>;
   /** Time after which a replica crashes, in milliseconds; drawn like any work where absent. */
   readonly lethalMs?: number;
   readonly insteadOfRunning?: CrashNetwork['insteadOfRunning'];
@@ -50,7 +50,7 @@
 /** Sends the lethal request every 300 ms for 13 s, and others every 30 ms throughout. */
 const runIncident = ({
   seed,
-  asking,
+  request,
   lethalMs,
   insteadOfRunning,
   gateways = 8,
@@ -61,7 +61,7 @@
   network.lethalMs = lethalMs;
   network.insteadOfRunning = insteadOfRunning ?? network.insteadOfRunning;
   for (let at = 1_000; at < 14_000; at += 300) {
-    network.at(at, () => network.sendRequest({ fingerprint: LETHAL, retries: 0, ...asking }));
+    network.at(at, () => network.sendRequest({ fingerprint: LETHAL, retries: 0, ...request }));
   }
   for (let at = 0; at < 20_000; at += 30) {
     network.at(at, () =>
@@ -80,25 +80,27 @@
 describe('poison request that crashes replicas in unawaited runs', () => {
   it('no longer reaches replicas where its callers leave before the crash', () => {
     for (const path of PATHS) {
-      expectStopped(runIncident({ seed: 11, lethalMs: 90, asking: { path, leavesAfterMs: 40 } }));
+      expectStopped(runIncident({ seed: 11, lethalMs: 90, request: { path, leavesAfterMs: 40 } }));
     }
   });
 
   it('no longer reaches replicas where feeders send it and their subqueries are cancelled', () => {
-    const asking = { path: '/all/x', leavesAfterMs: 40 };
-    expectStopped(runIncident({ seed: 16, lethalMs: 90, gateways: 40, asking }));
+    const request = { path: '/all/x', leavesAfterMs: 40 };
+    expectStopped(runIncident({ seed: 16, lethalMs: 90, gateways: 40, request }));
   });
 
   it('no longer reaches replicas where the time budget of its callers ends before the crash', () => {
     for (const path of PATHS) {
-      expectStopped(runIncident({ seed: 12, lethalMs: 120, asking: { path, budgetMs: 70 } }));
+      expectStopped(runIncident({ seed: 12, lethalMs: 120, request: { path, budgetMs: 70 } }));
     }
   });
 });
 
 describe('poison request that is repeated before replicas crash', () => {
   it.each(PATHS)('no longer reaches replicas: %s', (path) => {
-    expectStopped(runIncident({ seed: 14, lethalMs: 2_000, asking: { path, leavesAfterMs: 300 } }));
+    expectStopped(
+      runIncident({ seed: 14, lethalMs: 2_000, request: { path, leavesAfterMs: 300 } }),
+    );
   });
 });
 
@@ -106,10 +108,10 @@
   /** Number of late caller requests in each case: a seed, and the time after which replicas crash, in milliseconds. */
   const lateRequestsOf = (
     cases: readonly (readonly [number, number])[],
-    asking: Partial<CallerRequest>,
+    request: Partial<CallerRequest>,
   ): readonly number[] =>
     cases.map(([seed, lethalMs]) =>
-      lateRequests(runIncident({ seed, lethalMs, gateways: 40, asking }), LETHAL, PROPAGATION_MS),
+      lateRequests(runIncident({ seed, lethalMs, gateways: 40, request }), LETHAL, PROPAGATION_MS),
     );
 
   it('no longer reaches replicas where its callers leave', () => {
@@ -141,7 +143,7 @@
         count += 1;
         return count % 2 === 0 ? 'refuses' : undefined;
       };
-      const network = runIncident({ seed: 15, insteadOfRunning, asking: { path, retries: 1 } });
+      const network = runIncident({ seed: 15, insteadOfRunning, request: { path, retries: 1 } });
       expect(lateRequests(network, LETHAL, PROPAGATION_MS)).toBeLessThanOrEqual(MAX_LATE_ATTEMPTS);
     },
   );
@@ -150,7 +152,7 @@
     const insteadOfRunning: CrashNetwork['insteadOfRunning'] = (place, fingerprint) =>
       place.endsWith('/0') && fingerprint === LETHAL ? 'fails' : undefined;
     expectStopped(
-      runIncident({ seed: 13, insteadOfRunning, asking: { path: '/all/x', retries: 1 } }),
+      runIncident({ seed: 13, insteadOfRunning, request: { path: '/all/x', retries: 1 } }),
     );
   });
 });
--- a/test/platform/changing-routes.test.ts
+++ b/test/platform/changing-routes.test.ts
@@ -78,7 +78,7 @@
   it('are never answered with a redirection or client error while versions change in quick succession', async () => {
     let isOver = false;
     const paths = ['/one/x', '/one/two/x', '/stays/x'];
-    const asking = Array.from({ length: CALLERS }, () => sendUntil(paths, () => isOver));
+    const pendingAnswers = Array.from({ length: CALLERS }, () => sendUntil(paths, () => isOver));
     let version = 0;
     for (let change = 1; change <= VERSIONS; change += 1) {
       version = fixture.configure(routesOf(change), SERVICES);
@@ -86,7 +86,9 @@
     }
     await fixture.untilInForce(version);
     isOver = true;
-    const statuses = new Set((await Promise.all(asking)).flat().map(({ status }) => status));
+    const statuses = new Set(
+      (await Promise.all(pendingAnswers)).flat().map(({ status }) => status),
+    );
     expect([...statuses].filter((status) => status >= 300 && status < 500)).toEqual([]);
     expect(statuses).toContain(200);
   });
--- a/test/platform/crashing-requests.test.ts
+++ b/test/platform/crashing-requests.test.ts
@@ -47,7 +47,7 @@
   await fixture.stop();
 });
 
-const askEach = async (path: string): Promise<readonly number[]> => {
+const requestFromEach = async (path: string): Promise<readonly number[]> => {
   const gateways = [fixture.gateway, ...peers];
   const statuses: number[] = [];
   for (const { state } of gateways) {
@@ -60,16 +60,16 @@
 
 describe('poison request, over sockets', () => {
   it('is refused at all gateways after two requests, and leaves replicas for others', async () => {
-    const statuses = [await askEach(LETHAL), await askEach(LETHAL)].flat();
+    const statuses = [await requestFromEach(LETHAL), await requestFromEach(LETHAL)].flat();
     expect(statuses.slice(0, 2)).toEqual([502, 502]);
     expect(statuses.slice(2)).toEqual([503, 503, 503, 503]);
     expect(crashed).toHaveLength(SHARDS.length + 2);
-    expect(await askEach('/all/other')).toEqual([200, 200, 200]);
+    expect(await requestFromEach('/all/other')).toEqual([200, 200, 200]);
     expect(crashed).toHaveLength(SHARDS.length + 2);
   });
 
   it('is refused with the time until its next trial, and its reason is logged, counted and traced', async () => {
-    await askEach(LETHAL);
+    await requestFromEach(LETHAL);
     const answer = await fixture.request({ id: 'again', path: LETHAL });
     expect(answer.status).toBe(503);
     expect(Number(answer.headers['retry-after'])).toBeGreaterThan(50);
@@ -84,7 +84,7 @@
   });
 
   it('is kept in a gateway entry in the store, from which the gateway restores it after a restart', async () => {
-    await askEach(LETHAL);
+    await requestFromEach(LETHAL);
     const states = [fixture.gateway, ...peers].map(({ state }) => state);
     const writer = states.find(({ crashes }) => crashes.kept.size > 0);
     const own = writer?.peers.find(writer.settings.node);
