--- a/src/load/check-answer.ts
+++ b/src/load/check-answer.ts
@@ -39,10 +39,10 @@
   for (const item of answer.items) {
     const value = valueOf(item.value);
     if (value.nonce !== call.nonce) {
-      report('own-answer-only', `an item of nonce ${call.nonce} in the answer to ${value.nonce}`);
+      report('own-answer-only', `an item of nonce ${value.nonce} in the answer to ${call.nonce}`);
     }
     if (value.snapshot !== answer.snapshot) {
-      report('one-snapshot', `an item of ${answer.snapshot} in an answer of ${value.snapshot}`);
+      report('one-snapshot', `an item of ${value.snapshot} in an answer of ${answer.snapshot}`);
     }
     if (value.shard !== undefined && missing.has(value.shard)) {
       report('true-coverage', `shard ${value.shard} is listed as missing and has items`);
