--- a/scenarios/platform/compare/play.mjs
+++ b/scenarios/platform/compare/play.mjs
@@ -1,10 +1,10 @@
-/** Plays one day in the folder of one way, and reads its report. */
+/** Plays days in the folders of ways and reads their reports. */
 import { spawn } from 'node:child_process';
 import { closeSync, existsSync, openSync, readFileSync } from 'node:fs';
 import { clearTimeout, setTimeout } from 'node:timers';
 import { readFigures, readObjections } from './figures.mjs';
 
-/** Runs a program with its output in a file; resolves to its exit code, or to the signal that ended it. */
+/** Runs a program with its output in a file; resolves with its exit code or the signal that terminated it. */
 const run = (program, args, { cwd, log, limitMs }) =>
   new Promise((resolve, reject) => {
     const output = openSync(log, 'w');
@@ -18,7 +18,7 @@
     });
   });
 
-/** The figures of a report, or what stands against taking them. */
+/** Reads the figures of a report, or the reason for which they can't be used. */
 const readReport = (path) => {
   if (!existsSync(path)) {
     return { failure: 'no report' };
@@ -34,7 +34,7 @@
   }
 };
 
-/** Adds to a play its figures, or its failure. */
+/** Plays one day unless a report exists; resolves with the play and its figures or failure. */
 const playDay = async (play, { bench, why, out, limitMs }) => {
   const { way, folder, site, siteFile, day, seed } = play;
   const path = `${out}/${site}-${day}-${seed}-${way}`;
@@ -51,17 +51,17 @@
     : { ...play, failure: `${result.failure} (ended with ${end}, output in ${log})` };
 };
 
-/** Takes the plays one after the other, `jobs` at once, and tells of each that has ended. */
+/** Plays all in order, up to `jobs` concurrently, and calls `onEnd` after each. */
 export const playAll = async (plays, jobs, options, onEnd) => {
   const waiting = [...plays];
   const ended = [];
-  const work = async () => {
+  const playNext = async () => {
     for (let play = waiting.shift(); play !== undefined; play = waiting.shift()) {
       const result = await playDay(play, options);
       ended.push(result);
       onEnd(result, ended.length);
     }
   };
-  await Promise.all(Array.from({ length: jobs }, work));
+  await Promise.all(Array.from({ length: jobs }, playNext));
   return ended;
 };
--- a/scenarios/platform/compare/table.mjs
+++ b/scenarios/platform/compare/table.mjs
@@ -1,4 +1,4 @@
-/** Prints plays, and the paired differences between ways, as tables of plain text. */
+/** Formats plays and the paired differences between ways as plain-text tables. */
 import { FIGURES } from './figures.mjs';
 import { groupByDay, pairPlays, summarize } from './paired.mjs';
 
@@ -39,10 +39,10 @@
 const formatDifferences = (plays, base, way) => {
   const pairs = pairPlays(plays, base, way);
   const days = [...groupByDay(pairs)].map(([day, some]) => formatSummary(day, some));
-  return [`${way} less ${base}: mean (standard deviation)`, ...days, formatSummary('all', pairs)];
+  return [`${way} - ${base}: mean (standard deviation)`, ...days, formatSummary('all', pairs)];
 };
 
-/** The lines of both tables; the first of `ways` is what the others are compared with. */
+/** Returns the lines of both tables; the other ways are compared with the first of `ways`. */
 export const formatTables = (plays, ways) => {
   const [base, ...others] = ways;
   const order = ({ site, day, seed, way }) => `${site} ${day} ${seed} ${ways.indexOf(way)}`;
